--- a/internal/forward/answer.go
+++ b/internal/forward/answer.go
@@ -9,13 +9,13 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-// answer passes the target's answer on.
-func (f *Forwarder) answer(w http.ResponseWriter, q *request, reply *peering.Reply) {
+// writeAnswer passes the target's answer on to the caller.
+func (f *Forwarder) writeAnswer(w http.ResponseWriter, q *request, reply *peering.Reply) {
 	header := w.Header()
 	for name, values := range reply.Header {
 		header[name] = values
 	}
-	if _, told := header["Content-Type"]; !told {
+	if _, present := header["Content-Type"]; !present {
 		header["Content-Type"] = nil
 	}
 	header.Set(f.config.Headers.RequestID, q.id)
@@ -28,8 +28,8 @@
 		Peer: q.lastHome, Status: reply.Status, Attempt: q.attempts, Duration: duration})
 }
 
-// refuse answers with a problem.
-func (f *Forwarder) refuse(w http.ResponseWriter, q *request, failure *problem.Problem) {
+// writeProblem answers with a problem document.
+func (f *Forwarder) writeProblem(w http.ResponseWriter, q *request, failure *problem.Problem) {
 	failure.RequestID = q.id
 	if q.id != "" {
 		w.Header().Set(f.config.Headers.RequestID, q.id)
@@ -48,8 +48,8 @@
 	f.log.Record(event)
 }
 
-// abandoned notes a request whose caller left.
-func (f *Forwarder) abandoned(q *request) {
+// recordAbandoned logs and counts a request whose caller disconnected.
+func (f *Forwarder) recordAbandoned(q *request) {
 	duration := f.now().Sub(q.arrived)
 	f.observer.Finished(q.route.Name, 0, string(problem.CallerGone), duration)
 	f.log.Record(eventlog.Event{Kind: eventlog.RequestAbandoned, Request: q.id, Route: q.route.Name, Service: q.service,
--- a/internal/forward/budget_simulation_test.go
+++ b/internal/forward/budget_simulation_test.go
@@ -28,57 +28,57 @@
 )
 
 const (
-	// The rule that all nodes together are held to: in each span the repetitions at a
-	// service are at most budgetRatio of its requests, and budgetSlack.
+	// The bound on all nodes together: in each window the retries sent to a service are
+	// at most budgetRatio times its requests, plus budgetSlack.
 	budgetRatio  = 0.2
 	budgetSlack  = 49.0
 	budgetWindow = 10 * time.Second
-	// simulatedSpan is how long a simulation goes on.
-	simulatedSpan = 40 * time.Second
-	// leafCalls is how many calls each request of the middle service makes.
-	leafCalls = 4
+	// simulatedDuration is the length of a simulation.
+	simulatedDuration = 40 * time.Second
+	// callsPerCard is the number of price calls that each card request makes.
+	callsPerCard = 4
 )
 
-// budgetSimulation has many nodes send trees of calls to targets that reject or
-// fail a part of them, in virtual time. It counts what the targets see.
+// budgetSimulation has many nodes send trees of calls to targets that reject or fail some
+// of them, in virtual time, and counts the arrivals at the targets.
 type budgetSimulation struct {
 	t      *testing.T
 	now    time.Time
 	random *rand.Rand
-	// rejected is the part of arrivals at the leaf that its targets turn away, and
-	// lost the part of those at both services whose answers are lost.
-	rejected, lost float64
-	// delay bounds how much later than it was sent a call arrives.
+	// rejectedShare is the share of arrivals at the price service that its targets
+	// reject, and lostShare the share at both services whose answers are lost.
+	rejectedShare, lostShare float64
+	// delay is the maximum time between sending and arrival of a call.
 	delay     time.Duration
 	directory *registry.Directory
 	nodes     []*Forwarder
-	// requests and repeats are the moments of first sendings and of the arrivals
-	// beyond the first, by route.
-	requests, repeats map[string][]time.Time
+	// requests and retries are the times of first sends and of arrivals beyond the first,
+	// by route.
+	requests, retries map[string][]time.Time
 	nextID            int
 	completed         int
-	arrived           map[string]bool
-	observer          *sendingObserver
+	arrivedIDs        map[string]bool
+	observer          *budgetObserver
 }
 
-// parentHome knows the one request that the simulation has a target work on.
+// parentHome is the local home of a node whose target runs one request.
 type parentHome struct {
 	fakeHome
-	running guard.Running
-	made    int
+	running   guard.Running
+	callsMade int
 }
 
 func (h *parentHome) Running(string) (guard.Running, bool) { return h.running, true }
 
 func (h *parentHome) CallMade(string, string) int {
-	h.made++
-	return h.made
+	h.callsMade++
+	return h.callsMade
 }
 
 func newBudgetSimulation(t *testing.T, nodes int, seed uint64) *budgetSimulation {
 	t.Helper()
 	s := &budgetSimulation{t: t, now: time.Unix(1000, 0), random: rand.New(rand.NewPCG(seed, uint64(nodes))),
-		requests: make(map[string][]time.Time), repeats: make(map[string][]time.Time), arrived: make(map[string]bool), observer: &sendingObserver{}}
+		requests: make(map[string][]time.Time), retries: make(map[string][]time.Time), arrivedIDs: make(map[string]bool), observer: &budgetObserver{}}
 	s.directory = registry.NewDirectory("homes/", "", nil, func() time.Time { return s.now })
 	for i := range 6 {
 		address, service := fmt.Sprint("target-", i), []string{"price", "card"}[i%2]
@@ -99,7 +99,7 @@
 		Node: "node", Zone: "z", Address: "here", DefaultTimeout: time.Second,
 		Retries: retrybudget.AllowanceConfig{Ratio: budgetRatio, PresentShare: 0.5, Reserve: reserve, Window: budgetWindow, Delay: 500 * time.Millisecond},
 	}, Parts{
-		Routes: &routetable.Holder{}, Policies: policiesOf(s.t, routepolicy.Sources{}), Directory: s.directory, Local: &parentHome{}, Levels: pressure.New(now),
+		Routes: &routetable.Holder{}, Policies: compilePolicies(s.t, routepolicy.Sources{}), Directory: s.directory, Local: &parentHome{}, Levels: pressure.New(now),
 		Peers: s, Observer: s.observer, Now: now,
 	})
 }
@@ -107,15 +107,15 @@
 // Call implements Peers: the call arrives at a target.
 func (s *budgetSimulation) Call(_ context.Context, _ string, call *peering.Call) (*peering.Reply, error) {
 	at := s.now.Add(time.Duration(s.random.Float64() * float64(s.delay)))
-	if call.Repeat || s.arrived[call.RequestID] {
-		s.repeats[call.Route] = append(s.repeats[call.Route], at)
+	if call.Repeat || s.arrivedIDs[call.RequestID] {
+		s.retries[call.Route] = append(s.retries[call.Route], at)
 	}
-	s.arrived[call.RequestID] = true
+	s.arrivedIDs[call.RequestID] = true
 	load := peering.Load{Limit: 20, Threshold: shed.None, Latency: 20 * time.Millisecond}
 	switch {
-	case call.Route == "price" && s.random.Float64() < s.rejected:
+	case call.Route == "price" && s.random.Float64() < s.rejectedShare:
 		return &peering.Reply{Outcome: peering.Refused, Reason: peering.TargetFull, Load: load}, nil
-	case s.random.Float64() < s.lost:
+	case s.random.Float64() < s.lostShare:
 		return &peering.Reply{Outcome: peering.Failed, Reason: peering.Broken, Load: load}, nil
 	case call.Route == "card":
 		return s.runCard(call, load), nil
@@ -129,13 +129,13 @@
 // Forget implements Peers.
 func (s *budgetSimulation) Forget(string) {}
 
-// runCard has a target make the calls of a request one after the other.
+// runCard has a target make the calls of a request, one after another.
 func (s *budgetSimulation) runCard(call *peering.Call, load peering.Load) *peering.Reply {
-	// Few nodes stand beside targets of the middle service.
+	// Only a few nodes are next to targets of the card service.
 	node := s.nodes[s.random.IntN(min(len(s.nodes), 3))]
 	node.local = &parentHome{running: guard.Running{Route: "card", Rank: criticality.RankOf(call.Rank), Repeat: call.Repeat}}
 	status := http.StatusOK
-	for range leafCalls {
+	for range callsPerCard {
 		if !s.send(node, "price", call.Rank, call.Repeat, "card") {
 			status = http.StatusInternalServerError
 			break
@@ -147,59 +147,58 @@
 }
 
 // send has the node send a request and reports whether it succeeded.
-func (s *budgetSimulation) send(node *Forwarder, route string, rank uint16, repeat bool, parentRoute string) bool {
+func (s *budgetSimulation) send(node *Forwarder, route string, rank uint16, isRetry bool, parentRoute string) bool {
 	s.nextID++
 	id := fmt.Sprint(s.nextID)
 	q := &request{id: id, service: route, arrived: s.now, deadline: s.now.Add(time.Second), rank: criticality.RankOf(rank),
 		route: &routetable.Route{Name: route, Kind: routetable.Repeatable, Attempts: 3, Services: []routetable.WeightedService{{Name: route, Weight: 1}}},
-		call:  &peering.Call{RequestID: id, Route: route, Rank: rank, Repeat: repeat}}
+		call:  &peering.Call{RequestID: id, Route: route, Rank: rank, Repeat: isRetry}}
 	if parentRoute != "" {
 		q.inner, q.parent, q.parentRoute = true, "parent", parentRoute
 		q.callNumber = node.local.CallMade("parent", route)
 	}
 	q.policyCall = node.policyCallOf(q, httptest.NewRequest(http.MethodGet, "http://a.example/x", nil))
-	node.learnCall(q)
-	if !repeat {
+	node.recordInnerCall(q)
+	if !isRetry {
 		s.requests[route] = append(s.requests[route], s.now)
 	}
 	reply, failure := node.run(context.Background(), q)
 	return failure == nil && reply.Status == http.StatusOK
 }
 
-// worst returns by how much the repetitions of a route pass what the rule allows,
-// in the worst span; negative if they never do.
-func (s *budgetSimulation) worst(route string) float64 {
-	requests, repeats := slices.Clone(s.requests[route]), slices.Clone(s.repeats[route])
+// maxExcess returns by how many retries a route exceeds the bound in its worst window; it
+// is negative if the route never does.
+func (s *budgetSimulation) maxExcess(route string) float64 {
+	requests, retries := slices.Clone(s.requests[route]), slices.Clone(s.retries[route])
 	sortTimes(requests)
-	sortTimes(repeats)
-	worst := math.Inf(-1)
-	for _, first := range repeats {
-		all := 0
+	sortTimes(retries)
+	excess := math.Inf(-1)
+	for _, first := range retries {
+		requestCount := 0
 		for _, earlier := range []time.Duration{0, budgetWindow / 2, budgetWindow} {
-			all = max(all, countIn(requests, first.Add(-earlier)))
+			requestCount = max(requestCount, countInWindow(requests, first.Add(-earlier)))
 		}
-		worst = max(worst, float64(countIn(repeats, first))-budgetRatio*float64(all)-budgetSlack)
+		excess = max(excess, float64(countInWindow(retries, first))-budgetRatio*float64(requestCount)-budgetSlack)
 	}
-	return worst
+	return excess
 }
 
 func sortTimes(times []time.Time) {
 	slices.SortFunc(times, func(a, b time.Time) int { return a.Compare(b) })
 }
 
-// countIn counts the moments of a span that begins at the given one.
-func countIn(sorted []time.Time, begin time.Time) int {
+// countInWindow counts the times in the window that starts at begin.
+func countInWindow(sorted []time.Time, begin time.Time) int {
 	index := func(moment time.Time) int {
 		return sort.Search(len(sorted), func(i int) bool { return !sorted[i].Before(moment) })
 	}
 	return index(begin.Add(budgetWindow)) - index(begin)
 }
 
-// play has requests arrive at the rate, which the given function scales by the time
-// since the beginning.
-func (s *budgetSimulation) play(perSecond float64, scale func(at time.Duration) float64) {
+// run sends requests at the given rate, multiplied by scale of the time since the start.
+func (s *budgetSimulation) run(perSecond float64, scale func(at time.Duration) float64) {
 	begin := s.now
-	for s.now.Sub(begin) < simulatedSpan {
+	for s.now.Sub(begin) < simulatedDuration {
 		s.now = s.now.Add(time.Duration(s.random.ExpFloat64() / (perSecond * scale(s.now.Sub(begin))) * float64(time.Second)))
 		rank := uint16(s.random.IntN(3 * criticality.CohortCount))
 		node := s.nodes[s.random.IntN(len(s.nodes))]
@@ -212,11 +211,11 @@
 	}
 }
 
-// TestRepetitionsKeepToTheBudget has targets turn away or lose a part of what
-// arrives, at several sizes, with traffic that halves and doubles, calls that
-// arrive late and nodes that start anew. In no span may the repetitions at either
-// service pass the rule, and the budget must be used.
-func TestRepetitionsKeepToTheBudget(t *testing.T) {
+// TestRetriesStayWithinBudget has targets reject some of the arrivals or lose some
+// answers, for several numbers of nodes, with traffic that falls and rises in steps, late
+// arrivals and restarting nodes. The retries to either service must not exceed the bound
+// in any window, and the budget must be used.
+func TestRetriesStayWithinBudget(t *testing.T) {
 	scales := map[string]func(time.Duration) float64{
 		"steady":  func(time.Duration) float64 { return 1 },
 		"halved":  func(at time.Duration) float64 { return 1 / (1 + math.Floor(at.Seconds()/12)) },
@@ -229,51 +228,53 @@
 			}
 			for _, fault := range []struct{ rejected, lost float64 }{{0.55, 0}, {0, 0.3}, {0.3, 0.2}} {
 				s := newBudgetSimulation(t, nodes, 1)
-				s.rejected, s.lost, s.delay = fault.rejected, fault.lost, 500*time.Millisecond
-				s.play(120, scale)
+				s.rejectedShare, s.lostShare, s.delay = fault.rejected, fault.lost, 500*time.Millisecond
+				s.run(120, scale)
 				for _, route := range []string{"price", "card"} {
-					assert.Check(t, s.worst(route) <= 0, "%d nodes, %s, %+v: %s passes the rule by %.0f", nodes, name, fault, route, s.worst(route))
+					assert.Check(t, s.maxExcess(route) <= 0, "%d nodes, %s, %+v: %s exceeds the bound by %.0f", nodes, name, fault, route, s.maxExcess(route))
 				}
-				repeated := float64(len(s.repeats["price"])) / float64(len(s.requests["price"]))
-				assert.Check(t, repeated > 0.1, "%d nodes, %s, %+v: only %.3f repeated", nodes, name, fault, repeated)
+				retryRatio := float64(len(s.retries["price"])) / float64(len(s.requests["price"]))
+				assert.Check(t, retryRatio > 0.1, "%d nodes, %s, %+v: only %.3f retries a request", nodes, name, fault, retryRatio)
 			}
 		}
 	}
 }
 
-// used returns the part of the repetitions allowed at a route that was made, in the
-// span from the given time after the beginning.
-func (s *budgetSimulation) used(route string, begin time.Time) float64 {
-	requests, repeats := slices.Clone(s.requests[route]), slices.Clone(s.repeats[route])
+// budgetUse returns the share of a route's allowed retries that were made in the window
+// that starts at begin.
+func (s *budgetSimulation) budgetUse(route string, begin time.Time) float64 {
+	requests, retries := slices.Clone(s.requests[route]), slices.Clone(s.retries[route])
 	sortTimes(requests)
-	sortTimes(repeats)
-	allowed := budgetRatio*float64(max(countIn(requests, begin), countIn(requests, begin.Add(-budgetWindow)))) + budgetSlack
-	return float64(countIn(repeats, begin)) / allowed
+	sortTimes(retries)
+	allowed := budgetRatio*float64(max(countInWindow(requests, begin), countInWindow(requests, begin.Add(-budgetWindow)))) + budgetSlack
+	return float64(countInWindow(retries, begin)) / allowed
 }
 
-// TestTheBudgetIsUsedWhereRequestsFail has targets turn away a part of what arrives
-// from a moment on, with the same traffic a node in a small and a larger fleet. In the
-// span that follows most of what is allowed must be spent, though fewer calls are
-// made then, as requests end early. Larger fleets were run by hand. Part used in that span by an allowance that
-// requests pay in as they are sent, and by one that rests on two spans:
-// 17 nodes: 0.78, 0.82 (turned away: 0.2); 0.45, 0.68 (0.55); 0.32, 0.60 (0.8);
-// 100 nodes: 0.75, 0.83; 0.45, 0.70; 0.32, 0.63; 300 nodes: 0.76, 0.80; 0.45, 0.72; 0.32, 0.63.
-func TestTheBudgetIsUsedWhereRequestsFail(t *testing.T) {
-	const calm = 20 * time.Second
+// TestRetryBudgetIsUsedDuringFailures has targets start to reject some of the arrivals,
+// with the same traffic per node in a small and in a larger fleet. Most of the allowed
+// retries must be used in the following window, although fewer calls are made then
+// because requests end early. The share used in that window was, for an allowance that
+// requests pay into as they are sent, and for one based on two windows (larger fleets
+// were run manually):
+// 17 nodes: 0.78, 0.82 (rejected: 0.2); 0.45, 0.68 (0.55); 0.32, 0.60 (0.8);
+// 100 nodes: 0.75, 0.83; 0.45, 0.70; 0.32, 0.63;
+// 300 nodes: 0.76, 0.80; 0.45, 0.72; 0.32, 0.63.
+func TestRetryBudgetIsUsedDuringFailures(t *testing.T) {
+	const faultStart = 20 * time.Second
 	leastUsed := map[float64]float64{0.2: 0.80, 0.55: 0.65, 0.8: 0.55}
 	for nodes, perSecond := range map[int]float64{17: 120, 40: 280} {
-		for rejected, least := range leastUsed {
+		for rejectedShare, minUse := range leastUsed {
 			s := newBudgetSimulation(t, nodes, 5)
-			begin := s.now.Add(calm)
-			s.play(perSecond, func(at time.Duration) float64 {
-				if at >= calm {
-					s.rejected = rejected
+			begin := s.now.Add(faultStart)
+			s.run(perSecond, func(at time.Duration) float64 {
+				if at >= faultStart {
+					s.rejectedShare = rejectedShare
 				}
 				return 1
 			})
-			used := s.used("price", begin)
-			assert.Check(t, used > least, "%d nodes, %.2f turned away: %.2f used", nodes, rejected, used)
-			assert.Check(t, s.worst("price") <= 0, "%d nodes, %.2f turned away: passes the bound by %.0f", nodes, rejected, s.worst("price"))
+			used := s.budgetUse("price", begin)
+			assert.Check(t, used > minUse, "%d nodes, %.2f rejected: %.2f used", nodes, rejectedShare, used)
+			assert.Check(t, s.maxExcess("price") <= 0, "%d nodes, %.2f rejected: exceeds the bound by %.0f", nodes, rejectedShare, s.maxExcess("price"))
 		}
 	}
 }
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -10,92 +10,90 @@
 )
 
 const (
-	// comfortable is the occupancy up to which calls at a home hardly slow each
-	// other; crowding is by how much the cost grows from there to a full home, and
-	// filling by how much up to there.
-	comfortable = 0.6
-	crowding    = 2.0
-	filling     = 0.5
-	// remoteFactor is how much cheaper a home in another zone must be to be
-	// preferred to one in the node's own. It grows by one with each bytesPerFactor of
-	// the usual answer, up to maxRemoteFactor, as these bytes cross between zones,
-	// while calls usually take no more than the part ampleTime of their objective:
-	// then nobody notices the time that it costs.
-	remoteFactor    = 2.0
-	maxRemoteFactor = 12.0
-	bytesPerFactor  = 500.0
-	ampleTime       = 0.4
-	// roomy is the occupancy under which a home has room for more calls, and
-	// fewFailures the part of failed calls under which it does well.
-	roomy       = 0.85
-	fewFailures = 0.1
-	// failureFactor is how much dearer a home is whose calls all fail, and
-	// onceFailureFactor that for requests that can't be repeated.
+	// kneeOccupancy is the occupancy up to which calls at a home hardly slow each other
+	// down. aboveKneeCost is the relative cost increase from there to a full home, and
+	// belowKneeCost scales the increase up to there.
+	kneeOccupancy = 0.6
+	aboveKneeCost = 2.0
+	belowKneeCost = 0.5
+	// remoteFactor is how many times cheaper a home in another zone must be to be
+	// preferred to one in the node's own zone. It grows by one per bytesPerFactor of the
+	// average answer size, up to maxRemoteFactor, because these bytes cross zones, but
+	// only while the usual latency is at most ampleLatencyShare of the route's objective:
+	// then the added latency does not matter.
+	remoteFactor      = 2.0
+	maxRemoteFactor   = 12.0
+	bytesPerFactor    = 500.0
+	ampleLatencyShare = 0.4
+	// spareOccupancy is the occupancy below which a home has room for more calls, and
+	// lowFailureRate the rate of failed calls below which it counts as healthy.
+	spareOccupancy = 0.85
+	lowFailureRate = 0.1
+	// failureFactor is the relative cost increase of a home whose calls all fail, and
+	// onceFailureFactor the same for requests that must not run twice.
 	failureFactor     = 12.0
 	onceFailureFactor = 40.0
-	// stoppingFactor is how much dearer a home is that is about to stop.
+	// stoppingFactor multiplies the cost of a home that is about to stop.
 	stoppingFactor = 8.0
-	// notablySlow is how many times as long as elsewhere calls must take for a home
-	// to count as slow on all routes: targets differ in speed.
-	notablySlow = 2.0
-	// hardlyLate is the part of the remaining time up to which a call's usual time
-	// leaves hardly any call late.
-	hardlyLate = 0.4
-	// jitter spreads the choices of nodes that know the same.
+	// slowHomeRatio is the ratio to the latency elsewhere above which a home counts as
+	// slow on all routes: targets normally differ in speed.
+	slowHomeRatio = 2.0
+	// safeTimeShare is the share of the remaining time up to which a call's usual latency
+	// makes hardly any call late.
+	safeTimeShare = 0.4
+	// jitter spreads the choices of nodes that have the same information.
 	jitter = 0.2
 )
 
-// candidate is a home that a request may go to.
+// candidate is a home that a request may be offered to.
 type candidate struct {
-	home     *registry.Home
-	state    *homeState
-	standing standing
+	home  *registry.Home
+	state *homeState
+	stats homeStats
 }
 
-// candidates returns the homes of the request's service that it was not offered
-// to yet.
+// candidates returns the homes of the request's service that it was not offered to yet.
 func (f *Forwarder) candidates(q *request, now time.Time) []candidate {
 	homes := f.directory.Homes(q.service)
 	candidates := make([]candidate, 0, len(homes))
-	common := f.homes.usualOf(q.route.Name).latency
+	median := f.homes.statsOf(q.route.Name).latency
 	for _, home := range homes {
 		if contains(q.excluded, home) || contains(q.rejected, home) {
 			continue
 		}
 		state := f.homes.state(home.Address)
-		candidates = append(candidates, candidate{home: home, state: state, standing: state.standing(home, q.route, common, now)})
+		candidates = append(candidates, candidate{home: home, state: state, stats: state.stats(home, q.route, median, now)})
 	}
 	return candidates
 }
 
-// choice is the home that a request goes to next.
+// choice is the home that a request is offered to next.
 type choice struct {
 	home *registry.Home
-	// latency is how long a call there is likely to take.
+	// latency is the expected latency of a call there.
 	latency time.Duration
 }
 
-// choose returns the home with the least expected cost that was not tried yet,
-// none if there is none. A suspected home is chosen only for a first try where no
-// other is left.
+// choose returns the untried home with the least expected cost, none if there is none. A
+// suspected home is chosen only for the first offer and only if no other is left.
 func (f *Forwarder) choose(q *request) choice {
 	now := f.now()
 	var best, fallback choice
 	least, leastFallback := math.Inf(1), math.Inf(1)
 	candidates := f.candidates(q, now)
-	common := commonLatency(candidates)
-	if common > 0 {
-		f.homes.setLatency(q.route.Name, common)
+	median := medianLatency(candidates)
+	if median > 0 {
+		f.homes.setLatency(q.route.Name, median)
 	}
-	errors := commonErrors(candidates)
+	usualErrors := medianErrors(candidates)
 	remote := remoteFactor
 	if len(q.excluded) == 0 && f.roomInZone(candidates, now) {
 		remote = f.remoteFactorOf(q.route)
 	}
 	for _, c := range candidates {
-		excess := max(c.standing.errors-errors, 0)
-		c.standing.failures += excess * (1 - c.standing.failures)
-		latency := expectedLatency(c.standing, common, q.route.Kind)
+		excess := max(c.stats.errors-usualErrors, 0)
+		c.stats.failures += excess * (1 - c.stats.failures)
+		latency := expectedLatency(c.stats, median, q.route.Kind)
 		cost := f.cost(q, c, latency, q.deadline.Sub(now), remote)
 		switch {
 		case c.state.usable(c.home, now):
@@ -112,17 +110,16 @@
 	return best
 }
 
-// cost returns what a call at the home is expected to cost, in seconds of
-// latency. The part of calls that fail weighs many times as much, and a home in
-// another zone remote times as much.
+// cost returns the expected cost of a call at the home, in seconds of latency. It grows
+// with the rate of failed calls, and is remote times as high for a home in another zone.
 func (f *Forwarder) cost(q *request, c candidate, latency, remaining time.Duration, remote float64) float64 {
-	s := c.standing
-	cost := latency.Seconds() * (1 + filling*min(s.occupancy, comfortable))
-	if s.occupancy > comfortable {
-		cost *= 1 + crowding*(s.occupancy-comfortable)/(1-comfortable)
+	s := c.stats
+	cost := latency.Seconds() * (1 + belowKneeCost*min(s.occupancy, kneeOccupancy))
+	if s.occupancy > kneeOccupancy {
+		cost *= 1 + aboveKneeCost*(s.occupancy-kneeOccupancy)/(1-kneeOccupancy)
 	}
 	if q.route.Kind == routetable.Once {
-		failing := 1 - (1-s.failures)*(1-lateness(latency, remaining))
+		failing := 1 - (1-s.failures)*(1-lateProbability(latency, remaining))
 		cost *= 1 + onceFailureFactor*failing
 	} else {
 		cost *= 1 + failureFactor*s.failures
@@ -136,54 +133,55 @@
 	return cost * (1 + jitter*rand.Float64())
 }
 
-// roomInZone reports whether a home in the node's own zone has room and does well.
-// Where none does, calls are not held back from other zones.
+// roomInZone reports whether a home in the node's own zone is healthy and has room. If
+// none is, calls to other zones are not held back.
 func (f *Forwarder) roomInZone(candidates []candidate, now time.Time) bool {
 	for _, c := range candidates {
-		s := c.standing
-		if c.home.Zone == f.config.Zone && s.occupancy < roomy && s.failures < fewFailures && !s.stopping && c.state.usable(c.home, now) {
+		s := c.stats
+		if c.home.Zone == f.config.Zone && s.occupancy < spareOccupancy && s.failures < lowFailureRate && !s.stopping && c.state.usable(c.home, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// remoteFactorOf returns how much cheaper a home in another zone must be for calls
+// remoteFactorOf returns how many times cheaper a home in another zone must be for calls
 // of the route.
 func (f *Forwarder) remoteFactorOf(route *routetable.Route) float64 {
-	usual := f.homes.usualOf(route.Name)
-	if usual.latency > time.Duration(ampleTime*float64(route.Objective)) {
+	stats := f.homes.statsOf(route.Name)
+	if stats.latency > time.Duration(ampleLatencyShare*float64(route.Objective)) {
 		return remoteFactor
 	}
-	return min(remoteFactor+usual.bytes/bytesPerFactor, maxRemoteFactor)
+	return min(remoteFactor+stats.answerBytes/bytesPerFactor, maxRemoteFactor)
 }
 
-// expectedLatency returns how long a call at the home is likely to take. For a
-// request that must not run twice it is the worst of what is known; others can
-// go elsewhere, and load is spread better without the noise of few calls.
-func expectedLatency(s standing, common time.Duration, kind routetable.Kind) time.Duration {
-	common = max(common, time.Millisecond)
+// expectedLatency returns the expected latency of a call at the home. For a request that
+// must not run twice it is the worst of the known estimates. Other requests can be
+// retried elsewhere, and load is spread better without the noise of estimates from few
+// calls.
+func expectedLatency(s homeStats, median time.Duration, kind routetable.Kind) time.Duration {
+	median = max(median, time.Millisecond)
 	latency := s.latency
 	if latency == 0 {
-		latency = common
+		latency = median
 	}
 	if kind != routetable.Once {
 		return latency
 	}
-	if s.slowness > notablySlow {
-		latency = max(latency, time.Duration(float64(common)*s.slowness))
+	if s.slowness > slowHomeRatio {
+		latency = max(latency, time.Duration(float64(median)*s.slowness))
 	}
-	return max(latency, s.waited)
+	return max(latency, s.pendingLatency)
 }
 
-// lateness returns the part of calls that are likely not to end in the time that
-// remains, by their usual time.
-func lateness(latency, remaining time.Duration) float64 {
+// lateProbability estimates the share of calls that do not end in the remaining time,
+// from their usual latency.
+func lateProbability(latency, remaining time.Duration) float64 {
 	if remaining <= 0 {
 		return 1
 	}
 	used := float64(latency) / float64(remaining)
-	return min(max((used-hardlyLate)/(1-hardlyLate), 0), 1)
+	return min(max((used-safeTimeShare)/(1-safeTimeShare), 0), 1)
 }
 
 func contains(homes []*registry.Home, home *registry.Home) bool {
--- a/internal/forward/choose_benchmark_test.go
+++ b/internal/forward/choose_benchmark_test.go
@@ -9,8 +9,8 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// BenchmarkChoose measures a choice among as many homes as a service has on the
-// average at the size to design for, and among more.
+// BenchmarkChoose measures a choice among the average number of homes of a service at the
+// design size, and among more.
 func BenchmarkChoose(b *testing.B) {
 	for _, homes := range []int{4, 35, 200} {
 		b.Run(fmt.Sprint(homes), func(b *testing.B) {
@@ -23,7 +23,7 @@
 			now := time.Now()
 			for i, address := range addresses {
 				load := peering.Load{Limit: 10, InFlight: i % 10, Latency: time.Duration(i%7+1) * time.Millisecond, Errors: i % 3}
-				f.homes.state(address).report(route.Name, load, time.Millisecond, now)
+				f.homes.state(address).recordLoad(route.Name, load, time.Millisecond, now)
 			}
 			q := &request{route: route, service: "s", deadline: now.Add(time.Hour)}
 			b.ReportAllocs()
--- a/internal/forward/decide.go
+++ b/internal/forward/decide.go
@@ -14,7 +14,7 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// policyCallOf returns what policies see of a request.
+// policyCallOf returns the fields of a request that policies read.
 func (f *Forwarder) policyCallOf(q *request, r *http.Request) policy.Call {
 	tenant, tenantPriority := q.tenantOf()
 	return policy.Call{
@@ -33,7 +33,7 @@
 	}
 }
 
-// loadOf returns what policies see of the load on a request's way, with the time
+// loadOf returns the load of the request's route as policies read it. freeIn is the time
 // after which room is expected.
 func (f *Forwarder) loadOf(q *request, freeIn time.Duration) policy.Load {
 	load := policy.Load{FreeIn: freeIn.Seconds()}
@@ -43,51 +43,52 @@
 	return load
 }
 
-// outcomeOf returns what policies see of what became of the request so far.
+// outcomeOf returns the outcome of the request so far as policies read it.
 func (q *request) outcomeOf() policy.Outcome {
 	outcome := policy.Outcome{Executed: policy.ExecutedNo, Attempt: q.offers}
 	if q.attempts > 0 {
 		outcome.Executed = policy.ExecutedUnknown
 	}
-	if q.errorAnswer != nil {
+	if q.errorReply != nil {
 		outcome.Executed = policy.ExecutedYes
-		outcome.Status = q.errorAnswer.Status
+		outcome.Status = q.errorReply.Status
 	}
 	return outcome
 }
 
-// rankOf returns the rank of a request that begins here: the level that its
-// policy gives, and inside it a place by its id.
+// rankOf returns the rank of a request that enters at this node: the level that its
+// policy assigns, and a cohort within the level from the hash of its id.
 func (f *Forwarder) rankOf(q *request) criticality.Rank {
 	level, err := f.policies.For(q.route.Kind).Rank(q.policyCall)
-	f.notePolicy(q, err)
+	f.logPolicyError(q, err)
 	return criticality.Rank{Level: level, Cohort: uint8(xxhash.Sum64String(q.id) % criticality.CohortCount)}
 }
 
-// admitted reports whether the policy lets the request go ahead.
-func (f *Forwarder) admitted(q *request) bool {
+// policyAdmits reports whether the policy admits the request.
+func (f *Forwarder) policyAdmits(q *request) bool {
 	admitted, err := f.policies.For(q.route.Kind).Admit(q.policyCall, f.loadOf(q, 0))
-	f.notePolicy(q, err)
+	f.logPolicyError(q, err)
 	return admitted
 }
 
-// retries returns how many more homes than one the policy lets the request go to.
-func (f *Forwarder) retries(q *request) int {
+// maxRetries returns the number of additional homes that the policy lets the request be
+// offered to.
+func (f *Forwarder) maxRetries(q *request) int {
 	retries, err := f.policies.For(q.route.Kind).Retry(q.policyCall, q.outcomeOf())
-	f.notePolicy(q, err)
+	f.logPolicyError(q, err)
 	return retries
 }
 
-// refusal returns a refusal of a request that has not run. The policy says when
-// to come back, given when the node expects room.
+// refusal returns the answer to a request that was not executed. The policy sets the
+// retry delay, given the time after which the node expects room.
 func (f *Forwarder) refusal(q *request, reason problem.Reason, step, detail string, freeIn time.Duration) *problem.Problem {
 	delay, err := f.policies.For(q.route.Kind).RefuseDelay(q.policyCall, f.loadOf(q, freeIn), q.outcomeOf())
-	f.notePolicy(q, err)
+	f.logPolicyError(q, err)
 	return f.problem(reason, problem.ExecutedNo, step, detail).WithRetryDelay(delay)
 }
 
-// notePolicy logs a policy that could not be evaluated; its safe result holds.
-func (f *Forwarder) notePolicy(q *request, err error) {
+// logPolicyError logs a policy that could not be evaluated; its safe default applies.
+func (f *Forwarder) logPolicyError(q *request, err error) {
 	if err != nil {
 		f.log.Record(eventlog.Event{Kind: eventlog.PolicyFailed, Request: q.id, Route: q.route.Name, Reason: err.Error()})
 	}
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -30,15 +30,15 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// fakeHome answers calls by a function and counts them.
+// fakeHome answers calls with a function and records them.
 type fakeHome struct {
 	mutex sync.Mutex
 	calls []*peering.Call
-	// callsFailed are the requests of which a call failed.
+	// callsFailed are the ids of requests that made a failed call.
 	callsFailed []string
-	// parentWanted ends when nobody waits for the running request any more.
-	parentWanted context.Context
-	answer       func(ctx context.Context, call *peering.Call) *peering.Reply
+	// parentContext ends when the running request is abandoned.
+	parentContext context.Context
+	answer        func(ctx context.Context, call *peering.Call) *peering.Reply
 }
 
 func (h *fakeHome) Run(ctx context.Context, call *peering.Call) *peering.Reply {
@@ -49,15 +49,15 @@
 }
 
 func (h *fakeHome) Running(id string) (guard.Running, bool) {
-	return guard.Running{Route: "parent", Rank: criticality.RankOf(7), Wanted: h.wanted()}, id == "running"
+	return guard.Running{Route: "parent", Rank: criticality.RankOf(7), Wanted: h.runningContext()}, id == "running"
 }
 
-// wanted ends with the test's own context, if it has one.
-func (h *fakeHome) wanted() context.Context {
-	if h.parentWanted == nil {
+// runningContext returns the context of the running request.
+func (h *fakeHome) runningContext() context.Context {
+	if h.parentContext == nil {
 		return context.Background()
 	}
-	return h.parentWanted
+	return h.parentContext
 }
 
 func (h *fakeHome) Abandoned(id string) bool { return id == "abandoned" }
@@ -76,73 +76,74 @@
 	return len(h.calls)
 }
 
-func answered(context.Context, *peering.Call) *peering.Reply {
+func answerOK(context.Context, *peering.Call) *peering.Reply {
 	return &peering.Reply{Outcome: peering.Answered, Status: 200, Header: http.Header{"X-Signature": {"s"}}, Body: []byte("ok"),
 		Load: peering.Load{Limit: 10, Threshold: shed.None}}
 }
 
-func refusing(reason peering.Reason) func(context.Context, *peering.Call) *peering.Reply {
+func refuseWith(reason peering.Reason) func(context.Context, *peering.Call) *peering.Reply {
 	return func(context.Context, *peering.Call) *peering.Reply {
 		return &peering.Reply{Outcome: peering.Refused, Reason: reason, RetryAfter: 300 * time.Millisecond, Load: peering.Load{Limit: 10, Threshold: shed.None}}
 	}
 }
 
-// erring answers with a failure after a call that the target made had failed.
-func erring(ctx context.Context, call *peering.Call) *peering.Reply {
-	reply := answered(ctx, call)
+// answerError answers with an error after a call that the target made had failed.
+func answerError(ctx context.Context, call *peering.Call) *peering.Reply {
+	reply := answerOK(ctx, call)
 	reply.Status = http.StatusInternalServerError
 	return reply
 }
 
-// erringItself answers with a failure of the target's own.
-func erringItself(ctx context.Context, call *peering.Call) *peering.Reply {
-	reply := erring(ctx, call)
+// answerOwnFailure answers with an error that the target itself caused.
+func answerOwnFailure(ctx context.Context, call *peering.Call) *peering.Reply {
+	reply := answerError(ctx, call)
 	reply.OwnFailure = true
 	return reply
 }
 
-func failing(context.Context, *peering.Call) *peering.Reply {
+func failCall(context.Context, *peering.Call) *peering.Reply {
 	return &peering.Reply{Outcome: peering.Failed, Reason: peering.Broken, Load: peering.Load{Limit: 10, Threshold: shed.None}}
 }
 
-type observer struct{}
+type noopObserver struct{}
 
-func (observer) Finished(string, int, string, time.Duration) {}
+func (noopObserver) Finished(string, int, string, time.Duration) {}
 
-func (observer) Identified(string, problem.Reason) {}
+func (noopObserver) Identified(string, problem.Reason) {}
 
-func (observer) Counted(string, BudgetEvent, peering.Reason) {}
+func (noopObserver) Counted(string, BudgetEvent, peering.Reason) {}
 
-func (observer) Stalled(time.Duration) {}
+func (noopObserver) Stalled(time.Duration) {}
 
-// fixture is a forwarder with peers behind real sockets.
+// fixture is a forwarder with peers on real sockets.
 type fixture struct {
 	forwarder *Forwarder
 	homes     []*fakeHome
-	// pings counts questions whether a home is there.
+	// pings counts the pings that homes received.
 	pings atomic.Int64
-	// addresses are those of the homes, in their order.
-	addresses []string
-	levels    *pressure.Levels
-	suspects  *quarantine.Quarantine
+	// addresses are the addresses of homes, in the same order.
+	addresses  []string
+	levels     *pressure.Levels
+	quarantine *quarantine.Quarantine
 }
 
 var testCodec = peering.NewCodec("X-Signature")
 
 const (
 	testTimeout = 2 * time.Second
-	// testRetryRatio is the repetitions that a request allows, half of them at once, so
-	// that this many requests allow one at once.
-	testRetryRatio             = 0.1
-	testRequestsForARepetition = 20
-	testRetryWindow            = 10 * time.Second
-	// testProcess is the process of all homes.
+	// testRetryRatio is the number of retries that a request adds to the budget. Half of
+	// them are available at once, so that testRequestsPerRetry requests allow one
+	// immediate retry.
+	testRetryRatio       = 0.1
+	testRequestsPerRetry = 20
+	testRetryWindow      = 10 * time.Second
+	// testProcess is the process id that all homes report.
 	testProcess = 7
 )
 
 func newFixture(t *testing.T, answers ...func(context.Context, *peering.Call) *peering.Reply) *fixture {
 	t.Helper()
-	fixture := &fixture{levels: pressure.New(time.Now), suspects: quarantine.New(quarantine.Config{Now: time.Now})}
+	fixture := &fixture{levels: pressure.New(time.Now), quarantine: quarantine.New(quarantine.Config{Now: time.Now})}
 	for _, answer := range answers {
 		home := &fakeHome{answer: answer}
 		handler := peering.Handler(peering.Services{Home: home, Spread: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})
@@ -175,31 +176,31 @@
 		Retries: retrybudget.AllowanceConfig{Ratio: testRetryRatio, PresentShare: 0.5, Reserve: func() float64 { return 1 }, Window: testRetryWindow},
 		Headers: callheader.Names{RequestID: "X-Id", DeadlineMillis: "X-Deadline"},
 		ParentOf: func(id string) (string, bool) {
-			parent, _, told := strings.Cut(id, ".")
-			return parent, told
+			parent, _, found := strings.Cut(id, ".")
+			return parent, found
 		},
 	}, Parts{
-		Routes: routes, Policies: policiesOf(t, routepolicy.Sources{}), Directory: directoryOf(t, addresses), Local: &fakeHome{answer: answered}, Levels: fixture.levels,
-		Quarantine: fixture.suspects,
+		Routes: routes, Policies: compilePolicies(t, routepolicy.Sources{}), Directory: directoryOf(t, addresses), Local: &fakeHome{answer: answerOK}, Levels: fixture.levels,
+		Quarantine: fixture.quarantine,
 		Peers: peering.NewClient(peering.ClientConfig{MaxBuffered: 1 << 20, DialTimeout: time.Second, UserTimeout: time.Second, MaxIdle: 4, IdleTimeout: time.Minute, Codec: testCodec,
 			OnInterim: func(address string) { forwarder.StillRuns(address) }}),
-		Observer: observer{}, Now: time.Now,
+		Observer: noopObserver{}, Now: time.Now,
 	})
-	for range testRequestsForARepetition {
+	for range testRequestsPerRetry {
 		forwarder.budget("s").Request()
 	}
 	return forwarder
 }
 
-func policiesOf(t testing.TB, sources routepolicy.Sources) *routepolicy.Holder {
+func compilePolicies(t testing.TB, sources routepolicy.Sources) *routepolicy.Holder {
 	t.Helper()
 	set, err := routepolicy.Compile(sources)
 	assert.NilError(t, err)
 	return routepolicy.NewHolder(set)
 }
 
-// directoryOf returns a directory in which the addresses are homes of the
-// service in the node's zone.
+// directoryOf returns a directory that lists the addresses as homes of the service in the
+// node's zone.
 func directoryOf(t testing.TB, addresses []string) *registry.Directory {
 	t.Helper()
 	directory := registry.NewDirectory("homes/", "", nil, time.Now)
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,7 +1,7 @@
-// Package forward takes requests where they begin: it finds the route, chooses
-// the home that is to run the request, sends it elsewhere while nothing has run
-// or the route allows a repetition, and answers with the target's whole answer
-// or a typed refusal.
+// Package forward routes requests at the node where they enter: it matches the route,
+// chooses the home (the node next to a target) that runs the request, offers it to
+// another home while no target has executed it or the route allows a retry, and answers
+// with the target's complete answer or a typed refusal.
 package forward
 
 import (
@@ -32,41 +32,40 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// Config describes the node.
+// Config holds the settings of a forwarder.
 type Config struct {
-	// Node, Zone and Service name the node, its zone and the service of the
-	// target beside it.
+	// Node, Zone and Service are the names of the node, of its zone and of the service of
+	// its local target.
 	Node, Zone, Service string
-	// Address is the node's own, as the directory lists it.
+	// Address is the node's own address as listed in the directory.
 	Address string
 	Headers callheader.Names
-	// DefaultTimeout bounds a request whose caller and route say nothing.
+	// DefaultTimeout bounds a request if neither its caller nor its route sets a timeout.
 	DefaultTimeout time.Duration
-	// Retries bounds the repetitions of requests to each service.
+	// Retries configures the retry budget of each service.
 	Retries retrybudget.AllowanceConfig
-	// WaitShare is the part of a route's objective for which a request may wait
-	// for room at a target, and InnerWaitShare that for a call of a running
-	// request.
+	// WaitShare is the part of a route's objective that a request may spend queued for a
+	// target, and InnerWaitShare the part that a call made by a running request may.
 	WaitShare, InnerWaitShare float64
-	// ParentOf returns the id of the request that made a call, false if the call's
-	// id does not tell.
+	// ParentOf returns the id of the request that made a call, false if the call's id
+	// does not contain it.
 	ParentOf func(id string) (string, bool)
 }
 
-// Parts are what a forwarder works with.
+// Parts holds the dependencies of a forwarder.
 type Parts struct {
 	Routes    *routetable.Holder
 	Directory *registry.Directory
-	// Local runs calls at the target beside the node.
+	// Local runs calls at the local target.
 	Local LocalHome
-	// Policies are those of the kinds of routes.
+	// Policies holds the policy of each kind of route.
 	Policies *routepolicy.Holder
-	// Quarantine knows requests that crash targets.
+	// Quarantine tracks requests that crash targets.
 	Quarantine Quarantine
-	// Keys decides on the API keys of requests, and Limits on the limits of tenants.
+	// Keys checks the API keys of requests, and Limits the rate limits of tenants.
 	Keys   Keys
 	Limits Limits
-	// Levels hold the shed thresholds of routes.
+	// Levels holds the shed thresholds of routes.
 	Levels   *pressure.Levels
 	Peers    Peers
 	Observer Observer
@@ -74,96 +73,97 @@
 	Now      func() time.Time
 }
 
-// Quarantine knows requests that crash targets. It is safe for concurrent use.
+// Quarantine tracks requests that crash targets. It is safe for concurrent use.
 type Quarantine interface {
 	// Empty reports whether there are no suspects.
 	Empty() bool
-	// Standing returns what is known of a request.
+	// Standing returns the crashes and the quarantine state of a request.
 	Standing(hash fingerprint.Fingerprint) quarantine.Standing
-	// Answered notes that a target answered a request.
+	// Answered records that a target answered a request.
 	Answered(call quarantine.OpenCall)
 }
 
-// Keys decides on the API keys of requests. It is safe for concurrent use.
+// Keys checks the API keys of requests. It is safe for concurrent use.
 type Keys interface {
-	// Check decides on a request to a route that is not public, by the values of its key
-	// header. It may wait.
+	// Check checks a request to a route that is not public, given the values of its key
+	// header. It may block.
 	Check(ctx context.Context, keys []string, arrived time.Time) apikey.Decision
 }
 
-// Limits holds tenants to their limits. It is safe for concurrent use.
+// Limits enforces the rate limits of tenants. It is safe for concurrent use.
 type Limits interface {
-	// Admit decides on a request of the tenant. It may wait.
+	// Admit decides on a request of the tenant. It may block.
 	Admit(ctx context.Context, tenant *routetable.Tenant) ratelimit.Decision
-	// Return gives back the permit of a request that has not run and will not.
+	// Return gives back the permit of a request that was not executed and will not be.
 	Return(tenant *routetable.Tenant, decision ratelimit.Decision)
 }
 
-// LocalHome runs calls at the target beside the node and knows what runs there.
+// LocalHome runs calls at the local target and tracks the requests that run there.
 type LocalHome interface {
 	peering.Home
-	// Running returns a request that the target works on.
+	// Running returns a request that the target is processing.
 	Running(id string) (guard.Running, bool)
-	// Abandoned reports whether nobody waits any more for the answer to a request that
-	// the target may still work on.
+	// Abandoned reports whether the caller of a request that the target may still be
+	// processing has gone.
 	Abandoned(id string) bool
-	// CallMade notes that such a request makes a call of the route, and returns how
-	// many it has made by now.
+	// CallMade records that such a request makes a call of the route, and returns the
+	// number of calls that it has made so far.
 	CallMade(id, route string) int
-	// CallFailed notes that a call that such a request made brought no success.
+	// CallFailed records that a call made by such a request did not succeed.
 	CallFailed(id string)
 }
 
-// Peers reach the homes beside other targets.
+// Peers reaches the homes on other nodes.
 type Peers interface {
-	// Call has the home at the address run the call. The error is a *peering.Error.
+	// Call runs the call at the home with the address. The error is a *peering.Error.
 	Call(ctx context.Context, address string, call *peering.Call) (*peering.Reply, error)
-	// Ping asks the node at the address whether it is there.
+	// Ping checks that the node at the address responds.
 	Ping(ctx context.Context, address string) error
 	// Forget closes the idle connections to a node.
 	Forget(address string)
 }
 
-// Observer sees what becomes of requests, for metrics.
+// Observer is notified of the results of requests, for metrics.
 type Observer interface {
-	// Finished sees a request that ended. Refusals and failures have a reason.
+	// Finished is called when a request ends. Refusals and failures have a reason.
 	Finished(route string, status int, reason string, duration time.Duration)
-	// Identified sees what was decided on a request by its API key and its tenant's limit.
-	// The tenant is empty where the key was refused; an admitted request has no reason.
+	// Identified is called with the result of the API key and rate limit checks of a
+	// request. The tenant is empty if the key was refused; the reason is empty if the
+	// request was admitted.
 	Identified(tenant string, reason problem.Reason)
-	// Counted sees what the retry budget of a service counted. The cause of what is
-	// sent for the first time is empty.
+	// Counted is called for each event that the retry budget of a service counts. The
+	// cause is empty for first sends.
 	Counted(service string, kind BudgetEvent, cause peering.Reason)
-	// Stalled sees that the process stood still for so long.
+	// Stalled is called after the whole process was stalled for the duration.
 	Stalled(duration time.Duration)
 }
 
-// Forwarder serves requests. It is safe for concurrent use.
+// Forwarder serves requests at the node where they enter. It is safe for concurrent use.
 type Forwarder struct {
-	config    Config
-	routes    *routetable.Holder
-	directory *registry.Directory
-	local     LocalHome
-	policies  *routepolicy.Holder
-	levels    *pressure.Levels
-	suspects  Quarantine
-	keys      Keys
-	limits    Limits
-	peers     Peers
-	observer  Observer
-	log       *eventlog.Log
-	now       func() time.Time
+	config     Config
+	routes     *routetable.Holder
+	directory  *registry.Directory
+	local      LocalHome
+	policies   *routepolicy.Holder
+	levels     *pressure.Levels
+	quarantine Quarantine
+	keys       Keys
+	limits     Limits
+	peers      Peers
+	observer   Observer
+	log        *eventlog.Log
+	now        func() time.Time
 
 	homes    homeTable
 	splitter routetable.Splitter
 	stopping atomic.Bool
-	// end is the moment by which all requests must have ended.
-	end      ending.Moment
-	inFlight atomic.Int64
-	// made is when the forwarder was made, and arrived how much later the last
-	// request came. Both are told by the steady clock.
-	made    time.Time
-	arrived atomic.Int64
+	// shutdownDeadline is the time by which all requests must have ended.
+	shutdownDeadline ending.Moment
+	inFlight         atomic.Int64
+	// created is when the forwarder was created, and lastArrival the time from then to
+	// the arrival of the last request. Both are readings of the monotonic clock.
+	created     time.Time
+	lastArrival atomic.Int64
 
 	budgetMutex sync.Mutex
 	budgets     map[string]*retrybudget.Allowance
@@ -172,33 +172,33 @@
 // New returns a forwarder.
 func New(config Config, parts Parts) *Forwarder {
 	return &Forwarder{
-		config:    config,
-		routes:    parts.Routes,
-		directory: parts.Directory,
-		local:     parts.Local,
-		policies:  parts.Policies,
-		levels:    parts.Levels,
-		suspects:  parts.Quarantine,
-		keys:      parts.Keys,
-		limits:    parts.Limits,
-		peers:     parts.Peers,
-		observer:  parts.Observer,
-		log:       parts.Log,
-		now:       parts.Now,
-		made:      parts.Now(),
-		budgets:   make(map[string]*retrybudget.Allowance),
+		config:     config,
+		routes:     parts.Routes,
+		directory:  parts.Directory,
+		local:      parts.Local,
+		policies:   parts.Policies,
+		levels:     parts.Levels,
+		quarantine: parts.Quarantine,
+		keys:       parts.Keys,
+		limits:     parts.Limits,
+		peers:      parts.Peers,
+		observer:   parts.Observer,
+		log:        parts.Log,
+		now:        parts.Now,
+		created:    parts.Now(),
+		budgets:    make(map[string]*retrybudget.Allowance),
 	}
 }
 
-// Run watches over the homes until the context ends.
-func (f *Forwarder) Run(ctx context.Context) { f.watch(ctx) }
+// Run monitors the homes until the context ends.
+func (f *Forwarder) Run(ctx context.Context) { f.monitorHomes(ctx) }
 
-// Stop makes every answer ask its caller to close the connection.
+// Stop makes every answer ask the caller to close its connection.
 func (f *Forwarder) Stop() { f.stopping.Store(true) }
 
-// OthersServe reports whether the service of the target beside the node would be
-// served without it. Of homes that are all about to stop the one with the least
-// address counts, so that they don't rely on each other.
+// OthersServe reports whether another home could serve the service of the local target.
+// Among homes that are all stopping, only those with a smaller address count, so that no
+// two rely on each other.
 func (f *Forwarder) OthersServe() bool {
 	now := f.now()
 	for _, home := range f.directory.Homes(f.config.Service) {
@@ -213,25 +213,26 @@
 	return false
 }
 
-// EndBy refuses later requests that may not have ended by the moment.
-func (f *Forwarder) EndBy(moment time.Time) { f.end.Set(moment) }
+// EndBy makes the forwarder refuse later requests that may not have ended by the given
+// time.
+func (f *Forwarder) EndBy(deadline time.Time) { f.shutdownDeadline.Set(deadline) }
 
-// Heard notes a sign of life of a peer: one that is passed over is asked at once
-// whether calls reach it.
+// Heard records a liveness signal of a peer: a suspected home is probed at once, which
+// tells whether calls reach it.
 func (f *Forwarder) Heard(address string) {
-	if state := f.homes.known(address); state != nil {
-		state.askNow(f.now())
+	if state := f.homes.find(address); state != nil {
+		state.probeNow(f.now())
 	}
 }
 
-// StillRuns notes that a peer told that it runs a call, which is a sign of life.
+// StillRuns records that a peer reported that it runs a call, which is a liveness signal.
 func (f *Forwarder) StillRuns(address string) {
-	if state := f.homes.known(address); state != nil {
-		state.hear(f.now())
+	if state := f.homes.find(address); state != nil {
+		state.markSeen(f.now())
 	}
 }
 
-// Suspected returns the number of homes that are passed over.
+// Suspected returns the number of suspected homes, which get no requests.
 func (f *Forwarder) Suspected() int {
 	suspected := 0
 	for _, state := range f.homes.all() {
@@ -242,8 +243,8 @@
 	return suspected
 }
 
-// RetryBudgetLeft returns the repetitions that are left to the service with the
-// fewest, and false before the first request.
+// RetryBudgetLeft returns the smallest number of retries that is left to any service, and
+// false before the first request.
 func (f *Forwarder) RetryBudgetLeft() (float64, bool) {
 	f.budgetMutex.Lock()
 	defer f.budgetMutex.Unlock()
@@ -254,54 +255,54 @@
 	return least, known
 }
 
-// InFlight returns the number of requests that wait for their answer.
+// InFlight returns the number of requests that are not answered yet.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
-// QuietFor returns how long ago the last request came, or the forwarder was
-// made.
+// QuietFor returns the time since the last request arrived, or since the forwarder was
+// created if there was none.
 func (f *Forwarder) QuietFor() time.Duration {
-	return f.now().Sub(f.made) - time.Duration(f.arrived.Load())
+	return f.now().Sub(f.created) - time.Duration(f.lastArrival.Load())
 }
 
-// request is one request on its way.
+// request is the state of one request.
 type request struct {
 	id      string
 	route   *routetable.Route
 	service string
-	// tenant holds the request's API key, nil if it needs none, and permit is the decision
-	// by the tenant's limit.
+	// tenant is the owner of the request's API key, nil if the request needs none, and
+	// permit is the rate limit's decision.
 	tenant   *routetable.Tenant
 	permit   ratelimit.Decision
 	call     *peering.Call
 	arrived  time.Time
 	deadline time.Time
-	// policyCall holds what policies see of the request.
+	// policyCall holds the fields of the request that policies read.
 	policyCall policy.Call
-	// attempts counts the targets that may have run the request, offers the homes
+	// attempts counts the targets that may have executed the request, offers the homes
 	// that it was offered to, and arrivals the targets that it may have reached.
 	attempts, offers, arrivals int
-	// payment is that of the last offer if it was a repetition.
+	// payment is what the last offer took from the retry budget if it was a retry.
 	payment retrybudget.Payment
-	// excluded are the homes that it is not offered to again, and rejected those
-	// whose targets turned it away, which are offered to again once no other is left.
+	// excluded are the homes that the request is not offered to again, and rejected those
+	// whose targets rejected it, which are offered it again once no other home is left.
 	excluded, rejected []*registry.Home
-	// errorAnswer is an answer in which a target says that it failed.
-	errorAnswer *peering.Reply
-	rank        criticality.Rank
-	// inner tells that a request at the target beside the node made the call.
+	// errorReply is an answer in which a target reports a failure of its own.
+	errorReply *peering.Reply
+	rank       criticality.Rank
+	// inner is set if a request that runs at the local target made this one.
 	inner bool
-	// parent is the id of that request, parentRoute its route, and callNumber how
-	// many calls of the route it had made with this one. Wanted ends when nobody waits
-	// for that request any more.
+	// parent is the id of that request, parentRoute its route, and callNumber the number
+	// of calls of this route that it has made, including this one. parentContext ends
+	// when the caller of that request has gone.
 	parent, parentRoute string
 	callNumber          int
-	wanted              context.Context
-	// hash is the request's fingerprint, worked out only while there are suspects.
+	parentContext       context.Context
+	// hash is the request's fingerprint, computed only while there are suspects.
 	hash fingerprint.Fingerprint
-	// retryAfter is the shortest wait that a home proposed.
+	// retryAfter is the shortest delay that a home proposed.
 	retryAfter time.Duration
-	// lastHome is the home that the request was offered to last, and lastReason
-	// why it did not answer.
+	// lastHome is the home that the request was offered to last, and lastReason why that
+	// home did not answer.
 	lastHome   string
 	lastReason peering.Reason
 }
@@ -309,7 +310,7 @@
 // ServeHTTP serves one request.
 func (f *Forwarder) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	started := f.now()
-	f.arrived.Store(int64(started.Sub(f.made)))
+	f.lastArrival.Store(int64(started.Sub(f.created)))
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
 	if f.stopping.Load() {
@@ -318,13 +319,13 @@
 	q, failure := f.receive(w, r, started)
 	if failure != nil {
 		f.returnPermit(q, failure)
-		f.refuse(w, q, failure)
+		f.writeProblem(w, q, failure)
 		return
 	}
 	ctx, cancel := clock.WithTimeout(r.Context(), q.deadline.Sub(f.now()))
 	defer cancel()
 	if q.inner {
-		defer context.AfterFunc(q.wanted, cancel)()
+		defer context.AfterFunc(q.parentContext, cancel)()
 	}
 	reply, failure := f.run(ctx, q)
 	if q.inner && (failure != nil || reply.Status >= http.StatusMultipleChoices) {
@@ -332,12 +333,12 @@
 	}
 	switch {
 	case r.Context().Err() != nil:
-		f.abandoned(q)
+		f.recordAbandoned(q)
 	case failure != nil:
 		f.returnPermit(q, failure)
-		f.refuse(w, q, failure)
+		f.writeProblem(w, q, failure)
 	default:
-		f.answer(w, q, reply)
+		f.writeAnswer(w, q, reply)
 	}
 }
 
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -26,15 +26,15 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-func TestARequestIsAnswered(t *testing.T) {
-	f := newFixture(t, answered)
+func TestRequestIsAnswered(t *testing.T) {
+	f := newFixture(t, answerOK)
 	answer := f.do("GET", "/read/x?y=1", "a", "")
 	assert.Equal(t, answer.Code, 200)
 	assert.Equal(t, answer.Body.String(), "ok")
 	assert.Equal(t, answer.Header().Get("X-Signature"), "s")
 	assert.Equal(t, answer.Header().Get("X-Id"), "a", "the answer names the request")
 	sent := f.homes[0].calls[0]
-	assert.Equal(t, len(sent.Header), 0, "what the home sets itself is not sent: %v", sent.Header)
+	assert.Equal(t, len(sent.Header), 0, "headers that the home sets itself are not sent: %v", sent.Header)
 	assert.Equal(t, sent.URI, "/read/x?y=1")
 	assert.Equal(t, sent.Host, "a.example")
 	assert.Equal(t, sent.Caller, "caller")
@@ -42,8 +42,8 @@
 	assert.Equal(t, sent.MaxWait, 200*time.Millisecond)
 }
 
-func TestWhatTheNodeAnswersItself(t *testing.T) {
-	f := newFixture(t, answered)
+func TestInvalidRequestsAreRejectedLocally(t *testing.T) {
+	f := newFixture(t, answerOK)
 	assert.Equal(t, f.do("GET", "/none/", "a", "").Code, http.StatusNotFound)
 	assert.Equal(t, f.do("GET", "/read/", "", "").Code, http.StatusBadRequest)
 	assert.Equal(t, f.do("POST", "/read/", "a", strings.Repeat("x", 101)).Code, http.StatusRequestEntityTooLarge)
@@ -55,35 +55,35 @@
 	assert.Assert(t, answer.Header().Get("Retry-After") != "")
 }
 
-func TestARefusalGoesToAnotherHome(t *testing.T) {
+func TestRefusedRequestGoesToAnotherHome(t *testing.T) {
 	for _, path := range []string{"/read/x", "/once/x"} {
-		f := newFixture(t, refusing(peering.QueueFull), answered)
+		f := newFixture(t, refuseWith(peering.QueueFull), answerOK)
 		assert.Equal(t, f.do("GET", path, "a", "").Code, 200)
 	}
 }
 
-func TestARefusalByAllTellsWhenToComeBack(t *testing.T) {
-	f := newFixture(t, refusing(peering.QueueFull), refusing(peering.Waited))
+func TestRefusalByAllHomesHasRetryAfter(t *testing.T) {
+	f := newFixture(t, refuseWith(peering.QueueFull), refuseWith(peering.Waited))
 	answer := f.do("GET", "/once/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, answer.Header().Get("Retry-After"), "0.300")
 	assert.Equal(t, f.calls(), 2)
 }
 
-func TestWhatMayHaveRunIsRepeatedOnlyWhereAllowed(t *testing.T) {
-	once := newFixture(t, failing, failing)
+func TestFailedCallIsRetriedOnlyIfRepeatable(t *testing.T) {
+	once := newFixture(t, failCall, failCall)
 	assert.Equal(t, once.do("POST", "/once/x", "a", "").Code, http.StatusBadGateway)
 	assert.Equal(t, once.calls(), 1, "a request that must not run twice")
-	read := newFixture(t, failing, failing, failing)
+	read := newFixture(t, failCall, failCall, failCall)
 	assert.Equal(t, read.do("GET", "/read/x", "a", "").Code, http.StatusBadGateway)
 	assert.Equal(t, read.calls(), 2, "the route's attempts")
 }
 
-// TestAFailurePassedOnStands has targets fail after calls of theirs had failed: the
-// failure comes back as the target gave it, and the request runs once.
-func TestAFailurePassedOnStands(t *testing.T) {
+// TestDownstreamFailureIsNotRetried has targets fail after calls that they made had
+// failed: the caller gets the target's answer, and the request runs once.
+func TestDownstreamFailureIsNotRetried(t *testing.T) {
 	for _, path := range []string{"/read/x", "/once/x"} {
-		f := newFixture(t, erring, erring)
+		f := newFixture(t, answerError, answerError)
 		answer := f.do("GET", path, "a", "")
 		assert.Equal(t, answer.Code, http.StatusInternalServerError)
 		assert.Equal(t, answer.Header().Get("X-Signature"), "s")
@@ -91,40 +91,40 @@
 	}
 }
 
-// TestAnErrorAnswerStandsIfNobodyElseAnswers has the request go on after a
-// target's own failure and find no other target.
-func TestAnErrorAnswerStandsIfNobodyElseAnswers(t *testing.T) {
-	f := newFixture(t, refusing(peering.QueueFull))
-	kept := erring(t.Context(), nil)
+// TestErrorAnswerIsReturnedIfNoOtherTargetAnswers retries a request after a target's own
+// failure while no other target is available.
+func TestErrorAnswerIsReturnedIfNoOtherTargetAnswers(t *testing.T) {
+	f := newFixture(t, refuseWith(peering.QueueFull))
+	previous := answerError(t.Context(), nil)
 	route := f.forwarder.routes.Current().Match("a.example", "/read/x")
-	q := &request{id: "a", route: route, service: "s", errorAnswer: kept, attempts: 1, deadline: time.Now().Add(time.Second), call: &peering.Call{}}
+	q := &request{id: "a", route: route, service: "s", errorReply: previous, attempts: 1, deadline: time.Now().Add(time.Second), call: &peering.Call{}}
 	reply, failure := f.forwarder.run(t.Context(), q)
 	assert.Assert(t, failure == nil)
-	assert.Equal(t, reply, kept)
+	assert.Equal(t, reply, previous)
 }
 
-// TestAFailureIsNotToldAsNotRun has one home fail and the other refuse: the
-// request may have run, whatever the second home says.
-func TestAFailureIsNotToldAsNotRun(t *testing.T) {
+// TestFailureThenRefusalIsNotReportedAsNotExecuted has one home fail and the other
+// refuse: the request may have been executed, whatever the second home reports.
+func TestFailureThenRefusalIsNotReportedAsNotExecuted(t *testing.T) {
 	for range 8 {
-		f := newFixture(t, failing, refusing(peering.QueueFull))
+		f := newFixture(t, failCall, refuseWith(peering.QueueFull))
 		answer := f.do("GET", "/read/x", "a", "")
 		assert.Equal(t, answer.Code, http.StatusBadGateway)
 	}
 }
 
-func TestTheRetryBudgetBoundsRepetitions(t *testing.T) {
-	f := newFixture(t, failing, failing)
+func TestRetryBudgetBoundsRetries(t *testing.T) {
+	f := newFixture(t, failCall, failCall)
 	const requests = 50
 	for i := range requests {
 		f.do("GET", "/read/x", strconv.Itoa(i), "")
 	}
-	repeated := f.calls() - requests
-	assert.Assert(t, repeated >= 1 && repeated <= 1+requests/10+1, "%d repetitions of %d requests", repeated, requests)
+	retries := f.calls() - requests
+	assert.Assert(t, retries >= 1 && retries <= 1+requests/10+1, "%d retries of %d requests", retries, requests)
 }
 
-func TestADeadHomeIsPassedOver(t *testing.T) {
-	f := newFixture(t, answered)
+func TestUnreachableHomeIsSkipped(t *testing.T) {
+	f := newFixture(t, answerOK)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	dead := listener.Addr().String()
@@ -132,38 +132,38 @@
 	live := f.forwarder.directory.Homes("s")[0].Address
 	f.forwarder = newForwarder(t, f, []string{dead, live})
 	for i := range 20 {
-		assert.Equal(t, f.do("POST", "/once/x", strconv.Itoa(i), "").Code, 200, "an unreached home has not run it")
+		assert.Equal(t, f.do("POST", "/once/x", strconv.Itoa(i), "").Code, 200, "a home that was not reached has not executed the request")
 	}
 }
 
-func TestASilentHomeIsGivenUpForRepeatableRequests(t *testing.T) {
+func TestRepeatableRequestsLeaveSilentHome(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
-	f := newFixture(t, answered)
+	f := newFixture(t, answerOK)
 	live := f.forwarder.directory.Homes("s")[0].Address
 	f.forwarder = newForwarder(t, f, []string{listener.Addr().String(), live})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.forwarder.Run(ctx)
-	// The silent home takes connections and never answers.
+	// The silent home accepts connections and never answers.
 	state := f.forwarder.homes.state(listener.Addr().String())
 	suspected := func() bool {
 		state.mutex.Lock()
 		defer state.mutex.Unlock()
-		return state.suspicion.pause > 0
+		return state.suspicion.backoff > 0
 	}
-	const enough = 100
-	for i := 0; i < enough && !suspected(); i++ {
+	const maxRequests = 100
+	for i := 0; i < maxRequests && !suspected(); i++ {
 		assert.Equal(t, f.do("GET", "/read/x", strconv.Itoa(i), "").Code, 200)
 	}
-	assert.Assert(t, suspected(), "the silent home was chosen and passed over")
+	assert.Assert(t, suspected(), "the silent home was chosen and then suspected")
 }
 
-func TestARequestIsAnsweredAtItsRoutesTimeout(t *testing.T) {
+func TestRouteTimeoutEndsRequest(t *testing.T) {
 	f := newFixture(t, func(ctx context.Context, call *peering.Call) *peering.Reply {
 		<-ctx.Done()
-		return failing(ctx, call)
+		return failCall(ctx, call)
 	})
 	started := time.Now()
 	answer := f.do("GET", "/brief/x", "a", "")
@@ -171,12 +171,12 @@
 	assert.Assert(t, time.Since(started) < testTimeout)
 }
 
-func TestACallersEndWithdrawsTheCall(t *testing.T) {
-	withdrawn := make(chan struct{})
+func TestCallerDisconnectCancelsCall(t *testing.T) {
+	cancelled := make(chan struct{})
 	f := newFixture(t, func(ctx context.Context, call *peering.Call) *peering.Reply {
 		<-ctx.Done()
-		close(withdrawn)
-		return failing(ctx, call)
+		close(cancelled)
+		return failCall(ctx, call)
 	})
 	server := httptest.NewServer(f.forwarder)
 	defer server.Close()
@@ -194,33 +194,33 @@
 	_, err = http.DefaultClient.Do(request)
 	assert.Assert(t, errors.Is(err, context.Canceled))
 	select {
-	case <-withdrawn:
+	case <-cancelled:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the home was not told")
+		t.Fatal("the call at the home was not cancelled")
 	}
 }
 
-// TestCallsOfAnAbandonedRequestEnd tells of a target that works on after its caller
-// has left, whose connection was closed: each call that it made went on through the
-// chain, though nobody would ever see the answer.
-func TestCallsOfAnAbandonedRequestEnd(t *testing.T) {
+// TestInnerCallsOfAbandonedRequestEnd guards against wasted work for abandoned requests.
+// A target may go on working after its caller disconnected and its connection was closed;
+// its calls used to go on through the call chain although nobody would see the answer.
+func TestInnerCallsOfAbandonedRequestEnd(t *testing.T) {
 	t.Run("a new one is refused", func(t *testing.T) {
-		f := newFixture(t, answered)
+		f := newFixture(t, answerOK)
 		answer := f.do("GET", "/read/x", "abandoned.b", "")
 		assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
 		assert.Assert(t, answer.Header().Get("Retry-After") != "")
 		assert.Equal(t, f.calls(), 0)
 	})
-	t.Run("one on its way is withdrawn", func(t *testing.T) {
-		withdrawn := make(chan struct{})
+	t.Run("one in flight is cancelled", func(t *testing.T) {
+		cancelled := make(chan struct{})
 		f := newFixture(t, func(ctx context.Context, _ *peering.Call) *peering.Reply {
 			<-ctx.Done()
-			close(withdrawn)
+			close(cancelled)
 			return &peering.Reply{Outcome: peering.Failed, Reason: peering.CallerLeft}
 		})
-		wanted, abandon := context.WithCancel(t.Context())
-		began := time.Now()
-		f.forwarder.local.(*fakeHome).parentWanted = wanted
+		parentContext, abandon := context.WithCancel(t.Context())
+		started := time.Now()
+		f.forwarder.local.(*fakeHome).parentContext = parentContext
 		go func() {
 			for f.calls() == 0 {
 				time.Sleep(time.Millisecond)
@@ -230,19 +230,19 @@
 		answer := f.do("GET", "/read/x", "running.b", "")
 		assert.Assert(t, answer.Code >= http.StatusInternalServerError)
 		select {
-		case <-withdrawn:
-			assert.Assert(t, time.Since(began) < testTimeout/2, "only its deadline ended it")
+		case <-cancelled:
+			assert.Assert(t, time.Since(started) < testTimeout/2, "the call ended only at its deadline")
 		case <-time.After(10 * time.Second):
-			t.Fatal("the home was not told")
+			t.Fatal("the call at the home was not cancelled")
 		}
 	})
 }
 
-// TestAFullChainIsRefusedWhereRequestsBegin reports a threshold that refuses
-// less important requests, and finds that these are refused here and that a
-// call of a running request and a more important request are not.
-func TestAFullChainIsRefusedWhereRequestsBegin(t *testing.T) {
-	f := newFixture(t, answered)
+// TestShedThresholdIsAppliedAtEntryNode reports a threshold that sheds less important
+// requests. They must be refused at the node where they enter, while more important
+// requests and calls of running requests go ahead.
+func TestShedThresholdIsAppliedAtEntryNode(t *testing.T) {
+	f := newFixture(t, answerOK)
 	address := f.forwarder.directory.Homes("s")[0].Address
 	for _, route := range []string{"read", "once"} {
 		f.levels.Report(route, address, pressure.Level{Threshold: criticality.CohortCount}, 10)
@@ -257,13 +257,13 @@
 	assert.Equal(t, inner.Rank, uint16(7), "a call has the rank of the request that made it")
 	assert.Assert(t, inner.Inner)
 	assert.Equal(t, inner.MaxWait, 600*time.Millisecond)
-	assert.Equal(t, f.levels.Below("parent").Threshold, shed.None, "the reply's own threshold is the newest")
+	assert.Equal(t, f.levels.Below("parent").Threshold, shed.None, "the threshold in the reply replaces the reported one")
 }
 
-// TestALeavingHomesThresholdIsForgotten has a home that told that it has room say
-// that its target leaves: the full one's threshold must hold.
-func TestALeavingHomesThresholdIsForgotten(t *testing.T) {
-	f := newFixture(t, refusing(peering.TargetLeaving))
+// TestThresholdOfLeavingHomeIsRemoved has a home that reported room say that its target
+// is leaving: the threshold of the full home must apply then.
+func TestThresholdOfLeavingHomeIsRemoved(t *testing.T) {
+	f := newFixture(t, refuseWith(peering.TargetLeaving))
 	leaving := f.forwarder.directory.Homes("s")[0].Address
 	f.levels.Report("once", leaving, pressure.Level{Threshold: shed.None}, 10)
 	f.levels.Report("once", "full", pressure.Level{Threshold: 300}, 10)
@@ -272,13 +272,13 @@
 	assert.Equal(t, f.levels.Threshold("once"), uint16(300))
 }
 
-// TestBeforeItsEndANodeTakesWhatIsSureToEnd has a node end soon. Requests that may
-// take longer are told at once that they have not run.
-func TestBeforeItsEndANodeTakesWhatIsSureToEnd(t *testing.T) {
-	f := newFixture(t, answered)
+// TestShutdownDeadlineRefusesLongRequests gives a node a near shutdown deadline. Requests
+// that may take longer must be refused at once as not executed.
+func TestShutdownDeadlineRefusesLongRequests(t *testing.T) {
+	f := newFixture(t, answerOK)
 	f.forwarder.EndBy(time.Now().Add(testTimeout / 2))
 	answer := f.do("POST", "/once/x", "a", "")
-	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "nothing is known of the route")
+	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "the latency of the route is unknown")
 	assert.Assert(t, answer.Header().Get("Retry-After") != "")
 	f.forwarder.homes.setLatency("once", time.Millisecond)
 	assert.Equal(t, f.do("POST", "/once/x", "a", "").Code, 200)
@@ -287,12 +287,12 @@
 	assert.Equal(t, f.calls(), 1)
 }
 
-// TestWhatDoesNotFitIntoAPartIsNotMoved has one part of a route's weighted services
-// refuse everything: its share of the requests is refused, and the other part gets
-// no more than its own.
-func TestWhatDoesNotFitIntoAPartIsNotMoved(t *testing.T) {
-	const requests, weightOff = 300, 0.1
-	f := newFixture(t, answered, refusing(peering.QueueFull))
+// TestWeightedServiceOverflowIsNotMoved has one of a route's weighted services refuse
+// everything: its share of the requests is refused, and the other service gets no more
+// than its own share.
+func TestWeightedServiceOverflowIsNotMoved(t *testing.T) {
+	const requests, tolerance = 300, 0.1
+	f := newFixture(t, answerOK, refuseWith(peering.QueueFull))
 	full := f.addresses[1]
 	record, err := cbor.Marshal(registry.Record{Instance: "i-full", Service: "full", Zone: "z", Address: full, Slots: 10, State: registry.Ready})
 	assert.NilError(t, err)
@@ -310,11 +310,11 @@
 	}
 	assert.Equal(t, answered+refused, requests)
 	share := float64(answered) / requests
-	assert.Assert(t, share > 0.7-weightOff && share < 0.7+weightOff, "%.2f", share)
+	assert.Assert(t, share > 0.7-tolerance && share < 0.7+tolerance, "%.2f", share)
 }
 
-func TestAStoppingNodeAsksCallersToClose(t *testing.T) {
-	f := newFixture(t, answered)
+func TestStoppingNodeClosesConnections(t *testing.T) {
+	f := newFixture(t, answerOK)
 	f.forwarder.Stop()
 	answer := f.do("GET", "/read/x", "a", "")
 	assert.Equal(t, answer.Code, 200)
@@ -324,27 +324,27 @@
 	assert.Equal(t, string(body), "ok")
 }
 
-// servePeerAt has a home that answers listen at the address.
+// servePeerAt starts a home at the address that answers all calls.
 func servePeerAt(t *testing.T, address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
-	server := &http.Server{Handler: peering.Handler(peering.Services{Home: &fakeHome{answer: answered}, Spread: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})}
+	server := &http.Server{Handler: peering.Handler(peering.Services{Home: &fakeHome{answer: answerOK}, Spread: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-// TestNothingIsSentAfterASuspensionThatPassedTheDeadline has the machine be suspended while
-// the first home refuses: the request's time is over, though no timer has run out.
-func TestNothingIsSentAfterASuspensionThatPassedTheDeadline(t *testing.T) {
+// TestNoOfferAfterSuspendPastDeadline suspends the machine while the first home refuses:
+// the request's deadline has passed although no timer has fired.
+func TestNoOfferAfterSuspendPastDeadline(t *testing.T) {
 	var suspended atomic.Int64
 	refuse := func(ctx context.Context, call *peering.Call) *peering.Reply {
 		suspended.Store(int64(2 * testTimeout))
-		return refusing(peering.QueueFull)(ctx, call)
+		return refuseWith(peering.QueueFull)(ctx, call)
 	}
 	f := newFixture(t, refuse, refuse)
 	f.forwarder.now = func() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
 	answer := f.do("GET", "/read/x", "a", "")
-	assert.Equal(t, f.calls(), 1, "the second home must not get it")
-	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "it has not run")
+	assert.Equal(t, f.calls(), 1, "the request must not be offered to the second home")
+	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "the request was not executed")
 }
--- a/internal/forward/home.go
+++ b/internal/forward/home.go
@@ -10,142 +10,146 @@
 	"github.com/lugspur/lugspur/internal/registry"
 )
 
-// homeState is what this node has learned of one home by calling it.
+// homeState is what this node has learned about one home by calling it.
 type homeState struct {
 	address string
 
 	mutex sync.Mutex
-	// inFlight holds what ends each call that waits for the home, and waiting sums
-	// these calls by route.
+	// inFlight holds the cancel function of each call that waits for the home, and
+	// pending sums these calls by route.
 	inFlight map[uint64]context.CancelCauseFunc
-	waiting  map[string]waitingCalls
+	pending  map[string]pendingCalls
 	nextCall uint64
 	load     peering.Load
 	loadAt   time.Time
-	// latencies are the home's usual times by route.
-	latencies map[string]knownLatency
-	// slowness is how many times as long as elsewhere calls take at the home, over
-	// all routes that it told of.
+	// latencies are the home's usual latencies by route.
+	latencies map[string]latencySample
+	// slowness is the ratio of the home's latency to that of other homes, averaged over
+	// all routes that it reported.
 	slowness   float64
 	slownessAt time.Time
-	// heard is when the home last answered anything.
-	heard time.Time
-	// waitingSince is when a call began to wait while none did before.
-	waitingSince time.Time
-	suspicion    suspicion
-	// departed marks the record whose home said that it has nothing to offer,
-	// until recheck.
-	departed uint64
-	recheck  time.Time
+	// lastSeen is when the home last answered anything.
+	lastSeen time.Time
+	// busySince is when a call began to wait while no other did.
+	busySince time.Time
+	suspicion suspicion
+	// departedRevision is the revision of the home's record when the home reported that
+	// it has no target to offer. The home is skipped until departedUntil or until its
+	// record changes.
+	departedRevision uint64
+	departedUntil    time.Time
 }
 
-// knownLatency is the usual time of a call as the home told it.
-type knownLatency struct {
+// latencySample is the usual latency of a call as the home reported it.
+type latencySample struct {
 	value time.Duration
 	at    time.Time
 }
 
-// suspicion passes a home over that failed, for longer each time.
+// suspicion marks a failed home, which is not chosen until it answers a probe. backoff is
+// the pause before the next probe; it grows with each failure.
 type suspicion struct {
 	since, until time.Time
-	pause        time.Duration
+	backoff      time.Duration
 }
 
 const (
-	minSuspicion = 300 * time.Millisecond
-	maxSuspicion = 3 * time.Second
-	// departedRecheck is how long a home is passed over that said that it has no
-	// target to offer and whose record stays the same.
-	departedRecheck = time.Second
-	// loadFresh is how long a home's report of its load is believed.
-	loadFresh = time.Second
-	// maxLatencies bounds the routes whose latencies are kept for one home.
-	maxLatencies = 256
+	minSuspicionBackoff = 300 * time.Millisecond
+	maxSuspicionBackoff = 3 * time.Second
+	// departedPeriod is how long a home is skipped that has no target to offer and whose
+	// record does not change.
+	departedPeriod = time.Second
+	// loadMaxAge is how long a home's load report is valid.
+	loadMaxAge = time.Second
+	// maxTrackedRoutes bounds the routes whose latencies are kept for one home, and those
+	// with statistics over all homes.
+	maxTrackedRoutes = 256
 )
 
-// usable reports whether the home may be chosen. One that failed is chosen again
-// only once it has answered: requests are not what finds out.
+// usable reports whether the home may be chosen. A suspected home is chosen again only
+// once it has answered a probe: requests are not used to find out whether it recovered.
 func (s *homeState) usable(home *registry.Home, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.departed == uint64(home.Revision) && now.Before(s.recheck) {
+	if s.departedRevision == uint64(home.Revision) && now.Before(s.departedUntil) {
 		return false
 	}
-	return s.suspicion.pause == 0
+	return s.suspicion.backoff == 0
 }
 
-// begin notes a call of the route that waits for the home. The returned function
-// ends it.
+// begin records a call of the route that waits for the home. The returned function ends
+// it.
 func (s *homeState) begin(route string, cancel context.CancelCauseFunc, now time.Time) func() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if len(s.inFlight) == 0 {
-		s.waitingSince = now
+		s.busySince = now
 	}
 	id := s.nextCall
 	s.nextCall++
 	s.inFlight[id] = cancel
-	s.waiting[route] = s.waiting[route].with(now)
+	s.pending[route] = s.pending[route].add(now)
 	return func() {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
 		delete(s.inFlight, id)
-		left := s.waiting[route].without(now)
-		if left.count == 0 {
-			delete(s.waiting, route)
+		rest := s.pending[route].remove(now)
+		if rest.count == 0 {
+			delete(s.pending, route)
 			return
 		}
-		s.waiting[route] = left
+		s.pending[route] = rest
 	}
 }
 
-// toAsk reports whether the home is to be asked whether it is there: calls have
-// waited without a sign of it, or it failed and the pause after that is over.
-func (s *homeState) toAsk(now time.Time) bool {
+// probeDue reports whether the home is to be probed: calls have waited without a liveness
+// signal, or the backoff after a failure is over.
+func (s *homeState) probeDue(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.suspicion.pause > 0 {
+	if s.suspicion.backoff > 0 {
 		return !now.Before(s.suspicion.until)
 	}
 	if len(s.inFlight) == 0 {
 		return false
 	}
-	since := s.waitingSince
-	if s.heard.After(since) {
-		since = s.heard
+	since := s.busySince
+	if s.lastSeen.After(since) {
+		since = s.lastSeen
 	}
-	return now.Sub(since) > silence
+	return now.Sub(since) > maxSilence
 }
 
-// hear notes a sign of life.
-func (s *homeState) hear(now time.Time) {
+// markSeen records a liveness signal.
+func (s *homeState) markSeen(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.heard = now
+	s.lastSeen = now
 }
 
-// askNow ends the pause of a home that failed, as it gave a sign of life.
-func (s *homeState) askNow(now time.Time) {
+// probeNow ends the backoff of a suspected home after a liveness signal.
+func (s *homeState) probeNow(now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.suspicion.pause > 0 && now.Before(s.suspicion.until) {
+	if s.suspicion.backoff > 0 && now.Before(s.suspicion.until) {
 		s.suspicion.until = now
 	}
 }
 
-// idle reports whether nothing waits for the home.
+// idle reports whether no call waits for the home.
 func (s *homeState) idle() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return len(s.inFlight) == 0
 }
 
-// answered notes a sign of life.
-func (s *homeState) answered(now time.Time) (suspectedFor time.Duration) {
+// markReachable records an answer of the home, which ends its suspicion. It returns how
+// long the home was suspected.
+func (s *homeState) markReachable(now time.Time) (suspectedFor time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.heard = now
-	if s.suspicion.pause == 0 {
+	s.lastSeen = now
+	if s.suspicion.backoff == 0 {
 		return 0
 	}
 	suspectedFor = now.Sub(s.suspicion.since)
@@ -153,39 +157,39 @@
 	return suspectedFor
 }
 
-// depart passes the home over until its record changes or some time went by.
-func (s *homeState) depart(home *registry.Home, now time.Time) {
+// markDeparted skips the home until its record changes or departedPeriod has passed.
+func (s *homeState) markDeparted(home *registry.Home, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.departed = uint64(home.Revision)
-	s.recheck = now.Add(departedRecheck)
+	s.departedRevision = uint64(home.Revision)
+	s.departedUntil = now.Add(departedPeriod)
 }
 
 func (s *homeState) isSuspected() bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.suspicion.pause > 0
+	return s.suspicion.backoff > 0
 }
 
-// suspect passes the home over for a while. It reports whether it was trusted
-// before.
+// suspect marks the home as suspected and doubles its backoff, up to maxSuspicionBackoff.
+// It reports whether the home was trusted before.
 func (s *homeState) suspect(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if now.Before(s.suspicion.until) {
 		return false
 	}
-	first := s.suspicion.pause == 0
+	first := s.suspicion.backoff == 0
 	if first {
 		s.suspicion.since = now
 	}
-	s.suspicion.pause = min(max(s.suspicion.pause*2, minSuspicion), maxSuspicion)
-	s.suspicion.until = now.Add(s.suspicion.pause)
+	s.suspicion.backoff = min(max(s.suspicion.backoff*2, minSuspicionBackoff), maxSuspicionBackoff)
+	s.suspicion.until = now.Add(s.suspicion.backoff)
 	return first
 }
 
-// abandon ends the calls that wait for the home and may go elsewhere.
-func (s *homeState) abandon(cause error) {
+// cancelCalls cancels the calls that wait for the home and may be offered elsewhere.
+func (s *homeState) cancelCalls(cause error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for _, cancel := range s.inFlight {
@@ -195,51 +199,51 @@
 	}
 }
 
-// homeTable holds the states of homes by their addresses.
+// homeTable holds the states of homes by address.
 type homeTable struct {
 	mutex  sync.Mutex
 	states map[string]*homeState
-	// usual holds what stands for all homes, by route.
-	usual map[string]usualCall
+	// routes holds statistics over all homes, by route.
+	routes map[string]routeStats
 }
 
-// usualCall is how calls of one route usually go.
-type usualCall struct {
-	// latency is the common latency at all homes, zero if it is not known.
+// routeStats holds the usual latency and answer size of one route.
+type routeStats struct {
+	// latency is the median latency at all homes, zero if unknown.
 	latency time.Duration
-	// bytes is the average size of an answer's body.
-	bytes float64
+	// answerBytes is the average size of an answer's body.
+	answerBytes float64
 }
 
-// bytesWeight is the part of the average size that one answer makes up.
-const bytesWeight = 1.0 / 32
+// answerBytesWeight is the weight of one answer in the average size.
+const answerBytesWeight = 1.0 / 32
 
-// setLatency notes the common latency of a route.
+// setLatency records the median latency of a route.
 func (t *homeTable) setLatency(route string, latency time.Duration) {
-	t.change(route, func(usual *usualCall) { usual.latency = latency })
+	t.updateStats(route, func(stats *routeStats) { stats.latency = latency })
 }
 
-// noteAnswer notes the size of an answer, in bytes.
-func (t *homeTable) noteAnswer(route string, bytes int) {
-	t.change(route, func(usual *usualCall) { usual.bytes += (float64(bytes) - usual.bytes) * bytesWeight })
+// recordAnswerSize adds the size of an answer, in bytes, to the route's average.
+func (t *homeTable) recordAnswerSize(route string, bytes int) {
+	t.updateStats(route, func(stats *routeStats) { stats.answerBytes += (float64(bytes) - stats.answerBytes) * answerBytesWeight })
 }
 
-func (t *homeTable) change(route string, apply func(*usualCall)) {
+func (t *homeTable) updateStats(route string, apply func(*routeStats)) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.usual == nil || len(t.usual) >= maxLatencies {
-		t.usual = make(map[string]usualCall)
+	if t.routes == nil || len(t.routes) >= maxTrackedRoutes {
+		t.routes = make(map[string]routeStats)
 	}
-	usual := t.usual[route]
-	apply(&usual)
-	t.usual[route] = usual
+	stats := t.routes[route]
+	apply(&stats)
+	t.routes[route] = stats
 }
 
-// usualOf returns how calls of a route usually go.
-func (t *homeTable) usualOf(route string) usualCall {
+// statsOf returns the statistics of a route.
+func (t *homeTable) statsOf(route string) routeStats {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.usual[route]
+	return t.routes[route]
 }
 
 func (t *homeTable) state(address string) *homeState {
@@ -250,30 +254,29 @@
 	}
 	s := t.states[address]
 	if s == nil {
-		s = &homeState{address: address, inFlight: make(map[uint64]context.CancelCauseFunc), waiting: make(map[string]waitingCalls)}
+		s = &homeState{address: address, inFlight: make(map[uint64]context.CancelCauseFunc), pending: make(map[string]pendingCalls)}
 		t.states[address] = s
 	}
 	return s
 }
 
-// known returns the state of a home, nil if there is none.
-func (t *homeTable) known(address string) *homeState {
+// find returns the state of a home, nil if there is none.
+func (t *homeTable) find(address string) *homeState {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.states[address]
 }
 
-// forget drops the states of homes that are not among the listed ones and that
-// nothing waits for.
-func (t *homeTable) forget(listed []string) {
-	kept := make(map[string]bool, len(listed))
+// prune removes the states of homes that are not listed and that no call waits for.
+func (t *homeTable) prune(listed []string) {
+	isListed := make(map[string]bool, len(listed))
 	for _, address := range listed {
-		kept[address] = true
+		isListed[address] = true
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for address, state := range t.states {
-		if !kept[address] && state.idle() {
+		if !isListed[address] && state.idle() {
 			delete(t.states, address)
 		}
 	}
@@ -292,19 +295,19 @@
 func (s *homeState) isDeparted(home *registry.Home, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.departed == uint64(home.Revision) && now.Before(s.recheck)
+	return s.departedRevision == uint64(home.Revision) && now.Before(s.departedUntil)
 }
 
-// suspect passes a home over from now on and logs the change.
+// suspect marks the home as suspected and logs the change.
 func (f *Forwarder) suspect(state *homeState, reason string) {
 	if state.suspect(f.now()) {
 		f.log.Record(eventlog.Event{Kind: eventlog.HomeSuspected, Peer: state.address, Reason: reason})
 	}
 }
 
-// trust notes a sign of life of a home.
-func (f *Forwarder) trust(state *homeState) {
-	if suspectedFor := state.answered(f.now()); suspectedFor > 0 {
+// markReachable records an answer of a home, and logs it if that ends a suspicion.
+func (f *Forwarder) markReachable(state *homeState) {
+	if suspectedFor := state.markReachable(f.now()); suspectedFor > 0 {
 		f.log.Record(eventlog.Event{Kind: eventlog.HomeTrusted, Peer: state.address, Age: suspectedFor})
 	}
 }
--- a/internal/forward/home_test.go
+++ b/internal/forward/home_test.go
@@ -14,9 +14,10 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// TestNoRequestFindsOutWhetherAHomeIsBack has a home fail while another one does
-// well: it is chosen again only once it has answered, however much time went by.
-func TestNoRequestFindsOutWhetherAHomeIsBack(t *testing.T) {
+// TestSuspectedHomeGetsNoRequestsUntilReachable has one home fail while another is
+// healthy: the failed home is chosen again only after it has answered a probe, however
+// much time has passed.
+func TestSuspectedHomeGetsNoRequestsUntilReachable(t *testing.T) {
 	now := time.Now()
 	f := &Forwarder{config: Config{Zone: "z"}, now: func() time.Time { return now }, directory: directoryOf(t, []string{"failed", "well"})}
 	q := &request{route: &routetable.Route{Name: "read"}, service: "s", deadline: now.Add(time.Hour)}
@@ -26,8 +27,8 @@
 		now = now.Add(100 * time.Millisecond)
 		assert.Equal(t, f.choose(q).home.Address, "well")
 	}
-	assert.Assert(t, failed.toAsk(now), "it is asked instead")
-	failed.answered(now)
+	assert.Assert(t, failed.probeDue(now), "the home is probed instead")
+	failed.markReachable(now)
 	chosen := make(map[string]bool)
 	for range 100 {
 		chosen[f.choose(q).home.Address] = true
@@ -35,44 +36,45 @@
 	assert.Assert(t, chosen["failed"])
 }
 
-// TestAHomeThatFailedIsAskedAfterAPauseOrASignOfLife tells when a home is asked.
-func TestAHomeThatFailedIsAskedAfterAPauseOrASignOfLife(t *testing.T) {
+// TestSuspectedHomeIsProbedAfterBackoffOrPeerAlive checks when a suspected home is
+// probed.
+func TestSuspectedHomeIsProbedAfterBackoffOrPeerAlive(t *testing.T) {
 	now := time.Now()
 	f := &Forwarder{now: func() time.Time { return now }}
 	state := f.homes.state("home")
-	assert.Assert(t, !state.toAsk(now))
+	assert.Assert(t, !state.probeDue(now))
 	for range 8 {
-		assert.Assert(t, state.suspect(now) == (state.suspicion.pause == minSuspicion))
-		assert.Assert(t, !state.toAsk(now))
-		now = now.Add(maxSuspicion)
-		assert.Assert(t, state.toAsk(now))
+		assert.Assert(t, state.suspect(now) == (state.suspicion.backoff == minSuspicionBackoff))
+		assert.Assert(t, !state.probeDue(now))
+		now = now.Add(maxSuspicionBackoff)
+		assert.Assert(t, state.probeDue(now))
 	}
 	state.suspect(now)
-	assert.Assert(t, !state.toAsk(now.Add(maxSuspicion/2)))
+	assert.Assert(t, !state.probeDue(now.Add(maxSuspicionBackoff/2)))
 	f.Heard("home")
-	assert.Assert(t, state.toAsk(now), "a sign of life")
+	assert.Assert(t, state.probeDue(now), "a liveness signal ends the backoff")
 	f.Heard("unknown")
-	assert.Assert(t, f.homes.known("unknown") == nil)
+	assert.Assert(t, f.homes.find("unknown") == nil)
 }
 
-func TestHomesThatAreGoneAreForgotten(t *testing.T) {
+func TestPruneRemovesUnlistedIdleHomes(t *testing.T) {
 	table := &homeTable{}
 	table.state("listed")
 	table.state("gone")
 	done := table.state("waited-for").begin("r", nil, time.Now())
-	table.forget([]string{"listed", "other"})
-	assert.Assert(t, table.known("listed") != nil)
-	assert.Assert(t, table.known("gone") == nil)
-	assert.Assert(t, table.known("waited-for") != nil)
+	table.prune([]string{"listed", "other"})
+	assert.Assert(t, table.find("listed") != nil)
+	assert.Assert(t, table.find("gone") == nil)
+	assert.Assert(t, table.find("waited-for") != nil)
 	done()
-	table.forget(nil)
+	table.prune(nil)
 	assert.Equal(t, len(table.all()), 0)
 }
 
-// TestADeadHomeThatIsBackIsFound has a home's address refuse connections and then
+// TestRecoveredHomeIsDetected has a home's address first refuse connections and then
 // answer.
-func TestADeadHomeThatIsBackIsFound(t *testing.T) {
-	f := newFixture(t, answered)
+func TestRecoveredHomeIsDetected(t *testing.T) {
+	f := newFixture(t, answerOK)
 	live := f.forwarder.directory.Homes("s")[0].Address
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -90,15 +92,15 @@
 	servePeerAt(t, dead)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if state.isSuspected() {
-			return poll.Continue("still passed over")
+			return poll.Continue("still suspected")
 		}
 		return poll.Success()
 	}, poll.WithDelay(5*time.Millisecond), poll.WithTimeout(20*time.Second))
 	home := f.forwarder.directory.Homes("s")
-	assert.Assert(t, state.usable(homeAt(home, dead), time.Now()))
+	assert.Assert(t, state.usable(findHome(home, dead), time.Now()))
 }
 
-func homeAt(homes []*registry.Home, address string) *registry.Home {
+func findHome(homes []*registry.Home, address string) *registry.Home {
 	for _, home := range homes {
 		if home.Address == address {
 			return home
--- a/internal/forward/policy_test.go
+++ b/internal/forward/policy_test.go
@@ -12,16 +12,16 @@
 	"github.com/lugspur/lugspur/internal/routepolicy"
 )
 
-func (f *fixture) put(t *testing.T, sources routepolicy.Sources) {
+func (f *fixture) setPolicies(t *testing.T, sources routepolicy.Sources) {
 	t.Helper()
 	set, err := routepolicy.Compile(sources)
 	assert.NilError(t, err)
 	f.forwarder.policies.Put(set)
 }
 
-func TestAPolicyAdmits(t *testing.T) {
-	f := newFixture(t, answered)
-	f.put(t, routepolicy.Sources{Repeatable: policy.Source{Admit: `call.path startsWith "/read/y"`}})
+func TestPolicyAdmit(t *testing.T) {
+	f := newFixture(t, answerOK)
+	f.setPolicies(t, routepolicy.Sources{Repeatable: policy.Source{Admit: `call.path startsWith "/read/y"`}})
 	answer := f.do("GET", "/read/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusForbidden)
 	assert.Equal(t, f.calls(), 0)
@@ -30,48 +30,48 @@
 	assert.Equal(t, f.do("GET", "/read/x", "running.1", "").Code, 200, "a call of a running request")
 }
 
-func TestAPolicyRanks(t *testing.T) {
-	f := newFixture(t, answered)
-	f.put(t, routepolicy.Sources{Repeatable: policy.Source{Rank: `call.path == "/read/urgent" ? "critical-plus" : "sheddable"`}})
-	// The chain sheds everything below critical-plus.
+func TestPolicyRank(t *testing.T) {
+	f := newFixture(t, answerOK)
+	f.setPolicies(t, routepolicy.Sources{Repeatable: policy.Source{Rank: `call.path == "/read/urgent" ? "critical-plus" : "sheddable"`}})
+	// The call chain sheds everything below critical-plus.
 	f.levels.Report("read", "home", pressure.Level{Threshold: 128}, 10)
 	assert.Equal(t, f.do("GET", "/read/x", "a", "").Code, http.StatusServiceUnavailable)
 	assert.Equal(t, f.do("GET", "/read/urgent", "b", "").Code, 200)
 }
 
-func TestAPolicyRetries(t *testing.T) {
+func TestPolicyRetry(t *testing.T) {
 	none := routepolicy.Sources{Repeatable: policy.Source{Retry: `0`}, Once: policy.Source{Retry: `0`}}
-	f := newFixture(t, failing, failing)
-	f.put(t, none)
+	f := newFixture(t, failCall, failCall)
+	f.setPolicies(t, none)
 	assert.Equal(t, f.do("GET", "/read/x", "a", "").Code, http.StatusBadGateway)
 	assert.Equal(t, f.calls(), 1)
-	refused := newFixture(t, refusing(peering.QueueFull), refusing(peering.QueueFull), refusing(peering.QueueFull))
-	refused.put(t, none)
+	refused := newFixture(t, refuseWith(peering.QueueFull), refuseWith(peering.QueueFull), refuseWith(peering.QueueFull))
+	refused.setPolicies(t, none)
 	assert.Equal(t, refused.do("GET", "/once/x", "a", "").Code, http.StatusServiceUnavailable)
 	assert.Equal(t, refused.calls(), 1)
-	// A policy only narrows: the route allows two attempts, and one that may have
-	// run is not run again.
+	// A policy can only restrict: the route allows two attempts, and a once request that
+	// may have been executed is not sent again.
 	greedy := routepolicy.Sources{Repeatable: policy.Source{Retry: `5`}, Once: policy.Source{Retry: `5`}}
-	wide := newFixture(t, failing, failing, failing)
-	wide.put(t, greedy)
+	wide := newFixture(t, failCall, failCall, failCall)
+	wide.setPolicies(t, greedy)
 	wide.do("GET", "/read/x", "a", "")
 	assert.Equal(t, wide.calls(), 2)
 	wide.do("POST", "/once/x", "b", "")
 	assert.Equal(t, wide.calls(), 3)
 }
 
-func TestAPolicySaysWhenToComeBack(t *testing.T) {
-	f := newFixture(t, refusing(peering.QueueFull))
-	f.put(t, routepolicy.Sources{Once: policy.Source{Refuse: `load.free_in * 2 + 1`}})
+func TestPolicyRefuseDelay(t *testing.T) {
+	f := newFixture(t, refuseWith(peering.QueueFull))
+	f.setPolicies(t, routepolicy.Sources{Once: policy.Source{Refuse: `load.free_in * 2 + 1`}})
 	assert.Equal(t, f.do("POST", "/once/x", "a", "").Header().Get("Retry-After"), "1.600")
 }
 
-func TestAPolicySeesTheShedLevel(t *testing.T) {
-	f := newFixture(t, answered)
-	f.put(t, routepolicy.Sources{Once: policy.Source{Admit: `load.shed_level == ""`}})
+func TestPolicySeesShedLevel(t *testing.T) {
+	f := newFixture(t, answerOK)
+	f.setPolicies(t, routepolicy.Sources{Once: policy.Source{Admit: `load.shed_level == ""`}})
 	f.levels.Report("once", "home", pressure.Level{Threshold: 300}, 10)
 	assert.Equal(t, f.do("POST", "/once/x", "a", "").Code, http.StatusForbidden)
-	calm := newFixture(t, answered)
-	calm.put(t, routepolicy.Sources{Once: policy.Source{Admit: `load.shed_level == ""`}})
-	assert.Equal(t, calm.do("POST", "/once/x", "a", "").Code, 200)
+	unloaded := newFixture(t, answerOK)
+	unloaded.setPolicies(t, routepolicy.Sources{Once: policy.Source{Admit: `load.shed_level == ""`}})
+	assert.Equal(t, unloaded.do("POST", "/once/x", "a", "").Code, 200)
 }
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -14,17 +14,19 @@
 	"github.com/lugspur/lugspur/internal/quarantine"
 )
 
-// crashing answers as a home does whose target crashed, one more than its caller knew of.
-func crashing(ctx context.Context, call *peering.Call) *peering.Reply {
-	reply := failing(ctx, call)
+// crashTarget replies like a home whose target crashed, with one more crash than the call
+// reported.
+func crashTarget(ctx context.Context, call *peering.Call) *peering.Reply {
+	reply := failCall(ctx, call)
 	reply.Reason, reply.Crashes = peering.TargetCrashed, call.Crashes+1
 	return reply
 }
 
-// suspect has the node know of so many crashes under the request.
-func (f *fixture) suspect(path string, crashes int) {
+// recordCrashes makes the node know of the given number of crashes under requests to the
+// path.
+func (f *fixture) recordCrashes(path string, crashes int) {
 	hash := (&peering.Call{Method: http.MethodGet, Host: "a.example", URI: path}).Fingerprint()
-	f.suspects.Crashed("earlier", []quarantine.OpenCall{{Fingerprint: hash, Crashes: crashes}})
+	f.quarantine.Crashed("earlier", []quarantine.OpenCall{{Fingerprint: hash, Crashes: crashes}})
 }
 
 func (f *fixture) reasonOf(t *testing.T, body []byte) problem.Reason {
@@ -34,65 +36,65 @@
 	return answer.Reason
 }
 
-func TestAQuarantinedRequestIsRefusedWhereItBegins(t *testing.T) {
-	f := newFixture(t, answered)
-	f.suspect("/read/deadly", 3)
+func TestQuarantinedRequestIsRefusedAtEntryNode(t *testing.T) {
+	f := newFixture(t, answerOK)
+	f.recordCrashes("/read/deadly", 3)
 	answer := f.do("GET", "/read/deadly", "a", "")
 	assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, f.reasonOf(t, answer.Body.Bytes()), problem.Quarantined)
 	wait, err := strconv.ParseFloat(answer.Header().Get("Retry-After"), 64)
 	assert.NilError(t, err)
-	assert.Assert(t, wait > 30, "callers are told when a trial run is due: %g s", wait)
+	assert.Assert(t, wait > 30, "the retry delay lasts until a trial run is due: %g s", wait)
 	assert.Equal(t, f.calls(), 0)
 	assert.Equal(t, f.do("GET", "/read/harmless", "b", "").Code, http.StatusOK)
 }
 
-// TestARefusalBesideTheTargetIsTheAnswer has only the home know that the request is
-// quarantined: no other home is asked.
-func TestARefusalBesideTheTargetIsTheAnswer(t *testing.T) {
-	f := newFixture(t, refusing(peering.Quarantined), refusing(peering.Quarantined))
+// TestQuarantineRefusalByHomeIsFinal has only the homes know that the request is
+// quarantined: after the first refusal no other home gets the request.
+func TestQuarantineRefusalByHomeIsFinal(t *testing.T) {
+	f := newFixture(t, refuseWith(peering.Quarantined), refuseWith(peering.Quarantined))
 	answer := f.do("GET", "/read/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, f.reasonOf(t, answer.Body.Bytes()), problem.Quarantined)
 	assert.Equal(t, f.calls(), 1)
 }
 
-// TestOneTryEndsNoMoreThanTwoTargets has every target crash under the request, however many
-// targets its route allows.
-func TestOneTryEndsNoMoreThanTwoTargets(t *testing.T) {
-	f := newFixture(t, crashing, crashing, crashing, crashing)
+// TestRequestCrashesAtMostTwoTargets has every target crash under the request, with a
+// route that allows more attempts.
+func TestRequestCrashesAtMostTwoTargets(t *testing.T) {
+	f := newFixture(t, crashTarget, crashTarget, crashTarget, crashTarget)
 	f.forwarder.routes.Current().Match("a.example", "/read/x").Attempts = 4
-	for range 4 * testRequestsForARepetition {
+	for range 4 * testRequestsPerRetry {
 		f.forwarder.budget("s").Request()
 	}
 	answer := f.do("GET", "/read/x", "a", "")
-	assert.Equal(t, answer.Code, http.StatusBadGateway, "it has run")
+	assert.Equal(t, answer.Code, http.StatusBadGateway, "the request may have been executed")
 	assert.Equal(t, f.calls(), 2)
 }
 
-// TestARequestThatRanIsNotToldOtherwise has the first target crash and the next home know
-// by then that the request is quarantined.
-func TestARequestThatRanIsNotToldOtherwise(t *testing.T) {
+// TestQuarantineAfterCrashIsNotReportedAsNotExecuted has the first target crash and the
+// next home already know that the request is quarantined.
+func TestQuarantineAfterCrashIsNotReportedAsNotExecuted(t *testing.T) {
 	f := newFixture(t, func(ctx context.Context, call *peering.Call) *peering.Reply {
 		if call.Crashes == 0 {
-			return crashing(ctx, call)
+			return crashTarget(ctx, call)
 		}
-		return refusing(peering.Quarantined)(ctx, call)
+		return refuseWith(peering.Quarantined)(ctx, call)
 	}, func(ctx context.Context, call *peering.Call) *peering.Reply {
 		if call.Crashes == 0 {
-			return crashing(ctx, call)
+			return crashTarget(ctx, call)
 		}
-		return refusing(peering.Quarantined)(ctx, call)
+		return refuseWith(peering.Quarantined)(ctx, call)
 	})
 	answer := f.do("GET", "/read/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusBadGateway)
 	assert.Equal(t, f.calls(), 2)
 }
 
-// TestSuspectsGoToOneHome has nodes that know the same send a suspect to the same home, and
-// to the next one only once that is gone.
-func TestSuspectsGoToOneHome(t *testing.T) {
-	f := newFixture(t, answered, answered, answered)
+// TestSuspectsAreHashedToOneHome checks that nodes with the same information send a
+// suspect to the same home, and to another one only after that home failed.
+func TestSuspectsAreHashedToOneHome(t *testing.T) {
+	f := newFixture(t, answerOK, answerOK, answerOK)
 	other := newForwarder(t, f, f.addresses)
 	chosen := func(forwarder *Forwarder, path string) string {
 		q := &request{route: forwarder.routes.Current().Match("a.example", path), service: "s", deadline: time.Now().Add(time.Second),
@@ -111,10 +113,10 @@
 	assert.Assert(t, chosen(other, "/read/0") != gone)
 }
 
-func TestAnAnswerClearsASuspectWhereItBegan(t *testing.T) {
-	f := newFixture(t, answered)
-	f.suspect("/read/x", 1)
+func TestAnswerClearsSuspectAtEntryNode(t *testing.T) {
+	f := newFixture(t, answerOK)
+	f.recordCrashes("/read/x", 1)
 	assert.Equal(t, f.do("GET", "/read/x", "a", "").Code, http.StatusOK)
-	assert.Equal(t, f.homes[0].calls[0].Crashes, 1, "the home is told")
-	assert.Assert(t, f.suspects.Empty())
+	assert.Equal(t, f.homes[0].calls[0].Crashes, 1, "the call reports the crashes")
+	assert.Assert(t, f.quarantine.Empty())
 }
--- a/internal/forward/receive.go
+++ b/internal/forward/receive.go
@@ -18,7 +18,7 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// rawPath returns the request's path as the caller wrote it.
+// rawPath returns the request's path as sent by the caller.
 func rawPath(r *http.Request) string {
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return r.URL.EscapedPath()
@@ -34,20 +34,23 @@
 	return r.URL.RequestURI()
 }
 
-// notReadyDelay is told to callers while the node has no configuration.
+// notReadyDelay is the retry delay sent to callers while the node has no configuration or
+// is about to stop.
 const notReadyDelay = 200 * time.Millisecond
 
-// shedDelay is told to callers that are refused for want of room further down.
+// shedDelay is the retry delay sent to callers whose requests are refused because the
+// homes further down the call chain shed their rank, or because their parent was
+// abandoned.
 const shedDelay = time.Second
 
-// receive reads a request whole.
+// receive reads and checks a complete request.
 func (f *Forwarder) receive(w http.ResponseWriter, r *http.Request, started time.Time) (*request, *problem.Problem) {
 	q := &request{id: r.Header.Get(f.config.Headers.RequestID), arrived: started}
 	table := f.routes.Current()
 	if table == nil {
 		return q, f.problem(problem.NotReady, problem.ExecutedNo, "receive", "no configuration yet").WithRetryDelay(notReadyDelay)
 	}
-	if bound := table.Limits().MaxHeaderBytes; bound > 0 && headerBytes(r) > bound {
+	if maxBytes := table.Limits().MaxHeaderBytes; maxBytes > 0 && headerBytes(r) > maxBytes {
 		return q, f.problem(problem.HeaderTooLarge, problem.ExecutedNo, "receive", "the header is too large")
 	}
 	q.route = table.Match(r.Host, rawPath(r))
@@ -58,7 +61,7 @@
 		return q, f.problem(problem.BadRequest, problem.ExecutedNo, "receive", "no request id")
 	}
 	q.deadline = started.Add(f.timeoutOf(q.route, r.Header))
-	if !f.endsInTime(q) {
+	if !f.endsBeforeShutdown(q) {
 		return q, f.problem(problem.NotReady, problem.ExecutedNo, "receive", "the node is about to end").WithRetryDelay(notReadyDelay)
 	}
 	parent, failure := f.parentOf(q)
@@ -73,7 +76,7 @@
 	if failure := f.admit(q); failure != nil {
 		return q, failure
 	}
-	if failure := f.limit(r.Context(), q); failure != nil {
+	if failure := f.checkLimit(r.Context(), q); failure != nil {
 		return q, failure
 	}
 	body, failure := f.readBody(w, r, table.Limits().MaxBodyBytes)
@@ -83,9 +86,9 @@
 	callheader.StripConnection(r.Header)
 	r.Header.Del("Content-Length")
 	f.config.Headers.StripOwn(r.Header)
-	f.nameTenant(r.Header, q, table)
+	f.setTenantHeader(r.Header, q, table)
 	q.service = f.splitter.Choose(q.route)
-	f.learnCall(q)
+	f.recordInnerCall(q)
 	q.call = &peering.Call{
 		Service:   q.service,
 		RequestID: q.id,
@@ -103,17 +106,17 @@
 		Repeat:    parent.Repeat,
 		MaxWait:   f.maxWait(q),
 	}
-	return q, f.screen(q)
+	return q, f.checkQuarantine(q)
 }
 
-// endsInTime reports whether the request has surely ended before the node's end.
-// Where the usual time is not known, all of the time that it has counts.
-func (f *Forwarder) endsInTime(q *request) bool {
+// endsBeforeShutdown reports whether the request is sure to end before the node's
+// shutdown deadline. If the usual latency is unknown, the request's full timeout counts.
+func (f *Forwarder) endsBeforeShutdown(q *request) bool {
 	needed := q.deadline.Sub(q.arrived)
-	if usual := f.homes.usualOf(q.route.Name).latency; usual > 0 {
+	if usual := f.homes.statsOf(q.route.Name).latency; usual > 0 {
 		needed = min(ending.SureTime(usual), needed)
 	}
-	return f.end.Leaves(needed, q.arrived)
+	return f.shutdownDeadline.Leaves(needed, q.arrived)
 }
 
 // headerBytes returns the size of a request's header fields, in bytes.
@@ -128,7 +131,7 @@
 	return int64(size)
 }
 
-// maxWait returns how long a request may wait for room.
+// maxWait returns how long a request may be queued for a target.
 func (f *Forwarder) maxWait(q *request) time.Duration {
 	share := f.config.WaitShare
 	if q.inner {
@@ -137,12 +140,12 @@
 	return time.Duration(float64(q.route.Objective) * share)
 }
 
-// parentOf finds the request at the target beside the node that made the call. If
-// there is one, the call is an inner one. A call of a request that nobody waits for
-// any more is refused: its target works on, though its connection was closed.
+// parentOf finds the request at the local target that made the call. If there is one, the
+// call is an inner call. A call of an abandoned request is refused: its target may go on
+// working although the caller's connection was closed.
 func (f *Forwarder) parentOf(q *request) (guard.Running, *problem.Problem) {
-	id, told := f.config.ParentOf(q.id)
-	if !told {
+	id, isCall := f.config.ParentOf(q.id)
+	if !isCall {
 		return guard.Running{}, nil
 	}
 	parent, found := f.local.Running(id)
@@ -152,14 +155,14 @@
 		}
 		return guard.Running{}, nil
 	}
-	q.inner, q.parent, q.parentRoute, q.wanted = true, id, parent.Route, parent.Wanted
+	q.inner, q.parent, q.parentRoute, q.parentContext = true, id, parent.Route, parent.Wanted
 	q.callNumber = f.local.CallMade(id, q.route.Name)
 	return parent, nil
 }
 
-// learnCall notes which calls requests of the caller's route make, and whether
-// their repetitions could be paid for here.
-func (f *Forwarder) learnCall(q *request) {
+// recordInnerCall records the calls that requests of the caller's route make, and whether
+// this node's retry budget would cover retries of them.
+func (f *Forwarder) recordInnerCall(q *request) {
 	if !q.inner {
 		return
 	}
@@ -167,14 +170,14 @@
 	f.levels.Learn(q.parentRoute, q.route.Name, pressure.Calls{Count: q.callNumber, Scarce: !f.budget(q.service).Ample(expected)})
 }
 
-// admit ranks a request that begins here and refuses it if its policy does or if
-// the chain of calls has no room for its rank. A call of a running request keeps
-// its request's rank and goes ahead.
+// admit ranks a request that enters at this node, and refuses it if its policy does or if
+// its rank is shed further down the call chain. A call of a running request keeps the
+// rank of that request and is not checked.
 func (f *Forwarder) admit(q *request) *problem.Problem {
 	if q.inner {
 		return nil
 	}
-	if !f.admitted(q) {
+	if !f.policyAdmits(q) {
 		return f.problem(problem.NotAdmitted, problem.ExecutedNo, "admit", "the policy does not admit the request")
 	}
 	q.rank = f.rankOf(q)
@@ -186,7 +189,7 @@
 	return f.refusal(q, problem.Overloaded, "admit", detail, shedDelay)
 }
 
-// timeoutOf returns the shortest of what the caller and the route allow.
+// timeoutOf returns the shorter of the timeouts that the caller and the route set.
 func (f *Forwarder) timeoutOf(route *routetable.Route, header http.Header) time.Duration {
 	timeout := f.config.DefaultTimeout
 	if route.Timeout > 0 {
--- a/internal/forward/repeat.go
+++ b/internal/forward/repeat.go
@@ -7,92 +7,94 @@
 	"github.com/lugspur/lugspur/internal/retrybudget"
 )
 
-// BudgetEvent is something that the retry budget of a service counts.
+// BudgetEvent is a kind of event that the retry budget of a service counts.
 type BudgetEvent uint8
 
-// What retry budgets count.
+// The events that retry budgets count.
 const (
 	// FirstSent is a request that is sent to the service for the first time.
 	FirstSent BudgetEvent = iota
-	// RepetitionSent is an arrival at a target beyond the first of its request.
+	// RepetitionSent is a retry that reached a target.
 	RepetitionSent
-	// RepetitionUnpaid is a repetition that was not made for want of budget.
+	// RepetitionUnpaid is a retry that was not sent because the retry budget was
+	// exhausted.
 	RepetitionUnpaid
 )
 
 var budgetEventNames = [...]string{"first", "repeated", "unpaid"}
 
-// String returns the name that metrics write.
+// String returns the label value used in metrics.
 func (e BudgetEvent) String() string { return budgetEventNames[e] }
 
-// levelUrgency is how urgent a repetition is that completes a request, by the
-// request's level. The levels lie close together, so that what is almost done goes
-// before what is more important and has hardly begun.
+// levelUrgency is the urgency of a retry that completes a request, by the request's
+// level. The values lie close together, so that requests that are almost complete precede
+// more important ones that have hardly begun.
 var levelUrgency = [criticality.LevelCount]float64{1, 0.9, 0.8, 0.7}
 
-// leastCriticalUrgency is the urgency of repetitions for the last of the requests
-// of the highest level, whatever is left for them to do. It lies so that some of
-// these requests get all of their repetitions instead of all getting some.
-const leastCriticalUrgency = 0.5
+// minCriticalUrgency is the lowest urgency of retries of the highest level, used for its
+// last cohort, however many calls are left. It is low enough that some of these requests
+// get all of their retries, instead of all of them getting a few.
+const minCriticalUrgency = 0.5
 
-// repeats reports whether the next offer of the request repeats one, or is a call
-// of a request that was repeated.
-func (q *request) repeats() bool { return q.call.Repeat || q.arrivals > 0 }
+// isRetry reports whether the next offer of the request is a retry, or the request is a
+// call of a retried request.
+func (q *request) isRetry() bool { return q.call.Repeat || q.arrivals > 0 }
 
-// repetitionCause returns why the next offer is a repetition.
-func (q *request) repetitionCause() peering.Reason {
+// retryCause returns why the next offer is a retry.
+func (q *request) retryCause() peering.Reason {
 	if q.arrivals == 0 {
 		return peering.ParentRepeated
 	}
 	return q.lastReason
 }
 
-// urgency returns how urgent it is to repeat the request, between 0 and 1. It is
-// greater the less is left to do after it, because a request with many calls is
-// worth nothing until the last of them is done.
+// urgency returns the urgency of retrying the request, between 0 and 1. It is greater the
+// fewer calls are left to make after this one, because a request with many calls is
+// useless until the last of them has succeeded.
 func (f *Forwarder) urgency(q *request) float64 {
 	if q.call.Repeat {
-		// The whole request was paid for with the expectation of its calls.
+		// The retry of the whole request was charged with the expected number of its
+		// calls.
 		return 1
 	}
-	left := 1
+	callsLeft := 1
 	if q.inner {
-		left = max(f.levels.Expected(q.parentRoute, q.route.Name)-q.callNumber+1, 1)
+		callsLeft = max(f.levels.Expected(q.parentRoute, q.route.Name)-q.callNumber+1, 1)
 	}
 	calls := f.levels.Calls(q.route.Name)
-	urgency := levelUrgency[min(q.rank.Level, criticality.LevelCount-1)] / float64(left*(1+calls))
+	urgency := levelUrgency[min(q.rank.Level, criticality.LevelCount-1)] / float64(callsLeft*(1+calls))
 	if q.rank.Level == criticality.CriticalPlus && calls == 0 {
-		place := float64(q.rank.Cohort) / criticality.CohortCount
-		urgency = max(urgency, 1-(1-leastCriticalUrgency)*place)
+		position := float64(q.rank.Cohort) / criticality.CohortCount
+		urgency = max(urgency, 1-(1-minCriticalUrgency)*position)
 	}
 	return urgency
 }
 
-// payForRepetition takes the next offer out of the retry budget if it is a
-// repetition. It returns the answer to the request if that can't be paid for.
-func (f *Forwarder) payForRepetition(q *request) *problem.Problem {
-	if !q.repeats() {
+// spendRetryBudget charges the next offer to the retry budget if it is a retry. It
+// returns the answer to the request if the budget does not allow it.
+func (f *Forwarder) spendRetryBudget(q *request) *problem.Problem {
+	if !q.isRetry() {
 		return nil
 	}
-	payment, paid := f.budget(q.service).Spend(f.urgency(q))
-	if !paid {
-		f.observer.Counted(q.service, RepetitionUnpaid, q.repetitionCause())
-		return f.unpaid(q)
+	payment, ok := f.budget(q.service).Spend(f.urgency(q))
+	if !ok {
+		f.observer.Counted(q.service, RepetitionUnpaid, q.retryCause())
+		return f.budgetProblem(q)
 	}
 	q.payment = payment
 	if q.arrivals > 0 {
-		f.noteRetry(q)
+		f.logRetry(q)
 	}
 	return nil
 }
 
-// countArrival notes whether the last offer reached a target. A repetition that did
-// not is paid back.
-func (f *Forwarder) countArrival(q *request, reply *peering.Reply) {
+// recordArrival records whether the last offer reached a target. A retry that did not is
+// returned to the budget.
+func (f *Forwarder) recordArrival(q *request, reply *peering.Reply) {
 	reached := reply.Reached()
-	if q.repeats() {
+	if q.isRetry() {
 		if reached {
-			f.observer.Counted(q.service, RepetitionSent, q.repetitionCause())
+			f.observer.Counted(q.service, RepetitionSent, q.retryCause())
 		} else {
 			f.budget(q.service).Return(q.payment)
 		}
@@ -102,8 +104,8 @@
 	}
 }
 
-// unpaid returns the answer to a request whose repetition can't be paid for.
-func (f *Forwarder) unpaid(q *request) *problem.Problem {
+// budgetProblem returns the answer to a request whose retry the budget does not allow.
+func (f *Forwarder) budgetProblem(q *request) *problem.Problem {
 	const detail = "no retry budget left"
 	if q.attempts > 0 {
 		return f.problem(problem.TargetFailed, problem.ExecutedUnknown, "run", string(q.lastReason)+": "+detail)
--- a/internal/forward/request_benchmark_test.go
+++ b/internal/forward/request_benchmark_test.go
@@ -15,10 +15,10 @@
 	"github.com/lugspur/lugspur/internal/replica"
 )
 
-// benchmarkFixture is a forwarder with one peer behind a real socket.
+// benchmarkFixture returns a forwarder with one peer on a real socket.
 func benchmarkFixture(b *testing.B) *fixture {
 	b.Helper()
-	f := &fixture{levels: pressure.New(time.Now), suspects: quarantine.New(quarantine.Config{Now: time.Now})}
+	f := &fixture{levels: pressure.New(time.Now), quarantine: quarantine.New(quarantine.Config{Now: time.Now})}
 	home := &countingHome{}
 	server := httptest.NewServer(peering.Handler(peering.Services{Home: home, Spread: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess}))
 	b.Cleanup(server.Close)
@@ -27,15 +27,15 @@
 	return f
 }
 
-// countingHome answers and remembers nothing.
+// countingHome answers calls without recording them.
 type countingHome struct{ fakeHome }
 
 func (h *countingHome) Run(ctx context.Context, call *peering.Call) *peering.Reply {
-	return answered(ctx, call)
+	return answerOK(ctx, call)
 }
 
-// BenchmarkRequest measures a calm request at the node where it begins and the exchange
-// with the home of its target, both sides of the connection, without the target.
+// BenchmarkRequest measures one request at a time: the entry node and both sides of the
+// exchange with the target's home, without the target.
 func BenchmarkRequest(b *testing.B) {
 	f := benchmarkFixture(b)
 	b.ReportAllocs()
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -15,100 +15,102 @@
 )
 
 const (
-	// maxHomes bounds the homes that one request is offered to.
-	maxHomes = 4
-	// hopelessDelay is told where no home is likely to answer in time.
-	hopelessDelay = 700 * time.Millisecond
-	// defaultRetryAfter is told where no home proposed a time.
+	// maxOffers bounds the homes that one request is offered to.
+	maxOffers = 4
+	// missedDeadlineDelay is the retry delay sent to callers if no home is likely to
+	// answer in time.
+	missedDeadlineDelay = 700 * time.Millisecond
+	// defaultRetryAfter is the retry delay used if no home proposed one.
 	defaultRetryAfter = 150 * time.Millisecond
 )
 
-// run offers the request to homes until one answers or none is left. A target's
-// own failure stands if no other target answers.
+// run offers the request to homes until one answers or none is left. A target's own
+// failure is the answer if no other target answers.
 func (f *Forwarder) run(ctx context.Context, q *request) (*peering.Reply, *problem.Problem) {
 	if !q.call.Repeat {
 		f.budget(q.service).Request()
 		f.observer.Counted(q.service, FirstSent, "")
 	}
 	reply, failure := f.tryHomes(ctx, q)
-	if failure != nil && q.errorAnswer != nil {
-		return q.errorAnswer, nil
+	if failure != nil && q.errorReply != nil {
+		return q.errorReply, nil
 	}
 	return reply, failure
 }
 
-// tryHomes offers the request to one home after the other.
+// tryHomes offers the request to one home after another.
 func (f *Forwarder) tryHomes(ctx context.Context, q *request) (*peering.Reply, *problem.Problem) {
-	for q.offers < maxHomes {
-		next := f.chooseAgain(q)
+	for q.offers < maxOffers {
+		next := f.nextChoice(q)
 		home := next.home
 		if home == nil {
 			break
 		}
-		if f.hopeless(q, next) {
-			return nil, f.refusal(q, problem.Overloaded, "run", "no home is likely to answer in time", hopelessDelay)
+		if f.wouldMissDeadline(q, next) {
+			return nil, f.refusal(q, problem.Overloaded, "run", "no home is likely to answer in time", missedDeadlineDelay)
 		}
-		if failure := f.payForRepetition(q); failure != nil {
+		if failure := f.spendRetryBudget(q); failure != nil {
 			return nil, failure
 		}
 		q.lastHome = home.Address
 		q.offers++
 		reply := f.offer(ctx, q, home)
-		f.countArrival(q, reply)
+		f.recordArrival(q, reply)
 		if reply.Outcome != peering.Refused {
 			q.attempts++
 		}
 		if reply.Outcome == peering.Answered {
-			f.noteAnswered(q)
-			if !f.worthRepeating(q, reply) {
+			f.reportAnswered(q)
+			if !f.shouldRetryAnswer(q, reply) {
 				return reply, nil
 			}
-			q.errorAnswer = reply
+			q.errorReply = reply
 			q.lastReason = peering.TargetFailed
 			q.excluded = append(q.excluded, home)
 			continue
 		}
 		q.lastReason = reply.Reason
-		q.noteCrash(reply)
-		if failure := f.final(ctx, q, reply); failure != nil {
+		q.recordCrashes(reply)
+		if failure := f.terminalProblem(ctx, q, reply); failure != nil {
 			return nil, failure
 		}
 		q.exclude(home, reply)
-		if reply.Outcome == peering.Refused && !f.offersAgain(q, reply) {
+		if reply.Outcome == peering.Refused && !f.mayOfferAgain(q, reply) {
 			break
 		}
 	}
-	return nil, f.exhausted(q)
+	return nil, f.exhaustedProblem(q)
 }
 
-// final returns the answer to a request that no other home may be offered after a
-// reply without an answer, nil if one may.
-func (f *Forwarder) final(ctx context.Context, q *request, reply *peering.Reply) *problem.Problem {
+// terminalProblem returns the answer to a request that must not be offered to another
+// home after a reply without an answer, nil if it may be.
+func (f *Forwarder) terminalProblem(ctx context.Context, q *request, reply *peering.Reply) *problem.Problem {
 	switch {
 	case reply.Reason == peering.Quarantined:
-		// One that failed was withdrawn from the target.
-		return f.quarantined(q, reply.RetryAfter)
+		// If the outcome is Failed, the call was running and was withdrawn from the
+		// target.
+		return f.quarantineProblem(q, reply.RetryAfter)
 	case ctx.Err() != nil, reply.Reason == peering.DeadlinePassed:
-		// The home watches the deadline as well and may notice first. That is no failure
-		// of its target, and no time is left for another one.
-		return f.timedOut(q, reply)
+		// The home checks the deadline too and may notice first. This is not a failure of
+		// its target, and no time is left to try another one.
+		return f.timeoutProblem(q, reply)
 	case reply.Outcome == peering.Failed:
-		return f.repeatable(q, reply)
+		return f.retryProblem(q, reply)
 	}
 	return nil
 }
 
-// offersAgain reports whether a request that a home refused goes to another one.
-func (f *Forwarder) offersAgain(q *request, reply *peering.Reply) bool {
-	q.noteWait(reply.RetryAfter)
-	return q.offers <= f.retries(q) && !(q.suspected() && reply.Reason == peering.Waited)
+// mayOfferAgain reports whether a request that a home refused is offered to another one.
+func (f *Forwarder) mayOfferAgain(q *request, reply *peering.Reply) bool {
+	q.recordRetryAfter(reply.RetryAfter)
+	return q.offers <= f.maxRetries(q) && !(q.isSuspect() && reply.Reason == peering.Waited)
 }
 
-// chooseAgain returns the home that the request goes to next. Once no other is
-// left, homes whose targets turned it away are chosen again: these may reject
-// requests at random.
-func (f *Forwarder) chooseAgain(q *request) choice {
-	if q.suspected() {
+// nextChoice returns the home that the request is offered to next. Once no other is left,
+// homes whose targets rejected it become eligible again, as targets may reject requests
+// at random.
+func (f *Forwarder) nextChoice(q *request) choice {
+	if q.isSuspect() {
 		return f.chooseByHash(q)
 	}
 	next := f.choose(q)
@@ -119,7 +121,7 @@
 	return f.choose(q)
 }
 
-// exclude keeps the request from being offered to the home once more.
+// exclude prevents the request from being offered to the home again.
 func (q *request) exclude(home *registry.Home, reply *peering.Reply) {
 	if reply.Reason == peering.TargetFull {
 		q.rejected = append(q.rejected, home)
@@ -128,43 +130,43 @@
 	q.excluded = append(q.excluded, home)
 }
 
-// noteRetry logs that the request is repeated after what the last home said.
-func (f *Forwarder) noteRetry(q *request) {
+// logRetry logs a retry with the reason of the last home.
+func (f *Forwarder) logRetry(q *request) {
 	f.log.Record(eventlog.Event{Kind: eventlog.RequestRetried, Request: q.id, Route: q.route.Name, Service: q.service, Peer: q.lastHome,
 		Attempt: q.attempts, Reason: string(q.lastReason)})
 }
 
-// worthRepeating reports whether a request goes to another target although one
-// answered: with a failure of its own, for a request that may run again. If a
+// shouldRetryAnswer reports whether an answered request is offered to another target: the
+// route must allow retries and the answer must be a failure of the target's own. If a
 // call that the request made had failed, another target would fail as well.
-func (f *Forwarder) worthRepeating(q *request, reply *peering.Reply) bool {
-	return reply.OwnFailure && f.repeatable(q, reply) == nil
+func (f *Forwarder) shouldRetryAnswer(q *request, reply *peering.Reply) bool {
+	return reply.OwnFailure && f.retryProblem(q, reply) == nil
 }
 
-// hopeless reports whether a request that must not run twice would most likely
-// run in vain: its caller could not send it again, while one that is refused may
-// come back once a home does better.
-func (f *Forwarder) hopeless(q *request, next choice) bool {
+// wouldMissDeadline reports whether a request that must not run twice would probably miss
+// its deadline if it ran. Its caller could not send it again then, while a refused
+// request can be sent again when a home is faster.
+func (f *Forwarder) wouldMissDeadline(q *request, next choice) bool {
 	return q.route.Kind == routetable.Once && q.attempts == 0 && next.latency > q.deadline.Sub(f.now())
 }
 
-func (q *request) noteWait(proposed time.Duration) {
-	if proposed > 0 && (q.retryAfter == 0 || proposed < q.retryAfter) {
-		q.retryAfter = proposed
+func (q *request) recordRetryAfter(delay time.Duration) {
+	if delay > 0 && (q.retryAfter == 0 || delay < q.retryAfter) {
+		q.retryAfter = delay
 	}
 }
 
-// repeatable returns nil if the request, which may have run, may go to another
-// target.
-func (f *Forwarder) repeatable(q *request, reply *peering.Reply) *problem.Problem {
+// retryProblem returns nil if the request, which may have been executed, may be retried
+// at another target, and its final answer otherwise.
+func (f *Forwarder) retryProblem(q *request, reply *peering.Reply) *problem.Problem {
 	detail := ""
 	switch {
 	case q.route.Kind != routetable.Repeatable:
 		detail = "may have run and must not run twice"
-	case q.attempts >= max(q.route.Attempts, 1), q.attempts > f.retries(q):
+	case q.attempts >= max(q.route.Attempts, 1), q.attempts > f.maxRetries(q):
 		detail = "no attempts left"
 	case q.isolated():
-		// The next target may well crash, too.
+		// The next target is likely to crash as well.
 		detail = "targets crashed under the request"
 	case f.levels.Scarce(q.route.Name):
 		detail = "no retry budget left for the calls of the request"
@@ -174,16 +176,16 @@
 	return f.problem(problem.TargetFailed, problem.ExecutedUnknown, "run", string(reply.Reason)+": "+detail)
 }
 
-// timedOut returns the answer to a request whose time is over.
-func (f *Forwarder) timedOut(q *request, reply *peering.Reply) *problem.Problem {
+// timeoutProblem returns the answer to a request whose deadline has passed.
+func (f *Forwarder) timeoutProblem(q *request, reply *peering.Reply) *problem.Problem {
 	if q.attempts == 0 && reply.Outcome == peering.Refused {
 		return f.refusal(q, problem.Overloaded, "run", "no room before the deadline", defaultRetryAfter)
 	}
 	return f.problem(problem.DeadlineExceeded, problem.ExecutedUnknown, "run", "no answer before the deadline")
 }
 
-// exhausted returns the answer to a request that no home took.
-func (f *Forwarder) exhausted(q *request) *problem.Problem {
+// exhaustedProblem returns the answer to a request that no home accepted.
+func (f *Forwarder) exhaustedProblem(q *request) *problem.Problem {
 	if q.attempts > 0 {
 		return f.problem(problem.TargetFailed, problem.ExecutedUnknown, "run", "no other home took the repetition")
 	}
@@ -203,7 +205,7 @@
 	state := f.homes.state(home.Address)
 	call := *q.call
 	call.Header = q.call.Header.Clone()
-	call.Repeat = q.repeats()
+	call.Repeat = q.isRetry()
 	call.Offer = q.offers - 1
 	call.Process = home.Process
 	call.Remaining = q.deadline.Sub(f.now())
@@ -214,7 +216,7 @@
 		done := state.begin(q.route.Name, nil, f.now())
 		defer done()
 		reply := f.local.Run(ctx, &call)
-		f.heed(q, home, state, reply)
+		f.recordReply(q, home, state, reply)
 		return reply
 	}
 	return f.offerToPeer(ctx, q, home, state, &call)
@@ -223,23 +225,25 @@
 func (f *Forwarder) offerToPeer(ctx context.Context, q *request, home *registry.Home, state *homeState, call *peering.Call) *peering.Reply {
 	offerCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	abandon := cancel
+	cancelOnSuspicion := cancel
 	if q.route.Kind != routetable.Repeatable {
-		// It must not go elsewhere, so that waiting for the home is all that is left.
-		abandon = nil
+		// The request must not be offered to another home, so waiting for this one is all
+		// that is left.
+		cancelOnSuspicion = nil
 	}
-	done := state.begin(q.route.Name, abandon, f.now())
+	done := state.begin(q.route.Name, cancelOnSuspicion, f.now())
 	reply, err := f.peers.Call(offerCtx, home.Address, call)
 	done()
 	if err == nil {
-		f.heed(q, home, state, reply)
+		f.recordReply(q, home, state, reply)
 		return reply
 	}
-	return f.peerFailed(ctx, offerCtx, state, err)
+	return f.replyFromError(ctx, offerCtx, state, err)
 }
 
-// peerFailed says what a missing reply means.
-func (f *Forwarder) peerFailed(ctx, offerCtx context.Context, state *homeState, err error) *peering.Reply {
+// replyFromError returns the reply that stands for a failed call to a peer. It suspects
+// the home, unless the deadline, the caller or an earlier suspicion ended the call.
+func (f *Forwarder) replyFromError(ctx, offerCtx context.Context, state *homeState, err error) *peering.Reply {
 	var failure *peering.Error
 	outcome, reason := peering.Failed, peering.Broken
 	if errors.As(err, &failure) && !failure.Sent {
@@ -259,18 +263,20 @@
 	return &peering.Reply{Outcome: outcome, Reason: reason}
 }
 
-// heed takes what a reply tells of the home.
-func (f *Forwarder) heed(q *request, home *registry.Home, state *homeState, reply *peering.Reply) {
-	f.trust(state)
-	state.report(q.route.Name, reply.Load, f.homes.usualOf(q.route.Name).latency, f.now())
+// recordReply updates the state of the home with the load and outcome that a reply
+// reports.
+func (f *Forwarder) recordReply(q *request, home *registry.Home, state *homeState, reply *peering.Reply) {
+	f.markReachable(state)
+	state.recordLoad(q.route.Name, reply.Load, f.homes.statsOf(q.route.Name).latency, f.now())
 	if reply.Outcome == peering.Refused && reply.Reason.Final() {
-		// One that takes nothing is no room for others.
-		state.depart(home, f.now())
+		// A home that accepts nothing has no room for requests, so its shed thresholds no
+		// longer count.
+		state.markDeparted(home, f.now())
 		f.levels.Remove(home.Address)
 		return
 	}
 	if reply.Outcome == peering.Answered {
-		f.homes.noteAnswer(q.route.Name, len(reply.Body))
+		f.homes.recordAnswerSize(q.route.Name, len(reply.Body))
 	}
 	if reply.Load.Limit > 0 {
 		f.levels.Report(q.route.Name, home.Address, pressure.Level{Threshold: reply.Load.Threshold, Calls: reply.Load.Calls, Scarce: reply.Load.Scarce}, reply.Load.Limit)
--- a/internal/forward/simulation_test.go
+++ b/internal/forward/simulation_test.go
@@ -17,51 +17,51 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// simulation has one node choose among homes in virtual time. Homes differ in
-// speed; from a moment on a part of them is slow.
+// simulation has one node choose among homes in virtual time. Homes differ in speed, and
+// some of them can be made slow.
 type simulation struct {
 	forwarder *Forwarder
 	route     *routetable.Route
 	now       time.Time
-	ends      callQueue
+	pending   callQueue
 	homes     map[string]*simulatedHome
 	random    *rand.Rand
 }
 
 type simulatedHome struct {
-	usual  time.Duration
-	slow   bool
-	chosen int
+	latency time.Duration
+	slow    bool
+	chosen  int
 }
 
-// call is one that ends at a moment.
-type call struct {
-	at   time.Time
-	home *registry.Home
-	took time.Duration
-	done func()
+// simulatedCall is a call in progress and its end time.
+type simulatedCall struct {
+	end      time.Time
+	home     *registry.Home
+	duration time.Duration
+	done     func()
 }
 
-// callQueue holds calls by when they end.
-type callQueue []call
+// callQueue is a heap of calls ordered by end time.
+type callQueue []simulatedCall
 
-func (e callQueue) Len() int           { return len(e) }
-func (e callQueue) Less(i, j int) bool { return e[i].at.Before(e[j].at) }
-func (e callQueue) Swap(i, j int)      { e[i], e[j] = e[j], e[i] }
+func (q callQueue) Len() int           { return len(q) }
+func (q callQueue) Less(i, j int) bool { return q[i].end.Before(q[j].end) }
+func (q callQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
 
 // Push implements heap.Interface.
-func (e *callQueue) Push(x any) { *e = append(*e, x.(call)) }
+func (q *callQueue) Push(x any) { *q = append(*q, x.(simulatedCall)) }
 
 // Pop implements heap.Interface.
-func (e *callQueue) Pop() any {
-	last := (*e)[len(*e)-1]
-	*e = (*e)[:len(*e)-1]
+func (q *callQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
 const (
 	simulatedZones = 6
-	usualTime      = 160 * time.Millisecond
+	baseLatency    = 160 * time.Millisecond
 	slowFactor     = 12
 )
 
@@ -77,16 +77,16 @@
 		record, err := cbor.Marshal(registry.Record{Instance: address, Service: "s", Zone: fmt.Sprint(i % simulatedZones), Address: address, Slots: 38, State: registry.Ready})
 		assert.NilError(t, err)
 		directory.Change([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
-		s.homes[address] = &simulatedHome{usual: time.Duration(float64(usualTime) / speeds[i%len(speeds)])}
+		s.homes[address] = &simulatedHome{latency: time.Duration(float64(baseLatency) / speeds[i%len(speeds)])}
 	}
 	s.forwarder = &Forwarder{config: Config{Zone: "0"}, now: now, directory: directory}
 	return s
 }
 
-// run has requests arrive at the rate for so long and returns the part of them
+// run sends requests at the given rate for the duration and returns the share of them
 // that went to slow homes.
-func (s *simulation) run(perSecond float64, length time.Duration) float64 {
-	end := s.now.Add(length)
+func (s *simulation) run(perSecond float64, duration time.Duration) float64 {
+	end := s.now.Add(duration)
 	all, slow := 0, 0
 	for {
 		next := s.now.Add(time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second)))
@@ -102,17 +102,17 @@
 	}
 }
 
-// advance ends the calls that end by the given moment.
-func (s *simulation) advance(to time.Time) {
-	for len(s.ends) > 0 && !s.ends[0].at.After(to) {
-		ended := heap.Pop(&s.ends).(call)
-		s.now = ended.at
+// advance ends the calls whose end time is not after the given time.
+func (s *simulation) advance(end time.Time) {
+	for len(s.pending) > 0 && !s.pending[0].end.After(end) {
+		ended := heap.Pop(&s.pending).(simulatedCall)
+		s.now = ended.end
 		ended.done()
-		load := peering.Load{Limit: 36, Latency: ended.took, Threshold: shed.None}
+		load := peering.Load{Limit: 36, Latency: ended.duration, Threshold: shed.None}
 		f := s.forwarder
-		f.homes.state(ended.home.Address).report(s.route.Name, load, f.homes.usualOf(s.route.Name).latency, s.now)
+		f.homes.state(ended.home.Address).recordLoad(s.route.Name, load, f.homes.statsOf(s.route.Name).latency, s.now)
 	}
-	s.now = to
+	s.now = end
 }
 
 // request sends one request and reports whether it went to a slow home.
@@ -121,30 +121,30 @@
 	home := f.choose(&request{route: s.route, service: "s", deadline: s.now.Add(5 * time.Second)}).home
 	simulated := s.homes[home.Address]
 	simulated.chosen++
-	took := simulated.usual
+	duration := simulated.latency
 	if simulated.slow {
-		took *= slowFactor
+		duration *= slowFactor
 	}
-	took = time.Duration(float64(took) * (0.7 + 0.6*s.random.Float64()))
-	heap.Push(&s.ends, call{at: s.now.Add(took), home: home, took: took, done: f.homes.state(home.Address).begin(s.route.Name, nil, s.now)})
+	duration = time.Duration(float64(duration) * (0.7 + 0.6*s.random.Float64()))
+	heap.Push(&s.pending, simulatedCall{end: s.now.Add(duration), home: home, duration: duration, done: f.homes.state(home.Address).begin(s.route.Name, nil, s.now)})
 	return simulated.slow
 }
 
-func (s *simulation) slowDown(part float64) {
+func (s *simulation) slowDown(share float64) {
 	for _, home := range s.homes {
-		home.slow = s.random.Float64() < part
+		home.slow = s.random.Float64() < share
 	}
 }
 
-// TestSlowHomesAreKnownAtAnySize has a part of the homes turn slow. A node that
-// begins few of a big service's requests must not find out again and again.
-func TestSlowHomesAreKnownAtAnySize(t *testing.T) {
+// TestSlowHomesAreAvoidedAtAnySize makes some of the homes slow. A node that handles only
+// a few of a big service's requests must not try slow homes again and again.
+func TestSlowHomesAreAvoidedAtAnySize(t *testing.T) {
 	for _, c := range []struct {
 		homes     int
 		perSecond float64
 		bound     float64
-		// float64(c.seeds) is how many runs are taken together: with few homes in the node's
-		// zone one run says little.
+		// seeds is the number of runs that are averaged: with few homes in the node's
+		// zone, a single run varies too much.
 		seeds uint64
 	}{{30, 8, 0.095, 1200}, {141, 8, 0.08, 40}, {500, 8, 0.08, 40}} {
 		first, later := 0.0, 0.0
--- a/internal/forward/standing.go
+++ b/internal/forward/standing.go
@@ -10,84 +10,84 @@
 )
 
 const (
-	// repeatableFresh is how long what a home told of its latencies and failures is
-	// believed for requests that may run again. A home that did badly is tried
-	// again after that.
-	repeatableFresh = 2 * time.Second
-	// onceFresh is the same for requests that must not run twice: they are not the
-	// ones to find out whether a home does well again.
-	onceFresh = 6 * time.Second
-	// slowFresh is how long a home is believed to be slow, at verySlow times the
-	// latency that is common elsewhere. Finding out again costs a late request.
-	slowFresh = 6 * time.Second
-	verySlow  = 3
-	// stoppingFresh is how long a home is believed that it is about to stop.
-	stoppingFresh = 3 * time.Second
-	// slownessWeight is the part of a home's slowness that one report makes up.
+	// repeatableMaxAge is how long a home's reports of its latencies and failures are
+	// valid for requests that may be retried. After that a home with bad reports is tried
+	// again.
+	repeatableMaxAge = 2 * time.Second
+	// onceMaxAge is the same for requests that must not run twice, which should not be
+	// used to find out whether a home has recovered.
+	onceMaxAge = 6 * time.Second
+	// slowMaxAge is how long a home's latency is valid if it exceeds slowLatencyRatio
+	// times the median. Trying such a home again costs a late request.
+	slowMaxAge       = 6 * time.Second
+	slowLatencyRatio = 3
+	// stoppingMaxAge is how long a home's report that it is about to stop is valid.
+	stoppingMaxAge = 3 * time.Second
+	// slownessWeight is the weight of one report in a home's average slowness.
 	slownessWeight = 0.25
 	percent        = 100
 )
 
-// freshFor returns how long reports are believed for requests of a kind.
-func freshFor(kind routetable.Kind) time.Duration {
+// maxAgeFor returns how long reports are valid for requests to routes of the kind.
+func maxAgeFor(kind routetable.Kind) time.Duration {
 	if kind == routetable.Once {
-		return onceFresh
+		return onceMaxAge
 	}
-	return repeatableFresh
+	return repeatableMaxAge
 }
 
-// waitingCalls sums the calls of one route that wait for a home.
-type waitingCalls struct {
+// pendingCalls summarizes the calls of one route that wait for a home.
+type pendingCalls struct {
 	count int
-	// since sums when they began, as time since the first of them.
-	first time.Time
-	since time.Duration
+	// offsetSum is the sum of the start times of the calls, each relative to firstStart.
+	firstStart time.Time
+	offsetSum  time.Duration
 }
 
-func (w waitingCalls) with(began time.Time) waitingCalls {
-	if w.count == 0 {
-		w = waitingCalls{first: began}
+func (c pendingCalls) add(start time.Time) pendingCalls {
+	if c.count == 0 {
+		c = pendingCalls{firstStart: start}
 	}
-	w.count++
-	w.since += began.Sub(w.first)
-	return w
+	c.count++
+	c.offsetSum += start.Sub(c.firstStart)
+	return c
 }
 
-func (w waitingCalls) without(began time.Time) waitingCalls {
-	w.count--
-	w.since -= began.Sub(w.first)
-	return w
+func (c pendingCalls) remove(start time.Time) pendingCalls {
+	c.count--
+	c.offsetSum -= start.Sub(c.firstStart)
+	return c
 }
 
-// meanAge returns for how long the calls have waited on the average.
-func (w waitingCalls) meanAge(now time.Time) time.Duration {
-	if w.count == 0 {
+// meanAge returns the average time that the calls have waited.
+func (c pendingCalls) meanAge(now time.Time) time.Duration {
+	if c.count == 0 {
 		return 0
 	}
-	return now.Sub(w.first) - w.since/time.Duration(w.count)
+	return now.Sub(c.firstStart) - c.offsetSum/time.Duration(c.count)
 }
 
-// standing is what a choice between homes rests on.
-type standing struct {
-	// occupancy is the part of the home's limit that is in use, above 1 when calls
-	// wait.
+// homeStats holds the values of one home that choices are based on.
+type homeStats struct {
+	// occupancy is the part of the home's limit that is in use, above 1 if calls are
+	// queued.
 	occupancy float64
-	// latency is the usual time of a call of the route, zero if not known.
+	// latency is the usual latency of a call of the route, zero if unknown.
 	latency time.Duration
-	// slowness is how many times as long as elsewhere calls of any route take, zero
-	// if not known.
+	// slowness is the ratio of the latency of calls of any route to that at other homes,
+	// zero if unknown.
 	slowness float64
-	// waited is the expected time of a call as this node's own waiting calls show
-	// it, zero if none waits.
-	waited time.Duration
-	// stopping tells that the home is about to stop.
+	// pendingLatency is the latency estimated from this node's own pending calls, zero if
+	// there are none.
+	pendingLatency time.Duration
+	// stopping is set if the home is about to stop.
 	stopping bool
-	// failures is the part of calls that fail at the target, and errors that of
-	// answers which say that the target failed.
+	// failures is the share of calls that fail at the target, and errors the share of
+	// answers that report a failure of the target's own.
 	failures, errors float64
 }
 
-func (s *homeState) standing(home *registry.Home, route *routetable.Route, common time.Duration, now time.Time) standing {
+func (s *homeState) stats(home *registry.Home, route *routetable.Route, median time.Duration, now time.Time) homeStats {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	limit := max(home.Slots, 1)
@@ -95,90 +95,90 @@
 		limit = s.load.Limit
 	}
 	busy := len(s.inFlight)
-	if now.Sub(s.loadAt) < loadFresh {
+	if now.Sub(s.loadAt) < loadMaxAge {
 		busy = max(busy, s.load.InFlight+s.load.Queued)
 	}
-	fresh := freshFor(route.Kind)
-	// Calls that wait are on the average halfway through.
-	known := standing{stopping: s.stopping(now), occupancy: float64(busy) / float64(limit), waited: 2 * s.waiting[route.Name].meanAge(now)}
-	if latency := s.latencies[route.Name]; now.Sub(latency.at) < fresh || (now.Sub(latency.at) < slowFresh && latency.value > verySlow*common && common > 0) {
-		known.latency = latency.value
+	maxAge := maxAgeFor(route.Kind)
+	// Pending calls are halfway through their time on average.
+	stats := homeStats{stopping: s.stoppingLocked(now), occupancy: float64(busy) / float64(limit), pendingLatency: 2 * s.pending[route.Name].meanAge(now)}
+	if latency := s.latencies[route.Name]; now.Sub(latency.at) < maxAge || (now.Sub(latency.at) < slowMaxAge && latency.value > slowLatencyRatio*median && median > 0) {
+		stats.latency = latency.value
 	}
-	if now.Sub(s.slownessAt) < fresh {
-		known.slowness = s.slowness
+	if now.Sub(s.slownessAt) < maxAge {
+		stats.slowness = s.slowness
 	}
-	if now.Sub(s.loadAt) < fresh {
-		known.failures = float64(s.load.Failures) / percent
-		known.errors = float64(s.load.Errors) / percent
+	if now.Sub(s.loadAt) < maxAge {
+		stats.failures = float64(s.load.Failures) / percent
+		stats.errors = float64(s.load.Errors) / percent
 	}
-	return known
+	return stats
 }
 
-// isStopping reports whether the home told that it is about to stop.
+// isStopping reports whether the home has reported that it is about to stop.
 func (s *homeState) isStopping(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.stopping(now)
+	return s.stoppingLocked(now)
 }
 
-func (s *homeState) stopping(now time.Time) bool {
-	return s.load.Stopping && now.Sub(s.loadAt) < stoppingFresh
+func (s *homeState) stoppingLocked(now time.Time) bool {
+	return s.load.Stopping && now.Sub(s.loadAt) < stoppingMaxAge
 }
 
-// report notes what the home told on a call of the route, which takes the common
-// latency at other homes; zero if that is not known.
-func (s *homeState) report(route string, load peering.Load, common time.Duration, now time.Time) {
+// recordLoad records the load that the home reported with a reply to a call of the route.
+// median is the median latency of the route at all homes, zero if unknown.
+func (s *homeState) recordLoad(route string, load peering.Load, median time.Duration, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if load.Latency > 0 {
-		if s.latencies == nil || len(s.latencies) >= maxLatencies {
-			s.latencies = make(map[string]knownLatency)
+		if s.latencies == nil || len(s.latencies) >= maxTrackedRoutes {
+			s.latencies = make(map[string]latencySample)
 		}
-		s.latencies[route] = knownLatency{value: load.Latency, at: now}
-		s.noteSlowness(load.Latency, common, now)
+		s.latencies[route] = latencySample{value: load.Latency, at: now}
+		s.updateSlowness(load.Latency, median, now)
 	}
 	s.load = load
 	s.loadAt = now
 }
 
-func (s *homeState) noteSlowness(latency, common time.Duration, now time.Time) {
-	if common <= 0 {
+func (s *homeState) updateSlowness(latency, median time.Duration, now time.Time) {
+	if median <= 0 {
 		return
 	}
-	ratio := float64(latency) / float64(common)
-	if now.Sub(s.slownessAt) >= repeatableFresh {
+	ratio := float64(latency) / float64(median)
+	if now.Sub(s.slownessAt) >= repeatableMaxAge {
 		s.slowness = ratio
 	}
 	s.slowness += (ratio - s.slowness) * slownessWeight
 	s.slownessAt = now
 }
 
-// commonErrors returns the median part of errors. What all homes have in common
-// has its cause further down the chain.
-func commonErrors(candidates []candidate) float64 {
+// medianErrors returns the median share of errors. Errors that all homes have in common
+// are caused further down the call chain.
+func medianErrors(candidates []candidate) float64 {
 	if len(candidates) == 0 {
 		return 0
 	}
-	errors := make([]float64, len(candidates))
+	shares := make([]float64, len(candidates))
 	for i, c := range candidates {
-		errors[i] = c.standing.errors
+		shares[i] = c.stats.errors
 	}
-	slices.Sort(errors)
-	return errors[(len(errors)-1)/2]
+	slices.Sort(shares)
+	return shares[(len(shares)-1)/2]
 }
 
-// commonLatency returns the median of the known latencies of a route, which
-// stands for those of homes that are not known.
-func commonLatency(candidates []candidate) time.Duration {
-	known := make([]time.Duration, 0, len(candidates))
+// medianLatency returns the median of the known latencies of a route, which is the
+// estimate for homes whose latency is unknown.
+func medianLatency(candidates []candidate) time.Duration {
+	latencies := make([]time.Duration, 0, len(candidates))
 	for _, c := range candidates {
-		if c.standing.latency > 0 {
-			known = append(known, c.standing.latency)
+		if c.stats.latency > 0 {
+			latencies = append(latencies, c.stats.latency)
 		}
 	}
-	if len(known) == 0 {
+	if len(latencies) == 0 {
 		return 0
 	}
-	slices.Sort(known)
-	return known[(len(known)-1)/2]
+	slices.Sort(latencies)
+	return latencies[(len(latencies)-1)/2]
 }
--- a/internal/forward/tenant.go
+++ b/internal/forward/tenant.go
@@ -11,8 +11,8 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// identify finds the tenant whose API key the request carries. Calls that running requests
-// make need none: the request that led to them was checked.
+// identify finds the tenant of the request's API key. Calls made by running requests need
+// no key, as the request that led to them was checked.
 func (f *Forwarder) identify(r *http.Request, q *request, table *routetable.Table) *problem.Problem {
 	if q.inner || q.route.Public || !table.HasTenants() {
 		return nil
@@ -36,9 +36,9 @@
 	return refusal
 }
 
-// limit holds the request's tenant to its limit. A request beyond it touches no queue, no
-// target, no retry budget and no shed threshold of others.
-func (f *Forwarder) limit(ctx context.Context, q *request) *problem.Problem {
+// checkLimit applies the tenant's rate limit. A request over the limit does not affect
+// queues, targets, retry budgets or the shed thresholds of other requests.
+func (f *Forwarder) checkLimit(ctx context.Context, q *request) *problem.Problem {
 	if q.tenant == nil {
 		return nil
 	}
@@ -59,16 +59,16 @@
 	return f.problem(reason, problem.ExecutedNo, "limit", detail).WithRetryDelay(q.permit.RetryAfter)
 }
 
-// returnPermit gives back the permit of a request that has certainly not run.
+// returnPermit gives back the permit of a request that was certainly not executed.
 func (f *Forwarder) returnPermit(q *request, failure *problem.Problem) {
 	if q.tenant != nil && q.permit.Outcome == ratelimit.Admitted && failure.Executed == problem.ExecutedNo {
 		f.limits.Return(q.tenant, q.permit)
 	}
 }
 
-// nameTenant replaces the caller's key by the name of the tenant that holds it. Where
-// there are no tenants the key is none of lugspur's, and is passed on.
-func (f *Forwarder) nameTenant(header http.Header, q *request, table *routetable.Table) {
+// setTenantHeader replaces the caller's API key with the tenant's name. Without tenants
+// the key header is not lugspur's and is passed on.
+func (f *Forwarder) setTenantHeader(header http.Header, q *request, table *routetable.Table) {
 	if table.HasTenants() {
 		delete(header, f.config.Headers.APIKey)
 	}
@@ -77,7 +77,8 @@
 	}
 }
 
-// tenantOf returns the name and the priority of the request's tenant as policies see them.
+// tenantOf returns the name and the priority of the request's tenant as policies read
+// them.
 func (q *request) tenantOf() (name string, priority int) {
 	if q.tenant == nil {
 		return "", 0
--- a/internal/forward/tenant_test.go
+++ b/internal/forward/tenant_test.go
@@ -19,7 +19,7 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// fixedKeys decides on every key alike.
+// fixedKeys returns the same decision for every key.
 type fixedKeys struct {
 	decision apikey.Decision
 	checked  [][]string
@@ -34,7 +34,7 @@
 
 var testTenant = routetable.Tenant{Name: "acme", Keys: []routetable.KeyDigest{routetable.DigestKey(secretKey)}, Priority: 1}
 
-// newTenantFixture returns a fixture whose routes need keys, but for /open/.
+// newTenantFixture returns a fixture whose routes require keys, except /open/.
 func newTenantFixture(t *testing.T, keys *fixedKeys, answers ...func(context.Context, *peering.Call) *peering.Reply) *fixture {
 	t.Helper()
 	fixture := newFixture(t, answers...)
@@ -48,8 +48,8 @@
 	return fixture
 }
 
-// doWith sends a request with a key and a tenant's name that the caller made up.
-func (f *fixture) doWith(path, id string) *httptest.ResponseRecorder {
+// doWithKey sends a request with a key and a forged tenant header.
+func (f *fixture) doWithKey(path, id string) *httptest.ResponseRecorder {
 	request := httptest.NewRequest(http.MethodGet, "http://a.example"+path, nil)
 	request.RequestURI = path
 	request.Header = http.Header{"X-Id": {id}, "X-Key": {secretKey}, "X-Tenant": {"forged"}, "X-Other": {"kept"}}
@@ -58,9 +58,9 @@
 	return answer
 }
 
-// TestTheTargetSeesTheTenantAndNoKey sends a request with a key on each kind of route, and
-// a call of a running request, all with a tenant's name that is none of the caller's business.
-func TestTheTargetSeesTheTenantAndNoKey(t *testing.T) {
+// TestTargetGetsTenantHeaderWithoutKey sends a request with a key to each kind of route,
+// and a call of a running request, all with a forged tenant header.
+func TestTargetGetsTenantHeaderWithoutKey(t *testing.T) {
 	keys := &fixedKeys{decision: apikey.Decision{Tenant: &testTenant}}
 	for _, test := range []struct {
 		path, id string
@@ -68,8 +68,8 @@
 		checked  int
 	}{{"/read/x", "1", []string{"acme"}, 1}, {"/open/x", "2", nil, 0}, {"/read/x", "running.3", nil, 0}} {
 		keys.checked = nil
-		f := newTenantFixture(t, keys, answered)
-		assert.Equal(t, f.doWith(test.path, test.id).Code, http.StatusOK)
+		f := newTenantFixture(t, keys, answerOK)
+		assert.Equal(t, f.doWithKey(test.path, test.id).Code, http.StatusOK)
 		header := f.homes[0].calls[0].Header
 		assert.DeepEqual(t, header["X-Tenant"], test.tenant)
 		assert.DeepEqual(t, header["X-Other"], []string{"kept"})
@@ -78,18 +78,18 @@
 	}
 }
 
-// TestWithoutTenantsTheKeyIsNotOurs sends a request with a header of the key's name where
-// the configuration has no tenants: it travels on like any other.
-func TestWithoutTenantsTheKeyIsNotOurs(t *testing.T) {
-	f := newFixture(t, answered)
+// TestKeyHeaderIsPassedOnWithoutTenants sends a request with a header of the key's name
+// while the configuration has no tenants: it is passed on like any other header.
+func TestKeyHeaderIsPassedOnWithoutTenants(t *testing.T) {
+	f := newFixture(t, answerOK)
 	f.forwarder.config.Headers.APIKey, f.forwarder.config.Headers.Tenant = "X-Key", "X-Tenant"
-	assert.Equal(t, f.doWith("/read/x", "1").Code, http.StatusOK)
+	assert.Equal(t, f.doWithKey("/read/x", "1").Code, http.StatusOK)
 	header := f.homes[0].calls[0].Header
 	assert.DeepEqual(t, header["X-Key"], []string{secretKey})
 	assert.Equal(t, len(header["X-Tenant"]), 0)
 }
 
-// TestRefusedKeys has keys that are turned away for good, and one that can't be checked.
+// TestRefusedKeys has keys that are refused permanently, and one that cannot be checked.
 func TestRefusedKeys(t *testing.T) {
 	for _, test := range []struct {
 		decision   apikey.Decision
@@ -100,16 +100,17 @@
 		{apikey.Decision{Outcome: apikey.Unknown}, http.StatusUnauthorized, ""},
 		{apikey.Decision{Outcome: apikey.Unproved, RetryAfter: 700 * time.Millisecond}, http.StatusServiceUnavailable, "0.700"},
 	} {
-		f := newTenantFixture(t, &fixedKeys{decision: test.decision}, answered)
-		answer := f.doWith("/read/x", "1")
+		f := newTenantFixture(t, &fixedKeys{decision: test.decision}, answerOK)
+		answer := f.doWithKey("/read/x", "1")
 		assert.Equal(t, answer.Code, test.status)
 		assert.Equal(t, answer.Header().Get("Retry-After"), test.retryAfter)
 		assert.Equal(t, f.calls(), 0)
 	}
 }
 
-// TestNoKeyIsLogged reads all that is logged and told of requests with a key.
-func TestNoKeyIsLogged(t *testing.T) {
+// TestKeysAreNotLogged searches the log and the answers of requests with a key for the
+// key.
+func TestKeysAreNotLogged(t *testing.T) {
 	var written bytes.Buffer
 	log := eventlog.New(eventlog.Config{RootOf: func(id string) string { return id }}, "node", &written, time.Now)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -119,9 +120,9 @@
 		log.Run(ctx)
 	}()
 	for _, decision := range []apikey.Decision{{Tenant: &testTenant}, {Outcome: apikey.Unknown}, {Outcome: apikey.Unproved}} {
-		f := newTenantFixture(t, &fixedKeys{decision: decision}, answered)
+		f := newTenantFixture(t, &fixedKeys{decision: decision}, answerOK)
 		f.forwarder.log = log
-		answer := f.doWith("/read/x", "1")
+		answer := f.doWithKey("/read/x", "1")
 		assert.Assert(t, !strings.Contains(answer.Body.String(), secretKey))
 	}
 	cancel()
@@ -130,10 +131,10 @@
 	assert.Assert(t, !strings.Contains(written.String(), secretKey))
 }
 
-// TestATenantsPriorityGoesBeforeItsRoutes ranks requests of tenants of priorities 0 and 1
-// and of none, each on a route of priority 0 and on one of priority 2.
-func TestATenantsPriorityGoesBeforeItsRoutes(t *testing.T) {
-	f := newFixture(t, answered)
+// TestTenantPriorityPrecedesRoutePriority ranks requests of tenants with priorities 0 and
+// 1 and without a tenant, on routes with priorities 0 to 2.
+func TestTenantPriorityPrecedesRoutePriority(t *testing.T) {
+	f := newFixture(t, answerOK)
 	rank := func(tenant *routetable.Tenant, priority int) criticality.Level {
 		q := &request{route: &routetable.Route{Priority: priority, Services: []routetable.WeightedService{{Name: "s", Weight: 1}}}, tenant: tenant}
 		q.policyCall = f.forwarder.policyCallOf(q, httptest.NewRequest(http.MethodGet, "/", nil))
@@ -149,7 +150,7 @@
 	assert.Equal(t, rank(nil, 2), criticality.SheddablePlus)
 }
 
-// fixedLimits decides on every request alike and counts permits that are given back.
+// fixedLimits returns the same decision for every request and counts returned permits.
 type fixedLimits struct {
 	decision           ratelimit.Decision
 	admitted, returned int
@@ -162,7 +163,7 @@
 
 func (l *fixedLimits) Return(*routetable.Tenant, ratelimit.Decision) { l.returned++ }
 
-// newLimitFixture returns a fixture whose requests are of a tenant with a limit.
+// newLimitFixture returns a fixture whose requests belong to a tenant with a rate limit.
 func newLimitFixture(t *testing.T, limits *fixedLimits, answers ...func(context.Context, *peering.Call) *peering.Reply) *fixture {
 	t.Helper()
 	limited := testTenant
@@ -172,14 +173,14 @@
 	return f
 }
 
-// TestARequestBeyondItsLimitTouchesNothing has no permit for a request: no home hears of it,
-// and it adds nothing to the retry budget of its service.
-func TestARequestBeyondItsLimitTouchesNothing(t *testing.T) {
+// TestRequestOverLimitHasNoSideEffects refuses a request by its tenant's limit: no home
+// must receive it, and it must add nothing to its service's retry budget.
+func TestRequestOverLimitHasNoSideEffects(t *testing.T) {
 	for outcome, status := range map[ratelimit.Outcome]int{ratelimit.Reached: http.StatusTooManyRequests, ratelimit.Unavailable: http.StatusServiceUnavailable} {
 		limits := &fixedLimits{decision: ratelimit.Decision{Outcome: outcome, RetryAfter: 400 * time.Millisecond}}
-		f := newLimitFixture(t, limits, answered)
+		f := newLimitFixture(t, limits, answerOK)
 		before := f.forwarder.budget("s").Balance()
-		answer := f.doWith("/read/x", "1")
+		answer := f.doWithKey("/read/x", "1")
 		assert.Equal(t, answer.Code, status)
 		assert.Equal(t, answer.Header().Get("Retry-After"), "0.400")
 		assert.Equal(t, f.calls(), 0)
@@ -188,25 +189,26 @@
 	}
 }
 
-// TestPermitsOfRequestsThatHaveNotRunAreGivenBack has requests be answered, fail and be
-// refused. A second home costs no second permit, and calls of running requests cost none.
-func TestPermitsOfRequestsThatHaveNotRunAreGivenBack(t *testing.T) {
+// TestPermitsOfUnexecutedRequestsAreReturned checks the permits of requests that are
+// answered, fail or are refused. Offering a request to a second home takes no second
+// permit, and calls of running requests take none.
+func TestPermitsOfUnexecutedRequestsAreReturned(t *testing.T) {
 	for name, test := range map[string]struct {
 		id       string
 		answers  []func(context.Context, *peering.Call) *peering.Reply
 		admitted int
 		returned int
 	}{
-		"answered":                    {"1", []func(context.Context, *peering.Call) *peering.Reply{answered}, 1, 0},
-		"failed":                      {"1", []func(context.Context, *peering.Call) *peering.Reply{failing, failing}, 1, 0},
-		"refused":                     {"1", []func(context.Context, *peering.Call) *peering.Reply{refusing(peering.Waited)}, 1, 1},
-		"refused by one, then run":    {"1", []func(context.Context, *peering.Call) *peering.Reply{refusing(peering.Waited), answered}, 1, 0},
-		"a call of a running request": {"running.2", []func(context.Context, *peering.Call) *peering.Reply{refusing(peering.Waited)}, 0, 0},
+		"answered":                    {"1", []func(context.Context, *peering.Call) *peering.Reply{answerOK}, 1, 0},
+		"failed":                      {"1", []func(context.Context, *peering.Call) *peering.Reply{failCall, failCall}, 1, 0},
+		"refused":                     {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited)}, 1, 1},
+		"refused by one, then run":    {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited), answerOK}, 1, 0},
+		"a call of a running request": {"running.2", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited)}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limits := &fixedLimits{}
 			f := newLimitFixture(t, limits, test.answers...)
-			f.doWith("/read/x", test.id)
+			f.doWithKey("/read/x", test.id)
 			assert.Equal(t, limits.admitted, test.admitted)
 			assert.Equal(t, limits.returned, test.returned)
 		})
