--- a/internal/routepolicy/routepolicy.go
+++ b/internal/routepolicy/routepolicy.go
@@ -1,8 +1,8 @@
-// Package routepolicy gives each route the policy that decides on its requests:
-// whether they are admitted, how they rank, how often they are tried, and when
-// a refused one is told to come back. Routes change with every configuration, so
-// that operators write one policy for each kind of route and not for each route;
-// a policy sees the route's priority, attempts and objective.
+// Package routepolicy provides the policy of each kind of route, which decides whether
+// requests are admitted, how they rank, how often they are retried, and which retry delay
+// refused ones get. Routes change with every configuration, so operators write one policy
+// for each kind of route instead of one for each route; a policy can read the route's
+// priority, attempts and objective.
 package routepolicy
 
 import (
@@ -14,9 +14,9 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// Expressions that stand in for those which an operator leaves out. By the default rank a
-// tenant's priority goes before that of the route: requests of tenants of priority 0 rank
-// highest, others by the sum.
+// Default expressions for those that an operator leaves out. In the default rank a
+// tenant's priority precedes that of the route: requests of tenants with priority 0 rank
+// highest, others rank by the sum of both priorities.
 const (
 	DefaultAdmit           = `true`
 	DefaultRank            = `call.tenant != "" && call.tenant_priority <= 0 || call.priority + call.tenant_priority <= 0 ? "critical-plus" : call.priority + call.tenant_priority == 1 ? "critical" : call.priority + call.tenant_priority == 2 ? "sheddable-plus" : "sheddable"`
@@ -25,23 +25,23 @@
 	DefaultRefuse          = `load.free_in`
 )
 
-// Sources are the policies as operators write them. An empty expression means
-// its default.
+// Sources holds the policies as written by operators. An empty expression stands for its
+// default.
 type Sources struct {
-	// Repeatable decides on requests that may run more than once, and Once on those
-	// that must not.
+	// Repeatable applies to requests that may run more than once, and Once to those that
+	// must not.
 	Repeatable policy.Source `toml:"repeatable"`
 	Once       policy.Source `toml:"once"`
 }
 
-// withDefaults fills in what is left out.
+// withDefaults replaces empty expressions by their defaults.
 func (s Sources) withDefaults() Sources {
-	fill(&s.Repeatable, DefaultRepeatableRetry)
-	fill(&s.Once, DefaultOnceRetry)
+	fillDefaults(&s.Repeatable, DefaultRepeatableRetry)
+	fillDefaults(&s.Once, DefaultOnceRetry)
 	return s
 }
 
-func fill(source *policy.Source, retry string) {
+func fillDefaults(source *policy.Source, retry string) {
 	for _, expression := range []struct {
 		text     *string
 		fallback string
@@ -52,35 +52,35 @@
 	}
 }
 
-// Set holds the compiled policies. It doesn't change and is safe for concurrent
-// use.
+// Set holds the compiled policies. It is immutable and safe for concurrent use.
 type Set struct {
 	repeatable, once *policy.Program
 }
 
-// Compile checks and compiles policies. The error names every fault.
+// Compile checks and compiles policies. The returned error joins the errors of all of
+// them.
 func Compile(sources Sources) (*Set, error) {
 	sources = sources.withDefaults()
 	set := &Set{}
-	var faults []error
-	for _, each := range []struct {
+	var errs []error
+	for _, entry := range []struct {
 		key    string
 		source policy.Source
 		target **policy.Program
 	}{{"policies.repeatable", sources.Repeatable, &set.repeatable}, {"policies.once", sources.Once, &set.once}} {
-		program, err := policy.Compile(each.source)
+		program, err := policy.Compile(entry.source)
 		if err != nil {
-			faults = append(faults, fmt.Errorf("%s: %w", each.key, err))
+			errs = append(errs, fmt.Errorf("%s: %w", entry.key, err))
 		}
-		*each.target = program
+		*entry.target = program
 	}
-	if err := errors.Join(faults...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return nil, err
 	}
 	return set, nil
 }
 
-// For returns the policy of a kind of route.
+// For returns the policy of the given kind of route.
 func (s *Set) For(kind routetable.Kind) *policy.Program {
 	if kind == routetable.Once {
 		return s.once
@@ -88,20 +88,20 @@
 	return s.repeatable
 }
 
-// Holder publishes the policies in force. It is safe for concurrent use.
+// Holder holds the policies in force. It is safe for concurrent use.
 type Holder struct {
 	current atomic.Pointer[Set]
 }
 
-// NewHolder returns a holder with the set in force.
+// NewHolder returns a holder whose policies in force are those of the set.
 func NewHolder(set *Set) *Holder {
 	h := &Holder{}
 	h.current.Store(set)
 	return h
 }
 
-// Put brings a set into force.
+// Put replaces the policies in force.
 func (h *Holder) Put(set *Set) { h.current.Store(set) }
 
-// For returns the policy in force for a kind of route.
+// For returns the policy in force for the given kind of route.
 func (h *Holder) For(kind routetable.Kind) *policy.Program { return h.current.Load().For(kind) }
--- a/internal/routepolicy/routepolicy_test.go
+++ b/internal/routepolicy/routepolicy_test.go
@@ -11,15 +11,15 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-func TestTheDefaultsFollowTheRoute(t *testing.T) {
+func TestDefaultPolicies(t *testing.T) {
 	set, err := Compile(Sources{})
 	assert.NilError(t, err)
 	levels := []criticality.Level{criticality.CriticalPlus, criticality.Critical, criticality.SheddablePlus, criticality.Sheddable, criticality.Sheddable}
-	for priority, wanted := range levels {
+	for priority, want := range levels {
 		for _, kind := range []routetable.Kind{routetable.Once, routetable.Repeatable} {
 			level, err := set.For(kind).Rank(policy.Call{Priority: priority})
 			assert.NilError(t, err)
-			assert.Equal(t, level, wanted)
+			assert.Equal(t, level, want)
 		}
 	}
 	call := policy.Call{Attempts: 3}
@@ -43,13 +43,13 @@
 	assert.Equal(t, delay, 350*time.Millisecond)
 }
 
-func TestEveryFaultIsNamed(t *testing.T) {
+func TestCompileReportsAllErrors(t *testing.T) {
 	_, err := Compile(Sources{Repeatable: policy.Source{Rank: `"urgent"`}, Once: policy.Source{Admit: `1 +`}})
 	assert.ErrorContains(t, err, "policies.repeatable")
 	assert.ErrorContains(t, err, "policies.once")
 }
 
-func TestANewSetIsInForceAtOnce(t *testing.T) {
+func TestPutTakesEffectImmediately(t *testing.T) {
 	first, err := Compile(Sources{})
 	assert.NilError(t, err)
 	second, err := Compile(Sources{Once: policy.Source{Admit: `call.priority < 1`}})
