--- a/internal/resend/resend.go
+++ b/internal/resend/resend.go
@@ -1,11 +1,9 @@
-// Package resend recognises calls that a target sends again by itself after
-// they failed. Such a call is a retry of the request like any other and counts
-// against the request's budget; without this, targets that retry on their own
-// would multiply the load at every hop.
+// Package resend detects calls that a target sends again by itself after they failed.
+// Such a call is a retry like any other and is charged to the retry budget; otherwise
+// targets that retry on their own would multiply the load at every hop.
 //
-// A call is known by its request, its place in the chain, and a hash of what it
-// asks. Only calls that failed are remembered, and no longer than anyone waits
-// for them.
+// A call is identified by its request, its parent in the call chain, and a hash of its
+// content. Only failed calls are recorded, and only until their deadlines.
 package resend
 
 import (
@@ -17,11 +15,11 @@
 	"github.com/lugspur/lugspur/internal/callcontext"
 )
 
-// MaxCalls bounds the failed calls that are remembered; beyond it the oldest
-// half is forgotten.
+// MaxCalls bounds the failed calls that are recorded; beyond it the oldest half is
+// dropped.
 const MaxCalls = 65536
 
-// Fingerprint stands for what a call asks of which service.
+// Fingerprint is a hash of a call's service and content.
 type Fingerprint uint64
 
 // FingerprintOf returns the fingerprint of a call.
@@ -35,51 +33,51 @@
 	return Fingerprint(digest.Sum64())
 }
 
-// callID names a call of one execution at a target.
+// callID identifies a call of one execution at a target.
 type callID struct {
 	request     callcontext.RequestID
 	parent      callcontext.SpanID
 	fingerprint Fingerprint
 }
 
-// Table holds the calls that failed, in two generations, so that forgetting is
-// cheap. It is safe for concurrent use.
+// Table records failed calls in two generations, which makes dropping old ones cheap. It
+// is safe for concurrent use.
 type Table struct {
 	now func() time.Time
 
 	mutex    sync.Mutex
 	current  map[callID]time.Time
 	previous map[callID]time.Time
-	turned   time.Time
+	rotated  time.Time
 }
 
-// generation is the least time for which a failed call is remembered, unless
-// the table is full.
-const generation = 30 * time.Second
+// rotationInterval is the minimum time for which a failed call is recorded, unless the
+// table is full.
+const rotationInterval = 30 * time.Second
 
 // NewTable returns an empty table.
 func NewTable(now func() time.Time) *Table {
-	return &Table{now: now, current: map[callID]time.Time{}, previous: map[callID]time.Time{}, turned: now()}
+	return &Table{now: now, current: map[callID]time.Time{}, previous: map[callID]time.Time{}, rotated: now()}
 }
 
-// Failed remembers until the deadline that the call failed.
+// Failed records until the context's deadline that the call failed.
 func (t *Table) Failed(context callcontext.Context, fingerprint Fingerprint) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.now()
-	if len(t.current) >= MaxCalls/2 || now.Sub(t.turned) >= generation {
+	if len(t.current) >= MaxCalls/2 || now.Sub(t.rotated) >= rotationInterval {
 		t.previous = t.current
 		t.current = map[callID]time.Time{}
-		t.turned = now
+		t.rotated = now
 	}
-	t.current[idOf(context, fingerprint)] = context.Deadline
+	t.current[callIDOf(context, fingerprint)] = context.Deadline
 }
 
 // Resent reports whether the call failed before.
 func (t *Table) Resent(context callcontext.Context, fingerprint Fingerprint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	id := idOf(context, fingerprint)
+	id := callIDOf(context, fingerprint)
 	deadline, known := t.current[id]
 	if !known {
 		deadline, known = t.previous[id]
@@ -87,6 +85,6 @@
 	return known && t.now().Before(deadline)
 }
 
-func idOf(context callcontext.Context, fingerprint Fingerprint) callID {
+func callIDOf(context callcontext.Context, fingerprint Fingerprint) callID {
 	return callID{request: context.RequestID, parent: context.Span, fingerprint: fingerprint}
 }
--- a/internal/resend/resend_test.go
+++ b/internal/resend/resend_test.go
@@ -10,7 +10,7 @@
 	"github.com/lugspur/lugspur/internal/callcontext"
 )
 
-func TestOnlyTheSameFailedCallIsResent(t *testing.T) {
+func TestResentMatchesOnlySameFailedCall(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := NewTable(func() time.Time { return now })
 	failed := callcontext.Context{RequestID: callcontext.NewRequestID(), Span: callcontext.NewSpanID(), Deadline: now.Add(time.Second)}
@@ -33,7 +33,7 @@
 	}
 
 	now = now.Add(time.Second)
-	assert.Assert(t, !table.Resent(failed, fingerprint), "nobody waits any more")
+	assert.Assert(t, !table.Resent(failed, fingerprint), "the deadline has passed")
 }
 
 func TestTableIsBounded(t *testing.T) {
