--- a/internal/forward/choose_test.go
+++ b/internal/forward/choose_test.go
@@ -174,7 +174,7 @@
 	assert.Assert(t, smallFactor > remoteFactor && smallFactor < remoteFactor+0.3, "%f", smallFactor)
 }
 
-// TestStoppingHomesDoNotRelyOnEachOther checks OthersServe while both homes of the node's
+// TestStoppingHomesDoNotRelyOnEachOther checks OtherHomesServe while both homes of the node's
 // own service are stopping.
 func TestStoppingHomesDoNotRelyOnEachOther(t *testing.T) {
 	f := newFixture(t, answerOK, answerOK)
@@ -186,7 +186,7 @@
 	}
 	othersServe := func(own string) bool {
 		f.forwarder.config.Address = own
-		return f.forwarder.OthersServe()
+		return f.forwarder.OtherHomesServe()
 	}
 	assert.Assert(t, othersServe(first) && othersServe(last))
 	for _, address := range []string{first, last} {
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -111,7 +111,7 @@
 
 func (noopObserver) Identified(string, problem.Reason) {}
 
-func (noopObserver) Counted(string, BudgetEvent, peering.Reason) {}
+func (noopObserver) BudgetCounted(string, BudgetEvent, peering.Reason) {}
 
 func (noopObserver) Stalled(time.Duration) {}
 
@@ -179,11 +179,11 @@
 			parent, _, found := strings.Cut(id, ".")
 			return parent, found
 		},
-	}, Parts{
+	}, Dependencies{
 		Routes: routes, Policies: compilePolicies(t, routepolicy.Sources{}), Directory: directoryOf(t, addresses), Local: &fakeHome{answer: answerOK}, Levels: fixture.levels,
 		Quarantine: fixture.quarantine,
 		Peers: peering.NewClient(peering.ClientConfig{MaxBuffered: 1 << 20, DialTimeout: time.Second, UserTimeout: time.Second, MaxIdle: 4, IdleTimeout: time.Minute, Codec: testCodec,
-			OnInterim: func(address string) { forwarder.StillRuns(address) }}),
+			OnInterim: func(address string) { forwarder.InterimReceived(address) }}),
 		Observer: noopObserver{}, Now: time.Now,
 	})
 	for range testRequestsPerRetry {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -52,8 +52,8 @@
 	ParentOf func(id string) (string, bool)
 }
 
-// Parts holds the dependencies of a forwarder.
-type Parts struct {
+// Dependencies holds the dependencies of a forwarder.
+type Dependencies struct {
 	Routes    *routetable.Holder
 	Directory *registry.Directory
 	// Local runs calls at the local target.
@@ -131,9 +131,9 @@
 	// request. The tenant is empty if the key was refused; the reason is empty if the
 	// request was admitted.
 	Identified(tenant string, reason problem.Reason)
-	// Counted is called for each event that the retry budget of a service counts. The
+	// BudgetCounted is called for each event that the retry budget of a service counts. The
 	// cause is empty for first sends.
-	Counted(service string, kind BudgetEvent, cause peering.Reason)
+	BudgetCounted(service string, kind BudgetEvent, cause peering.Reason)
 	// Stalled is called after the whole process was stalled for the duration.
 	Stalled(duration time.Duration)
 }
@@ -170,7 +170,7 @@
 }
 
 // New returns a forwarder.
-func New(config Config, parts Parts) *Forwarder {
+func New(config Config, parts Dependencies) *Forwarder {
 	return &Forwarder{
 		config:     config,
 		routes:     parts.Routes,
@@ -196,10 +196,10 @@
 // Stop makes every answer ask the caller to close its connection.
 func (f *Forwarder) Stop() { f.stopping.Store(true) }
 
-// OthersServe reports whether another home could serve the service of the local target.
+// OtherHomesServe reports whether another home could serve the service of the local target.
 // Among homes that are all stopping, only those with a smaller address count, so that no
 // two rely on each other.
-func (f *Forwarder) OthersServe() bool {
+func (f *Forwarder) OtherHomesServe() bool {
 	now := f.now()
 	for _, home := range f.directory.Homes(f.config.Service) {
 		if home.Address == f.config.Address {
@@ -213,20 +213,20 @@
 	return false
 }
 
-// EndBy makes the forwarder refuse later requests that may not have ended by the given
+// SetShutdownDeadline makes the forwarder refuse later requests that may not have ended by the given
 // time.
-func (f *Forwarder) EndBy(deadline time.Time) { f.shutdownDeadline.Set(deadline) }
+func (f *Forwarder) SetShutdownDeadline(deadline time.Time) { f.shutdownDeadline.Set(deadline) }
 
-// Heard records a liveness signal of a peer: a suspected home is probed at once, which
+// PeerAlive records a liveness signal of a peer: a suspected home is probed at once, which
 // tells whether calls reach it.
-func (f *Forwarder) Heard(address string) {
+func (f *Forwarder) PeerAlive(address string) {
 	if state := f.homes.find(address); state != nil {
 		state.probeNow(f.now())
 	}
 }
 
-// StillRuns records that a peer reported that it runs a call, which is a liveness signal.
-func (f *Forwarder) StillRuns(address string) {
+// InterimReceived records that a peer reported that it runs a call, which is a liveness signal.
+func (f *Forwarder) InterimReceived(address string) {
 	if state := f.homes.find(address); state != nil {
 		state.markSeen(f.now())
 	}
@@ -258,9 +258,9 @@
 // InFlight returns the number of requests that are not answered yet.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
-// QuietFor returns the time since the last request arrived, or since the forwarder was
+// IdleTime returns the time since the last request arrived, or since the forwarder was
 // created if there was none.
-func (f *Forwarder) QuietFor() time.Duration {
+func (f *Forwarder) IdleTime() time.Duration {
 	return f.now().Sub(f.created) - time.Duration(f.lastArrival.Load())
 }
 
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -276,7 +276,7 @@
 // that may take longer must be refused at once as not executed.
 func TestShutdownDeadlineRefusesLongRequests(t *testing.T) {
 	f := newFixture(t, answerOK)
-	f.forwarder.EndBy(time.Now().Add(testTimeout / 2))
+	f.forwarder.SetShutdownDeadline(time.Now().Add(testTimeout / 2))
 	answer := f.do("POST", "/once/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "the latency of the route is unknown")
 	assert.Assert(t, answer.Header().Get("Retry-After") != "")
--- a/internal/forward/home_test.go
+++ b/internal/forward/home_test.go
@@ -51,9 +51,9 @@
 	}
 	state.suspect(now)
 	assert.Assert(t, !state.probeDue(now.Add(maxSuspicionBackoff/2)))
-	f.Heard("home")
+	f.PeerAlive("home")
 	assert.Assert(t, state.probeDue(now), "a liveness signal ends the backoff")
-	f.Heard("unknown")
+	f.PeerAlive("unknown")
 	assert.Assert(t, f.homes.find("unknown") == nil)
 }
 
--- a/internal/forward/rejected_offers_test.go
+++ b/internal/forward/rejected_offers_test.go
@@ -15,7 +15,7 @@
 	sent map[string]map[BudgetEvent]int
 }
 
-func (o *budgetObserver) Counted(service string, kind BudgetEvent, _ peering.Reason) {
+func (o *budgetObserver) BudgetCounted(service string, kind BudgetEvent, _ peering.Reason) {
 	if o.sent == nil {
 		o.sent = make(map[string]map[BudgetEvent]int)
 	}
@@ -56,9 +56,9 @@
 	for _, service := range []string{"price", "card"} {
 		assert.Check(t, s.maxExcess(service) <= 0, "%s exceeds the bound by %.0f", service, s.maxExcess(service))
 		counted := s.observer.sent[service]
-		assert.Check(t, counted[RepetitionSent] == len(s.retries[service]), "%s: %d retries reached targets, %d were charged",
-			service, len(s.retries[service]), counted[RepetitionSent])
+		assert.Check(t, counted[RetrySent] == len(s.retries[service]), "%s: %d retries reached targets, %d were charged",
+			service, len(s.retries[service]), counted[RetrySent])
 		assert.Check(t, counted[FirstSent] == len(s.requests[service]), "%s: %d requests, %d counted", service, len(s.requests[service]), counted[FirstSent])
 	}
-	assert.Assert(t, s.observer.sent["price"][RepetitionUnpaid] > 0, "the budget must have denied retries")
+	assert.Assert(t, s.observer.sent["price"][RetryDenied] > 0, "the budget must have denied retries")
 }
--- a/internal/forward/repeat.go
+++ b/internal/forward/repeat.go
@@ -14,11 +14,11 @@
 const (
 	// FirstSent is a request that is sent to the service for the first time.
 	FirstSent BudgetEvent = iota
-	// RepetitionSent is a retry that reached a target.
-	RepetitionSent
-	// RepetitionUnpaid is a retry that was not sent because the retry budget was
+	// RetrySent is a retry that reached a target.
+	RetrySent
+	// RetryDenied is a retry that was not sent because the retry budget was
 	// exhausted.
-	RepetitionUnpaid
+	RetryDenied
 )
 
 var budgetEventNames = [...]string{"first", "repeated", "unpaid"}
@@ -78,7 +78,7 @@
 	}
 	payment, ok := f.budget(q.service).Spend(f.urgency(q))
 	if !ok {
-		f.observer.Counted(q.service, RepetitionUnpaid, q.retryCause())
+		f.observer.BudgetCounted(q.service, RetryDenied, q.retryCause())
 		return f.budgetProblem(q)
 	}
 	q.payment = payment
@@ -94,7 +94,7 @@
 	reached := reply.Reached()
 	if q.isRetry() {
 		if reached {
-			f.observer.Counted(q.service, RepetitionSent, q.retryCause())
+			f.observer.BudgetCounted(q.service, RetrySent, q.retryCause())
 		} else {
 			f.budget(q.service).Return(q.payment)
 		}
