--- a/internal/guard/answered.go
+++ b/internal/guard/answered.go
@@ -9,54 +9,56 @@
 )
 
 const (
-	// answeredGeneration is the least time for which an answered request is remembered. It
-	// spares requests that come often from being suspects. Without it, and with two suspects
-	// of one crash convicted together, a request that all callers send was refused in 9 of
-	// 50 runs of six real processes under faults, with both in none. A request that was
-	// answered and crashes targets from some moment on is found one crash of each target
-	// later.
+	// answeredGeneration is the minimum time for which an answered request is remembered.
+	// Remembered requests are not suspected of a crash, which protects frequent requests.
+	// Without this, and with two suspects of one crash quarantined together, a request
+	// that all callers send was refused in 9 of 50 runs of six real processes under
+	// faults; with both measures, in none. The cost: a request that starts to crash
+	// targets after it was answered is detected one crash per target later.
 	answeredGeneration = 10 * time.Second
-	// maxAnswered bounds the requests of one generation: one that comes once a second is
-	// still remembered where a thousand different ones do.
+	// maxAnswered limits the requests of one generation. A request that arrives once a
+	// second is still remembered among a thousand different ones per second.
 	maxAnswered = 1024
-	// maxHashedBody bounds the bodies of requests that are remembered, in bytes: hashing
-	// them costs less than 4 microseconds. What many callers send alike is short.
+	// maxHashedBody is the largest body, in bytes, of a request that is remembered.
+	// Hashing that much takes less than 4 microseconds, and identical requests from many
+	// callers are short.
 	maxHashedBody = 4 << 10
 )
 
-// answeredSet holds the requests that targets beside the node answered lately, in two
-// generations. It is safe for concurrent use.
+// answeredSet holds the fingerprints of requests that local targets answered recently, in
+// two rotating generations. It is safe for concurrent use.
 type answeredSet struct {
-	mutex           sync.Mutex
-	recent, earlier map[fingerprint.Fingerprint]struct{}
-	turned          time.Time
+	mutex             sync.Mutex
+	current, previous map[fingerprint.Fingerprint]struct{}
+	rotatedAt         time.Time
 }
 
-// add notes an answered request.
+// add records an answered request and rotates the generations when the current one is full
+// or too old.
 func (s *answeredSet) add(hash fingerprint.Fingerprint, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.recent == nil || len(s.recent) >= maxAnswered || now.Sub(s.turned) >= answeredGeneration {
-		s.earlier, s.recent = s.recent, make(map[fingerprint.Fingerprint]struct{})
-		s.turned = now
+	if s.current == nil || len(s.current) >= maxAnswered || now.Sub(s.rotatedAt) >= answeredGeneration {
+		s.previous, s.current = s.current, make(map[fingerprint.Fingerprint]struct{})
+		s.rotatedAt = now
 	}
-	s.recent[hash] = struct{}{}
+	s.current[hash] = struct{}{}
 }
 
-// spend reports whether the request was answered lately, and forgets that: if targets crash
-// under it again before another answer, it is no longer above suspicion.
-func (s *answeredSet) spend(hash fingerprint.Fingerprint) bool {
+// consume reports whether the request was answered recently and removes it. If a target
+// crashes while running the request again before another answer, it becomes a suspect.
+func (s *answeredSet) consume(hash fingerprint.Fingerprint) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	_, recent := s.recent[hash]
-	_, earlier := s.earlier[hash]
-	delete(s.recent, hash)
-	delete(s.earlier, hash)
-	return recent || earlier
+	_, inCurrent := s.current[hash]
+	_, inPrevious := s.previous[hash]
+	delete(s.current, hash)
+	delete(s.previous, hash)
+	return inCurrent || inPrevious
 }
 
-// noteAnswered takes that the target answered a call.
-func (g *Guard) noteAnswered(s *screening, call *peering.Call, now time.Time) {
+// recordAnswered records that the target answered a call, which clears it of suspicion.
+func (g *Guard) recordAnswered(s *screening, call *peering.Call, now time.Time) {
 	if len(call.Body) <= maxHashedBody {
 		g.answered.add(s.fingerprint(call), now)
 	}
--- a/internal/guard/crash.go
+++ b/internal/guard/crash.go
@@ -14,193 +14,194 @@
 )
 
 const (
-	// crashSettle is how long after a call broke off the target is probed: the calls of a
-	// process that ends break off within that time, and no connection of it looks alive
-	// afterwards.
-	crashSettle = 5 * time.Millisecond
-	// probeTimeout bounds a probe. The target is on the same machine, where a connection
-	// is refused at once.
+	// crashProbeDelay is the delay between a broken call and the probe of the target. When a
+	// process exits, all its calls break and all its connections close within that time.
+	crashProbeDelay = 5 * time.Millisecond
+	// probeTimeout limits a probe. The target is on the same machine, where the kernel
+	// refuses a connection at once.
 	probeTimeout = 100 * time.Millisecond
-	// brokenWindow is for how long a call that broke off counts as open when the target
-	// ends: one that fell silent is found out only as its connections time out.
-	brokenWindow = 5 * time.Second
-	// maxBroken bounds the calls that are kept for it.
-	maxBroken = 256
+	// brokenCallRetention is how long a broken call still counts as open at the target's
+	// end. The end of a target that went silent is detected only by connection timeouts.
+	brokenCallRetention = 5 * time.Second
+	// maxBrokenCalls limits the number of broken calls that are kept.
+	maxBrokenCalls = 256
 )
 
-// brokenCall is a call that broke off.
+// brokenCall is a call whose connection to the target broke before the answer.
 type brokenCall struct {
 	quarantine.OpenCall
 	at time.Time
 }
 
-// crashWatch finds out whether a target crashed, and which calls broke off by that. A call
-// alone can't tell: the target may have closed its connection, or the network. It is safe
-// for concurrent use.
-type crashWatch struct {
+// crashDetector determines whether a target crashed and which calls were open at that time.
+// A broken call alone is no proof: the target or the network may have closed just that
+// connection. It is safe for concurrent use.
+type crashDetector struct {
 	mutex  sync.Mutex
 	broken []brokenCall
-	// probe is closed once the probe that is under way has ended; nil if there is none.
-	probe chan struct{}
-	// answered is when a call was answered last.
-	answered time.Time
-	crashed  bool
-	// spared are the requests that broke off and are no suspects of this crash.
-	spared map[fingerprint.Fingerprint]bool
-}
-
-// noteAnswer notes a sign of life. One that was taken for crashed, as it refused a
-// connection for want of room, was not.
-func (w *crashWatch) noteAnswer(now time.Time) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.answered = now
-	if w.crashed {
-		w.crashed, w.spared = false, nil
+	// probeDone is closed when the running probe ends; nil if none is running.
+	probeDone chan struct{}
+	// lastAnswer is the time of the most recent answer.
+	lastAnswer time.Time
+	crashed    bool
+	// exempted holds the open requests that are not suspects of this crash.
+	exempted map[fingerprint.Fingerprint]bool
+}
+
+// recordAnswer records an answer. It also revokes a crash verdict, which was wrong: the
+// target had refused the probe's connection for lack of capacity.
+func (d *crashDetector) recordAnswer(now time.Time) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.lastAnswer = now
+	if d.crashed {
+		d.crashed, d.exempted = false, nil
 	}
 }
 
-// add notes a call that broke off.
-func (w *crashWatch) add(call quarantine.OpenCall, now time.Time) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.broken = slices.DeleteFunc(w.broken, func(earlier brokenCall) bool { return now.Sub(earlier.at) > brokenWindow })
-	if len(w.broken) < maxBroken {
-		w.broken = append(w.broken, brokenCall{OpenCall: call, at: now})
+// addBroken records a broken call.
+func (d *crashDetector) addBroken(call quarantine.OpenCall, now time.Time) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.broken = slices.DeleteFunc(d.broken, func(old brokenCall) bool { return now.Sub(old.at) > brokenCallRetention })
+	if len(d.broken) < maxBrokenCalls {
+		d.broken = append(d.broken, brokenCall{OpenCall: call, at: now})
 	}
 }
 
-// take returns the suspects among the calls that broke off and were not taken before. The
-// target has crashed. A request that was answered lately is none.
-func (w *crashWatch) take(answered *answeredSet) []quarantine.OpenCall {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	w.crashed = true
+// takeSuspects marks the target as crashed and returns and clears the broken calls that are
+// suspects. Requests that were answered recently are not.
+func (d *crashDetector) takeSuspects(answered *answeredSet) []quarantine.OpenCall {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	d.crashed = true
 	var suspects []quarantine.OpenCall
-	for _, call := range w.broken {
-		if !w.spares(call.Fingerprint, answered) {
+	for _, call := range d.broken {
+		if !d.exempt(call.Fingerprint, answered) {
 			suspects = append(suspects, call.OpenCall)
 		}
 	}
-	w.broken = nil
+	d.broken = nil
 	return suspects
 }
 
-// spares reports whether a request is no suspect of the crash.
-func (w *crashWatch) spares(hash fingerprint.Fingerprint, answered *answeredSet) bool {
-	if w.spared[hash] {
+// exempt reports whether a request is not a suspect of the crash, because it was answered
+// recently. The caller holds the mutex.
+func (d *crashDetector) exempt(hash fingerprint.Fingerprint, answered *answeredSet) bool {
+	if d.exempted[hash] {
 		return true
 	}
-	if !answered.spend(hash) {
+	if !answered.consume(hash) {
 		return false
 	}
-	if w.spared == nil {
-		w.spared = make(map[fingerprint.Fingerprint]bool)
+	if d.exempted == nil {
+		d.exempted = make(map[fingerprint.Fingerprint]bool)
 	}
-	w.spared[hash] = true
+	d.exempted[hash] = true
 	return true
 }
 
-// suspects reports whether the target crashed and the request is a suspect of that.
-func (w *crashWatch) suspects(hash fingerprint.Fingerprint) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.crashed && !w.spared[hash]
+// isSuspect reports whether the target crashed and the request is a suspect.
+func (d *crashDetector) isSuspect(hash fingerprint.Fingerprint) bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.crashed && !d.exempted[hash]
 }
 
-// brokenCalls returns the number of calls that broke off lately.
-func (w *crashWatch) brokenCalls() int {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return len(w.broken)
+// brokenCount returns the number of broken calls that are kept.
+func (d *crashDetector) brokenCount() int {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return len(d.broken)
 }
 
-// join returns the probe that is under way, or begins one, which the caller is to make.
-func (w *crashWatch) join() (probe chan struct{}, begins bool) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if w.probe != nil {
-		return w.probe, false
+// joinProbe returns the running probe, or a new one that the caller, its leader, must run.
+func (d *crashDetector) joinProbe() (probe chan struct{}, leader bool) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if d.probeDone != nil {
+		return d.probeDone, false
 	}
-	w.probe = make(chan struct{})
-	return w.probe, true
+	d.probeDone = make(chan struct{})
+	return d.probeDone, true
 }
 
-// finish ends the probe.
-func (w *crashWatch) finish(probe chan struct{}) {
-	w.mutex.Lock()
-	w.probe = nil
-	w.mutex.Unlock()
+// finishProbe releases the callers that wait for the probe.
+func (d *crashDetector) finishProbe(probe chan struct{}) {
+	d.mutex.Lock()
+	d.probeDone = nil
+	d.mutex.Unlock()
 	close(probe)
 }
 
-// hasCrashed reports whether a probe found that the target has crashed.
-func (w *crashWatch) hasCrashed() bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.crashed
+// hasCrashed reports whether the target was found to have crashed.
+func (d *crashDetector) hasCrashed() bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.crashed
 }
 
-// answeredSince reports whether a call was answered after the moment.
-func (w *crashWatch) answeredSince(moment time.Time) bool {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.answered.After(moment)
+// answeredSince reports whether a call was answered after the given time.
+func (d *crashDetector) answeredSince(since time.Time) bool {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.lastAnswer.After(since)
 }
 
-// brokeOff takes a call that broke off and reports whether the target crashed under it.
-func (g *Guard) brokeOff(ctx context.Context, i *incarnation, call quarantine.OpenCall) bool {
+// handleBrokenCall records a broken call and reports whether the target crashed while running
+// it. Concurrent callers share one probe.
+func (g *Guard) handleBrokenCall(ctx context.Context, i *incarnation, call quarantine.OpenCall) bool {
 	now := g.now()
-	i.crash.add(call, now)
-	if i.leaving.Load() {
+	i.crashDetector.addBroken(call, now)
+	if i.draining.Load() {
 		return false
 	}
-	probe, begins := i.crash.join()
-	if begins {
+	probe, leader := i.crashDetector.joinProbe()
+	if leader {
 		g.probeTarget(i, now)
-		i.crash.finish(probe)
-		return i.crash.hasCrashed()
+		i.crashDetector.finishProbe(probe)
+		return i.crashDetector.hasCrashed()
 	}
 	select {
 	case <-probe:
 	case <-ctx.Done():
 	}
-	return i.crash.hasCrashed()
+	return i.crashDetector.hasCrashed()
 }
 
-// probeTarget finds out whether the target still takes connections, and reports the calls
-// that broke off if not.
+// probeTarget checks whether the target still accepts connections and reports a crash if it
+// refuses them and has answered no call since the given time.
 func (g *Guard) probeTarget(i *incarnation, since time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	select {
-	case <-time.After(crashSettle):
+	case <-time.After(crashProbeDelay):
 	case <-ctx.Done():
 	}
-	if !i.crash.hasCrashed() && (!errors.Is(i.pool.Probe(ctx), syscall.ECONNREFUSED) || i.crash.answeredSince(since)) {
+	if !i.crashDetector.hasCrashed() && (!errors.Is(i.pool.Probe(ctx), syscall.ECONNREFUSED) || i.crashDetector.answeredSince(since)) {
 		return
 	}
 	g.reportCrash(i, "connection refused")
 }
 
-// reportCrash tells of the calls that broke off as the target crashed.
+// reportCrash logs the crash of the target once and reports the suspects to the quarantine.
 func (g *Guard) reportCrash(i *incarnation, reason string) {
-	first := !i.crash.hasCrashed()
-	broken := i.crash.brokenCalls()
-	suspects := i.crash.take(&g.answered)
-	if first {
-		i.reach.crashed(g.now())
-		g.log.Record(eventlog.Event{Kind: eventlog.TargetEnded, Service: i.target.Service, Target: i.target.Incarnation().String(), Count: broken, Reason: reason})
+	firstReport := !i.crashDetector.hasCrashed()
+	brokenCount := i.crashDetector.brokenCount()
+	suspects := i.crashDetector.takeSuspects(&g.answered)
+	if firstReport {
+		i.reachability.markUnreachable(g.now())
+		g.log.Record(eventlog.Event{Kind: eventlog.TargetEnded, Service: i.target.Service, Target: i.target.Incarnation().String(), Count: brokenCount, Reason: reason})
 	}
 	if len(suspects) > 0 {
 		g.config.Quarantine.Crashed(i.target.Incarnation().String(), suspects)
 	}
 }
 
-// replaced notes that another target took the place of one that had not said that it
-// leaves: it ended.
-func (g *Guard) replaced(old *incarnation) {
-	if !old.leaving.Load() {
+// handleReplaced reports a crash of the old target if another one replaced it before it
+// announced its drain.
+func (g *Guard) handleReplaced(old *incarnation) {
+	if !old.draining.Load() {
 		g.reportCrash(old, "another target took its place")
 	}
 }
--- a/internal/guard/crash_test.go
+++ b/internal/guard/crash_test.go
@@ -18,15 +18,15 @@
 	"github.com/lugspur/lugspur/internal/registry"
 )
 
-// crashingTarget holds requests until it is told to answer them or to crash.
+// crashingTarget is a target that blocks requests until the test lets it answer or crash.
 type crashingTarget struct {
 	listener net.Listener
 	answer   chan struct{}
 	arrived  atomic.Int32
-	// most is the greatest number of requests that it held at once.
-	open, most  atomic.Int32
-	mutex       sync.Mutex
-	connections []net.Conn
+	// maxOpen is the maximum number of concurrent requests.
+	open, maxOpen atomic.Int32
+	mutex         sync.Mutex
+	connections   []net.Conn
 }
 
 func startCrashingTarget(t *testing.T) *crashingTarget {
@@ -48,7 +48,7 @@
 
 func (c *crashingTarget) serve(w http.ResponseWriter, r *http.Request) {
 	c.arrived.Add(1)
-	c.most.Store(max(c.most.Load(), c.open.Add(1)))
+	c.maxOpen.Store(max(c.maxOpen.Load(), c.open.Add(1)))
 	defer c.open.Add(-1)
 	select {
 	case <-c.answer:
@@ -60,7 +60,7 @@
 	_, _ = fmt.Fprint(w, "ok")
 }
 
-// crash closes the listener and all connections.
+// crash closes the listener and all connections, as the exit of a process does.
 func (c *crashingTarget) crash() {
 	_ = c.listener.Close()
 	c.mutex.Lock()
@@ -72,42 +72,42 @@
 
 func (c *crashingTarget) address() string { return c.listener.Addr().String() }
 
-// awaitArrivals waits until so many requests came.
+// awaitArrivals waits until the target has received the given number of requests.
 func (c *crashingTarget) awaitArrivals(t *testing.T, count int32) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if arrived := c.arrived.Load(); arrived < count {
-			return poll.Continue("%d of %d came", arrived, count)
+			return poll.Continue("%d of %d requests arrived", arrived, count)
 		}
 		return poll.Success()
 	}, poll.WithDelay(time.Millisecond))
 }
 
-// runAll has the guard run calls side by side.
+// runAll runs calls concurrently.
 func runAll(g *Guard, calls ...*peering.Call) <-chan *peering.Reply {
 	replies := make(chan *peering.Reply, len(calls))
-	for _, sent := range calls {
-		go func() { replies <- g.Run(context.Background(), sent) }()
+	for _, call := range calls {
+		go func() { replies <- g.Run(context.Background(), call) }()
 	}
 	return replies
 }
 
-func callTo(id, uri string) *peering.Call {
-	sent := call(id)
-	sent.URI = uri
-	return sent
+func newCallTo(id, uri string) *peering.Call {
+	call := newCall(id)
+	call.URI = uri
+	return call
 }
 
-// standingOf returns what the guard knows of requests to the address.
-func standingOf(g *Guard, uri string) quarantine.Standing {
-	return g.config.Quarantine.Standing(callTo("", uri).Fingerprint())
+// standing returns the quarantine state of requests with the URI.
+func standing(g *Guard, uri string) quarantine.Standing {
+	return g.config.Quarantine.Standing(newCallTo("", uri).Fingerprint())
 }
 
-func TestACrashIsToldFromABrokenConnection(t *testing.T) {
+func TestCrashIsDistinguishedFromBrokenConnection(t *testing.T) {
 	t.Run("crash", func(t *testing.T) {
 		target := startCrashingTarget(t)
-		g := guardOf(target.address())
-		replies := runAll(g, callTo("a", "/a"), callTo("b", "/b"))
+		g := newTestGuard(target.address())
+		replies := runAll(g, newCallTo("a", "/a"), newCallTo("b", "/b"))
 		target.awaitArrivals(t, 2)
 		target.crash()
 		for range 2 {
@@ -116,78 +116,78 @@
 			assert.Equal(t, reply.Reason, peering.TargetCrashed)
 			assert.Equal(t, reply.Crashes, 1)
 		}
-		assert.Equal(t, standingOf(g, "/a").Crashes, 1)
-		assert.Equal(t, standingOf(g, "/b").Crashes, 1)
-		assert.Equal(t, g.Run(context.Background(), callTo("c", "/c")).Reason, peering.NoTarget, "nothing more is sent there")
+		assert.Equal(t, standing(g, "/a").Crashes, 1)
+		assert.Equal(t, standing(g, "/b").Crashes, 1)
+		assert.Equal(t, g.Run(context.Background(), newCallTo("c", "/c")).Reason, peering.NoTarget, "a crashed target gets no more calls")
 	})
 	t.Run("broken connection", func(t *testing.T) {
-		g := guardOf(rawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
-		reply := g.Run(context.Background(), callTo("a", "/a"))
+		g := newTestGuard(rawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
+		reply := g.Run(context.Background(), newCallTo("a", "/a"))
 		assert.Equal(t, reply.Reason, peering.Broken)
 		assert.Equal(t, reply.Crashes, 0)
 		assert.Assert(t, g.config.Quarantine.Empty())
 	})
 	t.Run("planned end", func(t *testing.T) {
 		crashing := startCrashingTarget(t)
-		g := guardOf(crashing.address())
-		replies := runAll(g, callTo("a", "/a"))
+		g := newTestGuard(crashing.address())
+		replies := runAll(g, newCallTo("a", "/a"))
 		crashing.awaitArrivals(t, 1)
-		g.SetTarget(target(registry.Draining, 2))
+		g.SetTarget(newTarget(registry.Draining, 2))
 		crashing.crash()
 		assert.Equal(t, (<-replies).Reason, peering.Broken)
-		next := target(registry.Ready, 2)
+		next := newTarget(registry.Ready, 2)
 		next.ID = "i-2"
 		g.SetTarget(next)
 		assert.Assert(t, g.config.Quarantine.Empty())
 	})
 }
 
-// TestATargetInTheOtherOnesPlaceTellsOfACrash has a target fall over whose connections
-// break while something takes new ones at its address, as a successor does.
-func TestATargetInTheOtherOnesPlaceTellsOfACrash(t *testing.T) {
-	g := guardOf(rawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
-	assert.Equal(t, g.Run(context.Background(), callTo("a", "/a")).Reason, peering.Broken)
-	next := target(registry.Ready, 2)
+// TestReplacementTargetRevealsCrash covers a target that crashes while a replacement already
+// accepts connections at its address, so that the probe succeeds. The crash must be reported
+// when the replacement registers.
+func TestReplacementTargetRevealsCrash(t *testing.T) {
+	g := newTestGuard(rawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
+	assert.Equal(t, g.Run(context.Background(), newCallTo("a", "/a")).Reason, peering.Broken)
+	next := newTarget(registry.Ready, 2)
 	next.ID = "i-2"
 	g.SetTarget(next)
-	assert.Equal(t, standingOf(g, "/a").Crashes, 1)
+	assert.Equal(t, standing(g, "/a").Crashes, 1)
 }
 
-// suspect has the guard know of so many crashes under requests to the address.
-func suspect(g *Guard, uri string, crashes int) {
-	g.config.Quarantine.Crashed("earlier-"+uri, []quarantine.OpenCall{{Fingerprint: callTo("", uri).Fingerprint(), Crashes: crashes}})
+// addSuspect reports the given number of crashes for requests with the URI.
+func addSuspect(g *Guard, uri string, crashes int) {
+	g.config.Quarantine.Crashed("earlier-"+uri, []quarantine.OpenCall{{Fingerprint: newCallTo("", uri).Fingerprint(), Crashes: crashes}})
 }
 
-func TestAQuarantinedCallDoesNotReachTheTarget(t *testing.T) {
+func TestQuarantinedCallDoesNotReachTarget(t *testing.T) {
 	target := startCrashingTarget(t)
 	close(target.answer)
-	g := guardOf(target.address())
-	suspect(g, "/deadly", 3)
-	reply := g.Run(context.Background(), callTo("a", "/deadly"))
+	g := newTestGuard(target.address())
+	addSuspect(g, "/deadly", 3)
+	reply := g.Run(context.Background(), newCallTo("a", "/deadly"))
 	assert.Equal(t, reply.Outcome, peering.Refused)
 	assert.Equal(t, reply.Reason, peering.Quarantined)
 	assert.Assert(t, reply.RetryAfter > 0)
 	assert.Equal(t, target.arrived.Load(), int32(0))
-	assert.Equal(t, g.Run(context.Background(), callTo("b", "/harmless")).Outcome, peering.Answered)
+	assert.Equal(t, g.Run(context.Background(), newCallTo("b", "/harmless")).Outcome, peering.Answered)
 }
 
-// TestAVerdictWithdrawsWhatIsUnderWay has a request be quarantined while the target works
-// on it.
-func TestAVerdictWithdrawsWhatIsUnderWay(t *testing.T) {
+// TestQuarantineCancelsRunningRequest quarantines a request while the target works on it.
+func TestQuarantineCancelsRunningRequest(t *testing.T) {
 	target := startCrashingTarget(t)
-	g := guardOf(target.address())
-	replies := runAll(g, callTo("a", "/deadly"))
+	g := newTestGuard(target.address())
+	replies := runAll(g, newCallTo("a", "/deadly"))
 	target.awaitArrivals(t, 1)
-	g.Withdraw(callTo("", "/other").Fingerprint())
-	g.Withdraw(callTo("", "/deadly").Fingerprint())
+	g.Withdraw(newCallTo("", "/other").Fingerprint())
+	g.Withdraw(newCallTo("", "/deadly").Fingerprint())
 	reply := <-replies
-	assert.Equal(t, reply.Outcome, peering.Failed, "it has run")
+	assert.Equal(t, reply.Outcome, peering.Failed, "the request was sent to the target")
 	assert.Equal(t, reply.Reason, peering.Quarantined)
 }
 
-// TestSuspectsRunOneAfterTheOther has tries of one suspect and of another come together:
-// after one crash no request runs beside itself, after two no suspect beside another.
-func TestSuspectsRunOneAfterTheOther(t *testing.T) {
+// TestSuspectsAreSerialized runs two suspect calls concurrently. After one crash, calls of
+// the same request must not overlap; after two, no two suspects may overlap.
+func TestSuspectsAreSerialized(t *testing.T) {
 	cases := []struct {
 		name        string
 		crashes     int
@@ -201,10 +201,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			target := startCrashingTarget(t)
-			g := guardOf(target.address())
-			suspect(g, "/a", c.crashes)
-			suspect(g, "/b", c.crashes)
-			replies := runAll(g, callTo("1", c.first), callTo("2", c.next))
+			g := newTestGuard(target.address())
+			addSuspect(g, "/a", c.crashes)
+			addSuspect(g, "/b", c.crashes)
+			replies := runAll(g, newCallTo("1", c.first), newCallTo("2", c.next))
 			if c.sideBySide {
 				target.awaitArrivals(t, 2)
 				close(target.answer)
@@ -217,31 +217,32 @@
 			for range 2 {
 				assert.Equal(t, (<-replies).Outcome, peering.Answered)
 			}
-			assert.Equal(t, target.most.Load() == 2, c.sideBySide)
-			assert.Assert(t, !standingOf(g, c.first).Suspected(), "an answer clears it")
+			assert.Equal(t, target.maxOpen.Load() == 2, c.sideBySide)
+			assert.Assert(t, !standing(g, c.first).Suspected(), "an answer clears the request")
 		})
 	}
 }
 
-// TestASuspectWaitsNoLongerThanForRoom has the turn before not end.
-func TestASuspectWaitsNoLongerThanForRoom(t *testing.T) {
+// TestSuspectWaitIsBoundedByMaxWait keeps the suspect lock held for longer than a second
+// call may wait.
+func TestSuspectWaitIsBoundedByMaxWait(t *testing.T) {
 	target := startCrashingTarget(t)
-	g := guardOf(target.address())
-	suspect(g, "/a", 1)
-	replies := runAll(g, callTo("1", "/a"))
+	g := newTestGuard(target.address())
+	addSuspect(g, "/a", 1)
+	replies := runAll(g, newCallTo("1", "/a"))
 	target.awaitArrivals(t, 1)
-	waiting := callTo("2", "/a")
+	waiting := newCallTo("2", "/a")
 	waiting.MaxWait = 20 * time.Millisecond
 	assert.Equal(t, g.Run(context.Background(), waiting).Reason, peering.Waited)
 	close(target.answer)
 	assert.Equal(t, (<-replies).Outcome, peering.Answered)
 }
 
-// TestARequestThatWasAnsweredLatelyIsNoSuspect tells of a run of real processes in which a
-// request that all callers send alike was refused for a minute, as it was open each time a
-// query of death crashed a target beside the node, and no target was left to answer it.
-// Without the mend the last crash of the first case makes it a suspect.
-func TestARequestThatWasAnsweredLatelyIsNoSuspect(t *testing.T) {
+// TestRecentlyAnsweredRequestIsNoSuspect guards against quarantining a harmless request that
+// all callers send. In a run of real processes such a request was refused for a minute: it
+// was open each time a query of death crashed the local target, and no target was left to
+// answer and clear it. Without the exemption, the crash in the first case makes it a suspect.
+func TestRecentlyAnsweredRequestIsNoSuspect(t *testing.T) {
 	cases := []struct {
 		name          string
 		answeredFirst bool
@@ -250,17 +251,17 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			target := startCrashingTarget(t)
-			g := guardOf(target.address())
+			g := newTestGuard(target.address())
 			if c.answeredFirst {
-				first := runAll(g, callTo("0", "/popular"))
+				first := runAll(g, newCallTo("0", "/popular"))
 				target.awaitArrivals(t, 1)
 				target.answer <- struct{}{}
 				assert.Equal(t, (<-first).Outcome, peering.Answered)
 			}
-			replies := runAll(g, callTo("a", "/popular"), callTo("b", "/popular"))
+			replies := runAll(g, newCallTo("a", "/popular"), newCallTo("b", "/popular"))
 			poll.WaitOn(t, func(poll.LogT) poll.Result {
 				if target.open.Load() < 2 {
-					return poll.Continue("%d open", target.open.Load())
+					return poll.Continue("%d requests open", target.open.Load())
 				}
 				return poll.Success()
 			}, poll.WithDelay(time.Millisecond))
@@ -270,24 +271,24 @@
 				assert.Equal(t, reply.Reason, peering.TargetCrashed)
 				assert.Equal(t, reply.Crashes, c.crashes)
 			}
-			assert.Equal(t, standingOf(g, "/popular").Crashes, c.crashes)
+			assert.Equal(t, standing(g, "/popular").Crashes, c.crashes)
 		})
 	}
 }
 
-// TestAnAnswerSparesARequestOnce has targets crash under a request twice that one had
-// answered before: it may crash them from some moment on.
-func TestAnAnswerSparesARequestOnce(t *testing.T) {
+// TestAnswerExemptsRequestOnce checks that one answer exempts a request from suspicion for
+// one crash only, because a request may start to crash targets after it was answered.
+func TestAnswerExemptsRequestOnce(t *testing.T) {
 	var answered answeredSet
-	hash := callTo("", "/popular").Fingerprint()
+	hash := newCallTo("", "/popular").Fingerprint()
 	now := time.Now()
 	answered.add(hash, now)
-	assert.Assert(t, answered.spend(hash))
-	assert.Assert(t, !answered.spend(hash))
+	assert.Assert(t, answered.consume(hash))
+	assert.Assert(t, !answered.consume(hash))
 	answered.add(hash, now)
 	for i := range 2 * maxAnswered {
-		answered.add(callTo("", fmt.Sprint("/", i)).Fingerprint(), now)
+		answered.add(newCallTo("", fmt.Sprint("/", i)).Fingerprint(), now)
 	}
-	assert.Assert(t, !answered.spend(hash), "what is remembered is bounded")
-	assert.Assert(t, len(answered.recent)+len(answered.earlier) <= 2*maxAnswered)
+	assert.Assert(t, !answered.consume(hash), "the memory is bounded")
+	assert.Assert(t, len(answered.current)+len(answered.previous) <= 2*maxAnswered)
 }
--- a/internal/guard/exchange.go
+++ b/internal/guard/exchange.go
@@ -16,67 +16,68 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// exchange sends an admitted call and judges the answer.
+// exchange sends an admitted call to the target and returns the reply for its answer.
 func (g *Guard) exchange(ctx context.Context, i *incarnation, permit *scheduler.Permit, call *peering.Call, screened *screening, deadline time.Time) *peering.Reply {
 	started := g.now()
-	remaining := deadline.Sub(started).Milliseconds()
-	if remaining <= 0 {
+	remainingMillis := deadline.Sub(started).Milliseconds()
+	if remainingMillis <= 0 {
 		permit.Cancel()
-		return refused(peering.Late)
+		return refusedReply(peering.Late)
 	}
-	if reply := g.screenLast(screened, call); reply != nil {
+	if reply := g.screenBeforeSend(screened, call); reply != nil {
 		permit.Cancel()
 		return reply
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	done := g.running.begin(call, cancel)
-	i.record.began(call.Route, started)
-	answer, err := i.pool.Exchange(ctx, g.message(i, call, remaining))
+	finish := g.running.begin(call, cancel)
+	i.stats.recordStart(call.Route, started)
+	answer, err := i.pool.Exchange(ctx, g.targetCall(i, call, remainingMillis))
 	ended := g.now()
-	callFailed := done(err == nil, ended)
+	callFailed := finish(err == nil, ended)
 	duration := ended.Sub(started)
 	if err != nil {
 		permit.Release(limit.Sample{Outcome: limit.Failure})
-		reply := g.failureOf(ctx, call, err)
+		reply := g.replyForError(ctx, call, err)
 		if reply.Reason == peering.Broken {
-			open := screened.openCall(call)
-			if g.brokeOff(ctx, i, open) {
+			openCall := screened.openCall(call)
+			if g.handleBrokenCall(ctx, i, openCall) {
 				reply.Reason = peering.TargetCrashed
-				if i.crash.suspects(open.Fingerprint) {
-					reply.Crashes = open.Crashes
+				if i.crashDetector.isSuspect(openCall.Fingerprint) {
+					reply.Crashes = openCall.Crashes
 				}
 			}
 		}
-		i.record.ended(call.Route, reply, duration, ended)
+		i.stats.recordEnd(call.Route, reply, duration, ended)
 		if reply.Reason == peering.Unconnected {
-			g.noteReach(i, false)
+			g.recordReachability(i, false)
 		}
 		return reply
 	}
 	defer answer.Close()
-	i.crash.noteAnswer(ended)
-	g.noteReach(i, true)
-	reply := g.judge(answer)
-	reply.OwnFailure = failedItself(reply) && !callFailed
+	i.crashDetector.recordAnswer(ended)
+	g.recordReachability(i, true)
+	reply := g.replyForAnswer(answer)
+	reply.OwnFailure = isTargetFailure(reply) && !callFailed
 	if reply.Outcome == peering.Answered {
-		g.noteAnswered(screened, call, ended)
+		g.recordAnswered(screened, call, ended)
 	}
-	permit.Release(limit.Sample{Outcome: outcomeOf(reply), Latency: duration})
-	i.record.ended(call.Route, reply, duration, ended)
+	permit.Release(limit.Sample{Outcome: limitOutcome(reply), Latency: duration})
+	i.stats.recordEnd(call.Route, reply, duration, ended)
 	if reply.Reason == peering.Misdirected {
-		i.leave()
+		i.drain()
 	}
 	return reply
 }
 
-// failedItself reports whether the answer says that the target failed. One at the
-// deadline says more of the time that the target was given.
-func failedItself(reply *peering.Reply) bool {
+// isTargetFailure reports whether the answer is a failure of the target. A gateway timeout is
+// not: it says more about the time that the target was given.
+func isTargetFailure(reply *peering.Reply) bool {
 	return reply.Outcome == peering.Answered && reply.Status >= http.StatusInternalServerError && reply.Status != http.StatusGatewayTimeout
 }
 
-func outcomeOf(reply *peering.Reply) limit.Outcome {
+// limitOutcome returns the outcome of a call for its concurrency limit.
+func limitOutcome(reply *peering.Reply) limit.Outcome {
 	switch {
 	case reply.Outcome == peering.Answered && reply.Status < http.StatusInternalServerError:
 		return limit.Success
@@ -86,8 +87,8 @@
 	return limit.Failure
 }
 
-// message returns the call as the target receives it.
-func (g *Guard) message(i *incarnation, call *peering.Call, remainingMillis int64) *transport.Call {
+// targetCall returns the HTTP request to the target for a call.
+func (g *Guard) targetCall(i *incarnation, call *peering.Call, remainingMillis int64) *transport.Call {
 	names := &g.config.Headers
 	header := call.Header
 	if header == nil {
@@ -103,15 +104,16 @@
 		RequestURI: call.URI,
 		Header:     header,
 		Body:       call.Body,
-		Belongs: func(answered http.Header) bool {
-			id := answered.Get(names.RequestID)
+		Belongs: func(answerHeader http.Header) bool {
+			id := answerHeader.Get(names.RequestID)
 			return id == "" || id == call.RequestID
 		},
 	}
 }
 
-// failureOf says what an exchange without answer means for the call.
-func (g *Guard) failureOf(ctx context.Context, call *peering.Call, err error) *peering.Reply {
+// replyForError returns the reply for an exchange that ended without an answer. The call
+// failed if it may have been sent, and was refused otherwise.
+func (g *Guard) replyForError(ctx context.Context, call *peering.Call, err error) *peering.Reply {
 	var failure *transport.Failure
 	sent := !errors.As(err, &failure) || failure.Sent
 	reason := peering.Broken
@@ -129,31 +131,31 @@
 		g.log.Record(eventlog.Event{Kind: eventlog.CallFailed, Request: call.RequestID, Route: call.Route, Reason: err.Error()})
 	}
 	if sent {
-		return failed(reason)
+		return failedReply(reason)
 	}
-	return refused(reason)
+	return refusedReply(reason)
 }
 
-// judge decides whether the target's answer may be passed on.
-func (g *Guard) judge(answer *transport.Answer) *peering.Reply {
+// replyForAnswer validates the target's answer and returns the reply for it.
+func (g *Guard) replyForAnswer(answer *transport.Answer) *peering.Reply {
 	names := &g.config.Headers
 	switch {
 	case answer.Status == http.StatusMisdirectedRequest:
-		return refused(peering.Misdirected)
+		return refusedReply(peering.Misdirected)
 	case answer.Header.Get(names.NotExecuted) != "":
-		return refused(peering.TargetFull)
+		return refusedReply(peering.TargetFull)
 	case answer.Rest != nil:
-		return failed(peering.Spoilt)
+		return failedReply(peering.Spoilt)
 	case answer.Header.Get(names.RequestID) == "":
-		return failed(peering.Spoilt)
+		return failedReply(peering.Spoilt)
 	case answer.Header.Get("Content-Encoding") != "":
-		return failed(peering.Spoilt)
+		return failedReply(peering.Spoilt)
 	case answer.Status < http.StatusMultipleChoices && answer.Header.Get(names.Signature) == "":
-		return failed(peering.Spoilt)
+		return failedReply(peering.Spoilt)
 	}
 	callheader.StripConnection(answer.Header)
 	answer.Header.Del(names.Load)
-	// It is the call's own, which the caller's node knows.
+	// The request ID is redundant: the caller's node knows it.
 	answer.Header.Del(names.RequestID)
 	return &peering.Reply{Outcome: peering.Answered, Status: answer.Status, Header: answer.Header, Body: answer.Body}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,8 +1,8 @@
-// Package guard admits calls to the one target beside a node. It is the only
-// process that can reach the target, so that it counts the target's work
-// exactly: a fixed limit below the target's slots, a priority queue in front of
-// it, and pooled connections. A call gets a typed outcome that says whether it
-// may have run.
+// Package guard controls admission of calls to the local target, the one target
+// that a node serves. Only this process can reach the target, so it counts the
+// target's work exactly. It consists of a fixed concurrency limit of at most the
+// target's slots, a priority queue and a connection pool. Each call gets a typed
+// outcome that states whether it may have run.
 package guard
 
 import (
@@ -25,49 +25,52 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// Config describes the target's place and the guard's bounds.
+// Config sets the address of the target and the limits of the guard.
 type Config struct {
-	// Service is the only service whose target may be beside the node.
+	// Service is the only service whose target the node may serve.
 	Service string
-	// Address is the target's.
+	// Address is the target's host and port.
 	Address string
 	Headers callheader.Names
-	// SlotShare is the part of the target's slots that is used, above 0 and at
-	// most 1.
+	// SlotShare is the fraction of the target's slots that is used, greater than 0
+	// and at most 1.
 	SlotShare float64
-	// MaxQueue and MaxWait bound the queue in front of the target.
+	// MaxQueue and MaxWait limit the length of the queue and the time in it.
 	MaxQueue int
 	MaxWait  time.Duration
-	// MaxBuffered is the largest answer, in bytes.
+	// MaxBuffered is the maximum size of an answer in bytes.
 	MaxBuffered int64
-	// MaxConnections returns the target's bound on connections, zero for none.
+	// MaxConnections returns the maximum number of connections to the target, zero
+	// for no limit.
 	MaxConnections func() int
-	// Below returns what is known of the calls that requests of the route make.
+	// Below returns the pressure of the downstream calls that requests of the route
+	// make.
 	Below func(route string) pressure.Level
-	// Quarantine knows requests that crash targets.
+	// Quarantine tracks requests that crash targets.
 	Quarantine Quarantine
-	// Observer sees what becomes of calls; it may be nil.
+	// Observer receives the outcomes of calls; it may be nil.
 	Observer Observer
 }
 
-// Quarantine knows requests that crash targets. It is safe for concurrent use.
+// Quarantine tracks requests that crash targets. It is safe for concurrent use.
 type Quarantine interface {
-	// Empty reports whether there are no suspects.
+	// Empty reports whether there are neither suspects nor quarantined requests.
 	Empty() bool
-	// Standing returns what is known of a request.
+	// Standing returns the quarantine state of a request.
 	Standing(hash fingerprint.Fingerprint) quarantine.Standing
-	// Crashed takes the end of the target, with the calls that broke off.
+	// Crashed records a crash of the target with its suspects among the open calls.
 	Crashed(instance string, open []quarantine.OpenCall)
-	// Answered notes that the target answered a request.
+	// Answered records that the target answered a request.
 	Answered(call quarantine.OpenCall)
-	// ClaimTrial reports whether a quarantined request whose trial is due may run here.
+	// ClaimTrial reports whether a quarantined request whose trial run is due may run
+	// on this node.
 	ClaimTrial(ctx context.Context, call quarantine.OpenCall) bool
 }
 
-// Observer sees what becomes of calls, for metrics.
+// Observer receives the outcomes of calls, for metrics.
 type Observer interface {
-	// Ended sees a call that ended, with its time in the queue and at the target.
-	// Calls that were refused have none at the target.
+	// Ended records a finished call with its time in the queue and at the target. The
+	// latter is zero for a call that was refused admission.
 	Ended(outcome peering.Outcome, reason peering.Reason, waited, ran time.Duration)
 }
 
@@ -79,79 +82,80 @@
 
 	stopping atomic.Bool
 	closed   atomic.Bool
-	// end is the moment by which all calls must have ended.
-	end      ending.Moment
-	inFlight atomic.Int64
-	current  atomic.Pointer[incarnation]
-	running  runningTable
-	turns    turns
-	answered answeredSet
-	mutex    sync.Mutex
+	// stopDeadline is the time by which all calls must have ended.
+	stopDeadline ending.Moment
+	inFlight     atomic.Int64
+	current      atomic.Pointer[incarnation]
+	running      runningTable
+	suspectLock  suspectLock
+	answered     answeredSet
+	mutex        sync.Mutex
 }
 
-// incarnation is one life of the target.
+// incarnation is the state of one target process, from its registration to its
+// replacement.
 type incarnation struct {
-	target    registry.Target
-	limit     *fixedLimit
-	scheduler *scheduler.Scheduler
-	pool      *transport.Pool
-	record    trackRecord
-	reach     reach
-	shedding  *shed.Controller
-	crash     crashWatch
-	leaving   atomic.Bool
+	target        registry.Target
+	limit         *fixedLimit
+	scheduler     *scheduler.Scheduler
+	pool          *transport.Pool
+	stats         targetStats
+	reachability  reachability
+	shedding      *shed.Controller
+	crashDetector crashDetector
+	draining      atomic.Bool
 }
 
-// New returns a guard that knows no target yet and refuses all calls.
+// New returns a guard without a target, which refuses all calls.
 func New(config Config, log *eventlog.Log, now func() time.Time) *Guard {
 	return &Guard{config: config, log: log, now: now}
 }
 
-// SetTarget takes the newest state of the target beside the node.
+// SetTarget applies the current registration of the local target.
 func (g *Guard) SetTarget(target registry.Target) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	old := g.current.Load()
 	if target.State != registry.Ready {
 		if old != nil {
-			old.leave()
+			old.drain()
 		}
 		return
 	}
-	if old != nil && old.target.Incarnation() == target.Incarnation() && !old.leaving.Load() {
-		g.resize(old, target)
+	if old != nil && old.target.Incarnation() == target.Incarnation() && !old.draining.Load() {
+		g.updateLimit(old, target)
 		return
 	}
 	if old != nil {
-		g.replaced(old)
-		old.leave()
+		g.handleReplaced(old)
+		old.drain()
 		old.pool.Close()
 	}
 	g.current.Store(g.newIncarnation(target))
 }
 
-// Bounds by which a connection to the target that went silent is told, also while a
-// call waits on it. The target runs on the same machine, where nothing is lost on the
-// way; only its own answers tell how long a call takes.
+// TCP timeouts that detect a dead connection to the target, also while a call waits for
+// its answer. They can be short because the target runs on the same machine, where no
+// packets are lost. They don't limit the duration of a call.
 const (
 	targetUserTimeout = time.Second
 	targetKeepAlive   = time.Second
 )
 
-// leave refuses what waits and all later calls; calls in flight go on.
-func (i *incarnation) leave() {
-	i.leaving.Store(true)
+// drain refuses queued and later calls; calls in flight continue.
+func (i *incarnation) drain() {
+	i.draining.Store(true)
 	i.scheduler.Close()
 }
 
 func (g *Guard) newIncarnation(target registry.Target) *incarnation {
-	bound := &fixedLimit{}
-	bound.set(g.limitFor(target))
+	limit := &fixedLimit{}
+	limit.set(g.limitFor(target))
 	return &incarnation{
 		target:    target,
-		limit:     bound,
+		limit:     limit,
 		shedding:  shed.NewController(shedConfig),
-		scheduler: scheduler.New(scheduler.Config{MaxQueue: g.config.MaxQueue, MaxWait: g.config.MaxWait, ByRank: true}, bound, g.now),
+		scheduler: scheduler.New(scheduler.Config{MaxQueue: g.config.MaxQueue, MaxWait: g.config.MaxWait, ByRank: true}, limit, g.now),
 		pool: transport.NewPool(transport.Config{
 			Address:           g.config.Address,
 			MaxConnections:    g.config.MaxConnections(),
@@ -163,80 +167,83 @@
 	}
 }
 
-func (g *Guard) resize(i *incarnation, target registry.Target) {
-	next := g.limitFor(target)
-	if i.limit.Limit() == next {
+// updateLimit applies a changed number of slots to the limit.
+func (g *Guard) updateLimit(i *incarnation, target registry.Target) {
+	newLimit := g.limitFor(target)
+	if i.limit.Limit() == newLimit {
 		return
 	}
-	i.limit.set(next)
+	i.limit.set(newLimit)
 	i.scheduler.Wake()
-	g.log.Record(eventlog.Event{Kind: eventlog.LimitChanged, Target: target.Incarnation().String(), Count: next})
+	g.log.Record(eventlog.Event{Kind: eventlog.LimitChanged, Target: target.Incarnation().String(), Count: newLimit})
 }
 
 func (g *Guard) limitFor(target registry.Target) int {
 	return max(int(float64(target.Slots)*g.config.SlotShare), 1)
 }
 
-// Stop tells peers to prefer other homes ahead of a planned stop. Calls are still
-// admitted, as this may be the last home of the service.
+// Stop marks the node as stopping on all replies, so that peers prefer other homes
+// before a planned stop. Calls are still admitted, as this may be the last home of the
+// service.
 func (g *Guard) Stop() { g.stopping.Store(true) }
 
-// EndBy refuses later calls that may not have ended by the moment. Calls in flight
-// go on.
-func (g *Guard) EndBy(moment time.Time) { g.end.Set(moment) }
+// EndBy refuses later calls that may not end by the given time. Calls in flight
+// continue.
+func (g *Guard) EndBy(deadline time.Time) { g.stopDeadline.Set(deadline) }
 
-// endsInTime reports whether a call of the route that begins now has surely ended
-// before the guard's end.
+// endsInTime reports whether a call of the route that begins now is certain to end
+// before the stop deadline.
 func (g *Guard) endsInTime(i *incarnation, route string, now time.Time) bool {
-	return g.end.Leaves(ending.SureTime(i.record.latency(route, now)), now)
+	return g.stopDeadline.Leaves(ending.SureTime(i.stats.latency(route, now)), now)
 }
 
-// Close refuses all later calls; calls in flight go on.
+// Close refuses all later calls; calls in flight continue.
 func (g *Guard) Close() { g.closed.Store(true) }
 
-// InFlight returns the number of calls at the target or waiting for it.
+// InFlight returns the number of calls that are queued or at the target.
 func (g *Guard) InFlight() int64 { return g.inFlight.Load() }
 
-// Load returns the guard's state as peers are told it on calls of the route.
+// Load returns the load that the guard reports to peers on replies to calls of the route.
 func (g *Guard) Load(route string) peering.Load {
 	i := g.current.Load()
 	if i == nil {
 		return peering.Load{Threshold: shed.None}
 	}
 	stats := i.scheduler.Stats()
-	below := g.config.Below(route)
+	downstream := g.config.Below(route)
 	return peering.Load{
 		InFlight:  stats.InFlight,
 		Queued:    stats.Queued,
 		Limit:     stats.Limit,
-		Latency:   i.record.latency(route, g.now()),
-		Threshold: min(i.shedding.Threshold(), below.Threshold),
-		Failures:  i.record.failures(),
-		Errors:    i.record.errors(),
-		Calls:     below.Calls,
-		Scarce:    below.Scarce,
+		Latency:   i.stats.latency(route, g.now()),
+		Threshold: min(i.shedding.Threshold(), downstream.Threshold),
+		Failures:  i.stats.failurePercent(),
+		Errors:    i.stats.errorPercent(),
+		Calls:     downstream.Calls,
+		Scarce:    downstream.Scarce,
 		Stopping:  g.stopping.Load(),
 	}
 }
 
-// Run runs the call at the target and says what became of it.
+// Run executes the call at the target and returns the reply with its outcome.
 func (g *Guard) Run(ctx context.Context, call *peering.Call) *peering.Reply {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	started := g.now()
 	reply, times := g.run(ctx, call, started)
 	reply.Load = g.Load(call.Route)
-	g.note(call, reply, started)
+	g.logReply(call, reply, started)
 	if g.config.Observer != nil {
 		g.config.Observer.Ended(reply.Outcome, reply.Reason, times.waited, times.ran)
 	}
 	return reply
 }
 
-// callTimes are the times of a call in the queue and at the target.
+// callTimes holds the time of a call in the queue and at the target.
 type callTimes struct{ waited, ran time.Duration }
 
-func (g *Guard) note(call *peering.Call, reply *peering.Reply, started time.Time) {
+// logReply logs a call that was refused or failed, unless its caller left.
+func (g *Guard) logReply(call *peering.Call, reply *peering.Reply, started time.Time) {
 	if reply.Outcome == peering.Answered || reply.Reason == peering.CallerLeft {
 		return
 	}
@@ -252,27 +259,28 @@
 	g.log.Record(event)
 }
 
-func refused(reason peering.Reason) *peering.Reply {
+func refusedReply(reason peering.Reason) *peering.Reply {
 	return &peering.Reply{Outcome: peering.Refused, Reason: reason}
 }
 
-func failed(reason peering.Reason) *peering.Reply {
+func failedReply(reason peering.Reason) *peering.Reply {
 	return &peering.Reply{Outcome: peering.Failed, Reason: reason}
 }
 
+// run executes the call and measures its times.
 func (g *Guard) run(ctx context.Context, call *peering.Call, started time.Time) (*peering.Reply, callTimes) {
 	i := g.current.Load()
 	switch {
 	case g.closed.Load():
-		return refused(peering.Stopping), callTimes{}
+		return refusedReply(peering.Stopping), callTimes{}
 	case i == nil || call.Service != i.target.Service || call.Service != g.config.Service:
-		return refused(peering.NoTarget), callTimes{}
-	case i.leaving.Load():
-		return refused(peering.TargetLeaving), callTimes{}
+		return refusedReply(peering.NoTarget), callTimes{}
+	case i.draining.Load():
+		return refusedReply(peering.TargetLeaving), callTimes{}
 	case !g.endsInTime(i, call.Route, started):
-		return refused(peering.Stopping), callTimes{}
-	case i.reach.paused(started):
-		return refused(peering.NoTarget), callTimes{}
+		return refusedReply(peering.Stopping), callTimes{}
+	case i.reachability.backingOff(started):
+		return refusedReply(peering.NoTarget), callTimes{}
 	}
 	deadline := started.Add(call.Remaining)
 	ctx, cancel := clock.WithTimeout(ctx, call.Remaining)
@@ -281,7 +289,7 @@
 	if reply != nil {
 		return reply, callTimes{waited: g.now().Sub(started)}
 	}
-	defer screened.done()
+	defer screened.release()
 	permit, reply := g.acquire(ctx, i, call, deadline)
 	admitted := g.now()
 	times := callTimes{waited: admitted.Sub(started)}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -24,10 +24,10 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-var names = callheader.Names{RequestID: "X-Id", DeadlineMillis: "X-Deadline", Caller: "X-Caller", ExpectInstance: "X-Expect",
+var headerNames = callheader.Names{RequestID: "X-Id", DeadlineMillis: "X-Deadline", Caller: "X-Caller", ExpectInstance: "X-Expect",
 	Instance: "X-Instance", Signature: "X-Signature", NotExecuted: "X-Not-Executed", Load: "X-Load"}
 
-// rawTarget answers each request by a function that writes bytes.
+// rawTarget starts a target that answers each request by a function that writes raw bytes.
 func rawTarget(t *testing.T, answer func(connection net.Conn, request *http.Request)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,11 +55,11 @@
 	return listener.Addr().String()
 }
 
-func guardOf(address string) *Guard {
+func newTestGuard(address string) *Guard {
 	g := New(Config{
 		Service:        "s",
 		Address:        address,
-		Headers:        names,
+		Headers:        headerNames,
 		SlotShare:      1,
 		MaxQueue:       16,
 		MaxBuffered:    1 << 20,
@@ -67,22 +67,22 @@
 		Below:          func(string) pressure.Level { return pressure.Level{Threshold: shed.None} },
 		Quarantine:     quarantine.New(quarantine.Config{Now: time.Now}),
 	}, nil, time.Now)
-	g.SetTarget(target(registry.Ready, 2))
+	g.SetTarget(newTarget(registry.Ready, 2))
 	return g
 }
 
-func target(state registry.State, slots int) registry.Target {
+func newTarget(state registry.State, slots int) registry.Target {
 	return registry.Target{ID: "i-1", Service: "s", Slots: slots, State: state}
 }
 
-func call(id string) *peering.Call {
+func newCall(id string) *peering.Call {
 	return &peering.Call{Service: "s", RequestID: id, Method: "GET", URI: "/p/x?y", Host: "a.example", Header: http.Header{"X-Kept": {"1"}},
 		Remaining: 5 * time.Second, Caller: "caller", Route: "r", MaxWait: 5 * time.Second}
 }
 
-const good = "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Signature: sig\r\nContent-Length: 2\r\n\r\nok"
+const okAnswer = "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Signature: sig\r\nContent-Length: 2\r\n\r\nok"
 
-func TestAnAnswerComesBackWhole(t *testing.T) {
+func TestAnswerIsReturnedComplete(t *testing.T) {
 	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
 		assert.Equal(t, request.Host, "a.example")
 		assert.Equal(t, request.RequestURI, "/p/x?y")
@@ -90,18 +90,17 @@
 		assert.Equal(t, request.Header.Get("X-Caller"), "caller")
 		assert.Equal(t, request.Header.Get("X-Kept"), "1")
 		assert.Assert(t, request.Header.Get("X-Deadline") != "")
-		fmt.Fprintf(connection, good, request.Header.Get("X-Id"))
+		fmt.Fprintf(connection, okAnswer, request.Header.Get("X-Id"))
 	})
-	reply := guardOf(address).Run(context.Background(), call("a"))
+	reply := newTestGuard(address).Run(context.Background(), newCall("a"))
 	assert.Equal(t, reply.Outcome, peering.Answered)
 	assert.Equal(t, string(reply.Body), "ok")
 	assert.Equal(t, reply.Load.Limit, 2)
 }
 
-// TestAnswersOfTargets states for each answer of a target what the call's
-// outcome is: an answer that may not be passed on has run, or may have, unless
-// the target itself says otherwise.
-func TestAnswersOfTargets(t *testing.T) {
+// TestOutcomeOfTargetAnswers checks the outcome of a call for each kind of answer.
+// A call whose answer is invalid may have run, unless the target says otherwise.
+func TestOutcomeOfTargetAnswers(t *testing.T) {
 	cases := []struct {
 		name, answer string
 		outcome      peering.Outcome
@@ -118,36 +117,36 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			address := rawTarget(t, func(connection net.Conn, _ *http.Request) { fmt.Fprint(connection, c.answer) })
-			reply := guardOf(address).Run(context.Background(), call("a"))
+			reply := newTestGuard(address).Run(context.Background(), newCall("a"))
 			assert.Equal(t, reply.Outcome, c.outcome)
 			assert.Equal(t, reply.Reason, c.reason)
 		})
 	}
 }
 
-func TestACutAnswerIsNotComplete(t *testing.T) {
+func TestTruncatedAnswerFails(t *testing.T) {
 	address := rawTarget(t, func(connection net.Conn, _ *http.Request) {
 		fmt.Fprint(connection, "HTTP/1.1 200 OK\r\nX-Id: a\r\nX-Signature: s\r\nContent-Length: 10\r\n\r\nhalf")
 		_ = connection.Close()
 	})
-	assert.Equal(t, guardOf(address).Run(context.Background(), call("a")).Outcome, peering.Failed)
+	assert.Equal(t, newTestGuard(address).Run(context.Background(), newCall("a")).Outcome, peering.Failed)
 }
 
-func TestAnAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
 	address := rawTarget(t, func(connection net.Conn, _ *http.Request) {
 		fmt.Fprint(connection, "HTTP/1.1 200 OK\r\nX-Id: a\r\nX-Signature: s\r\n\r\nwhole")
 		_ = connection.Close()
 	})
-	reply := guardOf(address).Run(context.Background(), call("a"))
+	reply := newTestGuard(address).Run(context.Background(), newCall("a"))
 	assert.Equal(t, reply.Outcome, peering.Answered)
 	assert.Equal(t, string(reply.Body), "whole")
 }
 
-// TestALateSurplusAnswerIsPassedOver sends a second answer to the first call in
-// the place where the answer to the second call is due.
-func TestALateSurplusAnswerIsPassedOver(t *testing.T) {
+// TestDuplicateAnswerIsSkipped sends a second answer to the first call on the
+// connection where the answer to the second call is expected.
+func TestDuplicateAnswerIsSkipped(t *testing.T) {
 	var requests atomic.Int32
-	signed := strings.Replace(good, "sig", "signature of %s", 1)
+	signed := strings.Replace(okAnswer, "sig", "signature of %s", 1)
 	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
 		if requests.Add(1) == 2 {
 			fmt.Fprintf(connection, signed, "first", "first")
@@ -155,32 +154,32 @@
 		id := request.Header.Get("X-Id")
 		fmt.Fprintf(connection, signed, id, id)
 	})
-	g := guardOf(address)
-	assert.Equal(t, g.Run(context.Background(), call("first")).Outcome, peering.Answered)
-	reply := g.Run(context.Background(), call("second"))
+	g := newTestGuard(address)
+	assert.Equal(t, g.Run(context.Background(), newCall("first")).Outcome, peering.Answered)
+	reply := g.Run(context.Background(), newCall("second"))
 	assert.Equal(t, reply.Outcome, peering.Answered)
 	assert.Equal(t, reply.Header.Get("X-Signature"), "signature of second")
-	assert.Equal(t, reply.Header.Get("X-Id"), "", "the caller's node knows it")
+	assert.Equal(t, reply.Header.Get("X-Id"), "", "the caller's node knows the request ID")
 }
 
-func TestADrainRefusesWhatWaitsAndLetsTheRestEnd(t *testing.T) {
+func TestDrainRefusesQueuedCallsAndFinishesRunningOnes(t *testing.T) {
 	release := make(chan struct{})
 	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
 		<-release
-		fmt.Fprintf(connection, good, request.Header.Get("X-Id"))
+		fmt.Fprintf(connection, okAnswer, request.Header.Get("X-Id"))
 	})
-	g := guardOf(address)
-	g.SetTarget(target(registry.Ready, 1))
+	g := newTestGuard(address)
+	g.SetTarget(newTarget(registry.Ready, 1))
 	running, waiting := make(chan *peering.Reply, 1), make(chan *peering.Reply, 1)
-	go func() { running <- g.Run(context.Background(), call("a")) }()
+	go func() { running <- g.Run(context.Background(), newCall("a")) }()
 	awaitLoad(t, g, func(load peering.Load) bool { return load.InFlight == 1 })
-	go func() { waiting <- g.Run(context.Background(), call("b")) }()
+	go func() { waiting <- g.Run(context.Background(), newCall("b")) }()
 	awaitLoad(t, g, func(load peering.Load) bool { return load.Queued == 1 })
-	g.SetTarget(target(registry.Draining, 1))
+	g.SetTarget(newTarget(registry.Draining, 1))
 	reply := <-waiting
 	assert.Equal(t, reply.Outcome, peering.Refused)
 	assert.Equal(t, reply.Reason, peering.TargetLeaving)
-	assert.Equal(t, g.Run(context.Background(), call("c")).Reason, peering.TargetLeaving)
+	assert.Equal(t, g.Run(context.Background(), newCall("c")).Reason, peering.TargetLeaving)
 	close(release)
 	assert.Equal(t, (<-running).Outcome, peering.Answered)
 }
@@ -191,11 +190,11 @@
 		if accept(g.Load("r")) {
 			return poll.Success()
 		}
-		return poll.Continue("load %+v", g.Load("r"))
+		return poll.Continue("load is %+v", g.Load("r"))
 	}, poll.WithDelay(2*time.Millisecond))
 }
 
-func TestAWithdrawnCallClosesTheTargetsConnection(t *testing.T) {
+func TestCanceledCallClosesTargetConnection(t *testing.T) {
 	arrived, closed := make(chan struct{}), make(chan struct{})
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -212,11 +211,11 @@
 		_, _ = reader.ReadByte()
 		close(closed)
 	}()
-	g := guardOf(listener.Addr().String())
+	g := newTestGuard(listener.Addr().String())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan *peering.Reply, 1)
-	go func() { done <- g.Run(ctx, call("a")) }()
-	// A call that is withdrawn before it is sent reaches no target at all.
+	go func() { done <- g.Run(ctx, newCall("a")) }()
+	// A call that is canceled before it is sent never reaches the target.
 	<-arrived
 	cancel()
 	reply := <-done
@@ -228,36 +227,36 @@
 	}
 }
 
-func TestRefusalsWithoutATarget(t *testing.T) {
-	g := guardOf("127.0.0.1:1")
-	other := call("a")
+func TestRefusalsWithoutTarget(t *testing.T) {
+	g := newTestGuard("127.0.0.1:1")
+	other := newCall("a")
 	other.Service = "another"
 	assert.Equal(t, g.Run(context.Background(), other).Reason, peering.NoTarget)
-	reply := g.Run(context.Background(), call("a"))
+	reply := g.Run(context.Background(), newCall("a"))
 	assert.Equal(t, reply.Outcome, peering.Refused)
 	assert.Equal(t, reply.Reason, peering.Unconnected)
 	g.Stop()
-	reply = g.Run(context.Background(), call("a"))
-	assert.Equal(t, reply.Reason, peering.Unconnected, "it is offered to the target, as this may be the last home")
+	reply = g.Run(context.Background(), newCall("a"))
+	assert.Equal(t, reply.Reason, peering.Unconnected, "calls still go to the target, as this may be the last home")
 	assert.Assert(t, reply.Load.Stopping)
 	g.Close()
-	assert.Equal(t, g.Run(context.Background(), call("b")).Reason, peering.Stopping)
+	assert.Equal(t, g.Run(context.Background(), newCall("b")).Reason, peering.Stopping)
 }
 
-// TestBeforeItsEndAGuardAdmitsWhatIsSureToEnd has the guard know that calls of one
-// route take long, and an end that only quick calls are sure to meet.
-func TestBeforeItsEndAGuardAdmitsWhatIsSureToEnd(t *testing.T) {
+// TestStopDeadlineAdmitsOnlyCallsThatFinishInTime sets a stop deadline that calls of a
+// route with a high latency may miss.
+func TestStopDeadlineAdmitsOnlyCallsThatFinishInTime(t *testing.T) {
 	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
-		fmt.Fprintf(connection, good, request.Header.Get("X-Id"))
+		fmt.Fprintf(connection, okAnswer, request.Header.Get("X-Id"))
 	})
-	g := guardOf(address)
+	g := newTestGuard(address)
 	for range 10 {
-		g.current.Load().record.ended("slow", &peering.Reply{Outcome: peering.Answered}, time.Second, time.Now())
+		g.current.Load().stats.recordEnd("slow", &peering.Reply{Outcome: peering.Answered}, time.Second, time.Now())
 	}
 	run := func(route string) peering.Reason {
-		c := call("a")
-		c.Route = route
-		return g.Run(context.Background(), c).Reason
+		call := newCall("a")
+		call.Route = route
+		return g.Run(context.Background(), call).Reason
 	}
 	g.EndBy(time.Now().Add(5 * time.Second))
 	assert.Equal(t, run("quick"), peering.Reason(""))
@@ -266,19 +265,19 @@
 	assert.Equal(t, run("quick"), peering.Stopping)
 }
 
-func TestRunningRequestsAreKnownByTheirIDs(t *testing.T) {
+func TestRunningRequestsAreFoundByID(t *testing.T) {
 	release := make(chan struct{})
 	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
 		<-release
-		fmt.Fprintf(connection, good, request.Header.Get("X-Id"))
+		fmt.Fprintf(connection, okAnswer, request.Header.Get("X-Id"))
 	})
-	g := guardOf(address)
+	g := newTestGuard(address)
 	done := make(chan struct{})
-	sent := call("a")
-	sent.Rank = 300
+	call := newCall("a")
+	call.Rank = 300
 	go func() {
 		defer close(done)
-		g.Run(context.Background(), sent)
+		g.Run(context.Background(), call)
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		running, found := g.Running("a")
@@ -296,17 +295,17 @@
 	assert.Assert(t, !g.Abandoned("a"), "it was answered")
 }
 
-// TestARequestWithoutAnswerIsAbandoned has a caller leave while the target works on.
-func TestARequestWithoutAnswerIsAbandoned(t *testing.T) {
+// TestRequestWithoutAnswerIsAbandoned cancels a call while the target works on it.
+func TestRequestWithoutAnswerIsAbandoned(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	address := rawTarget(t, func(net.Conn, *http.Request) { <-release })
-	g := guardOf(address)
-	ctx, leave := context.WithCancel(t.Context())
+	g := newTestGuard(address)
+	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		g.Run(ctx, call("a"))
+		g.Run(ctx, newCall("a"))
 	}()
 	var wanted context.Context
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -319,14 +318,14 @@
 	}, poll.WithDelay(2*time.Millisecond))
 	assert.NilError(t, wanted.Err())
 	assert.Assert(t, !g.Abandoned("a"))
-	leave()
+	cancel()
 	<-done
 	assert.ErrorIs(t, wanted.Err(), context.Canceled)
 	assert.Assert(t, g.Abandoned("a"))
 	assert.Assert(t, !g.Abandoned("b"))
 }
 
-func TestAbandonedRequestsAreForgotten(t *testing.T) {
+func TestAbandonedRequestsExpire(t *testing.T) {
 	var s abandonedSet
 	now := time.Unix(1000, 0)
 	s.add("a", now)
@@ -340,23 +339,23 @@
 	for i := range 3 * maxAbandoned {
 		s.add(strconv.Itoa(i), now)
 	}
-	assert.Assert(t, len(s.recent)+len(s.earlier) <= 2*maxAbandoned)
+	assert.Assert(t, len(s.current)+len(s.previous) <= 2*maxAbandoned)
 }
 
-// TestNothingIsSentAfterASuspensionThatPassedTheDeadline has the machine be suspended while
-// a call waits for room: the target must not get it once its time is over.
-func TestNothingIsSentAfterASuspensionThatPassedTheDeadline(t *testing.T) {
+// TestCallIsNotSentAfterSuspensionPastDeadline suspends the machine past the deadline of
+// a queued call. The target must not receive the call afterwards.
+func TestCallIsNotSentAfterSuspensionPastDeadline(t *testing.T) {
 	crashing := startCrashingTarget(t)
-	g := guardOf(crashing.address())
+	g := newTestGuard(crashing.address())
 	var suspended atomic.Int64
 	g.now = func() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
-	g.SetTarget(target(registry.Draining, 1))
-	next := target(registry.Ready, 1)
+	g.SetTarget(newTarget(registry.Draining, 1))
+	next := newTarget(registry.Ready, 1)
 	next.ID = "i-2"
 	g.SetTarget(next)
-	first := runAll(g, callTo("a", "/a"))
+	first := runAll(g, newCallTo("a", "/a"))
 	crashing.awaitArrivals(t, 1)
-	second := runAll(g, callTo("b", "/b"))
+	second := runAll(g, newCallTo("b", "/b"))
 	awaitLoad(t, g, func(load peering.Load) bool { return load.Queued == 1 })
 	suspended.Store(int64(time.Minute))
 	crashing.answer <- struct{}{}
--- a/internal/guard/latency.go
+++ b/internal/guard/latency.go
@@ -3,92 +3,93 @@
 import "time"
 
 const (
-	// latencyWeight is the part of the long-term average that one call makes up.
+	// latencyWeight is the weight of one call in the long-term moving average.
 	latencyWeight = 1.0 / 16
-	// latencyWindow is half of the time over which calls count for the estimate.
+	// latencyWindow is the length of one of the two windows that the estimate covers.
 	latencyWindow = time.Second
-	// priorCalls is how many calls of usual length the estimate starts from, so
-	// that one call says little.
+	// priorCalls is the number of calls of average latency that are added to the
+	// estimate, so that a single call has little influence.
 	priorCalls = 2
 )
 
-// routeLatency estimates how long a call of one route takes: the time spent by
-// calls over the calls that ended with an answer, as for the mean of durations
-// of which some are only known to be longer (censored samples). Time that
-// unanswered calls spent beyond the usual counts, whether they were given up or
-// are in flight, so that the estimate rises while calls hang and before any ends.
-type routeLatency struct {
-	// usual is the long-term average in seconds, zero if not known.
-	usual float64
-	// open counts the calls in flight, and openSince sums when they began, in
-	// seconds since the record's epoch.
-	open      int
-	openSince float64
-	// recent and earlier are two windows that follow each other.
-	recent, earlier latencyCount
-	windowBegan     float64
+// latencyEstimator estimates the latency of calls of one route. The estimate is the
+// total time spent in calls divided by the number of answered calls: the estimator
+// of a mean with censored samples, which are durations known only to be longer.
+// Calls without an answer, whether canceled or in flight, add time only beyond the
+// average. Thus the estimate rises while calls hang, before any of them ends.
+type latencyEstimator struct {
+	// average is the long-term moving average in seconds, zero if unknown.
+	average float64
+	// inFlight is the number of calls in flight, and startSum the sum of their start
+	// times in seconds since the epoch of targetStats.
+	inFlight int
+	startSum float64
+	// current and previous are consecutive windows.
+	current, previous windowTotals
+	windowStart       float64
 }
 
-// latencyCount is the time spent in calls and the number that was answered.
-type latencyCount struct {
+// windowTotals holds the time spent in calls and the number of answered calls.
+type windowTotals struct {
 	seconds  float64
 	answered int
 }
 
-// turn begins a new window when the present one is over.
-func (l *routeLatency) turn(now float64) {
-	age := now - l.windowBegan
+// rotate starts a new window when the current one is over.
+func (e *latencyEstimator) rotate(now float64) {
+	age := now - e.windowStart
 	if age < latencyWindow.Seconds() {
 		return
 	}
-	l.earlier = l.recent
+	e.previous = e.current
 	if age >= 2*latencyWindow.Seconds() {
-		l.earlier = latencyCount{}
+		e.previous = windowTotals{}
 	}
-	l.recent = latencyCount{}
-	l.windowBegan = now
+	e.current = windowTotals{}
+	e.windowStart = now
 }
 
-func (l *routeLatency) begin(now float64) {
-	l.open++
-	l.openSince += now
+// begin records the start of a call.
+func (e *latencyEstimator) begin(now float64) {
+	e.inFlight++
+	e.startSum += now
 }
 
-// cancel takes a call back that did not run, by when it began.
-func (l *routeLatency) cancel(began float64) {
-	if l.open > 0 {
-		l.open--
-		l.openSince -= began
+// cancel removes a call that did not run, given its start time.
+func (e *latencyEstimator) cancel(start float64) {
+	if e.inFlight > 0 {
+		e.inFlight--
+		e.startSum -= start
 	}
 }
 
-// end takes a call that ended into account. One without answer took at least as
-// long as it was waited for; that may raise the average and never lowers it.
-func (l *routeLatency) end(now, seconds float64, answered bool) {
-	l.turn(now)
-	if l.open > 0 {
-		l.open--
-		l.openSince -= now - seconds
+// end records a finished call. The latency of a call without an answer is only a
+// lower bound, so it may raise the average but never lowers it.
+func (e *latencyEstimator) end(now, seconds float64, answered bool) {
+	e.rotate(now)
+	if e.inFlight > 0 {
+		e.inFlight--
+		e.startSum -= now - seconds
 	}
 	if answered {
-		l.recent.answered++
-	} else if l.usual == 0 || seconds < l.usual {
+		e.current.answered++
+	} else if e.average == 0 || seconds < e.average {
 		return
 	}
-	l.recent.seconds += seconds
-	if l.usual == 0 {
-		l.usual = seconds
+	e.current.seconds += seconds
+	if e.average == 0 {
+		e.average = seconds
 	}
-	l.usual += (seconds - l.usual) * latencyWeight
+	e.average += (seconds - e.average) * latencyWeight
 }
 
-// estimate returns the expected time of a call in seconds, zero if not known.
-func (l *routeLatency) estimate(now float64) float64 {
-	if l.usual == 0 {
+// estimate returns the expected latency of a call in seconds, zero if unknown.
+func (e *latencyEstimator) estimate(now float64) float64 {
+	if e.average == 0 {
 		return 0
 	}
-	l.turn(now)
-	overdue := max(float64(l.open)*(now-l.usual)-l.openSince, 0)
-	spent := priorCalls*l.usual + l.recent.seconds + l.earlier.seconds + overdue
-	return spent / float64(priorCalls+l.recent.answered+l.earlier.answered)
+	e.rotate(now)
+	excess := max(float64(e.inFlight)*(now-e.average)-e.startSum, 0)
+	total := priorCalls*e.average + e.current.seconds + e.previous.seconds + excess
+	return total / float64(priorCalls+e.current.answered+e.previous.answered)
 }
--- a/internal/guard/queue.go
+++ b/internal/guard/queue.go
@@ -10,7 +10,8 @@
 	"github.com/lugspur/lugspur/internal/scheduler"
 )
 
-// acquire waits for room at the target. It returns a permit, or the refusal.
+// acquire waits in the queue until the target has capacity. It returns a permit or a
+// refusal.
 func (g *Guard) acquire(ctx context.Context, i *incarnation, call *peering.Call, deadline time.Time) (*scheduler.Permit, *peering.Reply) {
 	rank := criticality.RankOf(call.Rank)
 	i.shedding.Observe(rank)
@@ -22,15 +23,16 @@
 		MaxWait:  call.MaxWait,
 	})
 	if err != nil {
-		return nil, refusalOf(err)
+		return nil, refusalReply(err)
 	}
-	if i.leaving.Load() {
+	if i.draining.Load() {
 		permit.Cancel()
-		return nil, refused(peering.TargetLeaving)
+		return nil, refusedReply(peering.TargetLeaving)
 	}
 	return permit, nil
 }
 
+// schedulerReasons maps the scheduler's refusals to those of the peer protocol.
 var schedulerReasons = map[scheduler.Reason]peering.Reason{
 	scheduler.QueueFull:  peering.QueueFull,
 	scheduler.Evicted:    peering.Evicted,
@@ -39,12 +41,12 @@
 	scheduler.Closed:     peering.TargetLeaving,
 }
 
-func refusalOf(err error) *peering.Reply {
+func refusalReply(err error) *peering.Reply {
 	var refusal *scheduler.Refusal
 	if !errors.As(err, &refusal) {
-		return refused(peering.CallerLeft)
+		return refusedReply(peering.CallerLeft)
 	}
-	reply := refused(schedulerReasons[refusal.Reason])
+	reply := refusedReply(schedulerReasons[refusal.Reason])
 	reply.RetryAfter = refusal.RetryAfter
 	return reply
 }
--- a/internal/guard/reach.go
+++ b/internal/guard/reach.go
@@ -8,68 +8,68 @@
 )
 
 const (
-	// unconnectedBound is after how many calls in a row without a connection a
-	// target counts as unreachable.
-	unconnectedBound = 3
-	// unreachablePause is how long an unreachable target is offered nothing before
-	// it is tried again.
-	unreachablePause = 500 * time.Millisecond
+	// unreachableThreshold is the number of consecutive connection failures after
+	// which a target counts as unreachable.
+	unreachableThreshold = 3
+	// unreachableBackoff is the time for which an unreachable target gets no calls
+	// before it is retried.
+	unreachableBackoff = 500 * time.Millisecond
 )
 
-// reach tells whether a target takes connections. Without it a target that
-// crashed would look idle and draw calls. It is safe for concurrent use.
-type reach struct {
-	mutex       sync.Mutex
-	unconnected int
-	pausedUntil time.Time
+// reachability tracks whether a target accepts connections. Without it a crashed
+// target would look idle and attract calls. It is safe for concurrent use.
+type reachability struct {
+	mutex           sync.Mutex
+	connectFailures int
+	retryAt         time.Time
 }
 
-// paused reports whether the target is offered nothing for now.
-func (r *reach) paused(now time.Time) bool {
+// backingOff reports whether the target gets no calls at the given time.
+func (r *reachability) backingOff(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return now.Before(r.pausedUntil)
+	return now.Before(r.retryAt)
 }
 
-// failed notes a call without a connection. It reports whether the target counts
-// as unreachable from now on and did not before.
-func (r *reach) failed(now time.Time) bool {
+// recordFailure records a connection failure. It reports whether the target has become
+// unreachable with it.
+func (r *reachability) recordFailure(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.unconnected++
-	if r.unconnected < unconnectedBound {
+	r.connectFailures++
+	if r.connectFailures < unreachableThreshold {
 		return false
 	}
-	r.pausedUntil = now.Add(unreachablePause)
-	return r.unconnected == unconnectedBound
+	r.retryAt = now.Add(unreachableBackoff)
+	return r.connectFailures == unreachableThreshold
 }
 
-// crashed has the target count as unreachable at once.
-func (r *reach) crashed(now time.Time) {
+// markUnreachable marks the target as unreachable at once.
+func (r *reachability) markUnreachable(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.unconnected = max(r.unconnected, unconnectedBound)
-	r.pausedUntil = now.Add(unreachablePause)
+	r.connectFailures = max(r.connectFailures, unreachableThreshold)
+	r.retryAt = now.Add(unreachableBackoff)
 }
 
-// connected notes a call that reached the target. It reports whether the target
-// counted as unreachable before.
-func (r *reach) connected() bool {
+// recordConnect records a call that reached the target. It reports whether the target
+// was unreachable before.
+func (r *reachability) recordConnect() bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	was := r.unconnected >= unconnectedBound
-	r.unconnected = 0
-	r.pausedUntil = time.Time{}
-	return was
+	wasUnreachable := r.connectFailures >= unreachableThreshold
+	r.connectFailures = 0
+	r.retryAt = time.Time{}
+	return wasUnreachable
 }
 
-// noteReach takes a call's connection into account and logs a change.
-func (g *Guard) noteReach(i *incarnation, connected bool) {
+// recordReachability records whether a call reached the target and logs a change.
+func (g *Guard) recordReachability(i *incarnation, connected bool) {
 	event := eventlog.Event{Kind: eventlog.TargetChanged, Service: i.target.Service, Target: i.target.Incarnation().String()}
 	switch {
-	case connected && i.reach.connected():
+	case connected && i.reachability.recordConnect():
 		event.Outcome = "reachable"
-	case !connected && i.reach.failed(g.now()):
+	case !connected && i.reachability.recordFailure(g.now()):
 		event.Outcome = "unreachable"
 	default:
 		return
--- a/internal/guard/reach_test.go
+++ b/internal/guard/reach_test.go
@@ -13,53 +13,54 @@
 	"github.com/lugspur/lugspur/internal/peering"
 )
 
-// TestACrashedTargetDrawsNoCalls has nothing listen at the target's address: after
-// a few tries the home says that it has no target, so that peers pass it over,
-// and tries again later.
-func TestACrashedTargetDrawsNoCalls(t *testing.T) {
+// TestCrashedTargetReceivesNoCalls uses an address where nothing listens. After
+// several connection failures the home reports that it has no target, so that peers
+// choose other homes, and retries the target later.
+func TestCrashedTargetReceivesNoCalls(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
 	assert.NilError(t, listener.Close())
-	g := guardOf(address)
+	g := newTestGuard(address)
 	var offset atomic.Int64
 	g.now = func() time.Time { return time.Now().Add(time.Duration(offset.Load())) }
-	for range unconnectedBound {
-		assert.Equal(t, g.Run(context.Background(), call("a")).Reason, peering.Unconnected)
+	for range unreachableThreshold {
+		assert.Equal(t, g.Run(context.Background(), newCall("a")).Reason, peering.Unconnected)
 	}
-	reply := g.Run(context.Background(), call("b"))
+	reply := g.Run(context.Background(), newCall("b"))
 	assert.Equal(t, reply.Reason, peering.NoTarget)
-	assert.Assert(t, reply.Reason.Final(), "peers pass it over")
-	offset.Store(int64(unreachablePause))
-	assert.Equal(t, g.Run(context.Background(), call("c")).Reason, peering.Unconnected, "it is tried again")
-	assert.Equal(t, g.Run(context.Background(), call("d")).Reason, peering.NoTarget)
+	assert.Assert(t, reply.Reason.Final(), "peers choose other homes")
+	offset.Store(int64(unreachableBackoff))
+	assert.Equal(t, g.Run(context.Background(), newCall("c")).Reason, peering.Unconnected, "the target is retried")
+	assert.Equal(t, g.Run(context.Background(), newCall("d")).Reason, peering.NoTarget)
 }
 
-// TestATargetThatComesBackIsUsedAtOnce has a target listen again after it was
-// unreachable.
-func TestATargetThatComesBackIsUsedAtOnce(t *testing.T) {
-	var i reach
+// TestRecoveredTargetIsUsedAtOnce checks that the first connection to a target that
+// was unreachable ends its backoff.
+func TestRecoveredTargetIsUsedAtOnce(t *testing.T) {
+	var r reachability
 	now := time.Unix(1000, 0)
-	for n := range unconnectedBound {
-		assert.Equal(t, i.failed(now), n == unconnectedBound-1)
+	for n := range unreachableThreshold {
+		assert.Equal(t, r.recordFailure(now), n == unreachableThreshold-1)
 	}
-	assert.Assert(t, i.paused(now))
-	assert.Assert(t, !i.paused(now.Add(unreachablePause)))
-	assert.Assert(t, !i.failed(now), "told once")
-	assert.Assert(t, i.connected())
-	assert.Assert(t, !i.paused(now))
-	assert.Assert(t, !i.connected(), "told once")
+	assert.Assert(t, r.backingOff(now))
+	assert.Assert(t, !r.backingOff(now.Add(unreachableBackoff)))
+	assert.Assert(t, !r.recordFailure(now), "the change is reported once")
+	assert.Assert(t, r.recordConnect())
+	assert.Assert(t, !r.backingOff(now))
+	assert.Assert(t, !r.recordConnect(), "the change is reported once")
 }
 
-// TestOneFailureAmongAnswersIsNoCrash keeps a target that resets some connections.
-func TestOneFailureAmongAnswersIsNoCrash(t *testing.T) {
+// TestSingleConnectFailuresKeepTargetReachable mixes connection failures with answers; only
+// consecutive failures make a target unreachable.
+func TestSingleConnectFailuresKeepTargetReachable(t *testing.T) {
 	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
 		_, _ = connection.Write([]byte("HTTP/1.1 200 OK\r\nX-Id: " + request.Header.Get("X-Id") + "\r\nX-Signature: s\r\nContent-Length: 0\r\n\r\n"))
 	})
-	g := guardOf(address)
+	g := newTestGuard(address)
 	i := g.current.Load()
 	for range 10 {
-		g.noteReach(i, false)
-		assert.Equal(t, g.Run(context.Background(), call("a")).Outcome, peering.Answered)
+		g.recordReachability(i, false)
+		assert.Equal(t, g.Run(context.Background(), newCall("a")).Outcome, peering.Answered)
 	}
 }
--- a/internal/guard/record.go
+++ b/internal/guard/record.go
@@ -8,127 +8,130 @@
 )
 
 const (
-	// recordWeight is the part of an average that one call makes up.
-	recordWeight = 1.0 / 16
-	// maxRouteLatencies bounds the routes whose latencies are kept.
-	maxRouteLatencies = 256
-	percent           = 100
+	// rateWeight is the weight of one call in the moving averages of the rates.
+	rateWeight = 1.0 / 16
+	// maxTrackedRoutes limits the number of routes whose latencies are kept.
+	maxTrackedRoutes = 256
+	percent          = 100
 )
 
-// trackRecord is how one target has served so far. It is safe for concurrent
-// use.
-type trackRecord struct {
+// targetStats holds the latencies and failure rates of one target. It is safe for
+// concurrent use.
+type targetStats struct {
 	mutex     sync.Mutex
-	latencies map[string]*routeLatency
-	failing   float64
-	// erring is the part of the answers that say that the target failed.
-	erring float64
-	epoch  time.Time
+	latencies map[string]*latencyEstimator
+	// failureRate is the fraction of calls without a usable answer.
+	failureRate float64
+	// errorRate is the fraction of answers that are failures of the target itself.
+	errorRate float64
+	epoch     time.Time
 }
 
-// began notes a call that was sent to the target.
-func (r *trackRecord) began(route string, now time.Time) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	if known := r.latencyOf(route); known != nil {
-		known.begin(r.seconds(now))
+// recordStart records a call that was sent to the target.
+func (s *targetStats) recordStart(route string, now time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if estimator := s.latencyFor(route); estimator != nil {
+		estimator.begin(s.sinceEpoch(now))
 	}
 }
 
-// latencyOf returns what is known of a route, nil if there are too many.
-func (r *trackRecord) latencyOf(route string) *routeLatency {
-	known := r.latencies[route]
-	if known != nil || len(r.latencies) >= maxRouteLatencies {
-		return known
+// latencyFor returns the latency estimator of a route, nil if there are too many routes.
+func (s *targetStats) latencyFor(route string) *latencyEstimator {
+	estimator := s.latencies[route]
+	if estimator != nil || len(s.latencies) >= maxTrackedRoutes {
+		return estimator
 	}
-	if r.latencies == nil {
-		r.latencies = make(map[string]*routeLatency)
+	if s.latencies == nil {
+		s.latencies = make(map[string]*latencyEstimator)
 	}
-	known = &routeLatency{}
-	r.latencies[route] = known
-	return known
+	estimator = &latencyEstimator{}
+	s.latencies[route] = estimator
+	return estimator
 }
 
-// seconds returns a time as seconds since the record's first one.
-func (r *trackRecord) seconds(now time.Time) float64 {
-	if r.epoch.IsZero() {
-		r.epoch = now
+// sinceEpoch returns a time as seconds since the first call.
+func (s *targetStats) sinceEpoch(now time.Time) float64 {
+	if s.epoch.IsZero() {
+		s.epoch = now
 	}
-	return now.Sub(r.epoch).Seconds()
+	return now.Sub(s.epoch).Seconds()
 }
 
-// ended takes the outcome of a call into account that began so long before now.
-func (r *trackRecord) ended(route string, reply *peering.Reply, duration time.Duration, now time.Time) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	r.noteFailure(route, reply, duration)
-	known := r.latencyOf(route)
+// recordEnd records the outcome of a call that took the given duration and ended now.
+func (s *targetStats) recordEnd(route string, reply *peering.Reply, duration time.Duration, now time.Time) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.recordFailure(route, reply, duration)
+	estimator := s.latencyFor(route)
 	switch {
-	case known == nil:
+	case estimator == nil:
 	case reply.Outcome == peering.Refused:
-		known.cancel(r.seconds(now.Add(-duration)))
+		estimator.cancel(s.sinceEpoch(now.Add(-duration)))
 	default:
-		// A target that fails at once is not a quick one.
-		known.end(r.seconds(now), duration.Seconds(), reply.Outcome == peering.Answered && !failedItself(reply))
+		// A failure of the target counts as unanswered, so that fast failures don't
+		// lower the latency.
+		estimator.end(s.sinceEpoch(now), duration.Seconds(), reply.Outcome == peering.Answered && !isTargetFailure(reply))
 	}
 }
 
-// overdue is how many times the usual time a call without answer must have
-// lasted to count as failed: it may as well have been given up early.
-const overdue = 3
+// overdueFactor is the multiple of the average latency that a call without an
+// answer must have lasted to count as failed; otherwise its caller may simply have
+// given up early.
+const overdueFactor = 3
 
-// noteFailure counts a call as failed if no usable answer came, or if the target
-// turned it away although it was offered no more than its slots.
-func (r *trackRecord) noteFailure(route string, reply *peering.Reply, duration time.Duration) {
+// recordFailure updates the failure and error rates. A call failed if no usable
+// answer came, or if the target rejected it although its slots were not exceeded.
+func (s *targetStats) recordFailure(route string, reply *peering.Reply, duration time.Duration) {
 	if reply.Outcome == peering.Answered {
-		r.erring += (shareOf(reply.OwnFailure) - r.erring) * recordWeight
+		s.errorRate += (indicator(reply.OwnFailure) - s.errorRate) * rateWeight
 	}
 	failed := false
 	switch {
 	case reply.Reason == peering.Broken, reply.Reason == peering.TargetCrashed, reply.Reason == peering.Spoilt, reply.Reason == peering.TargetFull:
 		failed = true
 	case reply.Outcome == peering.Failed:
-		known := r.latencies[route]
-		if known == nil || known.usual == 0 || duration.Seconds() < overdue*known.usual {
+		estimator := s.latencies[route]
+		if estimator == nil || estimator.average == 0 || duration.Seconds() < overdueFactor*estimator.average {
 			return
 		}
 		failed = true
 	case reply.Outcome == peering.Refused:
 		return
 	}
-	r.failing += (shareOf(failed) - r.failing) * recordWeight
+	s.failureRate += (indicator(failed) - s.failureRate) * rateWeight
 }
 
-// shareOf is the part that one call makes up.
-func shareOf(holds bool) float64 {
-	if holds {
+// indicator returns 1 if the condition holds, else 0.
+func indicator(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
-// errors returns the part of the answers that are failures of the target, in
-// percent.
-func (r *trackRecord) errors() int {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return int(r.erring * percent)
+// errorPercent returns the percentage of answers that are failures of the target
+// itself.
+func (s *targetStats) errorPercent() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return int(s.errorRate * percent)
 }
 
-// latency returns the expected time of a call of the route, zero if not known.
-func (r *trackRecord) latency(route string, now time.Time) time.Duration {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	known := r.latencies[route]
-	if known == nil {
+// latency returns the expected latency of a call of the route, zero if unknown.
+func (s *targetStats) latency(route string, now time.Time) time.Duration {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	estimator := s.latencies[route]
+	if estimator == nil {
 		return 0
 	}
-	return time.Duration(known.estimate(r.seconds(now)) * float64(time.Second))
+	return time.Duration(estimator.estimate(s.sinceEpoch(now)) * float64(time.Second))
 }
 
-// failures returns the part of the calls without usable answer, in percent.
-func (r *trackRecord) failures() int {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
-	return int(r.failing * percent)
+// failurePercent returns the percentage of calls without a usable answer.
+func (s *targetStats) failurePercent() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return int(s.failureRate * percent)
 }
--- a/internal/guard/record_test.go
+++ b/internal/guard/record_test.go
@@ -9,119 +9,119 @@
 	"github.com/lugspur/lugspur/internal/peering"
 )
 
-var start = time.Unix(1000, 0)
+var startTime = time.Unix(1000, 0)
 
-// TestHangingCallsRaiseTheLatency looks at a target that answered in 100 ms and
-// then answers no more: what is in flight shows it before any call ends.
-func TestHangingCallsRaiseTheLatency(t *testing.T) {
-	var record trackRecord
-	now := start
+// TestHangingCallsRaiseLatency covers a target that answered in 100 ms and then
+// hangs: the calls in flight must raise the estimate before any of them ends.
+func TestHangingCallsRaiseLatency(t *testing.T) {
+	var stats targetStats
+	now := startTime
 	for range 50 {
-		record.began("r", now)
+		stats.recordStart("r", now)
 		now = now.Add(20 * time.Millisecond)
-		record.ended("r", &peering.Reply{Outcome: peering.Answered}, 100*time.Millisecond, now)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered}, 100*time.Millisecond, now)
 	}
-	before := record.latency("r", now)
+	before := stats.latency("r", now)
 	for range 10 {
-		record.began("r", now)
+		stats.recordStart("r", now)
 	}
-	assert.Assert(t, record.latency("r", now) <= before)
-	assert.Assert(t, record.latency("r", now.Add(3*time.Second)) > time.Second)
-	// Calls that end with an answer bring it back.
+	assert.Assert(t, stats.latency("r", now) <= before)
+	assert.Assert(t, stats.latency("r", now.Add(3*time.Second)) > time.Second)
+	// Answered calls lower the estimate again.
 	now = now.Add(3 * time.Second)
 	for range 10 {
-		record.ended("r", &peering.Reply{Outcome: peering.Refused}, 3*time.Second, now)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Refused}, 3*time.Second, now)
 	}
 	for range 50 {
-		record.began("r", now)
+		stats.recordStart("r", now)
 		now = now.Add(20 * time.Millisecond)
-		record.ended("r", &peering.Reply{Outcome: peering.Answered}, 20*time.Millisecond, now)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered}, 20*time.Millisecond, now)
 	}
-	assert.Assert(t, record.latency("r", now) < 120*time.Millisecond, "%s", record.latency("r", now))
+	assert.Assert(t, stats.latency("r", now) < 120*time.Millisecond, "%s", stats.latency("r", now))
 }
 
 func TestLatenciesAreKeptByRoute(t *testing.T) {
-	var record trackRecord
+	var stats targetStats
 	for range 100 {
-		record.ended("slow", &peering.Reply{Outcome: peering.Answered}, time.Second, start)
-		record.ended("fast", &peering.Reply{Outcome: peering.Answered}, time.Millisecond, start)
+		stats.recordEnd("slow", &peering.Reply{Outcome: peering.Answered}, time.Second, startTime)
+		stats.recordEnd("fast", &peering.Reply{Outcome: peering.Answered}, time.Millisecond, startTime)
 	}
-	assert.Equal(t, record.latency("slow", start).Round(time.Millisecond), time.Second)
-	assert.Equal(t, record.latency("fast", start).Round(time.Millisecond), time.Millisecond)
-	assert.Equal(t, record.latency("unknown", start), time.Duration(0))
+	assert.Equal(t, stats.latency("slow", startTime).Round(time.Millisecond), time.Second)
+	assert.Equal(t, stats.latency("fast", startTime).Round(time.Millisecond), time.Millisecond)
+	assert.Equal(t, stats.latency("unknown", startTime), time.Duration(0))
 }
 
-// TestLostAnswersCountAsFailures gives calls up that lasted much longer than
-// usual, as their answers were lost in silence, and others after a short time,
-// as their callers left.
+// TestLostAnswersCountAsFailures cancels calls that lasted much longer than the
+// average, because their answers were lost, which are failures, and others after a
+// short time, because their callers left, which are not.
 func TestLostAnswersCountAsFailures(t *testing.T) {
-	var lost, left trackRecord
-	for _, record := range []*trackRecord{&lost, &left} {
+	var lost, canceled targetStats
+	for _, stats := range []*targetStats{&lost, &canceled} {
 		for range 50 {
-			record.ended("r", &peering.Reply{Outcome: peering.Answered}, 100*time.Millisecond, start)
+			stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered}, 100*time.Millisecond, startTime)
 		}
 	}
 	for range 50 {
-		lost.ended("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.CallerLeft}, time.Minute, start)
-		left.ended("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.CallerLeft}, 20*time.Millisecond, start)
+		lost.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.CallerLeft}, time.Minute, startTime)
+		canceled.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.CallerLeft}, 20*time.Millisecond, startTime)
 	}
-	assert.Assert(t, lost.latency("r", start) > 100*time.Millisecond, "what was waited for raises the average")
-	assert.Assert(t, lost.failures() > 0)
-	assert.Equal(t, left.failures(), 0)
-	assert.Equal(t, left.latency("r", start).Round(time.Millisecond), 100*time.Millisecond)
+	assert.Assert(t, lost.latency("r", startTime) > 100*time.Millisecond, "the time waited raises the average")
+	assert.Assert(t, lost.failurePercent() > 0)
+	assert.Equal(t, canceled.failurePercent(), 0)
+	assert.Equal(t, canceled.latency("r", startTime).Round(time.Millisecond), 100*time.Millisecond)
 }
 
 func TestBrokenAnswersCountAsFailures(t *testing.T) {
-	var record trackRecord
+	var stats targetStats
 	for range 100 {
-		record.ended("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.Broken}, time.Millisecond, start)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.Broken}, time.Millisecond, startTime)
 	}
-	assert.Assert(t, record.failures() > 90)
+	assert.Assert(t, stats.failurePercent() > 90)
 	for range 100 {
-		record.ended("r", &peering.Reply{Outcome: peering.Answered, Status: 500}, time.Millisecond, start)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered, Status: 500}, time.Millisecond, startTime)
 	}
-	assert.Assert(t, record.failures() < 5, "a target's own failure is an answer")
+	assert.Assert(t, stats.failurePercent() < 5, "a failure status is an answer")
 }
 
-func TestErrorsOfTheTargetAreToldApart(t *testing.T) {
-	var record trackRecord
+func TestTargetErrorsAreCountedSeparately(t *testing.T) {
+	var stats targetStats
 	for i := range 200 {
-		record.ended("r", &peering.Reply{Outcome: peering.Answered, Status: 500, OwnFailure: i%2 == 0}, time.Millisecond, start)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered, Status: 500, OwnFailure: i%2 == 0}, time.Millisecond, startTime)
 	}
-	assert.Assert(t, record.errors() > 30 && record.errors() < 70, "%d", record.errors())
-	assert.Equal(t, record.failures(), 0)
+	assert.Assert(t, stats.errorPercent() > 30 && stats.errorPercent() < 70, "%d", stats.errorPercent())
+	assert.Equal(t, stats.failurePercent(), 0)
 	for range 100 {
-		record.ended("r", &peering.Reply{Outcome: peering.Answered, Status: 500}, time.Millisecond, start)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered, Status: 500}, time.Millisecond, startTime)
 	}
-	assert.Assert(t, record.errors() < 5, "what a call further down is to blame for is none")
+	assert.Assert(t, stats.errorPercent() < 5, "a failure caused by a downstream call does not count")
 }
 
-// TestATargetThatFailsAtOnceIsNoQuickOne has a target answer in 100 ms and then
-// fail within a millisecond: its usual time must not fall.
-func TestATargetThatFailsAtOnceIsNoQuickOne(t *testing.T) {
-	var record trackRecord
-	now := start
+// TestFastFailuresDoNotLowerLatency covers a target that answers in 100 ms and then
+// fails within a millisecond: its estimated latency must not fall.
+func TestFastFailuresDoNotLowerLatency(t *testing.T) {
+	var stats targetStats
+	now := startTime
 	for range 50 {
-		record.began("r", now)
+		stats.recordStart("r", now)
 		now = now.Add(100 * time.Millisecond)
-		record.ended("r", &peering.Reply{Outcome: peering.Answered, Status: 200}, 100*time.Millisecond, now)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered, Status: 200}, 100*time.Millisecond, now)
 	}
 	for range 200 {
-		record.began("r", now)
+		stats.recordStart("r", now)
 		now = now.Add(time.Millisecond)
-		record.ended("r", &peering.Reply{Outcome: peering.Answered, Status: 500, OwnFailure: true}, time.Millisecond, now)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered, Status: 500, OwnFailure: true}, time.Millisecond, now)
 	}
-	assert.Assert(t, record.latency("r", now) >= 99*time.Millisecond, "%s", record.latency("r", now))
-	assert.Assert(t, record.errors() > 90)
+	assert.Assert(t, stats.latency("r", now) >= 99*time.Millisecond, "%s", stats.latency("r", now))
+	assert.Assert(t, stats.errorPercent() > 90)
 }
 
-// TestRejectionsByTheTargetCountAsFailures has a target turn calls away although it
-// is offered no more than its slots.
-func TestRejectionsByTheTargetCountAsFailures(t *testing.T) {
-	var record trackRecord
+// TestTargetRejectionsCountAsFailures covers a target that rejects calls although
+// its slots are not exceeded.
+func TestTargetRejectionsCountAsFailures(t *testing.T) {
+	var stats targetStats
 	for range 100 {
-		record.ended("r", &peering.Reply{Outcome: peering.Refused, Reason: peering.TargetFull}, time.Millisecond, start)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Refused, Reason: peering.TargetFull}, time.Millisecond, startTime)
 	}
-	assert.Assert(t, record.failures() > 90)
-	assert.Equal(t, record.errors(), 0)
+	assert.Assert(t, stats.failurePercent() > 90)
+	assert.Equal(t, stats.errorPercent(), 0)
 }
--- a/internal/guard/running.go
+++ b/internal/guard/running.go
@@ -13,76 +13,81 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// Running is a request that the target works on.
+// Running describes a request that is executing at the target.
 type Running struct {
 	Route string
 	Rank  criticality.Rank
-	// Repeat tells that the request, or one that led to it, ran before.
+	// Repeat is set if the request, or an upstream one that caused it, was sent to
+	// a target before.
 	Repeat bool
-	// Wanted ends when nobody waits for the request's answer any more.
+	// Wanted is canceled when nobody waits for the request's answer any more.
 	Wanted context.Context
 }
 
-// runningRequest is a request at the target with the calls that it made.
+// runningRequest is a request at the target with the downstream calls that it made.
 type runningRequest struct {
 	Running
-	// calls counts the calls that the request made by their routes.
+	// calls counts the downstream calls of the request by route.
 	calls map[string]int
-	// callFailed tells that one of them brought no success.
+	// callFailed is set if one of them did not succeed.
 	callFailed bool
-	// abandon ends Wanted.
-	abandon context.CancelFunc
-	// call is the request as it was sent to the target, and withdraw ends the exchange.
-	call     *peering.Call
-	withdraw context.CancelCauseFunc
+	// cancelContext cancels Wanted.
+	cancelContext context.CancelFunc
+	// call is the request, and cancelExchange cancels its exchange with the target.
+	call           *peering.Call
+	cancelExchange context.CancelCauseFunc
 }
 
-// abandonedGeneration is the least time for which an abandoned request is
-// remembered: as long as a target works on one, which ends at its deadline.
+// abandonedGeneration is the minimum time for which an abandoned request is
+// remembered. It covers the time for which a target may continue to work on the
+// request, which ends at the request's deadline.
 const abandonedGeneration = 10 * time.Second
 
-// maxAbandoned bounds the abandoned requests of one generation.
+// maxAbandoned limits the abandoned requests of one generation.
 const maxAbandoned = 4096
 
-// abandonedSet holds the requests whose exchange with the target ended without an
-// answer, in two generations. Their targets may work on, and what these call for then
-// is wanted by nobody.
+// abandonedSet holds the IDs of requests whose exchange with the target ended without
+// an answer, in two rotating generations. The target may continue to work on such a
+// request and make downstream calls whose results nobody needs.
 type abandonedSet struct {
-	recent, earlier map[string]bool
-	turned          time.Time
+	current, previous map[string]bool
+	rotatedAt         time.Time
 }
 
+// add records an abandoned request and rotates the generations when the current one is
+// full or too old.
 func (s *abandonedSet) add(id string, now time.Time) {
-	if s.recent == nil || len(s.recent) >= maxAbandoned || now.Sub(s.turned) >= abandonedGeneration {
-		s.earlier, s.recent = s.recent, make(map[string]bool)
-		s.turned = now
+	if s.current == nil || len(s.current) >= maxAbandoned || now.Sub(s.rotatedAt) >= abandonedGeneration {
+		s.previous, s.current = s.current, make(map[string]bool)
+		s.rotatedAt = now
 	}
-	s.recent[id] = true
+	s.current[id] = true
 }
 
 func (s *abandonedSet) remove(id string) {
-	delete(s.recent, id)
-	delete(s.earlier, id)
+	delete(s.current, id)
+	delete(s.previous, id)
 }
 
-func (s *abandonedSet) contains(id string) bool { return s.recent[id] || s.earlier[id] }
+func (s *abandonedSet) contains(id string) bool { return s.current[id] || s.previous[id] }
 
-// runningTable holds the requests at the target by their ids.
+// runningTable holds the requests at the target by ID.
 type runningTable struct {
 	mutex     sync.Mutex
 	requests  map[string]*runningRequest
 	abandoned abandonedSet
 }
 
-// begin notes a request at the target. The returned function ends it, with or without
-// an answer, and reports whether a call that the request made had failed.
-func (t *runningTable) begin(call *peering.Call, withdraw context.CancelCauseFunc) func(answered bool, now time.Time) (callFailed bool) {
-	wanted, abandon := context.WithCancel(context.Background())
+// begin adds a request that is sent to the target. The returned function removes it when
+// its exchange ends, with or without an answer, and reports whether a downstream call of
+// the request failed.
+func (t *runningTable) begin(call *peering.Call, cancelExchange context.CancelCauseFunc) func(answered bool, now time.Time) (callFailed bool) {
+	ctx, cancel := context.WithCancel(context.Background())
 	request := &runningRequest{
-		Running:  Running{Route: call.Route, Rank: criticality.RankOf(call.Rank), Repeat: call.Repeat, Wanted: wanted},
-		abandon:  abandon,
-		call:     call,
-		withdraw: withdraw,
+		Running:        Running{Route: call.Route, Rank: criticality.RankOf(call.Rank), Repeat: call.Repeat, Wanted: ctx},
+		cancelContext:  cancel,
+		call:           call,
+		cancelExchange: cancelExchange,
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -96,7 +101,7 @@
 		defer t.mutex.Unlock()
 		if !answered {
 			t.abandoned.add(call.RequestID, now)
-			request.abandon()
+			request.cancelContext()
 		}
 		if t.requests[call.RequestID] == request {
 			delete(t.requests, call.RequestID)
@@ -105,22 +110,22 @@
 	}
 }
 
-// errQuarantined ends the exchanges of requests that are quarantined meanwhile.
+// errQuarantined is the cancellation cause for running requests that were quarantined.
 var errQuarantined = errors.New(string(peering.Quarantined))
 
-// Withdraw ends the exchanges with the target of a request that is quarantined from now
-// on: a target that drops it in time does not crash.
+// Withdraw cancels the running exchanges of a request that has been quarantined. A target
+// that stops working on it in time doesn't crash.
 func (g *Guard) Withdraw(hash fingerprint.Fingerprint) {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
 	for _, request := range g.running.requests {
 		if request.call.Fingerprint() == hash {
-			request.withdraw(errQuarantined)
+			request.cancelExchange(errQuarantined)
 		}
 	}
 }
 
-// Running returns a request that the target works on.
+// Running returns the request with the given ID if it is executing at the target.
 func (g *Guard) Running(id string) (Running, bool) {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
@@ -131,16 +136,16 @@
 	return request.Running, true
 }
 
-// Abandoned reports whether the exchange of a request with the target ended without
-// an answer lately.
+// Abandoned reports whether the exchange of a request with the target recently ended
+// without an answer.
 func (g *Guard) Abandoned(id string) bool {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
 	return g.running.abandoned.contains(id)
 }
 
-// CallMade notes that a request at the target made a call of the route. It returns
-// how many it has made by now.
+// CallMade counts a downstream call of the route that a request at the target made. It
+// returns the number of such calls so far, or zero for an unknown request.
 func (g *Guard) CallMade(id, route string) int {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
@@ -155,8 +160,8 @@
 	return request.calls[route]
 }
 
-// CallFailed notes that a call which a request at the target made brought no
-// success, so that the target is not to blame if the request fails.
+// CallFailed records that a downstream call of a request at the target did not succeed,
+// so that a failure of the request isn't attributed to the target.
 func (g *Guard) CallFailed(id string) {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
@@ -166,18 +171,18 @@
 }
 
 const (
-	// tick is how often the shed threshold is moved.
-	tick = 100 * time.Millisecond
-	// loggedStep is the least change of the threshold that is worth a line.
-	loggedStep = criticality.CohortCount / 4
+	// shedInterval is the interval at which the shed threshold is updated.
+	shedInterval = 100 * time.Millisecond
+	// minLoggedChange is the smallest change of the threshold that is logged.
+	minLoggedChange = criticality.CohortCount / 4
 )
 
-// shedConfig lets thresholds fall until next to nothing is admitted.
+// shedConfig has a low floor: the threshold may fall until almost nothing is admitted.
 var shedConfig = shed.Config{Floor: 8}
 
-// Watch moves the shed threshold with the queue until the context ends.
+// Watch adjusts the shed threshold to the state of the queue until the context ends.
 func (g *Guard) Watch(ctx context.Context) {
-	ticker := time.NewTicker(tick)
+	ticker := time.NewTicker(shedInterval)
 	defer ticker.Stop()
 	logged := shed.None
 	for {
@@ -185,13 +190,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			logged = g.moveThreshold(logged)
+			logged = g.updateThreshold(logged)
 		}
 	}
 }
 
-// moveThreshold moves the threshold and returns the one logged last.
-func (g *Guard) moveThreshold(logged uint16) uint16 {
+// updateThreshold updates the threshold and returns the one that was logged last.
+func (g *Guard) updateThreshold(logged uint16) uint16 {
 	i := g.current.Load()
 	if i == nil {
 		return logged
@@ -205,7 +210,7 @@
 		Served:     stats.Served,
 	})
 	threshold := i.shedding.Threshold()
-	if max(threshold, logged)-min(threshold, logged) < loggedStep {
+	if max(threshold, logged)-min(threshold, logged) < minLoggedChange {
 		return logged
 	}
 	g.log.Record(eventlog.Event{Kind: eventlog.AdmissionChanged, Service: i.target.Service, Target: i.target.Incarnation().String(),
--- a/internal/guard/turns.go
+++ b/internal/guard/turns.go
@@ -9,58 +9,59 @@
 	"github.com/lugspur/lugspur/internal/peering"
 )
 
-// turns has suspects run one after the other: no request beside another try of itself, and
-// of those under which several targets crashed one at a time. It is safe for concurrent
-// use.
-type turns struct {
-	mutex   sync.Mutex
-	running map[fingerprint.Fingerprint]bool
-	alone   bool
-	// changed is closed when a turn ends.
-	changed chan struct{}
+// suspectLock serializes suspects. Two attempts of the same request never run at the same
+// time, and of the requests that must be isolated, because several targets crashed while
+// running them, only one runs at a time. It is safe for concurrent use.
+type suspectLock struct {
+	mutex        sync.Mutex
+	held         map[fingerprint.Fingerprint]bool
+	isolatedHeld bool
+	// released is closed when a holder releases the lock; nil if nobody waits.
+	released chan struct{}
 }
 
-// try begins the turn of a request if none is in its way. The returned function ends it.
-func (t *turns) try(hash fingerprint.Fingerprint, alone bool) (done func(), begun bool) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.running[hash] || (alone && t.alone) {
+// tryAcquire acquires the lock for a request if no conflicting one holds it. The returned
+// function releases it.
+func (l *suspectLock) tryAcquire(hash fingerprint.Fingerprint, isolated bool) (unlock func(), acquired bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.held[hash] || (isolated && l.isolatedHeld) {
 		return nil, false
 	}
-	if t.running == nil {
-		t.running = make(map[fingerprint.Fingerprint]bool)
+	if l.held == nil {
+		l.held = make(map[fingerprint.Fingerprint]bool)
 	}
-	t.running[hash] = true
-	t.alone = t.alone || alone
-	return func() { t.end(hash, alone) }, true
+	l.held[hash] = true
+	l.isolatedHeld = l.isolatedHeld || isolated
+	return func() { l.release(hash, isolated) }, true
 }
 
-func (t *turns) end(hash fingerprint.Fingerprint, alone bool) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	delete(t.running, hash)
-	if alone {
-		t.alone = false
+func (l *suspectLock) release(hash fingerprint.Fingerprint, isolated bool) {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	delete(l.held, hash)
+	if isolated {
+		l.isolatedHeld = false
 	}
-	if t.changed != nil {
-		close(t.changed)
-		t.changed = nil
+	if l.released != nil {
+		close(l.released)
+		l.released = nil
 	}
 }
 
-// change returns what is closed when the next turn ends.
-func (t *turns) change() <-chan struct{} {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	if t.changed == nil {
-		t.changed = make(chan struct{})
+// releaseSignal returns a channel that is closed at the next release.
+func (l *suspectLock) releaseSignal() <-chan struct{} {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.released == nil {
+		l.released = make(chan struct{})
 	}
-	return t.changed
+	return l.released
 }
 
-// await waits for a request's turn, for as long as the call may wait for room. The
-// returned function ends the turn.
-func (t *turns) await(ctx context.Context, hash fingerprint.Fingerprint, alone bool, call *peering.Call) (done func(), reply *peering.Reply) {
+// acquire waits for the lock, for at most the call's maximum queue time or, if that is
+// zero, its remaining time. The returned function releases it.
+func (l *suspectLock) acquire(ctx context.Context, hash fingerprint.Fingerprint, isolated bool, call *peering.Call) (unlock func(), reply *peering.Reply) {
 	wait := call.MaxWait
 	if wait == 0 {
 		wait = call.Remaining
@@ -68,16 +69,16 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		changed := t.change()
-		if done, begun := t.try(hash, alone); begun {
-			return done, nil
+		released := l.releaseSignal()
+		if unlock, acquired := l.tryAcquire(hash, isolated); acquired {
+			return unlock, nil
 		}
 		select {
-		case <-changed:
+		case <-released:
 		case <-timer.C:
-			return nil, refused(peering.Waited)
+			return nil, refusedReply(peering.Waited)
 		case <-ctx.Done():
-			return nil, refused(peering.CallerLeft)
+			return nil, refusedReply(peering.CallerLeft)
 		}
 	}
 }
