--- a/internal/limit/config.go
+++ b/internal/limit/config.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Defaults of Config.
+// Default values of Config.
 const (
 	DefaultWindow         = 100 * time.Millisecond
 	DefaultRampTime       = time.Second
@@ -17,38 +17,39 @@
 	DefaultHintDecay      = 2 * time.Second
 )
 
-// Config sets a Limiter. A zero field takes its default.
+// Config configures a Limiter. A zero field takes its default.
 type Config struct {
 	// Ceiling is the largest limit in calls: the smaller of slots and connections. At least 1.
 	Ceiling int
-	// Initial is the first limit in calls; default half the ceiling, at least Minimum.
+	// Initial is the initial limit in calls; default half the ceiling, at least Minimum.
 	Initial int
 	// Minimum is the smallest limit in calls; default 1.
 	Minimum int
-	// Window is the least time between two cuts, and the step of increases.
+	// Window is the minimum time between two cuts and the interval between increases.
 	Window time.Duration
-	// RampTime is the time in which steady success raises the limit by one ceiling.
+	// RampTime is the time in which continuous success raises the limit by the value of the ceiling.
 	RampTime time.Duration
-	// Backoff is the factor of a cut on overload or timeouts, between 0 and 1.
+	// Backoff is the factor applied to the limit on overload or timeouts, between 0 and 1.
 	Backoff float64
-	// GradientCut is the factor of a cut on rising latency, between 0 and 1.
+	// GradientCut is the factor applied to the limit on rising latency, between 0 and 1.
 	GradientCut float64
-	// Tolerance is how many times the normal latency the median of recent calls may be before a cut.
+	// Tolerance is the ratio of the median latency of recent calls to the normal latency above which the limit is cut.
 	Tolerance float64
-	// GradientFloor is the share of the ceiling below which latency alone cuts nothing.
+	// GradientFloor is the fraction of the ceiling below which latency alone never cuts the limit.
 	GradientFloor float64
-	// TimeoutFloor is the share of the ceiling below which timeouts mixed with successes cut nothing.
+	// TimeoutFloor is the fraction of the ceiling below which timeouts mixed with successes never cut the limit.
 	TimeoutFloor float64
-	// TimeoutShare is the share of timeouts in recent calls from which they count as congestion.
+	// TimeoutShare is the fraction of timeouts among recent calls from which on they count as congestion.
 	TimeoutShare float64
-	// BaselineMemory is the time in which the normal latency follows a higher one; it follows a lower one within some batches.
+	// BaselineMemory is the time constant with which the normal latency follows a higher one; it follows a lower one within a few batches.
 	BaselineMemory time.Duration
-	// HintFloor is the smallest factor that a reported load can put on the limit.
+	// HintFloor is the smallest factor that a reported load can apply to the limit.
 	HintFloor float64
-	// HintDecay is the time after which a reported load has no effect any more.
+	// HintDecay is the time after which a reported load no longer has any effect.
 	HintDecay time.Duration
 }
 
+// withDefaults returns the configuration with defaults for zero and invalid fields.
 func (c Config) withDefaults() Config {
 	c.Ceiling = max(c.Ceiling, 1)
 	c.Minimum = min(max(c.Minimum, 1), c.Ceiling)
--- a/internal/limit/gradient.go
+++ b/internal/limit/gradient.go
@@ -6,65 +6,68 @@
 	"time"
 )
 
-// verdict is what the latency of a finished batch of calls says.
+// verdict is the result of evaluating the latency of a batch of calls.
 type verdict uint8
 
 const (
-	// undecided: the batch is not complete, or its latency is normal.
+	// undecided means that the batch is incomplete or its latency is normal.
 	undecided verdict = iota
-	// congested: latency has grown beyond the tolerance.
+	// congested means that latency has risen beyond the tolerance.
 	congested
 )
 
-// gradientBatch is the number of successes whose median is one short-term
-// value. Service times of sound targets are scattered: the median of 16 calls
-// with a lognormal sigma of 0.6 is within a factor of 1.5 of the true one in
-// 19 of 20 batches, where the minimum of a batch says next to nothing.
+// gradientBatch is the number of successful calls whose median is one short-term
+// sample. Service times vary even on healthy targets: with a lognormal sigma of
+// 0.6, the median of 16 calls is within a factor of 1.5 of the true median in 19
+// of 20 batches, whereas the minimum of a batch carries almost no information.
 const gradientBatch = 16
 
-// fallWeight is the weight of a batch that is faster than the baseline.
+// fallWeight is the weight of a batch that is faster than the baseline, and the
+// maximum weight of a slower one.
 const fallWeight = 0.1
 
-// responseShare is the part of an expected fall of latency that must be seen
-// for a cut to be judged the cure: the fall is proportional where the target
-// queues, and nothing where it waits for another service.
+// responseShare is the fraction of the expected fall of latency that must be
+// observed for a cut to count as effective. Latency falls in proportion to the
+// limit if the target queues calls, and not at all if it waits for a dependency.
 const responseShare = 0.5
 
-// gradient compares the median latency of batches with a slowly moving average
-// of such medians and judges cuts by their effect. Its owner's lock guards it.
+// gradient compares the median latency of batches with a slow moving average of
+// such medians and evaluates cuts by their effect. The Limiter's mutex guards it.
 type gradient struct {
-	tolerance float64
-	window    time.Duration
-	memory    time.Duration
-	// response is the factor by which latency must fall for a cut to count as the cure.
-	response float64
+	tolerance      float64
+	window         time.Duration
+	baselineMemory time.Duration
+	// maxResponse is the largest ratio of latency after a cut to latency before it
+	// for which the cut counts as effective.
+	maxResponse float64
 
 	batchStart time.Time
 	batchCount int
 	batch      [gradientBatch]time.Duration
-	// median is that of the last complete batch.
+	// median is the median of the last complete batch.
 	median time.Duration
 
-	// baseline is the logarithm of the normal latency in seconds, learned
-	// from batches up to learnedAt.
+	// baseline is the logarithm of the normal latency in seconds, computed from
+	// batches up to learnedAt.
 	baseline  float64
 	learnedAt time.Time
 
-	experimenting bool
-	cutAt         time.Time
-	beforeCut     time.Duration
+	experimenting   bool
+	cutAt           time.Time
+	medianBeforeCut time.Duration
 }
 
 func newGradient(config Config) gradient {
 	return gradient{
-		tolerance: config.Tolerance,
-		window:    config.Window,
-		memory:    config.BaselineMemory,
-		response:  1 - responseShare*(1-config.GradientCut),
+		tolerance:      config.Tolerance,
+		window:         config.Window,
+		baselineMemory: config.BaselineMemory,
+		maxResponse:    1 - responseShare*(1-config.GradientCut),
 	}
 }
 
-// observe takes one successful call that ended now.
+// observe records a successful call that ended now. Calls that began before the last cut are
+// ignored during an experiment.
 func (g *gradient) observe(now time.Time, latency time.Duration, inUse bool) verdict {
 	if g.experimenting && now.Add(-latency).Before(g.cutAt) {
 		return undecided
@@ -72,8 +75,8 @@
 	if g.batchCount == 0 {
 		g.batchStart = now
 	}
-	// A busy target's batch goes on until the end of the window; its latest
-	// calls are kept.
+	// On a busy target a batch lasts until the end of the window and keeps the
+	// most recent calls.
 	g.batch[g.batchCount%gradientBatch] = latency
 	g.batchCount++
 	if g.batchCount < gradientBatch || now.Sub(g.batchStart) < g.window {
@@ -84,57 +87,60 @@
 	return g.judge(now, inUse)
 }
 
+// medianOf returns the upper median of a batch.
 func medianOf(batch [gradientBatch]time.Duration) time.Duration {
 	slices.Sort(batch[:])
 	return batch[gradientBatch/2]
 }
 
+// judge evaluates the last complete batch.
 func (g *gradient) judge(now time.Time, inUse bool) verdict {
 	if g.experimenting {
 		g.experimenting = false
-		if float64(g.median) > g.response*float64(g.beforeCut) {
+		if float64(g.median) > g.maxResponse*float64(g.medianBeforeCut) {
 			g.acceptBaseline(now)
 			return undecided
 		}
 	}
-	g.learn(now)
-	if inUse && logarithm(g.median) > g.baseline+math.Log(g.tolerance) {
+	g.updateBaseline(now)
+	if inUse && logSeconds(g.median) > g.baseline+math.Log(g.tolerance) {
 		return congested
 	}
 	return undecided
 }
 
-// beginExperiment notes a cut; calls that begin later will judge it.
+// beginExperiment records a cut, which is evaluated by calls that begin after it.
 func (g *gradient) beginExperiment(now time.Time) {
 	g.experimenting = true
 	g.cutAt = now
-	g.beforeCut = g.median
+	g.medianBeforeCut = g.median
 	g.batchCount = 0
 }
 
-// acceptBaseline takes the last batch as the normal latency.
+// acceptBaseline sets the baseline to the median of the last batch.
 func (g *gradient) acceptBaseline(now time.Time) {
-	g.baseline = logarithm(g.median)
+	g.baseline = logSeconds(g.median)
 	g.learnedAt = now
 }
 
-// learn moves the baseline towards the last batch: quickly down, and up only in
-// the course of the memory, so that congestion does not soon count as normal.
-func (g *gradient) learn(now time.Time) {
+// updateBaseline moves the baseline towards the last batch: quickly down, but up only
+// with the time constant baselineMemory, so that congestion does not quickly count as
+// normal.
+func (g *gradient) updateBaseline(now time.Time) {
 	if g.learnedAt.IsZero() {
 		g.acceptBaseline(now)
 		return
 	}
-	difference := logarithm(g.median) - g.baseline
+	difference := logSeconds(g.median) - g.baseline
 	weight := fallWeight
 	if difference > 0 {
-		weight = min(now.Sub(g.learnedAt).Seconds()/g.memory.Seconds(), fallWeight)
+		weight = min(now.Sub(g.learnedAt).Seconds()/g.baselineMemory.Seconds(), fallWeight)
 	}
 	g.baseline += weight * difference
 	g.learnedAt = now
 }
 
-// logarithm is that of a latency in seconds; a microsecond is the least.
-func logarithm(latency time.Duration) float64 {
+// logSeconds returns the logarithm of a latency in seconds, of at least one microsecond.
+func logSeconds(latency time.Duration) float64 {
 	return math.Log(max(latency, time.Microsecond).Seconds())
 }
--- a/internal/limit/hint.go
+++ b/internal/limit/hint.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Hint takes the load which the target reports of itself: work in hand as a
-// share of what it can carry, 1 being full. Reported load lags and misleads, so
-// a hint can only lower the limit, by 1/load and not below HintFloor of it,
-// and its effect fades out over HintDecay. Values up to 1 change nothing; in
-// particular they neither raise the limit nor cancel an earlier hint.
+// Hint records the load that the target reports about itself: its work in
+// progress as a fraction of its capacity, 1 being full. Reported load lags and may
+// mislead, so a hint can only lower the limit, to 1/load of it and not below
+// HintFloor of it, and its effect decays over HintDecay. Values up to 1 have no
+// effect: they neither raise the limit nor cancel an earlier hint.
 func (l *Limiter) Hint(reportedLoad float64) {
 	if !(reportedLoad > 1) || math.IsInf(reportedLoad, 1) {
 		return
@@ -22,11 +22,11 @@
 		return
 	}
 	l.hintFactor = factor
-	l.hintTime = now
+	l.hintedAt = now
 	l.hinted.Store(true)
 }
 
-// hintedLimit applies the faded hint to a published limit.
+// hintedLimit applies the decayed hint to a published limit.
 func (l *Limiter) hintedLimit(published int) int {
 	now := l.now()
 	l.mu.Lock()
@@ -39,12 +39,12 @@
 	return max(int(factor*float64(published)), min(l.config.Minimum, published))
 }
 
-// currentHint returns the factor of the last hint, risen linearly towards 1.
+// currentHint returns the factor of the last hint, which decays linearly towards 1.
 func (l *Limiter) currentHint(now time.Time) float64 {
-	age := now.Sub(l.hintTime)
-	if l.hintTime.IsZero() || age >= l.config.HintDecay {
+	age := now.Sub(l.hintedAt)
+	if l.hintedAt.IsZero() || age >= l.config.HintDecay {
 		return 1
 	}
-	faded := float64(age) / float64(l.config.HintDecay)
-	return l.hintFactor + (1-l.hintFactor)*faded
+	decayed := float64(age) / float64(l.config.HintDecay)
+	return l.hintFactor + (1-l.hintFactor)*decayed
 }
--- a/internal/limit/limiter.go
+++ b/internal/limit/limiter.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Outcome is how a call to the target ended, as far as it concerns the limit.
+// Outcome is the outcome of a call to the target as far as the limit is concerned.
 type Outcome uint8
 
 // The outcomes.
 const (
 	// Success is a complete answer.
 	Success Outcome = iota
-	// Overload is an answer by which the target itself refuses for load.
+	// Overload is an answer by which the target rejects a call because of its load.
 	Overload
-	// Timeout is a call whose deadline passed while the target worked on it.
+	// Timeout is a call whose deadline expired while the target worked on it.
 	Timeout
-	// Failure is any other failure, such as a reset connection. It moves nothing.
+	// Failure is any other failure, such as a reset connection. It doesn't affect the limit.
 	Failure
 )
 
 var outcomeNames = [...]string{"success", "overload", "timeout", "failure"}
 
-// String returns the outcome's name as metrics label it.
+// String returns the outcome's name as used in metric labels.
 func (o Outcome) String() string {
 	if int(o) >= len(outcomeNames) {
 		return fmt.Sprintf("outcome(%d)", uint8(o))
@@ -35,7 +35,7 @@
 
 // Sample is one finished call.
 type Sample struct {
-	// Latency is the time from the permit to the end of the answer.
+	// Latency is the time from the grant of the permit to the end of the answer.
 	Latency time.Duration
 	// InFlight is the number of calls in flight when this one began, itself included.
 	InFlight int
@@ -44,13 +44,13 @@
 }
 
 const (
-	// timeoutWeight is the weight of one call in the moving share of timeouts.
+	// timeoutWeight is the weight of one call in the moving average of the timeout share.
 	timeoutWeight = 1.0 / 16
-	// unresponsiveCalls is the least run of timeouts without a success that counts as unresponsive.
-	unresponsiveCalls = 8
-	// rampCreditShare bounds the share of RampTime which one quiet period can add to an increase.
-	rampCreditShare = 0.25
-	// inUseShare is the share of the limit that must be in flight for an increase or a gradient cut.
+	// minUnresponsiveRun is the minimum number of consecutive timeouts from which on a target counts as unresponsive.
+	minUnresponsiveRun = 8
+	// maxRampCredit limits the fraction of RampTime that one increase can credit, such as after a quiet period.
+	maxRampCredit = 0.25
+	// inUseShare is the fraction of the limit that must be in flight for an increase or a gradient cut.
 	inUseShare = 0.5
 )
 
@@ -59,26 +59,26 @@
 	now    func() time.Time
 	config Config
 
-	// published is the whole number of calls allowed before a hint is applied.
+	// published is the limit, rounded down to whole calls, before a hint is applied.
 	published atomic.Int64
 	hinted    atomic.Bool
 
-	mu          sync.Mutex
-	ceiling     int
-	limit       float64
-	lastCut     time.Time
-	timeouts    float64
-	timeoutRun  int
-	windowStart time.Time
-	windowPeak  int
-	windowGood  bool
-	gradient    gradient
-	hintFactor  float64
-	hintTime    time.Time
+	mu                  sync.Mutex
+	ceiling             int
+	limit               float64
+	lastCut             time.Time
+	timeoutShare        float64
+	consecutiveTimeouts int
+	windowStart         time.Time
+	windowPeak          int
+	windowSucceeded     bool
+	gradient            gradient
+	hintFactor          float64
+	hintedAt            time.Time
 }
 
-// New returns a limiter which starts at the configured initial limit. The
-// clock now must not go backwards.
+// New returns a limiter that starts at the configured initial limit. The clock
+// now must be monotonic.
 func New(config Config, now func() time.Time) *Limiter {
 	config = config.withDefaults()
 	l := &Limiter{
@@ -94,7 +94,7 @@
 	return l
 }
 
-// Limit returns how many calls may be in flight now, at least 1.
+// Limit returns the number of calls that may be in flight, at least 1.
 func (l *Limiter) Limit() int {
 	published := int(l.published.Load())
 	if !l.hinted.Load() {
@@ -103,7 +103,7 @@
 	return l.hintedLimit(published)
 }
 
-// Ceiling returns the present ceiling in calls.
+// Ceiling returns the current ceiling in calls.
 func (l *Limiter) Ceiling() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,7 +111,7 @@
 }
 
 // SetCeiling changes the ceiling, for a target whose slots were reconfigured. A
-// lower ceiling holds at once, a higher one is reached by the usual increase.
+// lower ceiling applies at once; the limit reaches a higher one by additive increase.
 func (l *Limiter) SetCeiling(ceiling int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -119,7 +119,7 @@
 	l.setLimit(l.limit)
 }
 
-// Observe takes the outcome of one call into account.
+// Observe updates the limit with the outcome of one call.
 func (l *Limiter) Observe(sample Sample) {
 	now := l.now()
 	l.mu.Lock()
@@ -137,9 +137,9 @@
 }
 
 func (l *Limiter) observeSuccess(sample Sample, now time.Time) {
-	l.timeouts -= l.timeouts * timeoutWeight
-	l.timeoutRun = 0
-	l.windowGood = true
+	l.timeoutShare -= l.timeoutShare * timeoutWeight
+	l.consecutiveTimeouts = 0
+	l.windowSucceeded = true
 	verdict := l.gradient.observe(now, sample.Latency, l.inUse())
 	if verdict != congested {
 		return
@@ -154,19 +154,19 @@
 }
 
 func (l *Limiter) observeTimeout(now time.Time) {
-	l.timeouts += (1 - l.timeouts) * timeoutWeight
-	l.timeoutRun++
-	if l.timeouts < l.config.TimeoutShare {
+	l.timeoutShare += (1 - l.timeoutShare) * timeoutWeight
+	l.consecutiveTimeouts++
+	if l.timeoutShare < l.config.TimeoutShare {
 		return
 	}
 	floor := max(l.config.TimeoutFloor*float64(l.ceiling), l.minimum())
-	if l.timeoutRun >= max(unresponsiveCalls, 2*int(l.limit)) {
+	if l.consecutiveTimeouts >= max(minUnresponsiveRun, 2*int(l.limit)) {
 		floor = l.minimum()
 	}
 	l.cut(now, l.config.Backoff, floor)
 }
 
-// cut multiplies the limit by factor, not below floor, at most once a window.
+// cut multiplies the limit by factor, but not below floor, at most once per window.
 func (l *Limiter) cut(now time.Time, factor, floor float64) {
 	if !l.lastCut.IsZero() && now.Sub(l.lastCut) < l.config.Window {
 		return
@@ -178,15 +178,15 @@
 	}
 }
 
-// closeWindow raises the limit at the end of a window in which calls succeeded
-// and the limit was in use, and no cut was made (a cut starts a new window).
+// closeWindow raises the limit at the end of a window in which calls succeeded,
+// the limit was in use and no cut was made (a cut starts a new window).
 func (l *Limiter) closeWindow(now time.Time) {
 	elapsed := now.Sub(l.windowStart)
 	if elapsed < l.config.Window {
 		return
 	}
-	if l.windowGood && l.inUse() && !l.gradient.experimenting {
-		credit := min(elapsed.Seconds()/l.config.RampTime.Seconds(), rampCreditShare)
+	if l.windowSucceeded && l.inUse() && !l.gradient.experimenting {
+		credit := min(elapsed.Seconds()/l.config.RampTime.Seconds(), maxRampCredit)
 		l.setLimit(l.limit + credit*float64(l.ceiling))
 	}
 	l.startWindow(now)
@@ -195,11 +195,11 @@
 func (l *Limiter) startWindow(now time.Time) {
 	l.windowStart = now
 	l.windowPeak = 0
-	l.windowGood = false
+	l.windowSucceeded = false
 }
 
-// inUse reports whether the window's calls used enough of the limit to say
-// anything about it. An idle target neither earns nor loses limit.
+// inUse reports whether the window's calls used enough of the limit to be
+// evidence about it. The limit of an idle target neither rises nor falls.
 func (l *Limiter) inUse() bool {
 	return float64(l.windowPeak) >= inUseShare*math.Floor(l.limit)
 }
@@ -211,8 +211,8 @@
 	l.publish()
 }
 
-func (l *Limiter) publish() { l.published.Store(int64(l.limit + roundingSlack)) }
+func (l *Limiter) publish() { l.published.Store(int64(l.limit + roundingTolerance)) }
 
-// roundingSlack keeps sums of fractions that should reach a whole number from
-// falling just short of it.
-const roundingSlack = 1e-9
+// roundingTolerance keeps a sum of fractions that should be a whole number from
+// being rounded down below it.
+const roundingTolerance = 1e-9
--- a/internal/limit/limiter_test.go
+++ b/internal/limit/limiter_test.go
@@ -19,20 +19,20 @@
 func (c *clock) advance(d time.Duration)     { c.time = c.time.Add(d) }
 func constant(d time.Duration) latencyByLoad { return func(int) time.Duration { return d } }
 
-// latencyByLoad is a target's latency at a given number of calls in flight.
+// latencyByLoad returns a target's latency at a given number of calls in flight.
 type latencyByLoad func(inFlight int) time.Duration
 
-// saturate runs the target for the given time with the limit fully used and
-// returns the lowest limit seen.
+// saturate simulates the target for the given time with the limit fully used and
+// returns the lowest limit.
 func saturate(c *clock, l *limit.Limiter, latency latencyByLoad, outcome limit.Outcome, span time.Duration) int {
 	end := c.time.Add(span)
 	lowest := l.Limit()
 	for c.time.Before(end) {
 		inFlight := l.Limit()
-		spent := latency(inFlight)
+		duration := latency(inFlight)
 		for range inFlight {
-			c.advance(spent / time.Duration(inFlight))
-			l.Observe(limit.Sample{Latency: spent, InFlight: inFlight, Outcome: outcome})
+			c.advance(duration / time.Duration(inFlight))
+			l.Observe(limit.Sample{Latency: duration, InFlight: inFlight, Outcome: outcome})
 		}
 		lowest = min(lowest, l.Limit())
 	}
@@ -49,7 +49,7 @@
 	}
 }
 
-func TestIdleTargetEarnsNoLimit(t *testing.T) {
+func TestIdleTargetKeepsLimit(t *testing.T) {
 	c := newClock()
 	l := limit.New(limit.Config{Ceiling: 20}, c.now)
 	for range 100 {
@@ -73,13 +73,13 @@
 }
 
 func TestTimeouts(t *testing.T) {
-	t.Run("a lone timeout cuts nothing", func(t *testing.T) {
+	t.Run("a single timeout does not cut the limit", func(t *testing.T) {
 		c := newClock()
 		l := limit.New(limit.Config{Ceiling: 20, Initial: 20}, c.now)
 		l.Observe(limit.Sample{InFlight: 20, Outcome: limit.Timeout})
 		assert.Equal(t, l.Limit(), 20)
 	})
-	t.Run("mixed with successes they stop at the floor", func(t *testing.T) {
+	t.Run("timeouts mixed with successes cut to the floor", func(t *testing.T) {
 		c := newClock()
 		l := limit.New(limit.Config{Ceiling: 20, Initial: 20}, c.now)
 		for i := range 400 {
@@ -89,11 +89,11 @@
 			}
 			c.advance(25 * time.Millisecond)
 			l.Observe(limit.Sample{Latency: 500 * time.Millisecond, InFlight: l.Limit(), Outcome: outcome})
-			assert.Assert(t, l.Limit() >= 5, "step %d: %d", i, l.Limit())
+			assert.Assert(t, l.Limit() >= 5, "step %d: limit %d", i, l.Limit())
 		}
 		assert.Assert(t, l.Limit() < 10)
 	})
-	t.Run("without any success they reach the minimum", func(t *testing.T) {
+	t.Run("timeouts without a success cut to the minimum", func(t *testing.T) {
 		c := newClock()
 		l := limit.New(limit.Config{Ceiling: 20, Initial: 20}, c.now)
 		saturate(c, l, constant(300*time.Millisecond), limit.Timeout, 20*time.Second)
@@ -106,18 +106,19 @@
 	l := limit.New(limit.Config{Ceiling: 20}, c.now)
 	saturate(c, l, constant(20*time.Millisecond), limit.Success, 5*time.Second)
 	lowest := saturate(c, l, constant(400*time.Millisecond), limit.Success, 20*time.Second)
-	assert.Assert(t, lowest >= 10, "fell to %d", lowest)
+	assert.Assert(t, lowest >= 10, "the limit fell to %d", lowest)
 	assert.Equal(t, l.Limit(), 20)
 	saturate(c, l, constant(20*time.Millisecond), limit.Success, time.Second)
 	assert.Equal(t, l.Limit(), 20)
 }
 
-// TestScatteredServiceTimesCostNoLimit keeps a sound target busy whose calls
-// take very different times, as a rule without any congestion.
-func TestScatteredServiceTimesCostNoLimit(t *testing.T) {
+// TestVariableServiceTimesDoNotLowerLimit saturates a healthy target whose service
+// times vary widely without any congestion. The variation alone must not be taken
+// for congestion and cut the limit.
+func TestVariableServiceTimesDoNotLowerLimit(t *testing.T) {
 	for _, sigma := range []float64{0.4, 0.6, 0.8} {
 		random := rand.New(rand.NewPCG(1, 2))
-		scattered := func(int) time.Duration {
+		variable := func(int) time.Duration {
 			return time.Duration(100 * math.Exp(sigma*random.NormFloat64()) * float64(time.Millisecond))
 		}
 		c := newClock()
@@ -126,7 +127,7 @@
 		for end := c.time.Add(2 * time.Minute); c.time.Before(end); steps++ {
 			inFlight := l.Limit()
 			c.advance(100 * time.Millisecond / time.Duration(inFlight))
-			l.Observe(limit.Sample{Latency: scattered(inFlight), InFlight: inFlight, Outcome: limit.Success})
+			l.Observe(limit.Sample{Latency: variable(inFlight), InFlight: inFlight, Outcome: limit.Success})
 			total += l.Limit()
 		}
 		mean := float64(total) / float64(steps)
@@ -138,17 +139,17 @@
 	c := newClock()
 	l := limit.New(limit.Config{Ceiling: 20}, c.now)
 	saturate(c, l, constant(20*time.Millisecond), limit.Success, 3*time.Second)
-	// Processor contention: latency is proportional to what is in flight.
+	// CPU contention: latency is proportional to the number of calls in flight.
 	contended := func(inFlight int) time.Duration { return time.Duration(inFlight) * 8 * time.Millisecond }
 	lowest := saturate(c, l, contended, limit.Success, 5*time.Second)
-	assert.Assert(t, lowest >= 10 && lowest < 15, "fell to %d", lowest)
+	assert.Assert(t, lowest >= 10 && lowest < 15, "the limit fell to %d", lowest)
 }
 
 func TestHintOnlyLowersAndFades(t *testing.T) {
 	c := newClock()
 	l := limit.New(limit.Config{Ceiling: 20, Initial: 20}, c.now)
-	for _, harmless := range []float64{0, 0.3, 1, -4, math.NaN(), math.Inf(1)} {
-		l.Hint(harmless)
+	for _, ignored := range []float64{0, 0.3, 1, -4, math.NaN(), math.Inf(1)} {
+		l.Hint(ignored)
 		assert.Equal(t, l.Limit(), 20)
 	}
 	l.Hint(1.25)
@@ -163,7 +164,7 @@
 	assert.Equal(t, l.Limit(), 20)
 }
 
-func TestSetCeilingLowersAtOnceAndRaisesByUse(t *testing.T) {
+func TestSetCeilingLowersAtOnceAndRaisesGradually(t *testing.T) {
 	c := newClock()
 	l := limit.New(limit.Config{Ceiling: 20, Initial: 20}, c.now)
 	l.SetCeiling(4)
@@ -196,9 +197,9 @@
 					Outcome:  limit.Outcome(rapid.IntRange(0, 3).Draw(r, "outcome")),
 				})
 			}
-			got := l.Limit()
-			if got < 1 || got > ceiling {
-				r.Fatalf("limit %d outside 1..%d", got, ceiling)
+			current := l.Limit()
+			if current < 1 || current > ceiling {
+				r.Fatalf("limit %d outside 1..%d", current, ceiling)
 			}
 		}
 	})
