--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -1,9 +1,9 @@
-// Package pressure tells where a request's whole chain of calls lacks room. The
-// shed thresholds that homes report on their replies are kept by route; a route
-// whose requests make further calls is held to the thresholds of those as well.
-// Which calls a route's requests make is learned from the calls themselves.
-// Thresholds thus travel up a chain with the answers, and a request can be
-// refused where it begins, before any work is spent on it.
+// Package pressure propagates overload upstream along call chains. It keeps the
+// shed thresholds that homes report on their replies by route. A route whose
+// requests make downstream calls is subject to the thresholds of those routes as
+// well; which calls its requests make is learned by observation. Thresholds thus
+// propagate upstream with the replies, and a request can be refused at the start
+// of its chain, before any work is spent on it.
 package pressure
 
 import (
@@ -15,78 +15,80 @@
 )
 
 const (
-	// expiry is how long a home's threshold holds without another report.
-	expiry = 1500 * time.Millisecond
-	// repeatAfter is how long an unchanged report need not be taken again.
-	repeatAfter = 200 * time.Millisecond
-	// maxRoutes bounds the routes whose calls are remembered.
+	// reportExpiry is the time for which a home's report is valid.
+	reportExpiry = 1500 * time.Millisecond
+	// minRepeatInterval is the time for which a repeated unchanged report is ignored.
+	minRepeatInterval = 200 * time.Millisecond
+	// maxRoutes limits the number of routes whose downstream calls are remembered.
 	maxRoutes = 1024
-	// maxCalls bounds the routes remembered below one route.
-	maxCalls = 32
+	// maxCalledRoutes limits the number of downstream routes of one route.
+	maxCalledRoutes = 32
 )
 
-// Levels are the thresholds that a node knows. It is safe for concurrent use.
+// Levels holds the thresholds and downstream calls of routes that a node knows. It is safe for
+// concurrent use.
 type Levels struct {
-	table   *shed.Table
-	now     func() time.Time
-	version atomic.Uint64
-
-	mutex   sync.Mutex
-	calls   map[string]map[string]Calls
-	reports map[reportKey]report
-	told    map[string]toldOfRoute
+	thresholds *shed.Table
+	now        func() time.Time
+	version    atomic.Uint64
+
+	mutex            sync.Mutex
+	calls            map[string]map[string]Calls
+	thresholdReports map[reportKey]thresholdReport
+	callReports      map[string]callReport
 }
 
-// Calls is what is known of the calls of one route that a request of another
+// Calls describes the downstream calls of one route that a request of another
 // route makes.
 type Calls struct {
-	// Count is the most calls that one request was seen to make.
+	// Count is the maximum number of calls observed for one request.
 	Count int
-	// Scarce tells that so many repetitions could hardly be paid for by this node.
+	// Scarce is set if this node's retry budget hardly suffices to repeat that many
+	// calls.
 	Scarce bool
 }
 
 type reportKey struct{ route, home string }
 
-type report struct {
+type thresholdReport struct {
 	threshold uint16
 	at        time.Time
 }
 
-// Level is what is known of a route, or of the calls that its requests make.
+// Level is the pressure on a route, or on the downstream calls of its requests.
 type Level struct {
-	// Threshold is the rank key from which on requests are to be refused;
-	// shed.None refuses nothing.
+	// Threshold is the lowest rank key at which requests must be refused; shed.None
+	// refuses nothing.
 	Threshold uint16
-	// Calls is the number of calls that one request leads to, those further down
-	// included.
+	// Calls is the total number of downstream calls, direct and indirect, that one
+	// request causes.
 	Calls int
-	// Scarce tells that these calls could hardly be paid for out of the retry budgets
-	// if the request were repeated.
+	// Scarce is set if the retry budgets would hardly suffice for these calls if the
+	// request were repeated.
 	Scarce bool
 }
 
-// toldOfRoute is what homes told of a route.
-type toldOfRoute struct {
-	calls int
-	// scarceAt is when one told last that repetitions are scarce.
+// callReport is the homes' report on the downstream calls of a route.
+type callReport struct {
+	count int
+	// scarceAt is the time of the last report that retries are scarce.
 	scarceAt time.Time
 }
 
-// New returns levels that refuse nothing.
+// New returns Levels without any reports, which refuse nothing.
 func New(now func() time.Time) *Levels {
 	return &Levels{
-		table:   shed.NewTable(shed.TableConfig{Expiry: expiry}),
-		now:     now,
-		calls:   make(map[string]map[string]Calls),
-		reports: make(map[reportKey]report),
-		told:    make(map[string]toldOfRoute),
+		thresholds:       shed.NewTable(shed.TableConfig{Expiry: reportExpiry}),
+		now:              now,
+		calls:            make(map[string]map[string]Calls),
+		thresholdReports: make(map[reportKey]thresholdReport),
+		callReports:      make(map[string]callReport),
 	}
 }
 
-// Learn notes that a request of the route makes calls of the other route, and how
-// many that one has made so far.
-func (l *Levels) Learn(route, called string, seen Calls) {
+// Learn records that a request of the route makes calls of the other route, and how
+// many it has made so far.
+func (l *Levels) Learn(route, called string, observed Calls) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	calls := l.calls[route]
@@ -98,38 +100,38 @@
 		l.calls[route] = calls
 	}
 	known, found := calls[called]
-	if found || len(calls) < maxCalls {
-		calls[called] = Calls{Count: max(known.Count, seen.Count), Scarce: seen.Scarce}
+	if found || len(calls) < maxCalledRoutes {
+		calls[called] = Calls{Count: max(known.Count, observed.Count), Scarce: observed.Scarce}
 	}
 }
 
-// Expected returns how many calls of the other route a request of the route makes,
-// zero if that is not known.
+// Expected returns the number of calls of the other route that a request of the
+// route makes, zero if unknown.
 func (l *Levels) Expected(route, called string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.calls[route][called].Count
 }
 
-// Report notes what a home told for calls of the route. The weight is the
-// home's part of the room, in calls at once.
+// Report records a home's report for calls of the route. The weight is the home's
+// capacity in concurrent calls.
 func (l *Levels) Report(route, home string, level Level, weight int) {
 	now := l.now()
 	threshold := level.Threshold
 	key := reportKey{route: route, home: home}
 	l.mutex.Lock()
-	l.note(route, level, now)
-	last, known := l.reports[key]
-	if known && last.threshold == threshold && now.Sub(last.at) < repeatAfter {
+	l.recordCallReport(route, level, now)
+	last, known := l.thresholdReports[key]
+	if known && last.threshold == threshold && now.Sub(last.at) < minRepeatInterval {
 		l.mutex.Unlock()
 		return
 	}
-	if len(l.reports) >= shed.DefaultMaxEntries {
-		clear(l.reports)
+	if len(l.thresholdReports) >= shed.DefaultMaxEntries {
+		clear(l.thresholdReports)
 	}
-	l.reports[key] = report{threshold: threshold, at: now}
+	l.thresholdReports[key] = thresholdReport{threshold: threshold, at: now}
 	l.mutex.Unlock()
-	l.table.Update(shed.Entry{
+	l.thresholds.Update(shed.Entry{
 		Service:   route,
 		Target:    home,
 		Threshold: threshold,
@@ -138,62 +140,62 @@
 	}, now)
 }
 
-// Remove forgets the thresholds that a home told for any route, because it takes
-// no more calls. Its last ones would count as room.
+// Remove removes the thresholds that a home reported for any route, when it accepts
+// no more calls. Otherwise its last thresholds would still count as capacity.
 func (l *Levels) Remove(home string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for key := range l.reports {
+	for key := range l.thresholdReports {
 		if key.home == home {
-			delete(l.reports, key)
-			l.table.Remove(key.route, home)
+			delete(l.thresholdReports, key)
+			l.thresholds.Remove(key.route, home)
 		}
 	}
 }
 
-// note keeps what was told of a route's calls.
-func (l *Levels) note(route string, level Level, now time.Time) {
-	known, found := l.told[route]
-	if !found && len(l.told) >= maxRoutes {
+// recordCallReport records the downstream calls that a home reported for a route.
+func (l *Levels) recordCallReport(route string, level Level, now time.Time) {
+	known, found := l.callReports[route]
+	if !found && len(l.callReports) >= maxRoutes {
 		return
 	}
 	if level.Calls > 0 {
-		known.calls = level.Calls
+		known.count = level.Calls
 	}
 	if level.Scarce {
 		known.scarceAt = now
 	}
-	l.told[route] = known
+	l.callReports[route] = known
 }
 
-// Calls returns how many calls a request of the route leads to, zero if it makes
-// none or if nobody told.
+// Calls returns the total number of downstream calls that a request of the route
+// causes, zero if it makes none or none were reported.
 func (l *Levels) Calls(route string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.told[route].calls
+	return l.callReports[route].count
 }
 
-// Scarce reports whether the calls of a repeated request of the route could
-// hardly be paid for, as a home told lately.
+// Scarce reports whether a home recently reported that the retry budgets hardly
+// suffice for the downstream calls of a repeated request of the route.
 func (l *Levels) Scarce(route string) bool {
 	now := l.now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.scarce(route, now)
+	return l.retriesScarce(route, now)
 }
 
-func (l *Levels) scarce(route string, now time.Time) bool {
-	at := l.told[route].scarceAt
-	return !at.IsZero() && now.Sub(at) < expiry
+func (l *Levels) retriesScarce(route string, now time.Time) bool {
+	at := l.callReports[route].scarceAt
+	return !at.IsZero() && now.Sub(at) < reportExpiry
 }
 
-// Threshold returns the rank key from which on requests of the route are to be
+// Threshold returns the lowest rank key at which requests of the route must be
 // refused; shed.None refuses nothing.
-func (l *Levels) Threshold(route string) uint16 { return l.table.Threshold(route, l.now()) }
+func (l *Levels) Threshold(route string) uint16 { return l.thresholds.Threshold(route, l.now()) }
 
-// Below returns what holds for the calls that the route's requests make: the
-// lowest threshold, their number, and whether repetitions of any are scarce.
+// Below returns the pressure on the downstream calls of the route's requests: the
+// lowest threshold, the total number of calls, and whether retries of any are scarce.
 func (l *Levels) Below(route string) Level {
 	now := l.now()
 	level := Level{Threshold: shed.None}
@@ -201,8 +203,8 @@
 	called := make([]string, 0, len(l.calls[route]))
 	for name, calls := range l.calls[route] {
 		called = append(called, name)
-		level.Calls += calls.Count * (1 + l.told[name].calls)
-		level.Scarce = level.Scarce || calls.Scarce || l.scarce(name, now)
+		level.Calls += calls.Count * (1 + l.callReports[name].count)
+		level.Scarce = level.Scarce || calls.Scarce || l.retriesScarce(name, now)
 	}
 	l.mutex.Unlock()
 	for _, name := range called {
--- a/internal/pressure/pressure_test.go
+++ b/internal/pressure/pressure_test.go
@@ -9,9 +9,10 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// TestThresholdsTravelUpTheChain is the chain of two nodes: the second one
-// knows the bottom's threshold and tells it on for the route that calls there.
-func TestThresholdsTravelUpTheChain(t *testing.T) {
+// TestThresholdsPropagateUpstream covers a chain of calls over two nodes: the middle
+// node knows the thresholds of the bottom homes and reports them upstream for the
+// route that calls there.
+func TestThresholdsPropagateUpstream(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	middle, ingress := New(clock), New(clock)
@@ -19,25 +20,25 @@
 	middle.Report("fetch", "bottom-1", Level{Threshold: 200}, 10)
 	middle.Report("fetch", "bottom-2", Level{Threshold: 300}, 10)
 	assert.Equal(t, middle.Below("view").Threshold, uint16(300))
-	assert.Equal(t, middle.Below("export").Threshold, shed.None, "a route that calls nothing is not held back")
+	assert.Equal(t, middle.Below("export").Threshold, shed.None, "a route without downstream calls is not restricted")
 	ingress.Report("view", "middle", middle.Below("view"), 10)
 	assert.Assert(t, ingress.Threshold("view") <= 300)
 	assert.Assert(t, ingress.Threshold("view") > 299)
 	assert.Assert(t, ingress.Threshold("export") == shed.None)
 }
 
-func TestAThresholdExpires(t *testing.T) {
+func TestThresholdExpires(t *testing.T) {
 	now := time.Unix(1000, 0)
 	levels := New(func() time.Time { return now })
 	levels.Report("view", "home", Level{Threshold: 1}, 10)
 	assert.Assert(t, levels.Threshold("view") == 1)
-	now = now.Add(expiry + time.Millisecond)
+	now = now.Add(reportExpiry + time.Millisecond)
 	assert.Assert(t, levels.Threshold("view") == shed.None)
 }
 
-// TestAHomeThatTakesNothingIsNoRoom has one of two homes leave that told before that
-// it has room: the other one's threshold holds.
-func TestAHomeThatTakesNothingIsNoRoom(t *testing.T) {
+// TestRemovedHomeDoesNotRaiseThreshold removes a home that had reported free capacity. Its
+// last report must no longer count, so that the threshold of the other home applies.
+func TestRemovedHomeDoesNotRaiseThreshold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	levels := New(func() time.Time { return now })
 	levels.Report("view", "full", Level{Threshold: 200}, 10)
@@ -46,24 +47,24 @@
 	levels.Remove("leaving")
 	assert.Equal(t, levels.Threshold("view"), uint16(200))
 	levels.Report("view", "leaving", Level{Threshold: shed.None}, 10)
-	assert.Assert(t, levels.Threshold("view") == shed.None, "it is back")
+	assert.Assert(t, levels.Threshold("view") == shed.None, "the home accepts calls again")
 }
 
-func TestARepeatedReportKeepsTheThreshold(t *testing.T) {
+func TestRepeatedReportKeepsThreshold(t *testing.T) {
 	now := time.Unix(1000, 0)
 	levels := New(func() time.Time { return now })
 	for range 40 {
 		levels.Report("view", "home", Level{Threshold: 1}, 10)
 		assert.Assert(t, levels.Threshold("view") == 1)
-		now = now.Add(expiry / 20)
+		now = now.Add(reportExpiry / 20)
 	}
 	levels.Report("view", "home", Level{Threshold: shed.None}, 10)
-	assert.Assert(t, levels.Threshold("view") == shed.None, "a raised threshold holds at once")
+	assert.Assert(t, levels.Threshold("view") == shed.None, "a raised threshold applies at once")
 }
 
-// TestTheSizeOfATreeIsToldUpTheChain has a request make two calls, each of which
-// makes four: ten calls in all.
-func TestTheSizeOfATreeIsToldUpTheChain(t *testing.T) {
+// TestCallCountsPropagateUpstream covers a request that makes two calls, each of which
+// makes four: ten calls in total.
+func TestCallCountsPropagateUpstream(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	middle, top := New(clock), New(clock)
@@ -80,9 +81,9 @@
 	assert.Equal(t, top.Below("unknown").Calls, 0)
 }
 
-// TestScarceRepetitionsAreToldUpTheChain has one of two homes lack repetitions for
-// the calls that a route's requests make.
-func TestScarceRepetitionsAreToldUpTheChain(t *testing.T) {
+// TestScarceRetriesPropagateUpstream covers two homes of a route, one of which lacks
+// retry budget for the downstream calls of its requests.
+func TestScarceRetriesPropagateUpstream(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	middle, top := New(clock), New(clock)
@@ -92,9 +93,9 @@
 	assert.Assert(t, top.Scarce("card"), "one home is enough")
 	top.Learn("view", "card", Calls{Count: 1})
 	assert.Assert(t, top.Below("view").Scarce)
-	now = now.Add(expiry)
+	now = now.Add(reportExpiry)
 	assert.Assert(t, !top.Scarce("card"))
 	assert.Assert(t, !top.Below("view").Scarce)
 	middle.Learn("card", "price", Calls{Count: 1})
-	assert.Assert(t, !middle.Below("card").Scarce, "the newest look counts")
+	assert.Assert(t, !middle.Below("card").Scarce, "the most recent observation counts")
 }
