--- a/internal/criticality/criticality.go
+++ b/internal/criticality/criticality.go
@@ -1,9 +1,9 @@
-// Package criticality orders calls by how much their loss costs the operator.
+// Package criticality ranks calls by the cost of their loss to the operator.
 //
 // The four levels are those of the site reliability engineering literature.
-// Inside a level a stable hash of the caller, the cohort, decides, so that a
-// partial shed refuses all calls of some callers instead of some calls of
-// every caller.
+// Within a level, calls are ordered by cohort, a stable hash of the caller, so
+// that partial load shedding refuses all calls of some callers instead of some
+// calls of every caller.
 package criticality
 
 import (
@@ -26,12 +26,12 @@
 // LevelCount is the number of levels.
 const LevelCount = 4
 
-// CohortCount is the number of cohorts inside a level.
+// CohortCount is the number of cohorts within a level.
 const CohortCount = 128
 
 var levelNames = [LevelCount]string{"critical-plus", "critical", "sheddable-plus", "sheddable"}
 
-// String returns the level's name as policies and settings write it.
+// String returns the level's name as used in policies and settings.
 func (l Level) String() string {
 	if int(l) >= LevelCount {
 		return fmt.Sprintf("level(%d)", uint8(l))
@@ -39,13 +39,13 @@
 	return levelNames[l]
 }
 
-// Valid reports whether the level is one of the four.
+// Valid reports whether the level is one of the four defined levels.
 func (l Level) Valid() bool { return int(l) < LevelCount }
 
 // ParseLevel returns the level with the given name.
 func ParseLevel(name string) (Level, error) {
-	for i, known := range levelNames {
-		if known == name {
+	for i, levelName := range levelNames {
+		if levelName == name {
 			return Level(i), nil
 		}
 	}
@@ -55,7 +55,7 @@
 // Names returns the names of the levels, most important first.
 func Names() []string { return levelNames[:] }
 
-// Rank is the total order of calls: the level first, then the cohort.
+// Rank is the position of a call in the total order by level, then by cohort.
 type Rank struct {
 	Level  Level
 	Cohort uint8
@@ -70,7 +70,7 @@
 // Key returns the rank as a number from 0 (most important) to RankCount-1.
 func (r Rank) Key() uint16 { return uint16(r.Level)*CohortCount + uint16(r.Cohort%CohortCount) }
 
-// RankOf returns the rank with the given key; keys past the end give Lowest.
+// RankOf returns the rank with the given key, or Lowest if the key is out of range.
 func RankOf(key uint16) Rank {
 	if key >= RankCount {
 		return Lowest
@@ -78,14 +78,14 @@
 	return Rank{Level: Level(key / CohortCount), Cohort: uint8(key % CohortCount)}
 }
 
-// MoreImportantThan reports whether r goes strictly before other.
+// MoreImportantThan reports whether r is strictly more important than other.
 func (r Rank) MoreImportantThan(other Rank) bool { return r.Key() < other.Key() }
 
 // String returns the rank as level/cohort.
 func (r Rank) String() string { return fmt.Sprintf("%s/%d", r.Level, r.Cohort) }
 
-// CohortOf returns the stable cohort of a caller. The epoch rotates the order
-// of callers, so that no caller is always the first to be shed.
+// CohortOf returns the cohort of a caller, which is stable within an epoch. A new
+// epoch reorders the callers, so that no caller is always the first to be shed.
 func CohortOf(caller string, epoch uint64) uint8 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(caller)
