--- a/internal/forward/budget_simulation_test.go
+++ b/internal/forward/budget_simulation_test.go
@@ -98,7 +98,7 @@
 	return New(Config{
 		Node: "node", Zone: "z", Address: "here", DefaultTimeout: time.Second,
 		Retries: retrybudget.AllowanceConfig{Ratio: budgetRatio, PresentShare: 0.5, Reserve: reserve, Window: budgetWindow, Delay: 500 * time.Millisecond},
-	}, Parts{
+	}, Dependencies{
 		Routes: &routetable.Holder{}, Policies: policiesOf(s.t, routepolicy.Sources{}), Directory: s.directory, Local: &parentHome{}, Levels: pressure.New(now),
 		Peers: s, Observer: s.observer, Now: now,
 	})
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -111,7 +111,7 @@
 
 func (observer) Identified(string, problem.Reason) {}
 
-func (observer) Counted(string, BudgetEvent, peering.Reason) {}
+func (observer) BudgetCounted(string, BudgetEvent, peering.Reason) {}
 
 func (observer) Stalled(time.Duration) {}
 
@@ -178,11 +178,11 @@
 			parent, _, told := strings.Cut(id, ".")
 			return parent, told
 		},
-	}, Parts{
+	}, Dependencies{
 		Routes: routes, Policies: policiesOf(t, routepolicy.Sources{}), Directory: directoryOf(t, addresses), Local: &fakeHome{answer: answered}, Levels: fixture.levels,
 		Quarantine: fixture.suspects,
 		Peers: peering.NewClient(peering.ClientConfig{MaxBuffered: 1 << 20, DialTimeout: time.Second, UserTimeout: time.Second, MaxIdle: 4, IdleTimeout: time.Minute, Codec: testCodec,
-			OnInterim: func(address string) { forwarder.StillRuns(address) }}),
+			OnInterim: func(address string) { forwarder.InterimReceived(address) }}),
 		Observer: observer{}, Now: time.Now,
 	})
 	for range testRequestsForARepetition {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -276,7 +276,7 @@
 // take longer are told at once that they have not run.
 func TestBeforeItsEndANodeTakesWhatIsSureToEnd(t *testing.T) {
 	f := newFixture(t, answered)
-	f.forwarder.EndBy(time.Now().Add(testTimeout / 2))
+	f.forwarder.SetShutdownDeadline(time.Now().Add(testTimeout / 2))
 	answer := f.do("POST", "/once/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "nothing is known of the route")
 	assert.Assert(t, answer.Header().Get("Retry-After") != "")
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -147,7 +147,7 @@
 		From:        settings.advertised(),
 		Codec:       n.codec,
 		OnResume:    n.noteResumed,
-		OnInterim:   func(address string) { n.forwarder.StillRuns(address) },
+		OnInterim:   func(address string) { n.forwarder.InterimReceived(address) },
 	})
 	n.peers.SetSpread(n.copies.spread)
 	n.forwarder = n.newForwarder()
@@ -203,7 +203,7 @@
 		WaitShare:      n.settings.Queue.ObjectiveShare,
 		InnerWaitShare: n.settings.Queue.InnerObjectiveShare,
 		ParentOf:       platform.ParentOf,
-	}, forward.Parts{
+	}, forward.Dependencies{
 		Routes:     n.routes,
 		Directory:  n.directory,
 		Local:      n.guard,
