--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -49,7 +49,7 @@
 }
 
 func (h *fakeHome) Running(id string) (guard.Running, bool) {
-	return guard.Running{Route: "parent", Rank: criticality.RankOf(7), Wanted: h.runningContext()}, id == "running"
+	return guard.Running{Route: "parent", Rank: criticality.RankOf(7), Context: h.runningContext()}, id == "running"
 }
 
 // runningContext returns the context of the running request.
@@ -62,9 +62,9 @@
 
 func (h *fakeHome) Abandoned(id string) bool { return id == "abandoned" }
 
-func (h *fakeHome) CallMade(string, string) int { return 1 }
+func (h *fakeHome) CountCall(string, string) int { return 1 }
 
-func (h *fakeHome) CallFailed(id string) {
+func (h *fakeHome) RecordCallFailure(id string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.callsFailed = append(h.callsFailed, id)
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -106,11 +106,11 @@
 	// Abandoned reports whether the caller of a request that the target may still be
 	// processing has gone.
 	Abandoned(id string) bool
-	// CallMade records that such a request makes a call of the route, and returns the
+	// CountCall records that such a request makes a call of the route, and returns the
 	// number of calls that it has made so far.
-	CallMade(id, route string) int
-	// CallFailed records that a call made by such a request did not succeed.
-	CallFailed(id string)
+	CountCall(id, route string) int
+	// RecordCallFailure records that a call made by such a request did not succeed.
+	RecordCallFailure(id string)
 }
 
 // Peers reaches the homes on other nodes.
@@ -329,7 +329,7 @@
 	}
 	reply, failure := f.run(ctx, q)
 	if q.inner && (failure != nil || reply.Status >= http.StatusMultipleChoices) {
-		f.local.CallFailed(q.parent)
+		f.local.RecordCallFailure(q.parent)
 	}
 	switch {
 	case r.Context().Err() != nil:
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -257,7 +257,7 @@
 	assert.Equal(t, inner.Rank, uint16(7), "a call has the rank of the request that made it")
 	assert.Assert(t, inner.Inner)
 	assert.Equal(t, inner.MaxWait, 600*time.Millisecond)
-	assert.Equal(t, f.levels.Below("parent").Threshold, shed.None, "the threshold in the reply replaces the reported one")
+	assert.Equal(t, f.levels.Downstream("parent").Threshold, shed.None, "the threshold in the reply replaces the reported one")
 }
 
 // TestThresholdOfLeavingHomeIsRemoved has a home that reported room say that its target
--- a/internal/forward/repeat.go
+++ b/internal/forward/repeat.go
@@ -59,7 +59,7 @@
 	}
 	callsLeft := 1
 	if q.inner {
-		callsLeft = max(f.levels.Expected(q.parentRoute, q.route.Name)-q.callNumber+1, 1)
+		callsLeft = max(f.levels.ExpectedCalls(q.parentRoute, q.route.Name)-q.callNumber+1, 1)
 	}
 	calls := f.levels.Calls(q.route.Name)
 	urgency := levelUrgency[min(q.rank.Level, criticality.LevelCount-1)] / float64(callsLeft*(1+calls))
--- a/internal/guard/crash_test.go
+++ b/internal/guard/crash_test.go
@@ -178,8 +178,8 @@
 	g := newTestGuard(target.address())
 	replies := runAll(g, newCallTo("a", "/deadly"))
 	target.awaitArrivals(t, 1)
-	g.Withdraw(newCallTo("", "/other").Fingerprint())
-	g.Withdraw(newCallTo("", "/deadly").Fingerprint())
+	g.CancelQuarantined(newCallTo("", "/other").Fingerprint())
+	g.CancelQuarantined(newCallTo("", "/deadly").Fingerprint())
 	reply := <-replies
 	assert.Equal(t, reply.Outcome, peering.Failed, "the request was sent to the target")
 	assert.Equal(t, reply.Reason, peering.Quarantined)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -43,9 +43,9 @@
 	// MaxConnections returns the maximum number of connections to the target, zero
 	// for no limit.
 	MaxConnections func() int
-	// Below returns the pressure of the downstream calls that requests of the route
+	// Downstream returns the pressure of the downstream calls that requests of the route
 	// make.
-	Below func(route string) pressure.Level
+	Downstream func(route string) pressure.Level
 	// Quarantine tracks requests that crash targets.
 	Quarantine Quarantine
 	// Observer receives the outcomes of calls; it may be nil.
@@ -182,14 +182,14 @@
 	return max(int(float64(target.Slots)*g.config.SlotShare), 1)
 }
 
-// Stop marks the node as stopping on all replies, so that peers prefer other homes
+// MarkStopping marks the node as stopping on all replies, so that peers prefer other homes
 // before a planned stop. Calls are still admitted, as this may be the last home of the
 // service.
-func (g *Guard) Stop() { g.stopping.Store(true) }
+func (g *Guard) MarkStopping() { g.stopping.Store(true) }
 
-// EndBy refuses later calls that may not end by the given time. Calls in flight
+// SetStopDeadline refuses later calls that may not end by the given time. Calls in flight
 // continue.
-func (g *Guard) EndBy(deadline time.Time) { g.stopDeadline.Set(deadline) }
+func (g *Guard) SetStopDeadline(deadline time.Time) { g.stopDeadline.Set(deadline) }
 
 // endsInTime reports whether a call of the route that begins now is certain to end
 // before the stop deadline.
@@ -210,7 +210,7 @@
 		return peering.Load{Threshold: shed.None}
 	}
 	stats := i.scheduler.Stats()
-	downstream := g.config.Below(route)
+	downstream := g.config.Downstream(route)
 	return peering.Load{
 		InFlight:  stats.InFlight,
 		Queued:    stats.Queued,
--- a/internal/guard/running.go
+++ b/internal/guard/running.go
@@ -20,8 +20,8 @@
 	// Repeat is set if the request, or an upstream one that caused it, was sent to
 	// a target before.
 	Repeat bool
-	// Wanted is canceled when nobody waits for the request's answer any more.
-	Wanted context.Context
+	// Context is canceled when nobody waits for the request's answer any more.
+	Context context.Context
 }
 
 // runningRequest is a request at the target with the downstream calls that it made.
@@ -84,7 +84,7 @@
 func (t *runningTable) begin(call *peering.Call, cancelExchange context.CancelCauseFunc) func(answered bool, now time.Time) (callFailed bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	request := &runningRequest{
-		Running:        Running{Route: call.Route, Rank: criticality.RankOf(call.Rank), Repeat: call.Repeat, Wanted: ctx},
+		Running:        Running{Route: call.Route, Rank: criticality.RankOf(call.Rank), Repeat: call.Repeat, Context: ctx},
 		cancelContext:  cancel,
 		call:           call,
 		cancelExchange: cancelExchange,
@@ -113,9 +113,9 @@
 // errQuarantined is the cancellation cause for running requests that were quarantined.
 var errQuarantined = errors.New(string(peering.Quarantined))
 
-// Withdraw cancels the running exchanges of a request that has been quarantined. A target
+// CancelQuarantined cancels the running exchanges of a request that has been quarantined. A target
 // that stops working on it in time doesn't crash.
-func (g *Guard) Withdraw(hash fingerprint.Fingerprint) {
+func (g *Guard) CancelQuarantined(hash fingerprint.Fingerprint) {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
 	for _, request := range g.running.requests {
@@ -144,9 +144,9 @@
 	return g.running.abandoned.contains(id)
 }
 
-// CallMade counts a downstream call of the route that a request at the target made. It
+// CountCall counts a downstream call of the route that a request at the target made. It
 // returns the number of such calls so far, or zero for an unknown request.
-func (g *Guard) CallMade(id, route string) int {
+func (g *Guard) CountCall(id, route string) int {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
 	request, found := g.running.requests[id]
@@ -160,9 +160,9 @@
 	return request.calls[route]
 }
 
-// CallFailed records that a downstream call of a request at the target did not succeed,
+// RecordCallFailure records that a downstream call of a request at the target did not succeed,
 // so that a failure of the request isn't attributed to the target.
-func (g *Guard) CallFailed(id string) {
+func (g *Guard) RecordCallFailure(id string) {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
 	if request, found := g.running.requests[id]; found {
@@ -180,8 +180,8 @@
 // shedConfig has a low floor: the threshold may fall until almost nothing is admitted.
 var shedConfig = shed.Config{Floor: 8}
 
-// Watch adjusts the shed threshold to the state of the queue until the context ends.
-func (g *Guard) Watch(ctx context.Context) {
+// RunShedding adjusts the shed threshold to the state of the queue until the context ends.
+func (g *Guard) RunShedding(ctx context.Context) {
 	ticker := time.NewTicker(shedInterval)
 	defer ticker.Stop()
 	logged := shed.None
--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -33,14 +33,14 @@
 	version    atomic.Uint64
 
 	mutex            sync.Mutex
-	calls            map[string]map[string]Calls
+	calls            map[string]map[string]CallStats
 	thresholdReports map[reportKey]thresholdReport
 	callReports      map[string]callReport
 }
 
-// Calls describes the downstream calls of one route that a request of another
+// CallStats describes the downstream calls of one route that a request of another
 // route makes.
-type Calls struct {
+type CallStats struct {
 	// Count is the maximum number of calls observed for one request.
 	Count int
 	// Scarce is set if this node's retry budget hardly suffices to repeat that many
@@ -80,15 +80,15 @@
 	return &Levels{
 		thresholds:       shed.NewTable(shed.TableConfig{Expiry: reportExpiry}),
 		now:              now,
-		calls:            make(map[string]map[string]Calls),
+		calls:            make(map[string]map[string]CallStats),
 		thresholdReports: make(map[reportKey]thresholdReport),
 		callReports:      make(map[string]callReport),
 	}
 }
 
-// Learn records that a request of the route makes calls of the other route, and how
+// RecordCalls records that a request of the route makes calls of the other route, and how
 // many it has made so far.
-func (l *Levels) Learn(route, called string, observed Calls) {
+func (l *Levels) RecordCalls(route, called string, observed CallStats) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	calls := l.calls[route]
@@ -96,18 +96,18 @@
 		if len(l.calls) >= maxRoutes {
 			return
 		}
-		calls = make(map[string]Calls)
+		calls = make(map[string]CallStats)
 		l.calls[route] = calls
 	}
 	known, found := calls[called]
 	if found || len(calls) < maxCalledRoutes {
-		calls[called] = Calls{Count: max(known.Count, observed.Count), Scarce: observed.Scarce}
+		calls[called] = CallStats{Count: max(known.Count, observed.Count), Scarce: observed.Scarce}
 	}
 }
 
-// Expected returns the number of calls of the other route that a request of the
+// ExpectedCalls returns the number of calls of the other route that a request of the
 // route makes, zero if unknown.
-func (l *Levels) Expected(route, called string) int {
+func (l *Levels) ExpectedCalls(route, called string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.calls[route][called].Count
@@ -194,9 +194,9 @@
 // refused; shed.None refuses nothing.
 func (l *Levels) Threshold(route string) uint16 { return l.thresholds.Threshold(route, l.now()) }
 
-// Below returns the pressure on the downstream calls of the route's requests: the
+// Downstream returns the pressure on the downstream calls of the route's requests: the
 // lowest threshold, the total number of calls, and whether retries of any are scarce.
-func (l *Levels) Below(route string) Level {
+func (l *Levels) Downstream(route string) Level {
 	now := l.now()
 	level := Level{Threshold: shed.None}
 	l.mutex.Lock()
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -118,7 +118,7 @@
 		MaxQueue:       settings.Queue.MaxLength,
 		MaxBuffered:    maxMessageBytes,
 		MaxConnections: n.maxConnections,
-		Below:          n.levels.Below,
+		Downstream:     n.levels.Downstream,
 		Quarantine:     n.suspects,
 		Observer:       n.metrics,
 	}, n.log, clock.Now)
@@ -179,7 +179,7 @@
 		Prefix:    platform.QuarantinePrefix,
 		Epoch:     n.epochs.Current,
 		Place:     n.directory.Place,
-		OnVerdict: func(hash fingerprint.Fingerprint) { n.guard.Withdraw(hash) },
+		OnVerdict: func(hash fingerprint.Fingerprint) { n.guard.CancelQuarantined(hash) },
 		Log:       n.log,
 		Now:       clock.Now,
 	})
@@ -275,7 +275,7 @@
 func (n *Node) tasks() []func(context.Context) {
 	return []func(context.Context){
 		n.copies.keepConfiguration.Run, n.copies.keepRecords.Run, n.copies.spread.Run, n.copies.verify.Run,
-		n.settle, n.directory.Run, n.registrar.Run, n.guard.Watch, n.forwarder.Run, n.calls.run, n.suspects.Run, n.limits.keeper.Run,
+		n.settle, n.directory.Run, n.registrar.Run, n.guard.RunShedding, n.forwarder.Run, n.calls.run, n.suspects.Run, n.limits.keeper.Run,
 	}
 }
 
