--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -1,10 +1,9 @@
-// Package liveness tells whether a process may act on what it knows, or was
-// paused and may have missed what others decided meanwhile.
+// Package liveness reports whether a process may act on its state, or was paused and may have
+// missed decisions of other processes.
 //
-// A paused process does not notice: when it goes on, its goroutines run in any
-// order, and those that were about to send a call to a target may come first.
-// So the question is asked at the last moment before each such act, and it is
-// answered from the age of a steady tick.
+// A process does not notice that it was paused: when it resumes, its goroutines run in any
+// order, and one that is about to send a call to a target may run first. The check is therefore
+// made immediately before each such action, and is based on the age of the last periodic tick.
 package liveness
 
 import (
@@ -14,33 +13,31 @@
 )
 
 const (
-	// TickInterval is the time between two ticks.
+	// TickInterval is the interval between ticks.
 	TickInterval = 100 * time.Millisecond
-	// PauseLimit is the age of the last tick from which the process counts as
-	// paused.
-	PauseLimit = 1500 * time.Millisecond
-	// CatchUpLimit bounds the time after a pause in which the process does not
-	// act because it has not caught up. A process that nobody answers goes on
-	// with what it knows.
-	CatchUpLimit = 2 * time.Second
+	// PauseThreshold is the age of the last tick above which the process is considered paused.
+	PauseThreshold = 1500 * time.Millisecond
+	// CatchUpTimeout bounds how long the process refrains from acting after a pause because it
+	// has not caught up. If no other process responds, it continues with the state it has.
+	CatchUpTimeout = 2 * time.Second
 )
 
-// Watch watches over one process. It is safe for concurrent use.
+// Watch detects pauses of the process. It is safe for concurrent use.
 type Watch struct {
 	now func() time.Time
 
-	mutex    sync.Mutex
-	ticked   time.Time
-	resumed  time.Time
-	catching bool
+	mutex      sync.Mutex
+	lastTick   time.Time
+	resumedAt  time.Time
+	catchingUp bool
 }
 
-// NewWatch returns a watch of a process that runs and has missed nothing.
+// NewWatch returns a watch of a running process that has missed nothing.
 func NewWatch(now func() time.Time) *Watch {
-	return &Watch{now: now, ticked: now()}
+	return &Watch{now: now, lastTick: now()}
 }
 
-// Run ticks until the context ends.
+// Run ticks periodically until the context ends.
 func (w *Watch) Run(ctx context.Context) {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
@@ -54,7 +51,7 @@
 	}
 }
 
-// Tick notes that the process runs. It reports whether it was paused before.
+// Tick records that the process is running. It reports whether it was paused before.
 func (w *Watch) Tick() (paused bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -62,42 +59,42 @@
 }
 
 func (w *Watch) tick(now time.Time) (paused bool) {
-	paused = elapsed(w.ticked, now) > PauseLimit
-	w.ticked = now
+	paused = elapsed(w.lastTick, now) > PauseThreshold
+	w.lastTick = now
 	if paused {
-		w.resumed = now
-		w.catching = true
+		w.resumedAt = now
+		w.catchingUp = true
 	}
 	return paused
 }
 
-// Acting reports whether the process may act on what it knows: it was not
-// paused, or has caught up since.
+// Acting reports whether the process may act on its state: it was not paused, or has caught up
+// since.
 func (w *Watch) Acting() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.now()
-	if elapsed(w.ticked, now) > PauseLimit {
+	if elapsed(w.lastTick, now) > PauseThreshold {
 		w.tick(now)
 	}
-	if w.catching && elapsed(w.resumed, now) > CatchUpLimit {
-		w.catching = false
+	if w.catchingUp && elapsed(w.resumedAt, now) > CatchUpTimeout {
+		w.catchingUp = false
 	}
-	return !w.catching
+	return !w.catchingUp
 }
 
-// CaughtUp notes that the process knows what another one, heard at the given
-// moment, knew. It counts only if the moment was after the last pause.
-func (w *Watch) CaughtUp(heard time.Time) {
+// CaughtUp records that the process has the state that it received from another process at the
+// given time. It has no effect if that was before the end of the last pause.
+func (w *Watch) CaughtUp(receivedAt time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.catching && elapsed(w.ticked, w.now()) <= PauseLimit && heard.After(w.resumed) {
-		w.catching = false
+	if w.catchingUp && elapsed(w.lastTick, w.now()) <= PauseThreshold && receivedAt.After(w.resumedAt) {
+		w.catchingUp = false
 	}
 }
 
-// elapsed is the longer of what the monotonic and the wall clock say, because
-// the monotonic clock may stand still while a machine is suspended.
+// elapsed returns the longer of the durations by the monotonic and the wall clock, because the
+// monotonic clock may stop while a machine is suspended.
 func elapsed(since, now time.Time) time.Duration {
 	return max(now.Sub(since), now.Round(0).Sub(since.Round(0)))
 }
--- a/internal/liveness/liveness_test.go
+++ b/internal/liveness/liveness_test.go
@@ -7,33 +7,33 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestPausedProcessDoesNotActBeforeItHasCaughtUp(t *testing.T) {
+func TestPausedProcessMayNotActUntilCaughtUp(t *testing.T) {
 	now := time.Unix(1000, 0)
 	w := NewWatch(func() time.Time { return now })
 	advance := func(d time.Duration) { now = now.Add(d) }
 
-	advance(PauseLimit)
-	assert.Assert(t, w.Acting(), "a late tick is no pause")
+	advance(PauseThreshold)
+	assert.Assert(t, w.Acting(), "a tick at the threshold is not a pause")
 	assert.Assert(t, !w.Tick())
 
-	heardBefore := now
-	advance(PauseLimit + time.Millisecond)
-	assert.Assert(t, !w.Acting(), "the first question after a pause comes before any tick")
+	receivedBefore := now
+	advance(PauseThreshold + time.Millisecond)
+	assert.Assert(t, !w.Acting(), "the first check after a pause precedes any tick")
 	assert.Assert(t, !w.Tick())
-	w.CaughtUp(heardBefore)
-	assert.Assert(t, !w.Acting(), "what was heard before the pause proves nothing")
+	w.CaughtUp(receivedBefore)
+	assert.Assert(t, !w.Acting(), "state received before the pause does not count")
 	advance(time.Millisecond)
 	w.CaughtUp(now)
 	assert.Assert(t, w.Acting())
 
 	advance(time.Hour)
-	assert.Assert(t, w.Tick(), "the tick finds the pause as well")
+	assert.Assert(t, w.Tick(), "the tick detects the pause as well")
 	assert.Assert(t, !w.Acting())
-	for range CatchUpLimit / TickInterval {
+	for range CatchUpTimeout / TickInterval {
 		advance(TickInterval)
 		w.Tick()
 	}
 	assert.Assert(t, !w.Acting())
 	advance(TickInterval)
-	assert.Assert(t, w.Acting(), "nobody answers: go on with what is known")
+	assert.Assert(t, w.Acting(), "the catch-up timeout has passed without a response")
 }
