--- a/internal/ending/ending.go
+++ b/internal/ending/ending.go
@@ -1,5 +1,5 @@
-// Package ending decides which work may still begin before a process ends. What
-// begins must be sure to be done by then, because nothing is cut off.
+// Package ending decides which work may still start before the process shuts down. Work may
+// start only if it will finish by then, because running work is never cut off.
 package ending
 
 import (
@@ -8,26 +8,27 @@
 )
 
 const (
-	// sureFactor is how many times its usual time work is surely done in: calls rarely
-	// take more than five times the usual.
-	sureFactor = 10
-	// leastSure is the least such time, a few times the longest work of quick calls.
-	leastSure = 600 * time.Millisecond
+	// safetyFactor multiplies the usual duration: calls rarely take more than five times as
+	// long as usual.
+	safetyFactor = 10
+	// minSafeDuration is the lower bound, a few times the longest duration of quick calls.
+	minSafeDuration = 600 * time.Millisecond
 )
 
-// SureTime returns the time in which work is surely done that usually takes so
-// long; zero means that this is not known.
-func SureTime(usual time.Duration) time.Duration { return max(sureFactor*usual, leastSure) }
+// SureTime returns the duration within which work with the given usual duration is safe to
+// assume finished. Zero means that the usual duration is unknown.
+func SureTime(usual time.Duration) time.Duration { return max(safetyFactor*usual, minSafeDuration) }
 
-// Moment is when a process ends. The zero value is never. It is safe for concurrent
-// use.
+// Moment is the time at which the process shuts down. The zero value means never. It is safe
+// for concurrent use.
 type Moment struct{ at atomic.Pointer[time.Time] }
 
-// Set sets the moment.
+// Set sets the shutdown time.
 func (m *Moment) Set(at time.Time) { m.at.Store(&at) }
 
-// Leaves reports whether so much time is left from the given moment on.
-func (m *Moment) Leaves(needed time.Duration, from time.Time) bool {
+// Leaves reports whether work of the given duration that starts at the given time ends by the
+// shutdown time.
+func (m *Moment) Leaves(duration time.Duration, start time.Time) bool {
 	at := m.at.Load()
-	return at == nil || !from.Add(needed).After(*at)
+	return at == nil || !start.Add(duration).After(*at)
 }
--- a/internal/ending/ending_test.go
+++ b/internal/ending/ending_test.go
@@ -9,16 +9,16 @@
 	"github.com/lugspur/lugspur/internal/ending"
 )
 
-func TestWorkBeginsOnlyIfItIsDoneByTheEnd(t *testing.T) {
+func TestWorkStartsOnlyIfDoneBeforeShutdown(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var end ending.Moment
-	assert.Assert(t, end.Leaves(time.Hour, now), "there is no end")
-	end.Set(now.Add(time.Second))
-	assert.Assert(t, end.Leaves(time.Second, now))
-	assert.Assert(t, !end.Leaves(time.Second, now.Add(time.Millisecond)))
+	var shutdown ending.Moment
+	assert.Assert(t, shutdown.Leaves(time.Hour, now), "no shutdown time is set")
+	shutdown.Set(now.Add(time.Second))
+	assert.Assert(t, shutdown.Leaves(time.Second, now))
+	assert.Assert(t, !shutdown.Leaves(time.Second, now.Add(time.Millisecond)))
 }
 
-func TestTheSureTimeIsManyTimesTheUsual(t *testing.T) {
-	assert.Assert(t, ending.SureTime(0) > 0, "nothing is known")
+func TestSafeDurationIsAMultipleOfUsual(t *testing.T) {
+	assert.Assert(t, ending.SureTime(0) > 0, "the usual duration is unknown")
 	assert.Assert(t, ending.SureTime(time.Second) >= 5*time.Second)
 }
