--- a/internal/drainlistener/listener.go
+++ b/internal/drainlistener/listener.go
@@ -1,4 +1,4 @@
-// Package drainlistener has a listening socket that a process closes without resetting connections.
+// Package drainlistener provides a listener that can be closed without resetting connections.
 package drainlistener
 
 import (
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Listener is a listening socket that can be closed without losing the
-// connections that the kernel has already set up: closing a socket resets
-// whatever waits to be accepted, and with it calls that callers have sent.
+// Listener is a listening socket that can be closed without losing connections that the kernel
+// has already established. Closing a socket normally resets the connections in its accept
+// queue, and with them calls that callers have already sent.
 type Listener struct {
 	*net.TCPListener
 	stopping atomic.Bool
@@ -31,8 +31,8 @@
 	return &Listener{TCPListener: listener}, nil
 }
 
-// Accept returns the next connection. After StopAccepting it returns those that
-// wait already, and then closes the socket and returns net.ErrClosed.
+// Accept returns the next connection. After StopAccepting it returns the connections left in
+// the accept queue, then closes the socket and returns net.ErrClosed.
 func (l *Listener) Accept() (net.Conn, error) {
 	if !l.stopping.Load() {
 		connection, err := l.TCPListener.Accept()
@@ -43,31 +43,31 @@
 	return l.acceptWaiting()
 }
 
-// StopAccepting has Accept close the socket once nothing waits. It does not
+// StopAccepting makes Accept close the socket once the accept queue is empty. It does not
 // block.
 func (l *Listener) StopAccepting() {
 	l.stopping.Store(true)
-	// An Accept that waits is woken, and finds that the listener is stopping.
+	// The deadline wakes a blocked Accept, which then sees that the listener is stopping.
 	_ = l.SetDeadline(time.Now())
 }
 
-// acceptWaiting accepts a connection that waits already. When none does, it
-// closes the socket at once, so that hardly any can come in between.
+// acceptWaiting accepts a connection from the accept queue. If the queue is empty, it closes
+// the socket at once, so that hardly any connection can arrive in between.
 func (l *Listener) acceptWaiting() (net.Conn, error) {
-	raw, err := l.SyscallConn()
+	rawConn, err := l.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	var descriptor int
-	var failure error
-	err = raw.Control(func(socket uintptr) {
-		descriptor, _, failure = syscall.Accept4(int(socket), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+	var connFD int
+	var acceptErr error
+	err = rawConn.Control(func(fd uintptr) {
+		connFD, _, acceptErr = syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	})
-	if err = errors.Join(err, failure); err != nil {
+	if err = errors.Join(err, acceptErr); err != nil {
 		_ = l.TCPListener.Close()
 		return nil, net.ErrClosed
 	}
-	file := os.NewFile(uintptr(descriptor), "connection")
+	file := os.NewFile(uintptr(connFD), "connection")
 	defer func() { _ = file.Close() }()
 	return net.FileConn(file)
 }
--- a/internal/drainlistener/listener_test.go
+++ b/internal/drainlistener/listener_test.go
@@ -8,14 +8,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// Connections that callers have opened, and that nobody has accepted yet, must
-// be served after the listener was told to stop.
+// Connections that are still in the accept queue when the listener is stopped must be served,
+// not reset.
 func TestWaitingConnectionsAreAccepted(t *testing.T) {
-	const waiting = 5
+	const queued = 5
 	listener, err := Listen("127.0.0.1:0")
 	assert.NilError(t, err)
 	address := listener.Addr().String()
-	for range waiting {
+	for range queued {
 		connection, err := net.Dial("tcp", address)
 		assert.NilError(t, err)
 		defer func() { _ = connection.Close() }()
@@ -23,7 +23,7 @@
 		assert.NilError(t, err)
 	}
 	listener.StopAccepting()
-	for range waiting {
+	for range queued {
 		connection, err := listener.Accept()
 		assert.NilError(t, err)
 		var content [4]byte
@@ -38,15 +38,15 @@
 	assert.Assert(t, err != nil, "the socket is still open")
 }
 
-// An Accept that waits when the listener is told to stop ends.
-func TestStopEndsAWaitingAccept(t *testing.T) {
+// StopAccepting must unblock an Accept that is already waiting.
+func TestStopAcceptingUnblocksAccept(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0")
 	assert.NilError(t, err)
-	ended := make(chan error)
+	result := make(chan error)
 	go func() {
 		_, err := listener.Accept()
-		ended <- err
+		result <- err
 	}()
 	listener.StopAccepting()
-	assert.Assert(t, errors.Is(<-ended, net.ErrClosed))
+	assert.Assert(t, errors.Is(<-result, net.ErrClosed))
 }
