--- a/internal/callheader/names.go
+++ b/internal/callheader/names.go
@@ -1,5 +1,5 @@
-// Package callheader names the headers by which calls carry what the data plane
-// needs to know. The names themselves come from the wiring.
+// Package callheader holds the names of the headers that carry the data plane's metadata of a
+// call. The names themselves are defined in package platform.
 package callheader
 
 import (
@@ -7,46 +7,46 @@
 	"strings"
 )
 
-// Names are the names of headers, in canonical form.
+// Names holds header names in canonical form.
 type Names struct {
-	// RequestID identifies one try of a request; answers repeat it.
+	// RequestID identifies one attempt of a request; responses repeat it.
 	RequestID string
-	// DeadlineMillis is the time left to the caller, in milliseconds.
+	// DeadlineMillis is the time left until the caller's deadline, in milliseconds.
 	DeadlineMillis string
-	// Caller is the service on whose machine the request began.
+	// Caller is the service on whose machine the request originated.
 	Caller string
-	// ExpectInstance names the only target that may run the request.
+	// ExpectInstance names the only target instance that may execute the request.
 	ExpectInstance string
-	// Instance names the target that answered.
+	// Instance names the target instance that responded.
 	Instance string
-	// Signature accompanies each complete success of a target.
+	// Signature is set on every complete successful response of a target.
 	Signature string
-	// NotExecuted marks an answer by which a target did not run the request.
+	// NotExecuted marks a response to a request that the target did not execute.
 	NotExecuted string
-	// Load is the target's own report: running, waiting and slots.
+	// Load is the target's load report: running and waiting calls, and slots.
 	Load string
-	// APIKey is the key that a caller identifies itself by. Targets never see it.
+	// APIKey is the caller's API key. It is never passed to targets.
 	APIKey string
-	// Tenant names the holder of the caller's key to the target.
+	// Tenant tells the target which tenant holds the caller's API key.
 	Tenant string
 }
 
-// StripOwn removes the headers of a call that only lugspur itself sets, whatever the
-// caller wrote there. Most of them are set by the home beside the target.
+// StripOwn removes the request headers that only lugspur may set, including any set by the
+// caller. Most of them are set by the node beside the target.
 func (n *Names) StripOwn(header http.Header) {
 	for _, name := range []string{n.RequestID, n.DeadlineMillis, n.Caller, n.ExpectInstance, n.Tenant} {
 		delete(header, name)
 	}
 }
 
-// connectionHeaders concern one connection only and are not passed on.
+// connectionHeaders are hop-by-hop headers, which are not forwarded.
 var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// StripConnection removes the headers that concern one connection only,
-// including those that the Connection header names.
+// StripConnection removes the hop-by-hop headers, including those listed in the Connection
+// header.
 func StripConnection(header http.Header) {
 	for _, value := range header["Connection"] {
 		for _, name := range strings.Split(value, ",") {
