--- a/internal/registry/incarnation.go
+++ b/internal/registry/incarnation.go
@@ -31,13 +31,13 @@
 
 // parseIncarnation parses the name of an incarnation.
 func parseIncarnation(name string) Incarnation {
-	at := strings.LastIndex(name, startSeparator)
-	if at < 0 {
+	separator := strings.LastIndex(name, startSeparator)
+	if separator < 0 {
 		return Incarnation{ID: name}
 	}
-	born, err := strconv.ParseInt(name[at+len(startSeparator):], 10, 64)
-	if err != nil || born <= 0 {
+	startMillis, err := strconv.ParseInt(name[separator+len(startSeparator):], 10, 64)
+	if err != nil || startMillis <= 0 {
 		return Incarnation{ID: name}
 	}
-	return Incarnation{ID: name[:at], StartMillis: born}
+	return Incarnation{ID: name[:separator], StartMillis: startMillis}
 }
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -25,7 +25,7 @@
 // attributed.
 var regressionSeeds = []uint64{1208}
 
-// startedHeartbeat is a heartbeat with a start time.
+// startedHeartbeat is a ready heartbeat with a start time.
 func startedHeartbeat(id string, startMillis int64, sequence uint64) Heartbeat {
 	heartbeat := readyHeartbeat(id, sequence)
 	heartbeat.Born = startMillis
@@ -140,8 +140,7 @@
 	// acknowledged means that one of its heartbeats was acknowledged. Before that, a notice
 	// without a start time cannot be attributed to it.
 	acknowledged bool
-	// alive and leaving are its state. since is when it became eligible for work: the start of
-	// the target or of its node.
+	// alive and leaving are its state, and since is when it started.
 	alive, leaving bool
 	since          time.Time
 }
@@ -155,8 +154,9 @@
 	target simulatedTarget
 	// acknowledgedLeft holds the start times of incarnations whose departure was acknowledged.
 	acknowledgedLeft map[int64]bool
-	disturbedAt      time.Time
-	delayed          []Heartbeat
+	// disturbedAt is when the node last restarted or the store was last restored.
+	disturbedAt time.Time
+	delayed     []Heartbeat
 }
 
 const (
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -50,8 +50,8 @@
 
 func (f *testFleet) notify(_ context.Context, address string, departure Departure) error {
 	time.Sleep(peerLatency)
-	peer, living := f.nodes.Load(address)
-	if !living {
+	peer, found := f.nodes.Load(address)
+	if !found {
 		return errors.New("connection refused")
 	}
 	peer.(*testNode).HeardDeparture(departure)
@@ -183,15 +183,15 @@
 		nodes := f.startHomes()
 		defer func() { f.stopAll(nodes...) }()
 		backup := f.kv.Backup()
-		acknowledged := time.Now()
+		sentAt := time.Now()
 		assert.NilError(t, nodes[0].Heartbeat(t.Context(), leavingHeartbeat("i-0", 1000, 3)))
-		assert.Assert(t, time.Since(acknowledged) < 50*time.Millisecond, "acknowledged after %s", time.Since(acknowledged))
+		assert.Assert(t, time.Since(sentAt) < 50*time.Millisecond, "acknowledged after %s", time.Since(sentAt))
 		nodes[0].stop()
 		f.restore(backup)
 		nodes[0] = f.start(1)
 		assert.NilError(t, nodes[0].Heartbeat(t.Context(), startedHeartbeat("i-0", 1000, 1)))
 		time.Sleep(400 * time.Millisecond)
-		assert.Assert(t, nodes[0].Target().State != Ready, "%s after the acknowledgement", time.Since(acknowledged))
+		assert.Assert(t, nodes[0].Target().State != Ready, "%s after the draining heartbeat", time.Since(sentAt))
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, nodes[0].Target().State != Ready)
 		assert.Assert(t, f.present(departuresPrefix+"i-0@1000"))
