--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -257,7 +257,7 @@
 	assert.Equal(t, inner.Rank, uint16(7), "a call has the rank of the request that made it")
 	assert.Assert(t, inner.Inner)
 	assert.Equal(t, inner.MaxWait, 600*time.Millisecond)
-	assert.Equal(t, f.levels.Below("parent").Threshold, shed.None, "the reply's own threshold is the newest")
+	assert.Equal(t, f.levels.Downstream("parent").Threshold, shed.None, "the reply's own threshold is the newest")
 }
 
 // TestALeavingHomesThresholdIsForgotten has a home that told that it has room say
@@ -276,7 +276,7 @@
 // take longer are told at once that they have not run.
 func TestBeforeItsEndANodeTakesWhatIsSureToEnd(t *testing.T) {
 	f := newFixture(t, answered)
-	f.forwarder.EndBy(time.Now().Add(testTimeout / 2))
+	f.forwarder.SetShutdownDeadline(time.Now().Add(testTimeout / 2))
 	answer := f.do("POST", "/once/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "nothing is known of the route")
 	assert.Assert(t, answer.Header().Get("Retry-After") != "")
--- a/internal/forward/receive.go
+++ b/internal/forward/receive.go
@@ -152,8 +152,8 @@
 		}
 		return guard.Running{}, nil
 	}
-	q.inner, q.parent, q.parentRoute, q.wanted = true, id, parent.Route, parent.Wanted
-	q.callNumber = f.local.CallMade(id, q.route.Name)
+	q.inner, q.parent, q.parentRoute, q.wanted = true, id, parent.Route, parent.Context
+	q.callNumber = f.local.CountCall(id, q.route.Name)
 	return parent, nil
 }
 
@@ -163,8 +163,8 @@
 	if !q.inner {
 		return
 	}
-	expected := max(f.levels.Expected(q.parentRoute, q.route.Name), q.callNumber)
-	f.levels.Learn(q.parentRoute, q.route.Name, pressure.Calls{Count: q.callNumber, Scarce: !f.budget(q.service).Ample(expected)})
+	expected := max(f.levels.ExpectedCalls(q.parentRoute, q.route.Name), q.callNumber)
+	f.levels.RecordCalls(q.parentRoute, q.route.Name, pressure.CallStats{Count: q.callNumber, Scarce: !f.budget(q.service).Ample(expected)})
 }
 
 // admit ranks a request that begins here and refuses it if its policy does or if
--- a/internal/sidecar/copies.go
+++ b/internal/sidecar/copies.go
@@ -120,7 +120,7 @@
 		Address:   n.settings.advertised(),
 		Peers:     n.directory.Addresses,
 		Ask:       n.askPeer,
-		Heard:     func(peer string) { n.forwarder.Heard(peer) },
+		Heard:     func(peer string) { n.forwarder.PeerAlive(peer) },
 		Confirmed: n.gate.Hint,
 		Overdue:   c.verify.Overdue,
 		Epoch:     func(heard store.Epoch, peer string) { n.epochs.Observe(heard, peer) },
