--- a/internal/callheader/names.go
+++ b/internal/callheader/names.go
@@ -31,9 +31,9 @@
 	Tenant string
 }
 
-// StripOwn removes the request headers that only lugspur may set, including any set by the
+// StripInternal removes the request headers that only lugspur may set, including any set by the
 // caller. Most of them are set by the node beside the target.
-func (n *Names) StripOwn(header http.Header) {
+func (n *Names) StripInternal(header http.Header) {
 	for _, name := range []string{n.RequestID, n.DeadlineMillis, n.Caller, n.ExpectInstance, n.Tenant} {
 		delete(header, name)
 	}
--- a/internal/ending/ending.go
+++ b/internal/ending/ending.go
@@ -15,20 +15,20 @@
 	minSafeDuration = 600 * time.Millisecond
 )
 
-// SureTime returns the duration within which work with the given usual duration is safe to
+// SafeDuration returns the duration within which work with the given usual duration is safe to
 // assume finished. Zero means that the usual duration is unknown.
-func SureTime(usual time.Duration) time.Duration { return max(safetyFactor*usual, minSafeDuration) }
+func SafeDuration(usual time.Duration) time.Duration { return max(safetyFactor*usual, minSafeDuration) }
 
-// Moment is the time at which the process shuts down. The zero value means never. It is safe
+// ShutdownTime is the time at which the process shuts down. The zero value means never. It is safe
 // for concurrent use.
-type Moment struct{ at atomic.Pointer[time.Time] }
+type ShutdownTime struct{ at atomic.Pointer[time.Time] }
 
 // Set sets the shutdown time.
-func (m *Moment) Set(at time.Time) { m.at.Store(&at) }
+func (m *ShutdownTime) Set(at time.Time) { m.at.Store(&at) }
 
-// Leaves reports whether work of the given duration that starts at the given time ends by the
+// Allows reports whether work of the given duration that starts at the given time ends by the
 // shutdown time.
-func (m *Moment) Leaves(duration time.Duration, start time.Time) bool {
+func (m *ShutdownTime) Allows(duration time.Duration, start time.Time) bool {
 	at := m.at.Load()
 	return at == nil || !start.Add(duration).After(*at)
 }
--- a/internal/ending/ending_test.go
+++ b/internal/ending/ending_test.go
@@ -11,14 +11,14 @@
 
 func TestWorkStartsOnlyIfDoneBeforeShutdown(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var shutdown ending.Moment
-	assert.Assert(t, shutdown.Leaves(time.Hour, now), "no shutdown time is set")
+	var shutdown ending.ShutdownTime
+	assert.Assert(t, shutdown.Allows(time.Hour, now), "no shutdown time is set")
 	shutdown.Set(now.Add(time.Second))
-	assert.Assert(t, shutdown.Leaves(time.Second, now))
-	assert.Assert(t, !shutdown.Leaves(time.Second, now.Add(time.Millisecond)))
+	assert.Assert(t, shutdown.Allows(time.Second, now))
+	assert.Assert(t, !shutdown.Allows(time.Second, now.Add(time.Millisecond)))
 }
 
 func TestSafeDurationIsAMultipleOfUsual(t *testing.T) {
-	assert.Assert(t, ending.SureTime(0) > 0, "the usual duration is unknown")
-	assert.Assert(t, ending.SureTime(time.Second) >= 5*time.Second)
+	assert.Assert(t, ending.SafeDuration(0) > 0, "the usual duration is unknown")
+	assert.Assert(t, ending.SafeDuration(time.Second) >= 5*time.Second)
 }
--- a/internal/forward/budget_simulation_test.go
+++ b/internal/forward/budget_simulation_test.go
@@ -84,7 +84,7 @@
 		address, service := fmt.Sprint("target-", i), []string{"price", "card"}[i%2]
 		record, err := cbor.Marshal(registry.Record{Instance: address, Service: service, Zone: "z", Address: address, Slots: 20, State: registry.Ready})
 		assert.NilError(t, err)
-		s.directory.Change([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
+		s.directory.ApplyChanges([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
 	}
 	for range nodes {
 		s.nodes = append(s.nodes, s.newNode())
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -207,7 +207,7 @@
 	for i, address := range addresses {
 		record, err := cbor.Marshal(registry.Record{Instance: "i-" + strconv.Itoa(i), Service: "s", Zone: "z", Address: address, Slots: 10, State: registry.Ready})
 		assert.NilError(t, err)
-		directory.Change([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
+		directory.ApplyChanges([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
 	}
 	return directory
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -158,7 +158,7 @@
 	splitter routetable.Splitter
 	stopping atomic.Bool
 	// shutdownDeadline is the time by which all requests must have ended.
-	shutdownDeadline ending.Moment
+	shutdownDeadline ending.ShutdownTime
 	inFlight         atomic.Int64
 	// created is when the forwarder was created, and lastArrival the time from then to
 	// the arrival of the last request. Both are readings of the monotonic clock.
--- a/internal/forward/receive.go
+++ b/internal/forward/receive.go
@@ -85,7 +85,7 @@
 	}
 	callheader.StripConnection(r.Header)
 	r.Header.Del("Content-Length")
-	f.config.Headers.StripOwn(r.Header)
+	f.config.Headers.StripInternal(r.Header)
 	f.setTenantHeader(r.Header, q, table)
 	q.service = f.splitter.Choose(q.route)
 	f.recordInnerCall(q)
@@ -114,9 +114,9 @@
 func (f *Forwarder) endsBeforeShutdown(q *request) bool {
 	needed := q.deadline.Sub(q.arrived)
 	if usual := f.homes.statsOf(q.route.Name).latency; usual > 0 {
-		needed = min(ending.SureTime(usual), needed)
+		needed = min(ending.SafeDuration(usual), needed)
 	}
-	return f.shutdownDeadline.Leaves(needed, q.arrived)
+	return f.shutdownDeadline.Allows(needed, q.arrived)
 }
 
 // headerBytes returns the size of a request's header fields, in bytes.
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -83,7 +83,7 @@
 	stopping atomic.Bool
 	closed   atomic.Bool
 	// stopDeadline is the time by which all calls must have ended.
-	stopDeadline ending.Moment
+	stopDeadline ending.ShutdownTime
 	inFlight     atomic.Int64
 	current      atomic.Pointer[incarnation]
 	running      runningTable
@@ -194,7 +194,7 @@
 // endsInTime reports whether a call of the route that begins now is certain to end
 // before the stop deadline.
 func (g *Guard) endsInTime(i *incarnation, route string, now time.Time) bool {
-	return g.stopDeadline.Leaves(ending.SureTime(i.stats.latency(route, now)), now)
+	return g.stopDeadline.Allows(ending.SafeDuration(i.stats.latency(route, now)), now)
 }
 
 // Close refuses all later calls; calls in flight continue.
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -261,7 +261,7 @@
 	g.SetStopDeadline(time.Now().Add(5 * time.Second))
 	assert.Equal(t, run("quick"), peering.Reason(""))
 	assert.Equal(t, run("slow"), peering.Stopping)
-	g.SetStopDeadline(time.Now().Add(ending.SureTime(0) / 2))
+	g.SetStopDeadline(time.Now().Add(ending.SafeDuration(0) / 2))
 	assert.Equal(t, run("quick"), peering.Stopping)
 }
 
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -22,8 +22,8 @@
 	CatchUpTimeout = 2 * time.Second
 )
 
-// Watch detects pauses of the process. It is safe for concurrent use.
-type Watch struct {
+// Monitor detects pauses of the process. It is safe for concurrent use.
+type Monitor struct {
 	now func() time.Time
 
 	mutex      sync.Mutex
@@ -32,13 +32,13 @@
 	catchingUp bool
 }
 
-// NewWatch returns a watch of a running process that has missed nothing.
-func NewWatch(now func() time.Time) *Watch {
-	return &Watch{now: now, lastTick: now()}
+// NewMonitor returns a watch of a running process that has missed nothing.
+func NewMonitor(now func() time.Time) *Monitor {
+	return &Monitor{now: now, lastTick: now()}
 }
 
 // Run ticks periodically until the context ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Monitor) Run(ctx context.Context) {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
 	for {
@@ -52,13 +52,13 @@
 }
 
 // Tick records that the process is running. It reports whether it was paused before.
-func (w *Watch) Tick() (paused bool) {
+func (w *Monitor) Tick() (paused bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.tick(w.now())
 }
 
-func (w *Watch) tick(now time.Time) (paused bool) {
+func (w *Monitor) tick(now time.Time) (paused bool) {
 	paused = elapsed(w.lastTick, now) > PauseThreshold
 	w.lastTick = now
 	if paused {
@@ -68,9 +68,9 @@
 	return paused
 }
 
-// Acting reports whether the process may act on its state: it was not paused, or has caught up
+// MayAct reports whether the process may act on its state: it was not paused, or has caught up
 // since.
-func (w *Watch) Acting() bool {
+func (w *Monitor) MayAct() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.now()
@@ -83,9 +83,9 @@
 	return !w.catchingUp
 }
 
-// CaughtUp records that the process has the state that it received from another process at the
+// MarkCaughtUp records that the process has the state that it received from another process at the
 // given time. It has no effect if that was before the end of the last pause.
-func (w *Watch) CaughtUp(receivedAt time.Time) {
+func (w *Monitor) MarkCaughtUp(receivedAt time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.catchingUp && elapsed(w.lastTick, w.now()) <= PauseThreshold && receivedAt.After(w.resumedAt) {
--- a/internal/registry/departing.go
+++ b/internal/registry/departing.go
@@ -144,10 +144,10 @@
 	rewriteSpacing = 2500 * time.Microsecond
 )
 
-// StoreRestored handles a restore of the store from a backup. Everything that this node wrote
+// HandleStoreRestored handles a restore of the store from a backup. Everything that this node wrote
 // after the backup is lost, including its lease: departures are written again at once, and the
 // node's record after them.
-func (r *Registrar) StoreRestored() {
+func (r *Registrar) HandleStoreRestored() {
 	place, _ := r.config.Place()
 	r.publisher.delayWrites(time.Duration(place) * rewriteSpacing)
 	r.departures.rewriteOwn()
--- a/internal/registry/departure_replication.go
+++ b/internal/registry/departure_replication.go
@@ -25,8 +25,8 @@
 type Peers struct {
 	// Addresses returns the addresses of all nodes, possibly including this one.
 	Addresses func() []string
-	// Tell sends a departure to the node at an address.
-	Tell func(ctx context.Context, address string, departure Departure) error
+	// Notify sends a departure to the node at an address.
+	Notify func(ctx context.Context, address string, departure Departure) error
 }
 
 // replicateDeparture sends a departure to peers and returns once enough of them know it, or all
@@ -71,7 +71,7 @@
 func (r *Registrar) notifyPeer(ctx context.Context, address string, departure Departure) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), peerTimeout)
 	defer cancel()
-	return r.config.Peers.Tell(ctx, address, departure)
+	return r.config.Peers.Notify(ctx, address, departure)
 }
 
 // notifyHome sends a departure to the target's node.
@@ -81,9 +81,9 @@
 	}
 }
 
-// HeardDeparture handles a departure reported by a peer. It concerns either that peer's target,
+// LearnDeparture handles a departure reported by a peer. It concerns either that peer's target,
 // or the local one if an earlier process here acknowledged it.
-func (r *Registrar) HeardDeparture(departure Departure) {
+func (r *Registrar) LearnDeparture(departure Departure) {
 	if !r.departures.addFromPeer(departure) {
 		return
 	}
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -53,8 +53,8 @@
 	return d
 }
 
-// Change applies changes of the store in order. Keys without the prefix are ignored.
-func (d *Directory) Change(entries []store.Entry, source string) {
+// ApplyChanges applies changes of the store in order. Keys without the prefix are ignored.
+func (d *Directory) ApplyChanges(entries []store.Entry, source string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, entry := range entries {
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -28,7 +28,7 @@
 // startedHeartbeat is a ready heartbeat with a start time.
 func startedHeartbeat(id string, startMillis int64, sequence uint64) Heartbeat {
 	heartbeat := readyHeartbeat(id, sequence)
-	heartbeat.Born = startMillis
+	heartbeat.StartMillis = startMillis
 	return heartbeat
 }
 
@@ -44,12 +44,12 @@
 	}
 }
 
-// TestATargetStartsAgainUnderItsID guards against confusing two incarnations with the same ID.
+// TestTargetRestartsWithSameID guards against confusing two incarnations with the same ID.
 // A target crashed and restarted under its ID; a delayed draining heartbeat from before the
 // crash was acknowledged, and the new target received no more work. A target that had left and
 // restarted received none for ten minutes. All state was keyed by the ID alone, and the delayed
 // heartbeat's sequence number, 5001, was above all those of the new incarnation.
-func TestATargetStartsAgainUnderItsID(t *testing.T) {
+func TestTargetRestartsWithSameID(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newTestFleet(t)
 		n := f.start(1)
@@ -94,9 +94,9 @@
 	unknownState, otherAddress, absentState := valid, valid, valid
 	unknownState.State, otherAddress.Address, absentState.State = 9, "10.9.9.9:1", Absent
 	d := NewDirectory(homesPrefix, homeAddress, nil, time.Now)
-	d.Change([]store.Entry{{Key: homesPrefix + homeAddress, Value: encode(valid), Revision: 1}}, "store")
+	d.ApplyChanges([]store.Entry{{Key: homesPrefix + homeAddress, Value: encode(valid), Revision: 1}}, "store")
 	for i, value := range [][]byte{nil, {0}, []byte("{}"), []byte("\xff\xfe"), encode("text"), encode([]int{1}), encode(unknownState), encode(otherAddress), encode(absentState)} {
-		d.Change([]store.Entry{
+		d.ApplyChanges([]store.Entry{
 			{Key: homesPrefix + homeAddress, Value: value, Revision: store.Revision(i + 2)},
 			{Key: fmt.Sprintf("%s10.0.0.%d:1", homesPrefix, i+2), Value: value, Revision: store.Revision(i + 2)},
 		}, "store")
@@ -120,11 +120,11 @@
 	})
 }
 
-// TestStartsUnderOneID simulates seeded schedules of targets that crash, leave and restart with
+// TestSimulatedRestartsWithSameID simulates seeded schedules of targets that crash, leave and restart with
 // their ID, heartbeats that arrive up to 3 s late, nodes that are killed, and a store that is
 // restored from backups. No incarnation receives work after its departure was acknowledged, and
 // no live one goes without work for 3 s.
-func TestStartsUnderOneID(t *testing.T) {
+func TestSimulatedRestartsWithSameID(t *testing.T) {
 	for _, seed := range regressionSeeds {
 		virtualtime.Run(t, func(t *testing.T) { simulateRestarts(t, seed) })
 	}
@@ -203,9 +203,9 @@
 
 func (s *restartSimulation) send(heartbeat Heartbeat) {
 	err := s.node.Heartbeat(context.Background(), heartbeat)
-	s.target.acknowledged = s.target.acknowledged || (err == nil && heartbeat.Born == s.target.startMillis)
+	s.target.acknowledged = s.target.acknowledged || (err == nil && heartbeat.StartMillis == s.target.startMillis)
 	if err == nil && heartbeat.Draining {
-		s.acknowledgedLeft[heartbeat.Born] = true
+		s.acknowledgedLeft[heartbeat.StartMillis] = true
 	}
 }
 
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -23,27 +23,27 @@
 // Heartbeat is the state that a target reports about itself.
 type Heartbeat struct {
 	ID string
-	// Born is the target's start time in Unix milliseconds of its own clock; zero if the target
+	// StartMillis is the target's start time in Unix milliseconds of its own clock; zero if the target
 	// does not report it.
-	Born     int64
-	Service  string
-	Address  string
-	Slots    int
-	Draining bool
+	StartMillis int64
+	Service     string
+	Address     string
+	Slots       int
+	Draining    bool
 	// Warmup is the remaining time in which the target is slow because it has just started.
 	Warmup time.Duration
 	// Sequence increases with each heartbeat of one incarnation.
 	Sequence uint64
 }
 
-// Receiver handles the messages of the local target. A nil error acknowledges the message.
-type Receiver interface {
+// HeartbeatReceiver handles the messages of the local target. A nil error acknowledges the message.
+type HeartbeatReceiver interface {
 	Heartbeat(ctx context.Context, heartbeat Heartbeat) error
 	// Depart handles a target's notice that it is shutting down. startMillis is its start time,
 	// or zero if the notice does not include it.
 	Depart(ctx context.Context, id string, startMillis int64) error
-	// Refused reports that a heartbeat was rejected, and why.
-	Refused(id string, reason RefusalReason)
+	// HeartbeatRefused reports that a heartbeat was rejected, and why.
+	HeartbeatRefused(id string, reason RefusalReason)
 }
 
 // RefusalReason is why a heartbeat was rejected. A rejected heartbeat does not change the
@@ -56,11 +56,13 @@
 	RefusedState      RefusalReason = "unknown state"
 	RefusedService    RefusalReason = "unknown service"
 	RefusedSlots      RefusalReason = "no slots"
-	RefusedBorn       RefusalReason = "born is no moment"
+	RefusedStartTime  RefusalReason = "born is no moment"
 )
 
 // Incarnation returns the incarnation that sent the heartbeat.
-func (b Heartbeat) Incarnation() Incarnation { return Incarnation{ID: b.ID, StartMillis: b.Born} }
+func (b Heartbeat) Incarnation() Incarnation {
+	return Incarnation{ID: b.ID, StartMillis: b.StartMillis}
+}
 
 // State is a stage in the life of a target. An incarnation's state never moves backwards.
 type State uint8
--- a/internal/registry/registrar.go
+++ b/internal/registry/registrar.go
@@ -18,8 +18,8 @@
 	Process          uint32
 	HomesPrefix      string
 	DeparturesPrefix string
-	// OnTarget is called with each new state of the target, in order.
-	OnTarget func(Target)
+	// OnTargetChange is called with each new state of the target, in order.
+	OnTargetChange func(Target)
 	// OnRefused is called when a heartbeat is rejected; it may be nil.
 	OnRefused func(reason RefusalReason)
 	// FirstStart means that the cluster is new: no process has run before on any machine.
@@ -82,7 +82,7 @@
 	}
 	if config.Peers.Addresses == nil {
 		config.Peers.Addresses = func() []string { return nil }
-		config.Peers.Tell = func(context.Context, string, Departure) error { return nil }
+		config.Peers.Notify = func(context.Context, string, Departure) error { return nil }
 	}
 	r := &Registrar{config: config, log: log, now: now, departed: make(map[Incarnation]bool), replaced: make(map[Incarnation]bool),
 		latestStart: make(map[string]int64), leaving: make(map[string]leavingTarget), recoveryDone: make(chan struct{})}
@@ -101,9 +101,9 @@
 	r.publisher.run(ctx)
 }
 
-// Change processes changes of the store. The node's own record may have disappeared with its
+// ApplyChanges processes changes of the store. The node's own record may have disappeared with its
 // lease, and departures may be missing after the store was restored from a backup.
-func (r *Registrar) Change(entries []store.Entry) {
+func (r *Registrar) ApplyChanges(entries []store.Entry) {
 	for _, entry := range entries {
 		if instance, isDeparture := strings.CutPrefix(entry.Key, r.config.DeparturesPrefix); isDeparture {
 			r.handleDepartureEntry(instance, entry)
@@ -129,9 +129,9 @@
 	r.publisher.observe(entry, &record, r.config.Process)
 }
 
-// Resumed triggers a check of the node's lease after the machine was suspended, because the
+// HandleResume triggers a check of the node's lease after the machine was suspended, because the
 // renewal timer did not advance meanwhile.
-func (r *Registrar) Resumed() { r.publisher.signal() }
+func (r *Registrar) HandleResume() { r.publisher.signal() }
 
 // recoverState reads the departures and the last published target from the store. Until it is
 // complete no target is reported as ready, except at the first start of the cluster.
@@ -293,12 +293,12 @@
 			r.replaced[r.target.Incarnation()] = true
 		}
 		delete(r.replaced, incarnation)
-		r.target = Target{ID: heartbeat.ID, StartMillis: heartbeat.Born, Service: heartbeat.Service, State: Ready}
+		r.target = Target{ID: heartbeat.ID, StartMillis: heartbeat.StartMillis, Service: heartbeat.Service, State: Ready}
 		r.recordStart(incarnation)
 	}
 	r.returning = returningTarget{}
 	if heartbeat.Draining {
-		r.leaving[heartbeat.ID] = leavingTarget{startMillis: heartbeat.Born, since: r.now()}
+		r.leaving[heartbeat.ID] = leavingTarget{startMillis: heartbeat.StartMillis, since: r.now()}
 		r.markDeparted(incarnation, Draining)
 		return
 	}
@@ -314,8 +314,8 @@
 	}
 }
 
-// Refused logs and reports a rejected heartbeat.
-func (r *Registrar) Refused(id string, reason RefusalReason) {
+// HeartbeatRefused logs and reports a rejected heartbeat.
+func (r *Registrar) HeartbeatRefused(id string, reason RefusalReason) {
 	r.log.Record(eventlog.Event{Kind: eventlog.HeartbeatRefused, Target: id, Reason: string(reason)})
 	if r.config.OnRefused != nil {
 		r.config.OnRefused(reason)
@@ -328,8 +328,8 @@
 	target := r.visibleTarget()
 	r.log.Record(eventlog.Event{Kind: eventlog.TargetChanged, Service: target.Service, Target: target.Incarnation().String(), Outcome: target.State.String(),
 		Version: target.Sequence, Count: target.Slots})
-	if r.config.OnTarget != nil {
-		r.config.OnTarget(target)
+	if r.config.OnTargetChange != nil {
+		r.config.OnTargetChange(target)
 	}
 	if target.State != Absent {
 		// Peers treat leaving and gone targets alike.
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -95,7 +95,7 @@
 	return heartbeat
 }
 
-func TestAnAcknowledgedDrainBindsTheNextProcess(t *testing.T) {
+func TestAcknowledgedDrainSurvivesNodeRestart(t *testing.T) {
 	ctx := context.Background()
 	kv := memory.New(time.Now)
 	first := startRegistrar(t, kv)
@@ -136,9 +136,9 @@
 	}, poll.WithDelay(5*time.Millisecond))
 }
 
-// TestARestartedNodeKnowsItsTarget replaces a killed node process: the new one must know the
+// TestRestartedNodeAdoptsTarget replaces a killed node process: the new one must know the
 // target, which is still running, before its next heartbeat.
-func TestARestartedNodeKnowsItsTarget(t *testing.T) {
+func TestRestartedNodeAdoptsTarget(t *testing.T) {
 	ctx := context.Background()
 	kv := memory.New(time.Now)
 	first := startRegistrar(t, kv)
@@ -209,7 +209,7 @@
 	assert.NilError(t, r.Heartbeat(context.Background(), drainingHeartbeat("i-1", 3)))
 }
 
-func TestALostAnswerToADrainIsResolved(t *testing.T) {
+func TestDepartureWriteWithUnknownOutcomeIsRetried(t *testing.T) {
 	memoryStore := memory.New(time.Now)
 	kv := &faultyStore{Store: memoryStore}
 	r := startRegistrar(t, kv)
@@ -235,7 +235,7 @@
 	assert.Equal(t, r.Target().State, Gone, "a state must not move backwards")
 }
 
-func TestALateHeartbeatOfAReplacedTargetChangesNothing(t *testing.T) {
+func TestDelayedHeartbeatOfReplacedTargetIsIgnored(t *testing.T) {
 	r := startRegistrar(t, memory.New(time.Now))
 	for _, heartbeat := range []Heartbeat{readyHeartbeat("i-1", 5), readyHeartbeat("i-2", 1), readyHeartbeat("i-1", 6)} {
 		assert.NilError(t, r.Heartbeat(context.Background(), heartbeat))
@@ -244,11 +244,11 @@
 	assert.Equal(t, r.Target().ID, "i-2")
 }
 
-// TestALateHeartbeatDoesNotEndItsSuccessor delivers a heartbeat of a crashed target that was
+// TestDelayedHeartbeatDoesNotDisplaceSuccessor delivers a heartbeat of a crashed target that was
 // delayed by a network partition. A node process that started meanwhile knows only the
 // successor at the same address and takes the delayed heartbeat for that of a newer target. The
 // healthy successor was then treated as replaced forever and received no more requests.
-func TestALateHeartbeatDoesNotEndItsSuccessor(t *testing.T) {
+func TestDelayedHeartbeatDoesNotDisplaceSuccessor(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRegistrar(RegistrarConfig{HomesPrefix: homesPrefix, FirstStart: true}, Stores{}, nil, func() time.Time { return now })
 	r.recoverFrom(nil)
@@ -318,9 +318,9 @@
 	assert.Equal(t, kv.writes.Load(), int32(1))
 }
 
-// TestARecordThatDisappearedIsWrittenAnew removes the record with its lease while the node is
+// TestRemovedRecordIsRewritten removes the record with its lease while the node is
 // alive, as an outage of the store does.
-func TestARecordThatDisappearedIsWrittenAnew(t *testing.T) {
+func TestRemovedRecordIsRewritten(t *testing.T) {
 	kv := memory.New(time.Now)
 	r := startRegistrar(t, kv)
 	assert.NilError(t, r.Heartbeat(t.Context(), readyHeartbeat("i-1", 1)))
@@ -328,6 +328,6 @@
 	entry, err := kv.Get(t.Context(), homesPrefix+homeAddress)
 	assert.NilError(t, err)
 	assert.NilError(t, kv.RevokeLease(t.Context(), entry.Lease))
-	r.Change([]store.Entry{{Key: entry.Key, Revision: entry.Revision + 1, Deleted: true}})
+	r.ApplyChanges([]store.Entry{{Key: entry.Key, Revision: entry.Revision + 1, Deleted: true}})
 	awaitPublished(t, kv, "i-1")
 }
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -54,7 +54,7 @@
 	if !found {
 		return errors.New("connection refused")
 	}
-	peer.(*testNode).HeardDeparture(departure)
+	peer.(*testNode).LearnDeparture(departure)
 	return nil
 }
 
@@ -81,17 +81,17 @@
 	var replicated *replica.Copy
 	n.Registrar = NewRegistrar(RegistrarConfig{
 		Zone: "z", Address: address, Process: f.processes, HomesPrefix: homesPrefix, DeparturesPrefix: departuresPrefix,
-		Epoch: epochs.Current, Place: n.directory.Place, Peers: Peers{Addresses: f.addresses, Tell: f.notify},
+		Epoch: epochs.Current, Place: n.directory.Place, Peers: Peers{Addresses: f.addresses, Notify: f.notify},
 		Records: func(ctx context.Context) ([]store.Entry, error) {
 			err := replicated.AwaitProved(ctx, startedAt)
 			return replicated.Entries(), err
 		},
 	}, Stores{Record: kv, Departure: kv}, nil, time.Now)
 	replicated = replica.NewCopy(time.Second, func(entries []store.Entry, source string) {
-		n.directory.Change(entries, source)
-		n.Change(entries)
+		n.directory.ApplyChanges(entries, source)
+		n.ApplyChanges(entries)
 	}, time.Now)
-	epochs.OnChange(func(epoch.Change) { n.StoreRestored() })
+	epochs.OnChange(func(epoch.Change) { n.HandleStoreRestored() })
 	keeper := &replica.Keeper{Copy: replicated, Store: kv, Place: func() (int, bool) { return 0, true }, Gather: watchBatchInterval, Now: time.Now}
 	f.nodes.Store(address, n)
 	go keeper.Run(ctx)
@@ -132,9 +132,9 @@
 	time.Sleep(time.Minute)
 }
 
-// TestALostDepartureIsWrittenAgain makes the store lose an acknowledged departure. The node
+// TestLostDepartureIsRewritten makes the store lose an acknowledged departure. The node
 // that acknowledged it writes it again, or another node if that one is gone.
-func TestALostDepartureIsWrittenAgain(t *testing.T) {
+func TestLostDepartureIsRewritten(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		virtualtime.Run(t, func(t *testing.T) {
 			f := newTestFleet(t)
@@ -170,14 +170,14 @@
 	}
 }
 
-// TestADepartureOutlastsItsNodeAndTheStore guards against work for a target after its
+// TestDepartureSurvivesNodeKillAndStoreRestore guards against work for a target after its
 // acknowledged departure. A soak (seed 1208, 15 s, 6 nodes) killed a node right after it had
 // acknowledged the departure, and 0.12 s later the store failed and was restored from a backup
 // without it. The restarted node accepted a delayed heartbeat, and the target executed 179
 // requests in 7 s. Until other nodes received the departure from the store, up to a second
 // later, only the store and one node knew it; no other node had logged it before the target's
 // end.
-func TestADepartureOutlastsItsNodeAndTheStore(t *testing.T) {
+func TestDepartureSurvivesNodeKillAndStoreRestore(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newTestFleet(t)
 		nodes := f.startHomes()
@@ -198,12 +198,12 @@
 	})
 }
 
-// TestAStartedNodeIsToldOfALostDeparture makes the store lose a departure that all nodes know,
+// TestRestartedNodeLearnsLostDepartureFromPeers makes the store lose a departure that all nodes know,
 // and restarts the target's node right after the restore, before the departure is written
 // again. In two of four runs of the soak with seed 1208 the target executed 5 and 6 requests
 // 2.0 to 2.4 s after its acknowledged departure, because the other nodes notified its node only
 // when they were due to write the departure, after 1.2 s.
-func TestAStartedNodeIsToldOfALostDeparture(t *testing.T) {
+func TestRestartedNodeLearnsLostDepartureFromPeers(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newTestFleet(t)
 		nodes := f.startHomes()
@@ -243,9 +243,9 @@
 	})
 }
 
-// TestHomesOutlastARestoredStore lets two nodes join after the backup that the store is
+// TestHomesSurviveStoreRestore lets two nodes join after the backup that the store is
 // restored from. All nodes keep them, and a node that starts later learns of them.
-func TestHomesOutlastARestoredStore(t *testing.T) {
+func TestHomesSurviveStoreRestore(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newTestFleet(t)
 		nodes := []*testNode{f.start(1)}
@@ -272,9 +272,9 @@
 	})
 }
 
-// TestALeaseOfAnEarlierEpochIsNeitherRenewedNorEnded makes the restored store grant the number
+// TestLeaseOfEarlierEpochIsNeitherRenewedNorRevoked makes the restored store grant the number
 // of a node's lease to another client.
-func TestALeaseOfAnEarlierEpochIsNeitherRenewedNorEnded(t *testing.T) {
+func TestLeaseOfEarlierEpochIsNeitherRenewedNorRevoked(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newTestFleet(t)
 		backup := f.kv.Backup()
@@ -301,9 +301,9 @@
 	})
 }
 
-// TestAStaleWriteIsWrittenOver executes a write from before the restore late: its expected
+// TestStaleWriteIsOverwritten executes a write from before the restore late: its expected
 // revision is one that the restored store has issued again.
-func TestAStaleWriteIsWrittenOver(t *testing.T) {
+func TestStaleWriteIsOverwritten(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newTestFleet(t)
 		n, peer := f.start(1), f.start(2)
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -128,12 +128,12 @@
 		Process:          n.process,
 		HomesPrefix:      platform.HomesPrefix,
 		DeparturesPrefix: platform.DeparturesPrefix,
-		OnTarget:         n.guard.SetTarget,
+		OnTargetChange:   n.guard.SetTarget,
 		OnRefused:        n.metrics.heartbeatRefused,
 		Records:          n.recall,
 		Epoch:            n.epochs.Current,
 		Place:            n.directory.Place,
-		Peers:            registry.Peers{Addresses: n.directory.Addresses, Tell: n.tellDeparture},
+		Peers:            registry.Peers{Addresses: n.directory.Addresses, Notify: n.tellDeparture},
 		FirstStart:       settings.FirstStart,
 	}, n.registrarStores(), n.log, clock.Now)
 	n.codec = peering.NewCodec(platform.Headers().Signature)
@@ -163,7 +163,7 @@
 // resumed notes that the machine was suspended.
 func (n *Node) resumed() {
 	n.log.Record(eventlog.Event{Kind: eventlog.MachineResumed, Age: clock.System.Suspended()})
-	n.registrar.Resumed()
+	n.registrar.HandleResume()
 }
 
 func (n *Node) newQuarantine() *quarantine.Quarantine {
