--- a/internal/scheduler/benchmark_test.go
+++ b/internal/scheduler/benchmark_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// BenchmarkAcquire measures the fast path of Acquire alone: the limit is out of
-// reach and nothing is released.
+// BenchmarkAcquire measures only the fast path of Acquire: the limit is never
+// reached and no permit is released.
 func BenchmarkAcquire(b *testing.B) {
 	s := scheduler.New(scheduler.Config{}, &unlimited{}, time.Now)
 	ctx := b.Context()
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -8,35 +8,35 @@
 	DefaultMaxWait  = 500 * time.Millisecond
 	DefaultTarget   = 20 * time.Millisecond
 	DefaultInterval = 100 * time.Millisecond
-	// DefaultServiceQuantile is the quantile of recent latencies taken as the expected service time.
+	// DefaultServiceQuantile is the quantile of recent latencies used as the expected service time.
 	DefaultServiceQuantile = 0.25
 )
 
-// Bounds of the wait which a refusal proposes.
+// Bounds of Refusal.RetryAfter.
 const (
 	MinRetryAfter = 100 * time.Millisecond
 	MaxRetryAfter = 5 * time.Second
 )
 
-// Config sets a Scheduler. A zero field takes its default.
+// Config configures a Scheduler. A zero field takes its default.
 type Config struct {
 	// MaxQueue is the largest number of waiters. A negative value means no queue.
 	MaxQueue int
 	// MaxWait is the longest time that a call waits.
 	MaxWait time.Duration
-	// Target is the queueing delay up to which a queue is harmless.
+	// Target is the acceptable queueing delay.
 	Target time.Duration
 	// Interval is how long the delay must stay above Target to count as overload.
 	Interval time.Duration
-	// ServiceQuantile is the quantile of recent latencies taken as the expected service time, between 0 and 1.
+	// ServiceQuantile is the quantile of recent latencies used as the expected service time, between 0 and 1.
 	ServiceQuantile float64
-	// ByRank serves the calls of one level by what their requests have behind them
-	// and then by their whole rank, instead of by turns of callers, so that of
-	// requests with many calls each some get all of theirs and others none, and not
-	// all of them some.
+	// ByRank orders the calls of one level by the earlier calls of their requests
+	// and then by rank, instead of by round-robin over callers. When requests
+	// consist of many calls, some requests then complete and others fail entirely,
+	// instead of each request losing some of its calls.
 	ByRank bool
-	// FirstInFirstOut serves calls by arrival alone and evicts none. It is the
-	// baseline to measure the priority queue against; late calls are still dropped.
+	// FirstInFirstOut serves calls in order of arrival and evicts none. It is the
+	// baseline for measuring the priority queue; late calls are still dropped.
 	FirstInFirstOut bool
 }
 
--- a/internal/scheduler/permit.go
+++ b/internal/scheduler/permit.go
@@ -6,19 +6,19 @@
 	"github.com/lugspur/lugspur/internal/limit"
 )
 
-// Permit is the right to have one call in flight on the target. It must end by
-// Release or Cancel; only the first of these has an effect.
+// Permit allows one call in flight to the target. It must be returned by Release
+// or Cancel; only the first of these calls has an effect.
 type Permit struct {
 	scheduler *Scheduler
 	started   time.Time
 	inFlight  int
-	// done is guarded by the scheduler's lock.
-	done bool
+	// ended is guarded by Scheduler.mu.
+	ended bool
 }
 
-// Release ends the call, tells the limiter its outcome and hands the room to
-// the next waiter. A zero sample latency is replaced by the time since the
-// permit was given, and the number in flight by the scheduler's own count.
+// Release ends the call, reports its outcome to the limiter and admits the next
+// waiter. A zero sample latency is replaced by the time since the permit was
+// granted, and the number in flight by the count at that time.
 func (p *Permit) Release(sample limit.Sample) {
 	s := p.scheduler
 	now := s.now()
@@ -28,38 +28,38 @@
 	sample.InFlight = p.inFlight
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p.done {
+	if p.ended {
 		return
 	}
-	p.done = true
+	p.ended = true
 	s.limiter.Observe(sample)
-	s.learn(sample, now)
+	s.updateServiceTime(sample, now)
 	s.inFlight--
 	s.dispatch(now)
 }
 
-// Cancel gives the permit back unused: nothing was sent to the target, so
-// nothing is learned from it.
+// Cancel returns an unused permit. Nothing was sent to the target, so neither the
+// limiter nor the expected service time is updated.
 func (p *Permit) Cancel() {
 	s := p.scheduler
 	now := s.now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if p.done {
+	if p.ended {
 		return
 	}
-	p.done = true
+	p.ended = true
 	s.inFlight--
 	s.dispatch(now)
 }
 
-// learn updates the expected service time. A timeout says that the call takes
-// at least so long; it must not pull the estimate down.
-func (s *Scheduler) learn(sample limit.Sample, now time.Time) {
+// updateServiceTime updates the expected service time. The latency of a timeout
+// is only a lower bound of the service time, so it must not lower the estimate.
+func (s *Scheduler) updateServiceTime(sample limit.Sample, now time.Time) {
 	switch sample.Outcome {
 	case limit.Success:
-		s.service.add(now, sample.Latency)
+		s.serviceTime.record(now, sample.Latency)
 	case limit.Timeout:
-		s.service.add(now, max(sample.Latency, s.service.expected(now)))
+		s.serviceTime.record(now, max(sample.Latency, s.serviceTime.expected(now)))
 	}
 }
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -19,10 +19,10 @@
 	"github.com/lugspur/lugspur/internal/virtualtime"
 )
 
-// model drives a scheduler step by step and checks each step's outcome.
+// model runs random steps on a scheduler and checks its invariants after each step.
 type model struct {
 	r        *rapid.T
-	bench    *bench
+	harness  *harness
 	running  []*modelCall
 	waiting  []*modelCall
 	maxQueue int
@@ -35,13 +35,13 @@
 
 func (m *model) start() {
 	l := criticality.Level(rapid.IntRange(0, criticality.LevelCount-1).Draw(m.r, "level"))
-	request := level(l)
+	request := atLevel(l)
 	request.Caller = uint64(rapid.IntRange(0, 3).Draw(m.r, "caller"))
 	if rapid.Bool().Draw(m.r, "has deadline") {
 		request.Deadline = time.Now().Add(time.Duration(rapid.IntRange(1, 400).Draw(m.r, "deadline")) * time.Millisecond)
 	}
-	m.waiting = append(m.waiting, &modelCall{call: m.bench.start("call", request), level: l})
-	m.settle()
+	m.waiting = append(m.waiting, &modelCall{call: m.harness.start("call", request), level: l})
+	m.check()
 }
 
 func (m *model) release() {
@@ -51,8 +51,8 @@
 	i := rapid.IntRange(0, len(m.running)-1).Draw(m.r, "released")
 	c := m.running[i]
 	m.running = append(m.running[:i], m.running[i+1:]...)
-	m.bench.release(c.call, time.Duration(rapid.IntRange(1, 100).Draw(m.r, "latency"))*time.Millisecond)
-	m.settle()
+	m.harness.release(c.call, time.Duration(rapid.IntRange(1, 100).Draw(m.r, "latency"))*time.Millisecond)
+	m.check()
 }
 
 func (m *model) cancel() {
@@ -63,26 +63,26 @@
 	c.cancel()
 	synctest.Wait()
 	if !errors.Is(c.err, context.Canceled) {
-		m.r.Fatalf("a cancelled waiter ended with %v", c.err)
+		m.r.Fatalf("a canceled waiter ended with %v", c.err)
 	}
-	m.settle()
+	m.check()
 }
 
-func (m *model) passTime() {
+func (m *model) advanceTime() {
 	time.Sleep(time.Duration(rapid.IntRange(0, 200).Draw(m.r, "ms")) * time.Millisecond)
 	synctest.Wait()
-	m.settle()
+	m.check()
 }
 
 func (m *model) changeLimit() {
-	m.bench.limiter.limit = rapid.IntRange(1, 4).Draw(m.r, "limit")
-	m.bench.scheduler.Wake()
+	m.harness.limiter.limit = rapid.IntRange(1, 4).Draw(m.r, "limit")
+	m.harness.scheduler.Wake()
 	synctest.Wait()
-	m.settle()
+	m.check()
 }
 
-// settle sorts calls into running, waiting and ended, and checks the invariants.
-func (m *model) settle() {
+// check updates the running and waiting calls and verifies the invariants.
+func (m *model) check() {
 	var waiting, admitted []*modelCall
 	for _, c := range m.waiting {
 		switch {
@@ -101,18 +101,18 @@
 	}
 	m.waiting = waiting
 	m.running = append(m.running, admitted...)
-	stats := m.bench.scheduler.Stats()
+	stats := m.harness.scheduler.Stats()
 	if stats.InFlight != len(m.running) || stats.Queued != len(m.waiting) {
 		m.r.Fatalf("stats %+v with %d running and %d waiting", stats, len(m.running), len(m.waiting))
 	}
 	if len(admitted) > 0 && stats.InFlight > stats.Limit {
-		m.r.Fatalf("admitted beyond the limit: %+v", stats)
+		m.r.Fatalf("admitted calls exceed the limit: %+v", stats)
 	}
 	if stats.Queued > 0 && stats.InFlight < stats.Limit {
-		m.r.Fatalf("a call waits although there is room: %+v", stats)
+		m.r.Fatalf("a call waits although the limit is not reached: %+v", stats)
 	}
 	if stats.Queued > m.maxQueue {
-		m.r.Fatalf("queue beyond its bound: %+v", stats)
+		m.r.Fatalf("queue exceeds its bound: %+v", stats)
 	}
 }
 
@@ -120,27 +120,27 @@
 	rapid.Check(t, func(r *rapid.T) {
 		virtualtime.Run(t, func(t *testing.T) {
 			maxQueue := rapid.IntRange(0, 6).Draw(r, "max queue")
-			configured := maxQueue
+			configValue := maxQueue
 			if maxQueue == 0 {
-				configured = -1
+				configValue = -1
 			}
-			b := newBench(t, rapid.IntRange(1, 4).Draw(r, "limit"), scheduler.Config{MaxQueue: configured})
-			m := &model{r: r, bench: b, maxQueue: maxQueue}
+			h := newHarness(t, rapid.IntRange(1, 4).Draw(r, "limit"), scheduler.Config{MaxQueue: configValue})
+			m := &model{r: r, harness: h, maxQueue: maxQueue}
 			for range rapid.IntRange(1, 60).Draw(r, "steps") {
-				steps := []func(){m.start, m.start, m.start, m.release, m.release, m.cancel, m.passTime, m.changeLimit}
+				steps := []func(){m.start, m.start, m.start, m.release, m.release, m.cancel, m.advanceTime, m.changeLimit}
 				steps[rapid.IntRange(0, len(steps)-1).Draw(r, "step")]()
 			}
 			for len(m.running) > 0 {
 				m.release()
 			}
 			if len(m.waiting) > 0 {
-				r.Fatalf("%d waiters are stuck", len(m.waiting))
+				r.Fatalf("%d calls are still waiting although none is running", len(m.waiting))
 			}
 		})
 	})
 }
 
-func TestConcurrentCallsNeverExceedTheLimitNorGetStuck(t *testing.T) {
+func TestConcurrentCallsStayWithinLimitAndComplete(t *testing.T) {
 	const (
 		concurrency = 3
 		workers     = 24
@@ -148,10 +148,10 @@
 	)
 	s := scheduler.New(scheduler.Config{MaxQueue: 8, MaxWait: 5 * time.Millisecond}, &fixedLimit{limit: concurrency}, time.Now)
 	var inFlight, admitted, refused, cancelled atomic.Int64
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for worker := range workers {
 		random := rand.New(rand.NewPCG(1, uint64(worker)))
-		group.Go(func() {
+		wg.Go(func() {
 			for range callsEach {
 				ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 				if random.IntN(4) == 0 {
@@ -184,7 +184,7 @@
 			}
 		})
 	}
-	group.Wait()
+	wg.Wait()
 	stats := s.Stats()
 	assert.Equal(t, stats.InFlight, 0)
 	assert.Equal(t, stats.Queued, 0)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -6,29 +6,29 @@
 	"github.com/lugspur/lugspur/internal/criticality"
 )
 
-// waiter is one queued call. Exactly one of the lists' owner, the queue, and
-// the outcome sent on result holds it.
+// waiter is one queued call. It is either in the queue or has received its
+// outcome on result, never both.
 type waiter struct {
 	request Request
 	level   criticality.Level
 	arrived time.Time
-	// result receives the permit or the refusal; its capacity is one and it is sent to once.
+	// result receives the permit or the refusal, exactly once; its capacity is one.
 	result chan outcome
 	queued bool
 
-	caller             *callerQueue
-	older, newer       *waiter
-	callerOld, callNew *waiter
+	caller                   *callerQueue
+	older, newer             *waiter
+	callerOlder, callerNewer *waiter
 }
 
-// outcome ends a wait: a permit, or a refusal.
+// outcome is the result of a wait: either a permit or a refusal.
 type outcome struct {
 	permit  *Permit
 	refusal *Refusal
 }
 
-// callerQueue is what one caller has queued in one level, oldest first, and
-// its place in the level's round of turns.
+// callerQueue is the list of one caller's waiters in one level, oldest first. It
+// is also a node of the level's round-robin ring.
 type callerQueue struct {
 	id             uint64
 	count          int
@@ -36,15 +36,15 @@
 	prev, next     *callerQueue
 }
 
-// levelQueue holds the waiters of one level in order of arrival and by caller.
+// levelQueue holds the waiters of one level, both in order of arrival and by caller.
 type levelQueue struct {
 	oldest, newest *waiter
 	callers        map[uint64]*callerQueue
-	// turn is the caller whose turn is next, in a ring; nil if the level is empty.
-	turn *callerQueue
+	// nextCaller is the next caller in the round-robin ring; nil if the level is empty.
+	nextCaller *callerQueue
 }
 
-// queue is the priority queue. The scheduler's lock guards it.
+// queue is the priority queue, guarded by the scheduler's lock.
 type queue struct {
 	levels [criticality.LevelCount]levelQueue
 	length int
@@ -81,13 +81,13 @@
 // first returns the level's waiter to serve next. The level must not be empty.
 func (q *queue) first(level *levelQueue, overloaded bool) *waiter {
 	if q.byRank {
-		return level.mostImportant()
+		return level.firstByRank()
 	}
 	return level.first(overloaded)
 }
 
-// oldest returns the arrival of the waiter that waits longest; false if empty.
-func (q *queue) oldest() (time.Time, bool) {
+// oldestArrival returns the arrival time of the oldest waiter; false if the queue is empty.
+func (q *queue) oldestArrival() (time.Time, bool) {
 	var oldest time.Time
 	for i := range q.levels {
 		w := q.levels[i].oldest
@@ -98,8 +98,8 @@
 	return oldest, !oldest.IsZero()
 }
 
-// victim returns the waiter that gives way to an arrival of the given level and
-// caller, nil if the arrival itself has the weakest claim.
+// victim returns the waiter to evict in favor of an arrival of the given level and
+// caller, nil if the arrival itself must be refused.
 func (q *queue) victim(level criticality.Level, caller uint64, overloaded bool) *waiter {
 	for i := len(q.levels) - 1; i >= int(level); i-- {
 		candidates := &q.levels[i]
@@ -107,9 +107,9 @@
 			continue
 		}
 		if i == int(level) {
-			return candidates.displacedBy(caller, overloaded)
+			return candidates.victimFor(caller, overloaded)
 		}
-		return candidates.heaviest().least(overloaded)
+		return candidates.busiestCaller().victim(overloaded)
 	}
 	return nil
 }
@@ -122,11 +122,11 @@
 		l.newest.newer = w
 	}
 	l.newest = w
-	l.callerOf(w.request.Caller).push(w)
+	l.callerQueueFor(w.request.Caller).push(w)
 }
 
-// callerOf returns the caller's queue; a new one gets the last turn.
-func (l *levelQueue) callerOf(id uint64) *callerQueue {
+// callerQueueFor returns the caller's queue; a new one is appended to the ring.
+func (l *levelQueue) callerQueueFor(id uint64) *callerQueue {
 	if c, known := l.callers[id]; known {
 		return c
 	}
@@ -135,58 +135,57 @@
 		l.callers = make(map[uint64]*callerQueue)
 	}
 	l.callers[id] = c
-	l.appendTurn(c)
+	l.appendToRing(c)
 	return c
 }
 
-func (l *levelQueue) appendTurn(c *callerQueue) {
-	if l.turn == nil {
+func (l *levelQueue) appendToRing(c *callerQueue) {
+	if l.nextCaller == nil {
 		c.prev, c.next = c, c
-		l.turn = c
+		l.nextCaller = c
 		return
 	}
-	last := l.turn.prev
-	c.prev, c.next = last, l.turn
-	last.next, l.turn.prev = c, c
+	last := l.nextCaller.prev
+	c.prev, c.next = last, l.nextCaller
+	last.next, l.nextCaller.prev = c, c
 }
 
-func (l *levelQueue) removeTurn(c *callerQueue) {
+func (l *levelQueue) removeFromRing(c *callerQueue) {
 	if c.next == c {
-		l.turn = nil
+		l.nextCaller = nil
 		return
 	}
 	c.prev.next, c.next.prev = c.next, c.prev
-	if l.turn == c {
-		l.turn = c.next
+	if l.nextCaller == c {
+		l.nextCaller = c.next
 	}
 }
 
-// first returns the level's waiter to serve next and passes the turn on. The
-// level must not be empty.
+// first returns the level's waiter to serve next. While overloaded it also
+// advances the ring. The level must not be empty.
 func (l *levelQueue) first(overloaded bool) *waiter {
 	if !overloaded {
 		return l.oldest
 	}
-	c := l.turn
-	l.turn = c.next
+	c := l.nextCaller
+	l.nextCaller = c.next
 	return c.newest
 }
 
-// mostImportant returns the waiter whose request has most calls behind it, of these
-// the one with the lowest rank key, the oldest among equals. Its cost is one step
-// per waiter.
-func (l *levelQueue) mostImportant() *waiter {
+// firstByRank returns the waiter whose request has made the most calls before; ties
+// are broken by the lowest rank key, then by age. It takes O(n) for n waiters.
+func (l *levelQueue) firstByRank() *waiter {
 	best := l.oldest
 	for w := l.oldest.newer; w != nil; w = w.newer {
-		if w.request.goesBefore(best.request) {
+		if w.request.precedes(best.request) {
 			best = w
 		}
 	}
 	return best
 }
 
-// goesBefore reports whether the request goes before another of its level.
-func (r *Request) goesBefore(other Request) bool {
+// precedes reports whether the request is served before another one of the same level.
+func (r *Request) precedes(other Request) bool {
 	if r.Done != other.Done {
 		return r.Done > other.Done
 	}
@@ -208,47 +207,47 @@
 	c := w.caller
 	c.remove(w)
 	if c.count == 0 {
-		l.removeTurn(c)
+		l.removeFromRing(c)
 		delete(l.callers, c.id)
 	}
 }
 
-// heaviest returns the caller with the most waiters, the next in turn among
-// equals. Its cost is one step per caller queued, paid only when the queue is full.
-func (l *levelQueue) heaviest() *callerQueue {
-	heaviest := l.turn
-	for c := l.turn.next; c != l.turn; c = c.next {
-		if c.count > heaviest.count {
-			heaviest = c
+// busiestCaller returns the caller with the most waiters; ties go to the next in
+// the ring. It takes O(n) for n queued callers and runs only when the queue is full.
+func (l *levelQueue) busiestCaller() *callerQueue {
+	busiest := l.nextCaller
+	for c := l.nextCaller.next; c != l.nextCaller; c = c.next {
+		if c.count > busiest.count {
+			busiest = c
 		}
 	}
-	return heaviest
+	return busiest
 }
 
-// displacedBy returns the waiter that gives way to an arrival of the same
-// level, nil if the arrival itself has the weakest claim. The arrival counts
-// among its caller's calls. While overloaded newest goes first, so a caller
-// displaces its own oldest call, and among equals the arrival wins.
-func (l *levelQueue) displacedBy(caller uint64, overloaded bool) *waiter {
+// victimFor returns the waiter to evict in favor of an arrival of the same level,
+// nil if the arrival itself must be refused. The arrival counts toward its
+// caller's waiters. While overloaded the newest call is served first, so a caller
+// evicts its own oldest call, and the arrival wins ties between callers.
+func (l *levelQueue) victimFor(caller uint64, overloaded bool) *waiter {
 	own := l.callers[caller]
-	arriving := 1
+	withArrival := 1
 	if own != nil {
-		arriving += own.count
+		withArrival += own.count
 	}
-	heaviest := l.heaviest()
+	busiest := l.busiestCaller()
 	switch {
-	case heaviest.count > arriving:
-		return heaviest.least(overloaded)
-	case heaviest.count == arriving && overloaded:
-		return heaviest.oldest
+	case busiest.count > withArrival:
+		return busiest.victim(overloaded)
+	case busiest.count == withArrival && overloaded:
+		return busiest.oldest
 	case own != nil && overloaded:
 		return own.oldest
 	}
 	return nil
 }
 
-// least returns the caller's waiter with the weakest claim.
-func (c *callerQueue) least(overloaded bool) *waiter {
+// victim returns the caller's waiter that would be served last.
+func (c *callerQueue) victim(overloaded bool) *waiter {
 	if overloaded {
 		return c.oldest
 	}
@@ -257,28 +256,28 @@
 
 func (c *callerQueue) push(w *waiter) {
 	w.caller = c
-	w.callerOld = c.newest
+	w.callerOlder = c.newest
 	if c.newest == nil {
 		c.oldest = w
 	} else {
-		c.newest.callNew = w
+		c.newest.callerNewer = w
 	}
 	c.newest = w
 	c.count++
 }
 
 func (c *callerQueue) remove(w *waiter) {
-	if w.callerOld == nil {
-		c.oldest = w.callNew
+	if w.callerOlder == nil {
+		c.oldest = w.callerNewer
 	} else {
-		w.callerOld.callNew = w.callNew
+		w.callerOlder.callerNewer = w.callerNewer
 	}
-	if w.callNew == nil {
-		c.newest = w.callerOld
+	if w.callerNewer == nil {
+		c.newest = w.callerOlder
 	} else {
-		w.callNew.callerOld = w.callerOld
+		w.callerNewer.callerOlder = w.callerOlder
 	}
-	w.callerOld, w.callNew = nil, nil
+	w.callerOlder, w.callerNewer = nil, nil
 	w.caller = nil
 	c.count--
 }
--- a/internal/scheduler/refusal.go
+++ b/internal/scheduler/refusal.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Reason says why a call was refused before it got a permit.
+// Reason is why a call was refused a permit.
 type Reason uint8
 
 // The reasons.
 const (
-	// QueueFull: no room, and nothing less important to displace.
+	// QueueFull: the queue is full and no waiter can be evicted for the call.
 	QueueFull Reason = iota
-	// Evicted: a more important call, or one of a caller with fewer calls queued, took the place.
+	// Evicted: the call was displaced by a more important one, or by one of a caller with fewer waiters.
 	Evicted
-	// Deadline: the call can no longer finish in time.
+	// Deadline: the call can no longer meet its deadline.
 	Deadline
-	// Overloaded: the call waited for the longest allowed time.
+	// Overloaded: the call waited for the maximum time.
 	Overloaded
 	// Closed: this node stopped being the target's home.
 	Closed
@@ -24,7 +24,7 @@
 
 var reasonNames = [...]string{"queue-full", "evicted", "deadline", "overloaded", "closed"}
 
-// String returns the reason's name as metrics and problem documents write it.
+// String returns the reason's name as used in metrics and problem documents.
 func (r Reason) String() string {
 	if int(r) >= len(reasonNames) {
 		return fmt.Sprintf("reason(%d)", uint8(r))
@@ -32,16 +32,16 @@
 	return reasonNames[r]
 }
 
-// Refusal is the error of a call that got no permit. Nothing of the call was
-// sent to the target.
+// Refusal is the error returned for a call that got no permit. Nothing was sent
+// to the target.
 type Refusal struct {
-	// Reason says why.
+	// Reason is why the call was refused.
 	Reason Reason
-	// RetryAfter is a proposed wait before the call is tried again; zero for Closed.
+	// RetryAfter is the suggested delay before a retry; zero for Closed.
 	RetryAfter time.Duration
 }
 
-// Error returns the reason and the proposed wait.
+// Error returns the reason and the suggested delay.
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("refused by the scheduler: %s, retry after %s", r.Reason, r.RetryAfter)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -15,41 +15,41 @@
 type Limiter interface {
 	// Limit returns how many calls may be in flight.
 	Limit() int
-	// Observe takes the outcome of a call into account.
+	// Observe records the outcome of a call.
 	Observe(limit.Sample)
 }
 
-// Request is a call that asks for a permit.
+// Request describes a call that needs a permit.
 type Request struct {
-	// Rank orders calls; its level decides the place in the queue.
+	// Rank orders calls; its level determines the position in the queue.
 	Rank criticality.Rank
-	// Done is the number of calls that the request which makes this one has behind
-	// it. A queue by rank serves those first that have most, as they are nearest to
-	// being worth something and their work would be wasted.
+	// Done is the number of calls that the same request has made before this one.
+	// With Config.ByRank, calls with the highest number are served first: their
+	// requests are closest to completion, and failing them wastes the most work.
 	Done int
-	// Deadline is the absolute time at which the answer is worthless; zero means none.
+	// Deadline is the time after which the response is useless; zero means none.
 	Deadline time.Time
-	// ID names the request in logs; it decides nothing.
+	// ID identifies the request in logs; it does not affect scheduling.
 	ID string
-	// Caller is a hash of the caller, by which the level is shared fairly.
+	// Caller is a hash of the caller, used for fair queueing within a level.
 	Caller uint64
-	// MaxWait is the longest time that this call waits; zero means the queue's own bound.
+	// MaxWait is the longest time that this call waits; zero means the scheduler's bound.
 	MaxWait time.Duration
 }
 
-// Stats is the state of a scheduler at one moment.
+// Stats is a snapshot of a scheduler.
 type Stats struct {
-	// InFlight is the number of permits given and not yet released.
+	// InFlight is the number of permits granted and not yet released.
 	InFlight int
-	// Limit is the present concurrency limit.
+	// Limit is the current concurrency limit.
 	Limit int
 	// Queued is the number of waiters.
 	Queued int
 	// QueueDelay is the age of the oldest waiter, zero if none waits.
 	QueueDelay time.Duration
-	// Overloaded reports whether the queueing delay has stayed above the target.
+	// Overloaded reports whether the queueing delay has stayed above Config.Target for Config.Interval.
 	Overloaded bool
-	// Served is the number of permits ever given.
+	// Served is the total number of permits granted.
 	Served uint64
 	// ExpectedService is the estimated service time, zero if unknown.
 	ExpectedService time.Duration
@@ -61,39 +61,39 @@
 	limiter Limiter
 	now     func() time.Time
 
-	mu       sync.Mutex
-	queue    queue
-	inFlight int
-	served   uint64
-	service  serviceTime
-	// aboveSince is when the queueing delay passed the target; zero while it is not above.
+	mu          sync.Mutex
+	queue       queue
+	inFlight    int
+	served      uint64
+	serviceTime serviceTime
+	// aboveSince is when the queueing delay exceeded Config.Target; zero while it does not.
 	aboveSince time.Time
 	closed     bool
 }
 
-// New returns a scheduler for one target. The clock now must agree with the
-// runtime's timers on how fast time passes, since waiters sleep on timers.
+// New returns a scheduler for one target. The clock now must advance at the same
+// rate as the runtime's timers, since waiters block on timers.
 func New(config Config, limiter Limiter, now func() time.Time) *Scheduler {
 	config = config.withDefaults()
 	return &Scheduler{
-		config:  config,
-		limiter: limiter,
-		now:     now,
-		service: serviceTime{quantile: config.ServiceQuantile},
-		queue:   queue{byRank: config.ByRank},
+		config:      config,
+		limiter:     limiter,
+		now:         now,
+		serviceTime: serviceTime{quantile: config.ServiceQuantile},
+		queue:       queue{byRank: config.ByRank},
 	}
 }
 
-// Acquire returns a permit to send the call, after waiting for one if need be.
-// It fails with a *Refusal, or with the context's cause when the context was
-// cancelled. A context whose own deadline passes gives a Deadline refusal.
+// Acquire returns a permit to send the call and waits for one if necessary.
+// It fails with a *Refusal, or with the context's cause when the context is
+// canceled. An expired context deadline results in a Deadline refusal.
 func (s *Scheduler) Acquire(ctx context.Context, request Request) (*Permit, error) {
 	if ctx.Err() != nil {
 		return nil, s.contextError(context.Cause(ctx))
 	}
 	now := s.now()
 	s.mu.Lock()
-	if refusal := s.refuseNow(request, now); refusal != nil {
+	if refusal := s.refuseOnArrival(request, now); refusal != nil {
 		s.mu.Unlock()
 		return nil, refusal
 	}
@@ -110,7 +110,7 @@
 	return s.wait(ctx, w, now)
 }
 
-// Stats returns the present state.
+// Stats returns the current state.
 func (s *Scheduler) Stats() Stats {
 	now := s.now()
 	s.mu.Lock()
@@ -122,16 +122,16 @@
 		Queued:          s.queue.length,
 		Overloaded:      overloaded,
 		Served:          s.served,
-		ExpectedService: s.service.expected(now),
+		ExpectedService: s.serviceTime.expected(now),
 	}
-	if oldest, any := s.queue.oldest(); any {
+	if oldest, waiting := s.queue.oldestArrival(); waiting {
 		stats.QueueDelay = now.Sub(oldest)
 	}
 	return stats
 }
 
-// Wake hands out permits after the limit was raised from outside, for example
-// by SetCeiling. Releases and arrivals do so by themselves.
+// Wake grants permits to waiters after the limit was raised externally, for
+// example by SetCeiling. Releases and arrivals do so by themselves.
 func (s *Scheduler) Wake() {
 	now := s.now()
 	s.mu.Lock()
@@ -140,7 +140,7 @@
 }
 
 // Close refuses all waiters and all later calls with Closed. Permits already
-// given stay good and are released as usual.
+// granted remain valid and are released as usual.
 func (s *Scheduler) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,23 +151,23 @@
 	s.aboveSince = time.Time{}
 }
 
-// refuseNow returns the refusal of a call that need not even queue.
-func (s *Scheduler) refuseNow(request Request, now time.Time) *Refusal {
+// refuseOnArrival returns the refusal of a call that must not be queued, nil if there is none.
+func (s *Scheduler) refuseOnArrival(request Request, now time.Time) *Refusal {
 	if s.closed {
 		return &Refusal{Reason: Closed}
 	}
-	if s.tooLate(request, now) {
+	if s.willMissDeadline(request, now) {
 		return s.refusal(Deadline, now)
 	}
 	return nil
 }
 
-// tooLate reports whether the call could no longer finish if it began now.
-func (s *Scheduler) tooLate(request Request, now time.Time) bool {
+// willMissDeadline reports whether the call would miss its deadline if it started now.
+func (s *Scheduler) willMissDeadline(request Request, now time.Time) bool {
 	if request.Deadline.IsZero() {
 		return false
 	}
-	return request.Deadline.Sub(now) < s.service.expected(now)
+	return request.Deadline.Sub(now) < s.serviceTime.expected(now)
 }
 
 func (s *Scheduler) admit(now time.Time) *Permit {
@@ -176,7 +176,7 @@
 	return &Permit{scheduler: s, started: now, inFlight: s.inFlight}
 }
 
-// enqueue queues a call, displacing a less important one if the queue is full.
+// enqueue queues a call, evicting another one if the queue is full.
 func (s *Scheduler) enqueue(request Request, now time.Time) (*waiter, *Refusal) {
 	w := &waiter{request: request, level: s.levelOf(request), arrived: now, result: make(chan outcome, 1)}
 	if s.queue.length >= s.config.MaxQueue {
@@ -184,14 +184,14 @@
 		if victim == nil {
 			return nil, s.refusal(QueueFull, now)
 		}
-		s.drop(victim, Evicted, now)
+		s.refuseWaiter(victim, Evicted, now)
 	}
 	s.queue.push(w)
 	s.dispatch(now)
 	return w, nil
 }
 
-// levelOf returns the level in which the call queues.
+// levelOf returns the level in which the call is queued.
 func (s *Scheduler) levelOf(request Request) criticality.Level {
 	if s.config.FirstInFirstOut {
 		return criticality.CriticalPlus
@@ -199,7 +199,7 @@
 	return min(request.Rank.Level, criticality.LevelCount-1)
 }
 
-// victim returns the waiter that gives way to w in a full queue, nil if none does.
+// victim returns the waiter to evict from a full queue in favor of w, nil if there is none.
 func (s *Scheduler) victim(w *waiter, now time.Time) *waiter {
 	if s.config.FirstInFirstOut {
 		return nil
@@ -207,13 +207,13 @@
 	return s.queue.victim(w.level, w.request.Caller, s.updateOverload(now))
 }
 
-// dispatch gives free room to waiters, most important first, and drops those
-// whose turn comes too late.
+// dispatch grants free permits to waiters in queue order and refuses those that
+// can no longer meet their deadlines.
 func (s *Scheduler) dispatch(now time.Time) {
 	for s.queue.length > 0 && s.inFlight < s.limit() {
 		overloaded := s.updateOverload(now)
 		w := s.queue.pop(overloaded && !s.config.FirstInFirstOut)
-		if s.tooLate(w.request, now) {
+		if s.willMissDeadline(w.request, now) {
 			w.result <- outcome{refusal: s.refusal(Deadline, now)}
 			continue
 		}
@@ -222,18 +222,18 @@
 	s.updateOverload(now)
 }
 
-func (s *Scheduler) drop(w *waiter, reason Reason, now time.Time) {
+func (s *Scheduler) refuseWaiter(w *waiter, reason Reason, now time.Time) {
 	s.queue.remove(w)
 	w.result <- outcome{refusal: s.refusal(reason, now)}
 }
 
-// updateOverload brings the overload state up to date and returns it.
+// updateOverload updates the overload state and returns it.
 func (s *Scheduler) updateOverload(now time.Time) bool {
 	if s.queue.length == 0 {
 		s.aboveSince = time.Time{}
 		return false
 	}
-	oldest, _ := s.queue.oldest()
+	oldest, _ := s.queue.oldestArrival()
 	if now.Sub(oldest) <= s.config.Target {
 		s.aboveSince = time.Time{}
 		return false
@@ -244,10 +244,10 @@
 	return now.Sub(s.aboveSince) >= s.config.Interval
 }
 
-// refusal proposes to retry once the present queue would have been served.
+// refusal returns a refusal whose RetryAfter is the expected time to serve the current queue.
 func (s *Scheduler) refusal(reason Reason, now time.Time) *Refusal {
-	turns := time.Duration(s.queue.length/s.limit() + 1)
-	wait := turns * s.service.expected(now)
+	rounds := time.Duration(s.queue.length/s.limit() + 1)
+	wait := rounds * s.serviceTime.expected(now)
 	return &Refusal{Reason: reason, RetryAfter: min(max(wait, MinRetryAfter), MaxRetryAfter)}
 }
 
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -17,7 +17,7 @@
 	"github.com/lugspur/lugspur/internal/virtualtime"
 )
 
-// fixedLimit is a limiter that never moves by itself.
+// fixedLimit is a Limiter whose limit only the test changes.
 type fixedLimit struct {
 	mu      sync.Mutex
 	limit   int
@@ -44,271 +44,271 @@
 	err    error
 }
 
-// bench starts calls and records the order in which they end.
-type bench struct {
+// harness starts calls and records the order in which Acquire returns.
+type harness struct {
 	t         *testing.T
 	limiter   *fixedLimit
 	scheduler *scheduler.Scheduler
 	mu        sync.Mutex
-	ended     []string
+	returned  []string
 }
 
-func newBench(t *testing.T, limit int, config scheduler.Config) *bench {
+func newHarness(t *testing.T, limit int, config scheduler.Config) *harness {
 	limiter := &fixedLimit{limit: limit}
-	return &bench{t: t, limiter: limiter, scheduler: scheduler.New(config, limiter, time.Now)}
+	return &harness{t: t, limiter: limiter, scheduler: scheduler.New(config, limiter, time.Now)}
 }
 
-// start begins a call and returns once it has a permit, a refusal or a place in the queue.
-func (b *bench) start(name string, request scheduler.Request) *call {
-	ctx, cancel := context.WithCancel(b.t.Context())
-	b.t.Cleanup(cancel)
+// start starts a call and returns once it has a permit, is refused or is queued.
+func (h *harness) start(name string, request scheduler.Request) *call {
+	ctx, cancel := context.WithCancel(h.t.Context())
+	h.t.Cleanup(cancel)
 	c := &call{name: name, cancel: cancel}
 	go func() {
-		permit, err := b.scheduler.Acquire(ctx, request)
-		b.mu.Lock()
-		defer b.mu.Unlock()
+		permit, err := h.scheduler.Acquire(ctx, request)
+		h.mu.Lock()
+		defer h.mu.Unlock()
 		c.permit, c.err = permit, err
-		b.ended = append(b.ended, name)
+		h.returned = append(h.returned, name)
 	}()
 	synctest.Wait()
 	return c
 }
 
-func (b *bench) release(c *call, latency time.Duration) {
+func (h *harness) release(c *call, latency time.Duration) {
 	c.permit.Release(limit.Sample{Latency: latency})
 	synctest.Wait()
 }
 
-// drain releases permits until none is left and returns the order in which the
-// calls got theirs.
-func (b *bench) drain(calls ...*call) []string {
-	b.ended = nil
+// drain releases permits until none is left and returns the order in which they
+// were granted.
+func (h *harness) drain(calls ...*call) []string {
+	h.returned = nil
 	for {
-		held := slices.IndexFunc(calls, func(c *call) bool { return c.permit != nil })
-		if held < 0 {
-			return b.ended
+		i := slices.IndexFunc(calls, func(c *call) bool { return c.permit != nil })
+		if i < 0 {
+			return h.returned
 		}
-		b.release(calls[held], time.Millisecond)
-		calls = slices.Delete(calls, held, held+1)
+		h.release(calls[i], time.Millisecond)
+		calls = slices.Delete(calls, i, i+1)
 	}
 }
 
-func (b *bench) assertRefused(c *call, reason scheduler.Reason) {
-	b.t.Helper()
+func (h *harness) assertRefused(c *call, reason scheduler.Reason) {
+	h.t.Helper()
 	var refusal *scheduler.Refusal
-	assert.Assert(b.t, errors.As(c.err, &refusal), "%s: error %v", c.name, c.err)
-	assert.Equal(b.t, refusal.Reason, reason, c.name)
+	assert.Assert(h.t, errors.As(c.err, &refusal), "%s: error %v", c.name, c.err)
+	assert.Equal(h.t, refusal.Reason, reason, c.name)
 }
 
-func level(l criticality.Level) scheduler.Request {
+func atLevel(l criticality.Level) scheduler.Request {
 	return scheduler.Request{Rank: criticality.Rank{Level: l}}
 }
 
-func from(caller uint64) scheduler.Request {
+func fromCaller(caller uint64) scheduler.Request {
 	return scheduler.Request{Rank: criticality.Rank{Level: criticality.Critical}, Caller: caller}
 }
 
 func TestStrictPriorityThenArrival(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
-		b := newBench(t, 1, scheduler.Config{})
-		busy := b.start("busy", level(criticality.Critical))
+		h := newHarness(t, 1, scheduler.Config{})
+		busy := h.start("busy", atLevel(criticality.Critical))
 		calls := []*call{
 			busy,
-			b.start("sheddable", level(criticality.Sheddable)),
-			b.start("critical 1", level(criticality.Critical)),
-			b.start("plus", level(criticality.CriticalPlus)),
-			b.start("critical 2", level(criticality.Critical)),
+			h.start("sheddable", atLevel(criticality.Sheddable)),
+			h.start("critical 1", atLevel(criticality.Critical)),
+			h.start("plus", atLevel(criticality.CriticalPlus)),
+			h.start("critical 2", atLevel(criticality.Critical)),
 		}
-		assert.DeepEqual(t, b.drain(calls...), []string{"plus", "critical 1", "critical 2", "sheddable"})
+		assert.DeepEqual(t, h.drain(calls...), []string{"plus", "critical 1", "critical 2", "sheddable"})
 	})
 }
 
-func TestDropsWhatCanNoLongerFinish(t *testing.T) {
+func TestRefusesCallsThatWillMissTheirDeadline(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
-		b := newBench(t, 1, scheduler.Config{MaxWait: time.Minute})
+		h := newHarness(t, 1, scheduler.Config{MaxWait: time.Minute})
 		for range 16 {
-			b.release(b.start("warm", from(1)), 80*time.Millisecond)
+			h.release(h.start("warm", fromCaller(1)), 80*time.Millisecond)
 		}
-		assert.Equal(t, b.scheduler.Stats().ExpectedService, 80*time.Millisecond)
-		soon := from(1)
-		soon.Deadline = time.Now().Add(79 * time.Millisecond)
-		b.assertRefused(b.start("too late on arrival", soon), scheduler.Deadline)
+		assert.Equal(t, h.scheduler.Stats().ExpectedService, 80*time.Millisecond)
+		request := fromCaller(1)
+		request.Deadline = time.Now().Add(79 * time.Millisecond)
+		h.assertRefused(h.start("too late on arrival", request), scheduler.Deadline)
 
-		busy := b.start("busy", from(1))
-		soon.Deadline = time.Now().Add(100 * time.Millisecond)
-		waiting := b.start("too late while waiting", soon)
+		busy := h.start("busy", fromCaller(1))
+		request.Deadline = time.Now().Add(100 * time.Millisecond)
+		waiting := h.start("too late while waiting", request)
 		time.Sleep(19 * time.Millisecond)
 		synctest.Wait()
-		assert.Equal(t, b.scheduler.Stats().Queued, 1)
+		assert.Equal(t, h.scheduler.Stats().Queued, 1)
 		time.Sleep(2 * time.Millisecond)
 		synctest.Wait()
-		b.assertRefused(waiting, scheduler.Deadline)
-		assert.Equal(t, b.scheduler.Stats().Queued, 0)
-		b.release(busy, time.Millisecond)
+		h.assertRefused(waiting, scheduler.Deadline)
+		assert.Equal(t, h.scheduler.Stats().Queued, 0)
+		h.release(busy, time.Millisecond)
 
-		soon.Deadline = time.Time{}
+		request.Deadline = time.Time{}
 		for range 64 {
-			b.start("short timeout", soon).permit.Release(limit.Sample{Latency: time.Millisecond, Outcome: limit.Timeout})
+			h.start("short timeout", request).permit.Release(limit.Sample{Latency: time.Millisecond, Outcome: limit.Timeout})
 		}
-		assert.Equal(t, b.scheduler.Stats().ExpectedService, 80*time.Millisecond, "timeouts must not lower it")
+		assert.Equal(t, h.scheduler.Stats().ExpectedService, 80*time.Millisecond, "timeouts must not lower the estimate")
 
 		time.Sleep(3 * time.Second)
-		soon.Deadline = time.Now().Add(10 * time.Millisecond)
-		b.release(b.start("a stale estimate locks nobody out", soon), time.Millisecond)
+		request.Deadline = time.Now().Add(10 * time.Millisecond)
+		h.release(h.start("admitted in spite of a stale estimate", request), time.Millisecond)
 	})
 }
 
-func TestDropsLateWaitersAtTheirTurn(t *testing.T) {
+func TestRefusesLateWaitersAtDispatch(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
-		b := newBench(t, 1, scheduler.Config{MaxWait: time.Minute})
-		busy := b.start("busy", from(1))
-		request := from(1)
+		h := newHarness(t, 1, scheduler.Config{MaxWait: time.Minute})
+		busy := h.start("busy", fromCaller(1))
+		request := fromCaller(1)
 		request.Deadline = time.Now().Add(200 * time.Millisecond)
-		late := b.start("late", request)
-		good := b.start("good", from(1))
+		late := h.start("late", request)
+		inTime := h.start("good", fromCaller(1))
 		time.Sleep(100 * time.Millisecond)
-		b.release(busy, 150*time.Millisecond)
-		b.assertRefused(late, scheduler.Deadline)
-		b.release(good, time.Millisecond)
+		h.release(busy, 150*time.Millisecond)
+		h.assertRefused(late, scheduler.Deadline)
+		h.release(inTime, time.Millisecond)
 	})
 }
 
 func TestMaxWaitCancellationAndClose(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
-		b := newBench(t, 1, scheduler.Config{MaxWait: 50 * time.Millisecond})
-		busy := b.start("busy", from(1))
-		patient := b.start("patient", from(1))
-		gone := b.start("gone", from(2))
-		gone.cancel()
+		h := newHarness(t, 1, scheduler.Config{MaxWait: 50 * time.Millisecond})
+		busy := h.start("busy", fromCaller(1))
+		expiring := h.start("patient", fromCaller(1))
+		canceled := h.start("gone", fromCaller(2))
+		canceled.cancel()
 		synctest.Wait()
-		assert.ErrorIs(t, gone.err, context.Canceled)
-		assert.Equal(t, b.scheduler.Stats().Queued, 1)
+		assert.ErrorIs(t, canceled.err, context.Canceled)
+		assert.Equal(t, h.scheduler.Stats().Queued, 1)
 		time.Sleep(51 * time.Millisecond)
 		synctest.Wait()
-		b.assertRefused(patient, scheduler.Overloaded)
+		h.assertRefused(expiring, scheduler.Overloaded)
 
-		waiting := b.start("waiting", from(1))
-		b.scheduler.Close()
+		waiting := h.start("waiting", fromCaller(1))
+		h.scheduler.Close()
 		synctest.Wait()
-		b.assertRefused(waiting, scheduler.Closed)
-		b.assertRefused(b.start("after", from(1)), scheduler.Closed)
-		b.release(busy, time.Millisecond)
-		assert.Equal(t, b.scheduler.Stats().InFlight, 0)
+		h.assertRefused(waiting, scheduler.Closed)
+		h.assertRefused(h.start("after", fromCaller(1)), scheduler.Closed)
+		h.release(busy, time.Millisecond)
+		assert.Equal(t, h.scheduler.Stats().InFlight, 0)
 	})
 }
 
-func TestContextDeadlineIsADeadlineRefusal(t *testing.T) {
+func TestContextDeadlineGivesDeadlineRefusal(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
-		b := newBench(t, 1, scheduler.Config{})
-		busy := b.start("busy", from(1))
+		h := newHarness(t, 1, scheduler.Config{})
+		busy := h.start("busy", fromCaller(1))
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 		defer cancel()
-		_, err := b.scheduler.Acquire(ctx, from(1))
-		b.assertRefused(&call{name: "in queue", err: err}, scheduler.Deadline)
-		_, err = b.scheduler.Acquire(ctx, from(1))
-		b.assertRefused(&call{name: "before", err: err}, scheduler.Deadline)
-		b.release(busy, time.Millisecond)
+		_, err := h.scheduler.Acquire(ctx, fromCaller(1))
+		h.assertRefused(&call{name: "in queue", err: err}, scheduler.Deadline)
+		_, err = h.scheduler.Acquire(ctx, fromCaller(1))
+		h.assertRefused(&call{name: "before", err: err}, scheduler.Deadline)
+		h.release(busy, time.Millisecond)
 	})
 }
 
-// TestADeadlineThatIsTheCauseIsADeadlineRefusal has a context whose deadline was kept by
-// another clock than its own: it is cancelled, and its cause tells why. A call whose time was
-// over before it asked was taken for one whose caller left, and not told when to come back.
-func TestADeadlineThatIsTheCauseIsADeadlineRefusal(t *testing.T) {
+// A context whose deadline is enforced by an external clock is canceled with
+// context.DeadlineExceeded as its cause. A call that had already expired was treated
+// as canceled by its caller and got no RetryAfter.
+func TestDeadlineExceededCauseGivesDeadlineRefusal(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
-		b := newBench(t, 1, scheduler.Config{})
+		h := newHarness(t, 1, scheduler.Config{})
 		ctx, expire := context.WithCancelCause(t.Context())
 		expire(context.DeadlineExceeded)
-		_, err := b.scheduler.Acquire(ctx, from(1))
-		b.assertRefused(&call{name: "before", err: err}, scheduler.Deadline)
+		_, err := h.scheduler.Acquire(ctx, fromCaller(1))
+		h.assertRefused(&call{name: "before", err: err}, scheduler.Deadline)
 	})
 }
 
-func TestReleaseCountsOnceAndFeedsTheLimiter(t *testing.T) {
+func TestReleaseCountsOnceAndUpdatesLimiter(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
-		b := newBench(t, 2, scheduler.Config{})
-		first, second := b.start("first", from(1)), b.start("second", from(1))
+		h := newHarness(t, 2, scheduler.Config{})
+		first, second := h.start("first", fromCaller(1)), h.start("second", fromCaller(1))
 		time.Sleep(30 * time.Millisecond)
 		second.permit.Release(limit.Sample{Outcome: limit.Overload})
 		second.permit.Release(limit.Sample{})
 		second.permit.Cancel()
-		assert.Equal(t, b.scheduler.Stats().InFlight, 1)
-		assert.DeepEqual(t, b.limiter.samples, []limit.Sample{
+		assert.Equal(t, h.scheduler.Stats().InFlight, 1)
+		assert.DeepEqual(t, h.limiter.samples, []limit.Sample{
 			{Latency: 30 * time.Millisecond, InFlight: 2, Outcome: limit.Overload},
 		})
 		first.permit.Cancel()
-		assert.Equal(t, b.scheduler.Stats().InFlight, 0)
-		assert.Equal(t, len(b.limiter.samples), 1)
+		assert.Equal(t, h.scheduler.Stats().InFlight, 0)
+		assert.Equal(t, len(h.limiter.samples), 1)
 	})
 }
 
-func TestWakeAfterTheLimitRose(t *testing.T) {
+func TestWakeAfterLimitIncrease(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
-		b := newBench(t, 1, scheduler.Config{})
-		busy, waiting := b.start("busy", from(1)), b.start("waiting", from(1))
-		b.limiter.limit = 2
-		b.scheduler.Wake()
+		h := newHarness(t, 1, scheduler.Config{})
+		busy, waiting := h.start("busy", fromCaller(1)), h.start("waiting", fromCaller(1))
+		h.limiter.limit = 2
+		h.scheduler.Wake()
 		synctest.Wait()
-		assert.Equal(t, b.scheduler.Stats().InFlight, 2)
-		b.drain(busy, waiting)
+		assert.Equal(t, h.scheduler.Stats().InFlight, 2)
+		h.drain(busy, waiting)
 	})
 }
 
-func ranked(l criticality.Level, cohort uint8) scheduler.Request {
+func withRank(l criticality.Level, cohort uint8) scheduler.Request {
 	return scheduler.Request{Rank: criticality.Rank{Level: l, Cohort: cohort}}
 }
 
-// TestByRankServesEachRequestsCallsAlike keeps the queue overloaded, in which
-// it would serve the newest call first, and finds that the calls of the more
-// important request go first whenever they came.
-func TestByRankServesEachRequestsCallsAlike(t *testing.T) {
+// With ByRank, the calls of the more important request are served first whatever
+// their arrival order, also while the queue is overloaded, when it would otherwise
+// serve the newest call first.
+func TestByRankGroupsCallsByRequest(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
-		b := newBench(t, 1, scheduler.Config{ByRank: true, MaxWait: time.Minute})
+		h := newHarness(t, 1, scheduler.Config{ByRank: true, MaxWait: time.Minute})
 		calls := []*call{
-			b.start("busy", ranked(criticality.Critical, 0)),
-			b.start("b 1", ranked(criticality.Critical, 9)),
-			b.start("a 1", ranked(criticality.Critical, 3)),
-			b.start("b 2", ranked(criticality.Critical, 9)),
-			b.start("a 2", ranked(criticality.Critical, 3)),
-			b.start("plus", ranked(criticality.CriticalPlus, 99)),
+			h.start("busy", withRank(criticality.Critical, 0)),
+			h.start("b 1", withRank(criticality.Critical, 9)),
+			h.start("a 1", withRank(criticality.Critical, 3)),
+			h.start("b 2", withRank(criticality.Critical, 9)),
+			h.start("a 2", withRank(criticality.Critical, 3)),
+			h.start("plus", withRank(criticality.CriticalPlus, 99)),
 		}
 		time.Sleep(time.Second)
-		assert.DeepEqual(t, b.drain(calls...), []string{"plus", "a 1", "a 2", "b 1", "b 2"})
+		assert.DeepEqual(t, h.drain(calls...), []string{"plus", "a 1", "a 2", "b 1", "b 2"})
 	})
 }
 
-// TestByRankServesWhatIsAlmostDoneFirst has calls of requests wait that have made
-// none, one and three calls before: inside a level the work that was done decides,
-// and what has none behind it goes by its rank, wherever it was made.
-func TestByRankServesWhatIsAlmostDoneFirst(t *testing.T) {
+// The waiting calls belong to requests that have made zero, one and three calls
+// before. Within a level the number of earlier calls determines the order; calls of
+// requests without any are ordered by rank, whatever their position in a call tree.
+func TestByRankServesMostEarlierCallsFirst(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
-		b := newBench(t, 1, scheduler.Config{ByRank: true, MaxWait: time.Minute})
-		done := func(l criticality.Level, cohort uint8, calls int) scheduler.Request {
-			request := ranked(l, cohort)
+		h := newHarness(t, 1, scheduler.Config{ByRank: true, MaxWait: time.Minute})
+		withEarlierCalls := func(l criticality.Level, cohort uint8, calls int) scheduler.Request {
+			request := withRank(l, cohort)
 			request.Done = calls
 			return request
 		}
 		calls := []*call{
-			b.start("busy", ranked(criticality.Critical, 0)),
-			b.start("first of a tree", done(criticality.SheddablePlus, 50, 0)),
-			b.start("alone", done(criticality.SheddablePlus, 9, 0)),
-			b.start("second", done(criticality.SheddablePlus, 100, 1)),
-			b.start("fourth", done(criticality.SheddablePlus, 120, 3)),
-			b.start("more important", done(criticality.CriticalPlus, 127, 0)),
+			h.start("busy", withRank(criticality.Critical, 0)),
+			h.start("first of a tree", withEarlierCalls(criticality.SheddablePlus, 50, 0)),
+			h.start("alone", withEarlierCalls(criticality.SheddablePlus, 9, 0)),
+			h.start("second", withEarlierCalls(criticality.SheddablePlus, 100, 1)),
+			h.start("fourth", withEarlierCalls(criticality.SheddablePlus, 120, 3)),
+			h.start("more important", withEarlierCalls(criticality.CriticalPlus, 127, 0)),
 		}
-		assert.DeepEqual(t, b.drain(calls...), []string{"more important", "fourth", "second", "alone", "first of a tree"})
+		assert.DeepEqual(t, h.drain(calls...), []string{"more important", "fourth", "second", "alone", "first of a tree"})
 	})
 }
 
-func TestAWaitOfTheCallsOwn(t *testing.T) {
+func TestRequestMaxWait(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
-		b := newBench(t, 1, scheduler.Config{MaxWait: time.Minute})
-		b.start("busy", level(criticality.Critical))
-		impatient := level(criticality.Critical)
-		impatient.MaxWait = 50 * time.Millisecond
-		waiting := b.start("impatient", impatient)
+		h := newHarness(t, 1, scheduler.Config{MaxWait: time.Minute})
+		h.start("busy", atLevel(criticality.Critical))
+		request := atLevel(criticality.Critical)
+		request.MaxWait = 50 * time.Millisecond
+		waiting := h.start("impatient", request)
 		time.Sleep(51 * time.Millisecond)
 		synctest.Wait()
-		b.assertRefused(waiting, scheduler.Overloaded)
+		h.assertRefused(waiting, scheduler.Overloaded)
 	})
 }
--- a/internal/scheduler/service_time.go
+++ b/internal/scheduler/service_time.go
@@ -9,15 +9,15 @@
 const (
 	// serviceSamples is the number of latencies kept; a power of two.
 	serviceSamples = 64
-	// serviceRefresh is the number of samples between computations once the window is full.
+	// serviceRefresh is the number of samples between updates of the estimate once the window is full.
 	serviceRefresh = 32
-	// estimateStale is the time without a completion after which the estimate halves, again and again.
-	estimateStale = 500 * time.Millisecond
+	// estimateHalfLife is the time in which the estimate halves while no call completes.
+	estimateHalfLife = 500 * time.Millisecond
 )
 
-// serviceTime estimates how long a call on the target takes: a quantile over a
-// window of the last latencies. A quantile is robust against a few extreme
-// values, and the window follows a change within serviceSamples calls.
+// serviceTime estimates the duration of a call to the target as a quantile over a
+// sliding window of latencies. A quantile is robust against outliers, and the
+// window adapts to a change within serviceSamples calls.
 type serviceTime struct {
 	quantile  float64
 	latencies [serviceSamples]time.Duration
@@ -26,8 +26,8 @@
 	updated   time.Time
 }
 
-// add takes a completed call.
-func (s *serviceTime) add(now time.Time, latency time.Duration) {
+// record adds the latency of a completed call.
+func (s *serviceTime) record(now time.Time, latency time.Duration) {
 	s.latencies[s.count%serviceSamples] = latency
 	s.count++
 	s.updated = now
@@ -39,9 +39,9 @@
 
 func (s *serviceTime) compute() {
 	sorted := s.latencies
-	used := sorted[:min(s.count, serviceSamples)]
-	slices.Sort(used)
-	s.estimate = used[int(s.quantile*float64(len(used)))]
+	window := sorted[:min(s.count, serviceSamples)]
+	slices.Sort(window)
+	s.estimate = window[int(s.quantile*float64(len(window)))]
 }
 
 // expected returns the estimate at the given time, zero before the first sample.
@@ -50,8 +50,8 @@
 		return 0
 	}
 	age := now.Sub(s.updated)
-	if age < estimateStale {
+	if age < estimateHalfLife {
 		return s.estimate
 	}
-	return s.estimate >> min(uint64(age/estimateStale), 62)
+	return s.estimate >> min(uint64(age/estimateHalfLife), 62)
 }
