--- a/internal/shed/controller.go
+++ b/internal/shed/controller.go
@@ -9,55 +9,55 @@
 	"github.com/lugspur/lugspur/internal/criticality"
 )
 
-// None is the threshold that refuses nothing.
+// None is the threshold that refuses no call.
 const None uint16 = criticality.RankCount
 
 // Defaults of Config.
 const (
-	DefaultDrainTime    = time.Second
-	DefaultQueueShare   = 0.75
-	DefaultRaiseShare   = 0.02
-	DefaultCapacityTime = 300 * time.Millisecond
-	DefaultShedMemory   = time.Second
-	// DefaultFloor lets the level critical-plus always through.
+	DefaultDrainTime            = time.Second
+	DefaultQueueShare           = 0.75
+	DefaultMinGrowth            = 0.02
+	DefaultCapacityTimeConstant = 300 * time.Millisecond
+	DefaultShedRateHalfLife     = time.Second
+	// DefaultFloor always admits the level critical-plus.
 	DefaultFloor uint16 = criticality.CohortCount
 )
 
 const (
-	// rateTime is the time constant of the moving average of arrivals.
-	rateTime = 150 * time.Millisecond
-	// maxGrowth bounds the growth of the admitted arrivals in one tick.
-	maxGrowth = 2.0
-	// minAdmittedShare is the share of all arrivals from which growth starts at least.
+	// rateTimeConstant is the time constant of the moving average of arrival rates.
+	rateTimeConstant = 150 * time.Millisecond
+	// maxGrowthFactor bounds the growth of the admitted rate in one tick.
+	maxGrowthFactor = 2.0
+	// minAdmittedShare is the least share of all arrivals from which the admitted rate grows.
 	minAdmittedShare = 0.05
-	// minGoalShare and maxGoalShare bound the admitted arrivals of a busy target,
-	// as shares of what it serves.
-	minGoalShare = 0.5
-	maxGoalShare = 1.25
-	// nearlyFull is the utilization from which on admitted arrivals follow what
-	// the target serves instead of growing with each tick.
-	nearlyFull = 0.8
-	// negligible is the arrivals per second below which a rank counts as empty.
-	negligible = 0.02
+	// minRateShare and maxRateShare bound the admitted rate of a busy target, as
+	// shares of the rate that it serves.
+	minRateShare = 0.5
+	maxRateShare = 1.25
+	// highUtilization is the utilization from which on the admitted rate follows the
+	// rate that the target serves instead of growing with each tick.
+	highUtilization = 0.8
+	// negligibleRate is the number of arrivals per second below which a rank counts as inactive.
+	negligibleRate = 0.02
 )
 
-// Config sets a Controller. A zero field takes its default.
+// Config configures a Controller. A zero field takes its default.
 type Config struct {
-	// DrainTime is the time in which a queue shall shrink to its wanted length.
+	// DrainTime is the time in which a queue should shrink to its desired length.
 	// It must be longer than a threshold takes to reach the nodes that refuse.
 	DrainTime time.Duration
-	// QueueShare is the wanted length of the queue as a share of the limit: enough
-	// that no slot is idle while thresholds are on their way.
+	// QueueShare is the desired length of the queue as a share of the limit: enough
+	// that no slot is idle while thresholds are being distributed.
 	QueueShare float64
-	// RaiseShare is the least share by which admitted arrivals grow per tick
-	// while the target has room, between 0 and 1.
-	RaiseShare float64
-	// CapacityTime is the time constant of the average of calls served.
-	CapacityTime time.Duration
-	// ShedMemory is the half-life of the rates of ranks that are being shed while
-	// the target has room.
-	ShedMemory time.Duration
-	// Floor is the lowest threshold ever set; ranks with a smaller key always pass. At least 1.
+	// MinGrowth is the least share by which the admitted rate grows per tick
+	// while the target has spare capacity, between 0 and 1.
+	MinGrowth float64
+	// CapacityTimeConstant is the time constant of the moving average of the served rate.
+	CapacityTimeConstant time.Duration
+	// ShedRateHalfLife is the half-life of the rates of ranks that are being shed
+	// while the target has spare capacity.
+	ShedRateHalfLife time.Duration
+	// Floor is the lowest threshold ever set; ranks with a smaller key are always admitted. At least 1.
 	Floor uint16
 }
 
@@ -68,14 +68,14 @@
 	if !(c.QueueShare > 0) {
 		c.QueueShare = DefaultQueueShare
 	}
-	if !(c.RaiseShare > 0 && c.RaiseShare < 1) {
-		c.RaiseShare = DefaultRaiseShare
+	if !(c.MinGrowth > 0 && c.MinGrowth < 1) {
+		c.MinGrowth = DefaultMinGrowth
 	}
-	if c.CapacityTime <= 0 {
-		c.CapacityTime = DefaultCapacityTime
+	if c.CapacityTimeConstant <= 0 {
+		c.CapacityTimeConstant = DefaultCapacityTimeConstant
 	}
-	if c.ShedMemory <= 0 {
-		c.ShedMemory = DefaultShedMemory
+	if c.ShedRateHalfLife <= 0 {
+		c.ShedRateHalfLife = DefaultShedRateHalfLife
 	}
 	if c.Floor == 0 {
 		c.Floor = DefaultFloor
@@ -86,64 +86,64 @@
 
 // State is the state of the target's queue at a tick.
 type State struct {
-	// InFlight, Limit and Queued are calls at the target, allowed there, and
-	// waiting for it.
+	// InFlight, Limit and Queued are the number of calls in flight, the concurrency
+	// limit and the number of waiting calls.
 	InFlight, Limit, Queued int
-	// Overloaded reports whether calls have been waiting for too long.
+	// Overloaded reports whether the queueing delay is too long.
 	Overloaded bool
-	// Served counts the calls that the target was sent since its guard was made.
+	// Served is the number of calls sent to the target since its guard was created.
 	Served uint64
 }
 
-// busy reports whether calls wait or every slot is in use.
+// busy reports whether calls are waiting or every slot is in use.
 func (s State) busy() bool { return s.Queued > 0 || s.InFlight >= s.Limit }
 
-// utilization is the work in hand as a share of the limit.
+// utilization is the number of calls in flight or waiting as a share of the limit.
 func (s State) utilization() float64 {
 	return float64(s.InFlight+s.Queued) / float64(max(s.Limit, 1))
 }
 
-// Controller computes the shed threshold of one target or service from its
-// queue's state. It is safe for concurrent use; Observe takes no lock.
+// Controller computes the shed threshold of one target or service from the state
+// of its queue. It is safe for concurrent use; Observe is lock-free.
 type Controller struct {
 	config    Config
 	arrivals  [criticality.RankCount]atomic.Uint32
 	threshold atomic.Uint32
 
 	mu sync.Mutex
-	// rates are the arrivals a second of each rank; those of ranks that are
-	// being shed are what they were before.
+	// rates are the arrivals per second of each rank. Those of ranks that are being
+	// shed keep their values from before.
 	rates    [criticality.RankCount]float64
 	lastTick time.Time
 	served   uint64
-	// capacity is the average of calls served a second while busy, zero if
+	// capacity is the moving average of calls served per second while busy, zero if
 	// unknown.
 	capacity float64
 }
 
-// NewController returns a controller that sheds nothing yet.
+// NewController returns a controller whose threshold is None.
 func NewController(config Config) *Controller {
 	c := &Controller{config: config.withDefaults()}
 	c.threshold.Store(uint32(None))
 	return c
 }
 
-// Observe counts an arrival, whether it is admitted or not.
+// Observe counts an arrival, admitted or not.
 func (c *Controller) Observe(rank criticality.Rank) {
 	c.arrivals[min(rank.Key(), None-1)].Add(1)
 }
 
-// Threshold returns the present threshold, None if nothing is shed.
+// Threshold returns the current threshold, None if nothing is shed.
 func (c *Controller) Threshold() uint16 { return uint16(c.threshold.Load()) }
 
 // Refuses reports whether the threshold refuses a call of the given rank.
 func (c *Controller) Refuses(rank criticality.Rank) bool { return rank.Key() >= c.Threshold() }
 
-// Tick moves the threshold. It is called at a steady interval, 50 to 250 ms.
+// Tick updates the threshold. It must be called at a constant interval of 50 to 250 ms.
 //
-// Nothing is shed before the target is overloaded. From then on, while it is
-// nearly full, the threshold lets in as many calls as the target serves, less
-// what is needed to bring the queue to its wanted length; while it has room,
+// Nothing is shed before the target is overloaded. From then on, while utilization
+// is high, the threshold admits the rate that the target serves, corrected to bring
+// the queue to its desired length. While the target has spare capacity, it admits
 // more with each tick.
 func (c *Controller) Tick(now time.Time, state State) {
 	c.mu.Lock()
@@ -152,17 +152,17 @@
 	c.measure(now, threshold, state)
 	switch {
 	case threshold == None && state.Overloaded:
-		threshold = max(min(c.fit(c.goal(state)), c.lastOccupied()), c.config.Floor)
-	case threshold < None && state.utilization() >= nearlyFull:
-		threshold = c.fit(c.goal(state))
+		threshold = max(min(c.thresholdFor(c.desiredRate(state)), c.leastImportantActive()), c.config.Floor)
+	case threshold < None && state.utilization() >= highUtilization:
+		threshold = c.thresholdFor(c.desiredRate(state))
 	case threshold < None:
 		threshold = c.raise(threshold, state.utilization())
 	}
 	c.threshold.Store(uint32(threshold))
 }
 
-// measure brings the rates of arrivals and the capacity up to date. The first
-// tick only begins the measurement.
+// measure updates the arrival rates and the capacity. The first tick only starts
+// the measurement.
 func (c *Controller) measure(now time.Time, threshold uint16, state State) {
 	elapsed := now.Sub(c.lastTick).Seconds()
 	first := c.lastTick.IsZero()
@@ -179,94 +179,97 @@
 	if c.capacity == 0 {
 		c.capacity = served / elapsed
 	}
-	c.capacity += weightOf(elapsed, c.config.CapacityTime) * (served/elapsed - c.capacity)
+	c.capacity += smoothingFactor(elapsed, c.config.CapacityTimeConstant) * (served/elapsed - c.capacity)
 }
 
-// weightOf is the weight of a value over the elapsed seconds in an average.
-func weightOf(elapsed float64, constant time.Duration) float64 {
+// smoothingFactor returns the weight of a sample over the elapsed seconds in an exponential moving average.
+func smoothingFactor(elapsed float64, constant time.Duration) float64 {
 	return 1 - math.Exp(-elapsed/constant.Seconds())
 }
 
-// measureArrivals averages the arrivals below the threshold. Those above it are
-// refused elsewhere, wholly or in part, so that what still arrives says nothing
-// of what would. Their rates are kept as they were, and fade only while the
-// target has room, which shows that they no longer hold.
+// measureArrivals updates the rates of ranks below the threshold. Ranks at or above
+// it are refused upstream, wholly or in part, so the remaining arrivals do not
+// reflect the offered load. Their rates are kept and decay only while the target
+// has spare capacity, which shows that they are outdated.
 func (c *Controller) measureArrivals(elapsed float64, threshold uint16, state State) {
-	weight := weightOf(elapsed, rateTime)
-	kept := 1.0
-	if state.utilization() < nearlyFull {
-		kept = math.Exp2(-elapsed / c.config.ShedMemory.Seconds())
+	weight := smoothingFactor(elapsed, rateTimeConstant)
+	decay := 1.0
+	if state.utilization() < highUtilization {
+		decay = math.Exp2(-elapsed / c.config.ShedRateHalfLife.Seconds())
 	}
 	for key := range c.rates {
 		rate := float64(c.arrivals[key].Swap(0)) / elapsed
 		if uint16(key) >= threshold {
-			c.rates[key] *= kept
+			c.rates[key] *= decay
 			continue
 		}
 		c.rates[key] += weight * (rate - c.rates[key])
 	}
 }
 
-// goal is the arrivals a second that a busy target shall get: those that it
-// serves, corrected so that the queue gets to its wanted length in DrainTime.
-func (c *Controller) goal(state State) float64 {
-	wanted := max(c.config.QueueShare*float64(state.Limit), 1)
-	correction := (wanted - float64(state.Queued)) / c.config.DrainTime.Seconds()
-	return min(max(c.capacity+correction, minGoalShare*c.capacity), maxGoalShare*c.capacity)
+// desiredRate returns the arrivals per second to admit to a busy target: the rate
+// that it serves, corrected so that the queue reaches its desired length within
+// Config.DrainTime.
+func (c *Controller) desiredRate(state State) float64 {
+	desiredQueue := max(c.config.QueueShare*float64(state.Limit), 1)
+	correction := (desiredQueue - float64(state.Queued)) / c.config.DrainTime.Seconds()
+	return min(max(c.capacity+correction, minRateShare*c.capacity), maxRateShare*c.capacity)
 }
 
-// fit returns the highest threshold below which no more than the goal arrives,
-// short of None: only a target with room ends its shedding.
-func (c *Controller) fit(goal float64) uint16 {
+// thresholdFor returns the highest threshold that admits no more than the rate, but
+// never None: shedding ends only when the target has spare capacity.
+func (c *Controller) thresholdFor(rate float64) uint16 {
 	threshold := None - 1
-	admitted := c.sum(0, threshold)
-	for threshold > c.config.Floor && admitted > goal {
+	admitted := c.rateBetween(0, threshold)
+	for threshold > c.config.Floor && admitted > rate {
 		threshold--
 		admitted -= c.rates[threshold]
 	}
 	return max(threshold, c.config.Floor)
 }
 
-// lastOccupied returns the least important rank with arrivals, or the least
-// important of all while no arrivals were measured.
-func (c *Controller) lastOccupied() uint16 {
+// leastImportantActive returns the key of the least important rank with arrivals,
+// or of the least important rank if no arrivals have been measured.
+func (c *Controller) leastImportantActive() uint16 {
 	for threshold := None - 1; threshold > c.config.Floor; threshold-- {
-		if c.rates[threshold] > negligible {
+		if c.rates[threshold] > negligibleRate {
 			return threshold
 		}
 	}
 	return None - 1
 }
 
-// raise lifts the threshold while the arrivals below it stay within what the
-// spare room carries, always by at least one rank with arrivals.
+// raise returns a higher threshold whose admitted rate stays within the spare
+// capacity. It always admits at least one more rank with arrivals.
 func (c *Controller) raise(threshold uint16, utilization float64) uint16 {
-	admitted := c.sum(0, threshold)
-	total := admitted + c.sum(threshold, None)
-	goal := max(admitted, minAdmittedShare*total) * c.growth(utilization)
-	raisedOne := false
+	admitted := c.rateBetween(0, threshold)
+	total := admitted + c.rateBetween(threshold, None)
+	maxRate := max(admitted, minAdmittedShare*total) * c.growthFactor(utilization)
+	raised := false
 	for threshold < None {
 		rate := c.rates[threshold]
-		occupied := rate > negligible
-		if occupied && raisedOne && admitted+rate > goal {
+		active := rate > negligibleRate
+		if active && raised && admitted+rate > maxRate {
 			return threshold
 		}
-		raisedOne = raisedOne || occupied
+		raised = raised || active
 		admitted += rate
 		threshold++
 	}
 	return None
 }
 
-func (c *Controller) growth(utilization float64) float64 {
-	least := 1 + c.config.RaiseShare
+// growthFactor returns the factor by which the admitted rate may grow in one tick.
+func (c *Controller) growthFactor(utilization float64) float64 {
+	least := 1 + c.config.MinGrowth
 	if !(utilization > 0) {
-		return maxGrowth
+		return maxGrowthFactor
 	}
-	return min(max(1/utilization, least), maxGrowth)
+	return min(max(1/utilization, least), maxGrowthFactor)
 }
 
-func (c *Controller) sum(from, to uint16) float64 {
+// rateBetween returns the total rate of the ranks from the first key up to but excluding the second.
+func (c *Controller) rateBetween(from, to uint16) float64 {
 	total := 0.0
 	for _, rate := range c.rates[from:to] {
 		total += rate
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -17,8 +17,8 @@
 
 var epoch = time.Unix(1000, 0)
 
-// target simulates a target whose calls take half a second, and arrivals spread
-// over all ranks. Thresholds take delay ticks to reach the nodes that refuse.
+// target simulates a target whose calls take half a second on average, with
+// arrivals spread over all ranks. Thresholds reach the refusing nodes after delay ticks.
 type target struct {
 	controller *shed.Controller
 	random     *rand.Rand
@@ -32,7 +32,7 @@
 	waiting          time.Duration
 }
 
-const callTicks = 5 // a call takes half a second
+const callTicks = 5 // mean duration of a call: half a second
 
 func newTarget(limit, delay int) *target {
 	return &target{
@@ -45,15 +45,15 @@
 	}
 }
 
-// capacity is the calls that the target serves in a tick.
+// capacity returns the number of calls that the target can serve per tick.
 func (s *target) capacity() float64 { return float64(s.limit) / callTicks }
 
-// tick lets calls arrive, on the average as many in a tick as given, and returns
-// the calls that the target began.
+// tick simulates one tick with the given mean number of arrivals and returns the
+// number of calls that the target started.
 func (s *target) tick(arrivals float64) int {
-	known := s.thresholds[max(len(s.thresholds)-1-s.delay, 0)]
+	effective := s.thresholds[max(len(s.thresholds)-1-s.delay, 0)]
 	for range poisson(s.random, arrivals) {
-		if key := uint16(s.random.IntN(criticality.RankCount)); key < known {
+		if key := uint16(s.random.IntN(criticality.RankCount)); key < effective {
 			s.controller.Observe(criticality.RankOf(key))
 			s.queued++
 		}
@@ -63,10 +63,10 @@
 			s.inFlight--
 		}
 	}
-	begun := min(s.queued, s.limit-s.inFlight)
-	s.queued -= begun
-	s.inFlight += begun
-	s.served += uint64(begun)
+	started := min(s.queued, s.limit-s.inFlight)
+	s.queued -= started
+	s.inFlight += started
+	s.served += uint64(started)
 	s.waiting += tick
 	if s.queued == 0 {
 		s.waiting = 0
@@ -76,10 +76,10 @@
 		InFlight: s.inFlight, Limit: s.limit, Queued: s.queued, Overloaded: s.waiting > tick, Served: s.served,
 	})
 	s.thresholds = append(s.thresholds, s.controller.Threshold())
-	return begun
+	return started
 }
 
-// poisson draws from the distribution with the given mean.
+// poisson draws a sample from the Poisson distribution with the given mean.
 func poisson(random *rand.Rand, mean float64) int {
 	count := 0
 	for at := random.ExpFloat64(); at < mean; at += random.ExpFloat64() {
@@ -88,7 +88,7 @@
 	return count
 }
 
-func TestOverloadedTargetStaysFullWithAShortQueue(t *testing.T) {
+func TestOverloadedTargetKeepsHighUtilizationAndShortQueue(t *testing.T) {
 	for _, limit := range []int{10, 100} {
 		for _, overload := range []float64{1.5, 2, 10} {
 			t.Run(fmt.Sprintf("limit %d load %g", limit, overload), func(t *testing.T) {
@@ -120,8 +120,8 @@
 	}
 }
 
-// service simulates arrivals spread over all ranks at a target that carries
-// capacity calls a tick; what the threshold refuses never arrives.
+// service simulates arrivals spread over all ranks at a target that serves
+// capacity calls per tick. Calls that the threshold refuses are never observed.
 type service struct {
 	controller *shed.Controller
 	now        time.Time
@@ -141,15 +141,15 @@
 		}
 	}
 	capacity := int(s.capacity)
-	begun := min(admitted, capacity)
-	s.served += uint64(begun)
+	started := min(admitted, capacity)
+	s.served += uint64(started)
 	s.now = s.now.Add(tick)
 	s.controller.Tick(s.now, shed.State{
-		InFlight: begun, Limit: capacity, Queued: admitted - begun, Overloaded: admitted > capacity, Served: s.served,
+		InFlight: started, Limit: capacity, Queued: admitted - started, Overloaded: admitted > capacity, Served: s.served,
 	})
 }
 
-func TestThresholdSettlesAtCapacityAndRecoversFast(t *testing.T) {
+func TestThresholdConvergesToCapacityAndRecoversFast(t *testing.T) {
 	const perRank = 4
 	s := &service{controller: shed.NewController(shed.Config{}), now: epoch}
 	s.capacity = perRank * criticality.RankCount / 2
@@ -173,12 +173,12 @@
 	assert.Assert(t, ticks <= 5, "recovery took %d ticks", ticks)
 }
 
-// overloaded is the state of a target with long queues.
+// overloaded returns the state of a target with a long queue.
 func overloaded(served uint64) shed.State {
 	return shed.State{InFlight: 10, Limit: 10, Queued: 20, Overloaded: true, Served: served}
 }
 
-func TestOverloadNeverRefusesAboveTheFloor(t *testing.T) {
+func TestOverloadNeverRefusesBelowFloor(t *testing.T) {
 	for _, floor := range []uint16{0, 1, 300} {
 		controller := shed.NewController(shed.Config{Floor: floor})
 		want := floor
@@ -197,27 +197,27 @@
 	}
 }
 
-func TestOverloadBeforeAnyMeasurementShedsTheLeastOnly(t *testing.T) {
+func TestOverloadBeforeMeasurementShedsOnlyLowestRank(t *testing.T) {
 	controller := shed.NewController(shed.Config{})
 	controller.Tick(epoch, overloaded(0))
 	assert.Equal(t, controller.Threshold(), shed.None-1)
 }
 
-func TestFewCallersAreStillCutAndReleased(t *testing.T) {
+func TestSingleCallerIsShedAndReadmitted(t *testing.T) {
 	controller := shed.NewController(shed.Config{})
-	only := criticality.Rank{Level: criticality.Sheddable, Cohort: 17}
+	rank := criticality.Rank{Level: criticality.Sheddable, Cohort: 17}
 	for i := range 5 {
-		controller.Observe(only)
+		controller.Observe(rank)
 		controller.Tick(epoch.Add(time.Duration(i)*tick), overloaded(uint64(i)))
 	}
-	assert.Assert(t, controller.Refuses(only))
+	assert.Assert(t, controller.Refuses(rank))
 	for i := range 3 {
 		controller.Tick(epoch.Add(time.Duration(5+i)*tick), shed.State{Limit: 10, Served: 5})
 	}
 	assert.Equal(t, controller.Threshold(), shed.None)
 }
 
-func TestThresholdMovesTheRightWay(t *testing.T) {
+func TestThresholdMovesInTheRightDirection(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		controller := shed.NewController(shed.Config{})
 		now := epoch
@@ -238,18 +238,18 @@
 			now = now.Add(tick)
 			controller.Tick(now, state)
 			after := controller.Threshold()
-			room := 10*state.InFlight < 8*state.Limit
+			spare := 10*state.InFlight < 8*state.Limit
 			switch {
 			case after < shed.DefaultFloor:
 				r.Fatalf("the threshold fell to %d, below the floor", after)
 			case before == shed.None && !state.Overloaded && after != before:
-				r.Fatalf("shed from %d on without overload", after)
+				r.Fatalf("threshold set to %d without overload", after)
 			case before == shed.None && state.Overloaded && after == before:
 				r.Fatalf("overload left the threshold at %d", after)
-			case before < shed.None && room && after <= before:
-				r.Fatalf("the threshold went from %d to %d although there is room", before, after)
-			case before < shed.None && !room && after == shed.None:
-				r.Fatalf("a full target ended its shedding")
+			case before < shed.None && spare && after <= before:
+				r.Fatalf("the threshold went from %d to %d in spite of spare capacity", before, after)
+			case before < shed.None && !spare && after == shed.None:
+				r.Fatalf("shedding ended although utilization is high")
 			}
 		}
 	})
@@ -302,21 +302,21 @@
 	assert.Assert(t, !table.Refuses("logs", criticality.Lowest, epoch))
 }
 
-func TestTableForgetsADeadHome(t *testing.T) {
+func TestTableExpiresReportsOfDeadHome(t *testing.T) {
 	table := shed.NewTable(shed.TableConfig{})
 	relayed := entry("a", 200, 1)
 	relayed.Age = time.Second
 	assert.Assert(t, table.Update(relayed, epoch))
 	assert.Assert(t, table.Refuses("logs", criticality.Lowest, epoch.Add(1900*time.Millisecond)))
 	assert.Equal(t, table.Entries(epoch.Add(time.Second))[0].Age, 2*time.Second)
-	assert.Assert(t, !table.Update(relayed, epoch.Add(time.Second)), "a repeat must not extend the expiry")
+	assert.Assert(t, !table.Update(relayed, epoch.Add(time.Second)), "a duplicate must not extend the expiry")
 	assert.Assert(t, !table.Refuses("logs", criticality.Lowest, epoch.Add(2*time.Second)))
 	relayed.Age = 3 * time.Second
-	assert.Assert(t, !table.Update(relayed, epoch.Add(2*time.Second)), "gossip must not revive it")
+	assert.Assert(t, !table.Update(relayed, epoch.Add(2*time.Second)), "a relayed report must not revive an expired entry")
 	assert.Equal(t, len(table.Entries(epoch.Add(2*time.Second))), 0)
 }
 
-func TestTableIsBoundedAndRemoves(t *testing.T) {
+func TestTableBoundAndRemove(t *testing.T) {
 	table := shed.NewTable(shed.TableConfig{MaxEntries: 2})
 	assert.Assert(t, table.Update(entry("a", 200, 1), epoch))
 	assert.Assert(t, table.Update(entry("b", 200, 1), epoch))
@@ -350,7 +350,7 @@
 		for key := range uint16(criticality.RankCount) {
 			now := table.Refuses("logs", criticality.RankOf(key), epoch)
 			if refused && !now {
-				r.Fatalf("key %d passes although a more important one is refused", key)
+				r.Fatalf("key %d is admitted although a more important one is refused", key)
 			}
 			refused = now
 		}
--- a/internal/shed/table.go
+++ b/internal/shed/table.go
@@ -16,19 +16,19 @@
 	DefaultMaxEntries  = 8192
 )
 
-// TableConfig sets a Table. A zero field takes its default.
+// TableConfig configures a Table. A zero field takes its default.
 type TableConfig struct {
-	// Expiry is how long an entry holds without a refresh.
+	// Expiry is how long an entry is valid without a refresh.
 	Expiry time.Duration
 	// RefuseShare is the share of a service's weight that must refuse a rank, between 0 and 1.
 	RefuseShare float64
-	// MaxEntries bounds the table; beyond it new targets are not taken in.
+	// MaxEntries bounds the table; a full table rejects new targets.
 	MaxEntries int
 }
 
-// Entry is the shed level of one target as its home reports it.
+// Entry is the shed level of one target as reported by its home.
 type Entry struct {
-	// Service and Target name the target.
+	// Service and Target identify the target.
 	Service, Target string
 	// Origin is the home node that computed the threshold.
 	Origin string
@@ -39,31 +39,31 @@
 	// Version orders reports of one target across homes: the origin's clock in
 	// milliseconds since 1970. Equal versions are ordered by origin.
 	Version uint64
-	// Age is the time since the origin made the report, as far as it is known.
+	// Age is the time since the origin created the report, as far as it is known.
 	Age time.Duration
 }
 
-// Table is the shed levels of all services that a node knows. It is safe for
+// Table holds the shed levels of all services known to a node. It is safe for
 // concurrent use.
 type Table struct {
 	config TableConfig
 
-	mu       sync.RWMutex
-	services map[string]*service
-	weights  map[string]float64
-	length   int
+	mu           sync.RWMutex
+	services     map[string]*service
+	totalWeights map[string]float64
+	length       int
 }
 
 type service struct {
-	targets map[string]held
+	targets map[string]storedEntry
 	// threshold is the effective threshold until validUntil.
 	threshold  uint16
 	validUntil time.Time
 }
 
-type held struct {
+type storedEntry struct {
 	Entry
-	made time.Time
+	reportedAt time.Time
 }
 
 // NewTable returns an empty table.
@@ -78,38 +78,37 @@
 		config.MaxEntries = DefaultMaxEntries
 	}
 	return &Table{
-		config:   config,
-		services: make(map[string]*service),
-		weights:  make(map[string]float64),
+		config:       config,
+		services:     make(map[string]*service),
+		totalWeights: make(map[string]float64),
 	}
 }
 
-// SetWeight sets the whole weight of a service's live targets as the
-// configuration gives it, so that targets without a report count as accepting.
-// Without it only reported weight counts. Zero removes it; callers do so for
-// services that were deleted.
+// SetWeight sets the total weight of a service's live targets according to the
+// configuration, so that targets without a report count as accepting. Without it
+// only reported weight counts. Zero removes it; callers do so for deleted services.
 func (t *Table) SetWeight(serviceName string, total float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.weights, serviceName)
+	delete(t.totalWeights, serviceName)
 	if total > 0 {
-		t.weights[serviceName] = total
+		t.totalWeights[serviceName] = total
 	}
 	if s, known := t.services[serviceName]; known {
 		t.compute(serviceName, s)
 	}
 }
 
-// Update merges a report, received directly or from a third node. It returns
-// false if the report is old, repeated, expired, or does not fit in the table.
-// The same report again does not extend its expiry.
+// Update merges a report, received from its origin or relayed by another node. It
+// returns false if the report is outdated, a duplicate or expired, or if the table
+// is full. A duplicate does not extend the expiry.
 func (t *Table) Update(entry Entry, now time.Time) bool {
 	entry.Threshold = min(entry.Threshold, None)
 	if !(entry.Weight > 0) {
 		entry.Weight = 1
 	}
-	made := now.Add(-max(entry.Age, 0))
-	if !now.Before(made.Add(t.config.Expiry)) {
+	reportedAt := now.Add(-max(entry.Age, 0))
+	if !now.Before(reportedAt.Add(t.config.Expiry)) {
 		return false
 	}
 	t.mu.Lock()
@@ -125,7 +124,7 @@
 	if _, known := s.targets[entry.Target]; !known {
 		t.length++
 	}
-	s.targets[entry.Target] = held{Entry: entry, made: made}
+	s.targets[entry.Target] = storedEntry{Entry: entry, reportedAt: reportedAt}
 	t.compute(entry.Service, s)
 	return true
 }
@@ -148,22 +147,22 @@
 }
 
 // Refuses reports whether a call of the given rank to the service should be
-// refused here instead of being sent on.
+// refused instead of forwarded.
 func (t *Table) Refuses(serviceName string, rank criticality.Rank, now time.Time) bool {
 	return rank.Key() >= t.Threshold(serviceName, now)
 }
 
-// Entries returns the live entries with their present age, ordered by service
-// and target, for passing on to other nodes.
+// Entries returns the live entries with their current age, ordered by service
+// and target, for relaying to other nodes.
 func (t *Table) Entries(now time.Time) []Entry {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.expireAll(now)
 	entries := make([]Entry, 0, t.length)
 	for _, s := range t.services {
-		for _, h := range s.targets {
-			entry := h.Entry
-			entry.Age = now.Sub(h.made)
+		for _, e := range s.targets {
+			entry := e.Entry
+			entry.Age = now.Sub(e.reportedAt)
 			entries = append(entries, entry)
 		}
 	}
@@ -173,7 +172,7 @@
 	return entries
 }
 
-// Remove forgets a target that was deleted or is draining.
+// Remove removes a target that was deleted or is draining.
 func (t *Table) Remove(serviceName, target string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -208,7 +207,7 @@
 func (t *Table) serviceFor(name string) *service {
 	s, known := t.services[name]
 	if !known {
-		s = &service{targets: make(map[string]held)}
+		s = &service{targets: make(map[string]storedEntry)}
 		t.services[name] = s
 	}
 	return s
@@ -225,8 +224,8 @@
 	if now.Before(s.validUntil) {
 		return
 	}
-	for target, h := range s.targets {
-		if !now.Before(h.made.Add(t.config.Expiry)) {
+	for target, e := range s.targets {
+		if !now.Before(e.reportedAt.Add(t.config.Expiry)) {
 			t.removeTarget(name, s, target)
 		}
 	}
@@ -245,31 +244,31 @@
 }
 
 // compute sets the service's effective threshold: the smallest one at which
-// the targets that refuse hold RefuseShare of the weight.
+// the refusing targets hold RefuseShare of the weight.
 func (t *Table) compute(name string, s *service) {
 	s.threshold = None
 	s.validUntil = time.Time{}
-	targets := make([]held, 0, len(s.targets))
+	targets := make([]storedEntry, 0, len(s.targets))
 	total := 0.0
-	for _, h := range s.targets {
-		targets = append(targets, h)
-		total += h.Weight
-		expiry := h.made.Add(t.config.Expiry)
+	for _, e := range s.targets {
+		targets = append(targets, e)
+		total += e.Weight
+		expiry := e.reportedAt.Add(t.config.Expiry)
 		if s.validUntil.IsZero() || expiry.Before(s.validUntil) {
 			s.validUntil = expiry
 		}
 	}
-	slices.SortFunc(targets, func(a, b held) int { return cmp.Compare(a.Threshold, b.Threshold) })
-	total = max(total, t.weights[name])
+	slices.SortFunc(targets, func(a, b storedEntry) int { return cmp.Compare(a.Threshold, b.Threshold) })
+	total = max(total, t.totalWeights[name])
 	refusing := 0.0
-	for _, h := range targets {
-		refusing += h.Weight
-		if refusing >= t.config.RefuseShare*total-weightSlack {
-			s.threshold = h.Threshold
+	for _, e := range targets {
+		refusing += e.Weight
+		if refusing >= t.config.RefuseShare*total-weightTolerance {
+			s.threshold = e.Threshold
 			return
 		}
 	}
 }
 
-// weightSlack absorbs rounding when weights are summed.
-const weightSlack = 1e-9
+// weightTolerance absorbs rounding errors in sums of weights.
+const weightTolerance = 1e-9
