--- a/internal/retrybudget/allowance.go
+++ b/internal/retrybudget/allowance.go
@@ -7,224 +7,225 @@
 	"time"
 )
 
-// AllowanceConfig bounds an Allowance.
+// AllowanceConfig configures an Allowance.
 type AllowanceConfig struct {
-	// Ratio is the number of repetitions that each request of a span allows.
+	// Ratio is the number of retries that each request allows.
 	Ratio float64
-	// PresentShare is the part of Ratio that is due to the requests of the span itself,
-	// between 0 and 1; the rest is due to those of the span before.
+	// PresentShare is the share of Ratio that a request contributes to the window that
+	// contains it, between 0 and 1; it contributes the rest to the window after that.
 	PresentShare float64
-	// Reserve returns the number of repetitions in a span that need no requests. An
-	// allowance has none of them before it has lived for a whole span, so that restarts
-	// add nothing.
+	// Reserve returns the number of retries per window that are allowed without
+	// requests. A new allowance has no reserve until it is older than Window and Delay
+	// together, so that restarts add no retries.
 	Reserve func() float64
-	// Window is the length of a span.
+	// Window is the length of a window.
 	Window time.Duration
-	// Delay is how much later than it was sent a repetition may arrive.
+	// Delay is the longest time from sending a retry to its arrival.
 	Delay time.Duration
 }
 
-// Allowance bounds the repetitions that one node sends to one service. A
-// repetition is paid for when it is sent, so that in any span of Window
+// Allowance bounds the retries that one node sends to one service. A retry is
+// charged when it is sent, so that in any window, a period of length Window,
 //
-//	arriving repetitions <= Ratio x PresentShare x requests of the span
-//	                      + Ratio x (1 - PresentShare) x requests of the span before
-//	                      + Reserve.
+//	arriving retries <= Ratio x PresentShare x requests in the window
+//	                  + Ratio x (1 - PresentShare) x requests in the window before
+//	                  + Reserve.
 //
-// Each request and each repetition is counted by the node that sends it and by no
-// other. Sums over all nodes therefore obey the same bound, with the sum of the
-// reserves, whatever nodes believe of each other, and also if some of them start
-// anew, stand still or are cut off. It is safe for concurrent use.
+// Each request and each retry is counted only by the node that sends it. The sums
+// over all nodes therefore obey the same bound, with the sum of the reserves. This
+// requires no agreement between nodes and also holds if some of them restart, pause
+// or are partitioned. It is safe for concurrent use.
 type Allowance struct {
-	config AllowanceConfig
-	now    func() time.Time
-	born   time.Time
+	config  AllowanceConfig
+	now     func() time.Time
+	created time.Time
 
 	mutex sync.Mutex
-	// ring holds the counts of the last spans by slots, of which newest is the last.
+	// ring holds the counts of the latest slots, of which newest is the last.
 	ring   [ringSlots]slotCounts
 	newest int64
 }
 
 const (
-	// slotsPerWindow divides a span into slots of equal length. Counts are kept by slot;
-	// what is lost of the bound by that is less than one part in so many.
+	// slotsPerWindow is the number of slots of equal length in a window. Counts are kept
+	// per slot, which wastes less than 1/slotsPerWindow of what the bound allows.
 	slotsPerWindow = 40
-	// ringSlots holds the two spans that a bound rests on, the longest delay of half a
-	// span, and the slots that are covered in part.
+	// ringSlots covers the two windows that the bound depends on, the longest delay of
+	// half a window, and the partly covered slots.
 	ringSlots = 2*slotsPerWindow + slotsPerWindow/2 + 2
 )
 
-// slotCounts are the requests and repetitions that were sent in one slot.
-type slotCounts struct{ requests, repetitions int }
+// slotCounts holds the numbers of requests and retries sent in one slot.
+type slotCounts struct{ requests, retries int }
 
-// Payment is a repetition that was paid for.
+// Payment identifies a retry that was charged to an Allowance.
 type Payment struct{ slot int64 }
 
-// NewAllowance returns an allowance without requests.
+// NewAllowance returns an allowance with no requests counted.
 func NewAllowance(config AllowanceConfig, now func() time.Time) *Allowance {
-	return &Allowance{config: config, now: now, born: now()}
+	return &Allowance{config: config, now: now, created: now()}
 }
 
-// Request counts a request that is sent for the first time.
+// Request counts the first attempt of a request.
 func (a *Allowance) Request() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.turn()
-	a.at(a.newest).requests++
+	a.advance()
+	a.countsAt(a.newest).requests++
 }
 
-// Spend pays for a repetition and reports whether that was possible. The urgency
-// lies between 0 and 1: the lower it is, the more of what a span allows must be left
-// for others, so that what is scarce goes to the most urgent.
+// Spend charges one retry and reports whether the budget permits it. The urgency is
+// between 0 and 1: the lower it is, the larger the share of the budget that must be
+// left for other retries, so that a scarce budget goes to the most urgent ones.
 func (a *Allowance) Spend(urgency float64) (Payment, bool) {
-	part := spendablePart(urgency)
+	share := spendableShare(urgency)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.turn()
-	for s := range a.spans() {
-		if !s.fits(1, part) {
+	a.advance()
+	for w := range a.windows() {
+		if !w.fits(1, share) {
 			return Payment{}, false
 		}
 	}
-	a.at(a.newest).repetitions++
+	a.countsAt(a.newest).retries++
 	return Payment{slot: a.newest}, true
 }
 
-// urgencyExponent shapes how much is left for more urgent repetitions: those of an
-// urgency of 0.2 may use up 0.59 of what a span allows; with 1 they might use 0.2, and
-// a third of the budget would lie idle while requests fail. With 6 and 8 less urgent
-// ones take more in the first seconds of a fault and too little is left later: of the
-// requests in the worst two seconds 0.25 and 0.23 are served for 0.28.
+// urgencyExponent determines how much budget is left for more urgent retries.
+// Retries of urgency 0.2 may spend 0.59 of a window's budget. With an exponent of 1
+// they could spend only 0.2, and a third of the budget would stay unused while
+// requests fail. With 6 and 8, less urgent retries spend more in the first seconds of
+// a fault and leave too little for later: in the worst two seconds 0.25 and 0.23 of
+// the requests succeed instead of 0.28.
 const urgencyExponent = 4
 
-// spendablePart returns the part of what a span allows that repetitions of the
-// urgency may use up.
-func spendablePart(urgency float64) float64 {
+// spendableShare returns the share of a window's budget that retries of the given
+// urgency may spend.
+func spendableShare(urgency float64) float64 {
 	return 1 - math.Pow(1-min(max(urgency, 0), 1), urgencyExponent)
 }
 
-// Return takes back a repetition that was paid for and reached no target.
+// Return refunds a retry that reached no target.
 func (a *Allowance) Return(payment Payment) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.turn()
+	a.advance()
 	if a.newest-payment.slot < ringSlots {
-		a.at(payment.slot).repetitions--
+		a.countsAt(payment.slot).retries--
 	}
 }
 
-// Balance returns the number of repetitions that can be paid for now.
+// Balance returns the number of retries that the budget currently permits.
 func (a *Allowance) Balance() float64 {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.turn()
+	a.advance()
 	left := math.Inf(1)
-	for s := range a.spans() {
-		left = min(left, s.allowed-s.spent)
+	for w := range a.windows() {
+		left = min(left, w.allowed-w.spent)
 	}
 	return max(left, 0)
 }
 
-// ampleUrgency is the urgency at which repetitions must still be payable for them
-// not to count as scarce.
-const ampleUrgency = 0.5
+// headroomUrgency is the urgency at which retries must still be possible for the
+// budget not to count as scarce.
+const headroomUrgency = 0.5
 
-// Ample reports whether repetitions of middling urgency could be paid for now, and so
-// many as far as a span allows so many at all.
-func (a *Allowance) Ample(repetitions int) bool {
-	part := spendablePart(ampleUrgency)
+// Ample reports whether the budget currently permits the given number of retries of
+// medium urgency. Numbers above a window's total budget are capped to it.
+func (a *Allowance) Ample(retries int) bool {
+	share := spendableShare(headroomUrgency)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	a.turn()
-	for s := range a.spans() {
-		if !s.fits(min(float64(repetitions), s.allowed), part) {
+	a.advance()
+	for w := range a.windows() {
+		if !w.fits(min(float64(retries), w.allowed), share) {
 			return false
 		}
 	}
 	return true
 }
 
-// span is a span that holds the present moment: the repetitions that it allows and
-// those that were sent.
-type span struct{ allowed, spent float64 }
+// window holds, for a window that contains the current time, the number of retries
+// that it allows and the number already sent.
+type window struct{ allowed, spent float64 }
 
-// fits reports whether so many more repetitions may be sent, of which the last may
-// use up no more than the part of what is allowed.
-func (s span) fits(repetitions, part float64) bool {
-	left := s.allowed - s.spent - repetitions
-	kept := (1 - part) * max(s.allowed-1, 0)
-	return left >= max(min(kept, s.allowed-repetitions), 0)-balanceSlack
+// fits reports whether the given number of further retries may be sent such that the
+// last one stays within the given share of the budget.
+func (w window) fits(retries, share float64) bool {
+	left := w.allowed - w.spent - retries
+	withheld := (1 - share) * max(w.allowed-1, 0)
+	return left >= max(min(withheld, w.allowed-retries), 0)-balanceTolerance
 }
 
-// spans are those whose bound a repetition that is sent now must leave intact.
+// windows returns the windows whose bounds a retry sent now must respect.
 //
-// Spans that begin within one slot are taken together: what may have come before the
-// span counts among its repetitions, and a request of that slot counts with the
-// lesser of the two shares.
-func (a *Allowance) spans() iter.Seq[span] {
-	return func(yield func(span) bool) {
-		present := a.config.Ratio * a.config.PresentShare
-		before := a.config.Ratio * (1 - a.config.PresentShare)
+// Windows that start within the same slot are treated as one, conservatively: all
+// retries that may arrive in that slot count as arriving in the window, and its
+// requests count with the smaller of the two shares.
+func (a *Allowance) windows() iter.Seq[window] {
+	return func(yield func(window) bool) {
+		currentShare := a.config.Ratio * a.config.PresentShare
+		previousShare := a.config.Ratio * (1 - a.config.PresentShare)
 		reserve := a.reserve()
-		delay := a.slotsOf(a.config.Delay)
-		spent := a.sum(a.newest-delay+1, a.newest).repetitions
+		delay := a.slotCount(a.config.Delay)
+		spent := a.sum(a.newest-delay+1, a.newest).retries
 		requests := 0
-		requestsBefore := a.sum(a.newest-slotsPerWindow+1, a.newest-1).requests
-		for began := a.newest; began >= a.newest-slotsPerWindow; began-- {
-			within := a.at(began).requests
-			spent += a.at(began - delay).repetitions
-			allowed := reserve + present*float64(requests) + min(present, before)*float64(within) + before*float64(requestsBefore)
-			if !yield(span{allowed: allowed, spent: float64(spent)}) {
+		previousRequests := a.sum(a.newest-slotsPerWindow+1, a.newest-1).requests
+		for start := a.newest; start >= a.newest-slotsPerWindow; start-- {
+			inSlot := a.countsAt(start).requests
+			spent += a.countsAt(start - delay).retries
+			allowed := reserve + currentShare*float64(requests) + min(currentShare, previousShare)*float64(inSlot) + previousShare*float64(previousRequests)
+			if !yield(window{allowed: allowed, spent: float64(spent)}) {
 				return
 			}
-			requests += within
-			requestsBefore += a.at(began-slotsPerWindow).requests - a.at(began-1).requests
+			requests += inSlot
+			previousRequests += a.countsAt(start-slotsPerWindow).requests - a.countsAt(start-1).requests
 		}
 	}
 }
 
-// sum adds up the counts of the slots from the first to the last.
+// sum returns the total counts of the slots from first to last, inclusive.
 func (a *Allowance) sum(first, last int64) slotCounts {
 	var total slotCounts
 	for slot := first; slot <= last; slot++ {
-		counts := a.at(slot)
+		counts := a.countsAt(slot)
 		total.requests += counts.requests
-		total.repetitions += counts.repetitions
+		total.retries += counts.retries
 	}
 	return total
 }
 
-// reserve returns the repetitions that need no requests.
+// reserve returns the number of retries allowed without requests.
 func (a *Allowance) reserve() float64 {
-	if a.now().Sub(a.born) <= a.config.Window+a.config.Delay {
+	if a.now().Sub(a.created) <= a.config.Window+a.config.Delay {
 		return 0
 	}
 	return a.config.Reserve()
 }
 
-// at returns the counts of a slot that the ring holds. Slots before the first are
+// countsAt returns the counts of a slot in the ring. Slots before the first are
 // empty.
-func (a *Allowance) at(slot int64) *slotCounts {
+func (a *Allowance) countsAt(slot int64) *slotCounts {
 	return &a.ring[(slot%ringSlots+ringSlots)%ringSlots]
 }
 
-// slotsOf returns the number of slots that hold a length of time.
-func (a *Allowance) slotsOf(length time.Duration) int64 {
+// slotCount returns the number of slots that cover a duration, at most half a window.
+func (a *Allowance) slotCount(duration time.Duration) int64 {
 	width := a.config.Window / slotsPerWindow
-	return min(int64((length+width-1)/width), slotsPerWindow/2)
+	return min(int64((duration+width-1)/width), slotsPerWindow/2)
 }
 
-// turn begins the slots up to the present one.
-func (a *Allowance) turn() {
-	present := int64(a.now().Sub(a.born) / (a.config.Window / slotsPerWindow))
-	if present-a.newest >= ringSlots {
+// advance starts new slots up to the current one.
+func (a *Allowance) advance() {
+	current := int64(a.now().Sub(a.created) / (a.config.Window / slotsPerWindow))
+	if current-a.newest >= ringSlots {
 		a.ring = [ringSlots]slotCounts{}
-		a.newest = present
+		a.newest = current
 		return
 	}
-	for a.newest < present {
+	for a.newest < current {
 		a.newest++
-		*a.at(a.newest) = slotCounts{}
+		*a.countsAt(a.newest) = slotCounts{}
 	}
 }
--- a/internal/retrybudget/allowance_test.go
+++ b/internal/retrybudget/allowance_test.go
@@ -24,7 +24,7 @@
 	return retrybudget.NewAllowance(allowanceConfig(reserve), c.now), c
 }
 
-// request sends requests that are spread evenly over the given time.
+// request counts requests spread evenly over the given time.
 func (c *clock) request(a *retrybudget.Allowance, count int, over time.Duration) {
 	for range count {
 		a.Request()
@@ -42,32 +42,32 @@
 	}
 }
 
-func TestAnAllowanceBeginsEmpty(t *testing.T) {
+func TestAllowanceStartsEmpty(t *testing.T) {
 	a, c := newAllowance(1)
-	assert.Equal(t, spendAll(a, 1), 0, "a restart adds nothing")
+	assert.Equal(t, spendAll(a, 1), 0, "a restart adds no retries")
 	c.time = c.time.Add(testWindow + testDelay)
-	assert.Equal(t, spendAll(a, 1), 0, "a life of less than a span neither")
+	assert.Equal(t, spendAll(a, 1), 0, "no reserve before a full window and delay have passed")
 	c.time = epoch.Add(time.Hour)
-	assert.Equal(t, spendAll(a, 1), 1, "time adds no more than the reserve")
+	assert.Equal(t, spendAll(a, 1), 1, "elapsed time adds no more than the reserve")
 	c.time = c.time.Add(testWindow)
-	assert.Equal(t, spendAll(a, 1), 0, "and that once in a span")
+	assert.Equal(t, spendAll(a, 1), 0, "the reserve is available once per window")
 }
 
-func TestRequestsOfTheSpanAndOfTheOneBeforePayAlike(t *testing.T) {
+func TestRequestsOfCurrentAndPreviousWindowCountEqually(t *testing.T) {
 	a, c := newAllowance(0)
 	c.request(a, 1000, testWindow)
-	const lostToSlots = 3
+	const slotLoss = 3
 	spent := spendAll(a, 1)
-	assert.Assert(t, spent <= 100 && spent >= 100-lostToSlots, "half of the ratio for those of the span: %d", spent)
+	assert.Assert(t, spent <= 100 && spent >= 100-slotLoss, "half of the ratio for requests in the window: %d", spent)
 	a, c = newAllowance(0)
 	c.request(a, 1000, 2*time.Second)
 	c.time = c.time.Add(testWindow - 2*time.Second - testWindow/20)
-	assert.Equal(t, spendAll(a, 1), 100, "half of the ratio for those of the span before")
+	assert.Equal(t, spendAll(a, 1), 100, "half of the ratio for requests in the previous window")
 	c.time = c.time.Add(testWindow)
-	assert.Equal(t, spendAll(a, 1), 0, "and nothing for older ones")
+	assert.Equal(t, spendAll(a, 1), 0, "nothing for older requests")
 }
 
-func TestWhatReachedNoTargetIsTakenBack(t *testing.T) {
+func TestReturnRefundsRetry(t *testing.T) {
 	a, c := newAllowance(0)
 	c.request(a, 10, time.Second)
 	payment, paid := a.Spend(1)
@@ -79,14 +79,14 @@
 	assert.Equal(t, spendAll(a, 1), 1)
 	c.time = c.time.Add(time.Hour)
 	a.Return(payment)
-	assert.Equal(t, spendAll(a, 1), 0, "what was paid long ago does not count any more")
+	assert.Equal(t, spendAll(a, 1), 0, "an old payment has no effect")
 }
 
-// TestTheAllowanceOfSteadyTrafficIsUsed has all requests want a repetition: in each
-// span nearly as many are made as the ratio allows. An allowance that is paid in by
-// requests and capped at a part of the last span makes 0.59 of them while traffic
-// falls to 0.6, because it forgets what the span before allows; this one makes 0.78.
-func TestTheAllowanceOfSteadyTrafficIsUsed(t *testing.T) {
+// Every request needs a retry, and in each window nearly as many are made as the
+// ratio allows. A token bucket that requests fill and that is capped at a share of the
+// last window permits 0.59 of them while traffic drops to 0.6, because it ignores what
+// the window before allows; Allowance permits 0.78.
+func TestAllowanceIsUsedUnderSteadyTraffic(t *testing.T) {
 	const perSecond = 100
 	a, c := newAllowance(0)
 	c.request(a, 20*perSecond, 20*time.Second)
@@ -103,36 +103,36 @@
 	}
 	const allowed = 0.2 * 10 * perSecond
 	falling := float64(spentIn(600)) / allowed
-	assert.Assert(t, falling > 0.75, "while traffic falls: %.2f", falling)
+	assert.Assert(t, falling > 0.75, "while traffic drops: %.2f", falling)
 	spentIn(1000)
 	spentIn(1000)
 	steady := float64(spentIn(1000)) / allowed
 	assert.Assert(t, steady > 0.9, "in steady traffic: %.2f", steady)
 }
 
-func TestWhatIsScarceGoesToTheMostUrgent(t *testing.T) {
+func TestScarceBudgetGoesToMostUrgentRetries(t *testing.T) {
 	a, c := newAllowance(0)
 	c.request(a, 1100, time.Second)
-	const most = 110
-	assert.Assert(t, a.Balance() > most-3)
+	const budget = 110
+	assert.Assert(t, a.Balance() > budget-3)
 	assert.Assert(t, a.Ample(4))
-	assert.Assert(t, a.Ample(1000), "more than a span allows is not asked for")
-	assert.Equal(t, spendAll(a, 0), 1, "the least urgent only while nothing is scarce")
-	little := 1 + spendAll(a, 0.1)
-	assert.Assert(t, little > most*30/100 && little < most*38/100, "%d", little)
+	assert.Assert(t, a.Ample(1000), "the number is capped to the budget of a window")
+	assert.Equal(t, spendAll(a, 0), 1, "a retry of no urgency only while the budget is unused")
+	spentLow := 1 + spendAll(a, 0.1)
+	assert.Assert(t, spentLow > budget*30/100 && spentLow < budget*38/100, "%d", spentLow)
 	assert.Assert(t, !a.Ample(1000))
 	assert.Assert(t, a.Ample(4))
-	much := little + spendAll(a, 0.5)
-	assert.Assert(t, much > most*90/100 && much < most*95/100, "%d", much)
+	spentMedium := spentLow + spendAll(a, 0.5)
+	assert.Assert(t, spentMedium > budget*90/100 && spentMedium < budget*95/100, "%d", spentMedium)
 	assert.Assert(t, !a.Ample(1))
-	rest := spendAll(a, 1)
-	assert.Assert(t, much+rest >= most-3, "%d", much+rest)
+	remaining := spendAll(a, 1)
+	assert.Assert(t, spentMedium+remaining >= budget-3, "%d", spentMedium+remaining)
 	assert.Equal(t, spendAll(a, 1), 0)
 }
 
-// TestAnAllowanceHoldsItsBoundInEverySpan draws requests, repetitions that arrive
-// late and pauses, and checks the bound that the type promises in each span.
-func TestAnAllowanceHoldsItsBoundInEverySpan(t *testing.T) {
+// Draws random requests, pauses and retries that arrive late, and checks the bound
+// that Allowance documents in every window.
+func TestAllowanceBoundHoldsInEveryWindow(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		a, c := newAllowance(1)
 		var requests, arrivals []time.Time
@@ -151,19 +151,19 @@
 		}
 		for _, begin := range append(arrivals, requests...) {
 			end := begin.Add(testWindow)
-			allowed := 0.1*float64(within(requests, begin, end)) + 0.1*float64(within(requests, begin.Add(-testWindow), begin)) + 1
-			if got := within(arrivals, begin, end); float64(got) > allowed+1e-6 {
-				r.Fatalf("%d repetitions in the span from %s, allowed %.2f", got, begin, allowed)
+			allowed := 0.1*float64(countBetween(requests, begin, end)) + 0.1*float64(countBetween(requests, begin.Add(-testWindow), begin)) + 1
+			if got := countBetween(arrivals, begin, end); float64(got) > allowed+1e-6 {
+				r.Fatalf("%d retries in the window from %s, allowed %.2f", got, begin, allowed)
 			}
 		}
 	})
 }
 
-// within counts the moments from the begin on, before the end.
-func within(moments []time.Time, begin, end time.Time) int {
+// countBetween returns the number of times in the half-open interval from begin to end.
+func countBetween(times []time.Time, begin, end time.Time) int {
 	count := 0
-	for _, moment := range moments {
-		if !moment.Before(begin) && moment.Before(end) {
+	for _, at := range times {
+		if !at.Before(begin) && at.Before(end) {
 			count++
 		}
 	}
--- a/internal/retrybudget/ledger.go
+++ b/internal/retrybudget/ledger.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// shardCount is the number of independently locked parts; a power of two.
+	// shardCount is the number of independently locked shards; a power of two.
 	shardCount = 16
-	// DefaultMaxRequests is the default bound of requests in a ledger.
+	// DefaultMaxRequests is the default maximum number of requests in a ledger.
 	DefaultMaxRequests = 65536
-	// MaxRetries bounds the budget of one request, and with it an entry's memory.
+	// MaxRetries bounds the budget of one request, and thereby the memory of its entry.
 	MaxRetries = 64
-	// sweepInterval is the least time between two searches of a full shard for expired entries.
+	// sweepInterval is the minimum time between two sweeps of a full shard for expired entries.
 	sweepInterval = 100 * time.Millisecond
 )
 
-// Ledger holds the remaining retries of the requests that entered by this node.
-// It is safe for concurrent use and bounded. It implements grant.Ledger.
+// Ledger holds the retry budgets of the requests that entered at this node. It is
+// bounded and safe for concurrent use. It implements grant.Ledger.
 type Ledger struct {
 	now    func() time.Time
 	shards [shardCount]shard
@@ -38,12 +38,12 @@
 type budget struct {
 	max    int
 	expiry time.Time
-	// granted holds a token for each retry spent.
+	// granted holds the token of each granted retry.
 	granted []grant.Token
 }
 
-// NewLedger returns a ledger for up to about maxRequests open requests; zero
-// takes DefaultMaxRequests.
+// NewLedger returns a ledger for approximately maxRequests open requests; zero
+// means DefaultMaxRequests.
 func NewLedger(maxRequests int, now func() time.Time) *Ledger {
 	if maxRequests <= 0 {
 		maxRequests = DefaultMaxRequests
@@ -56,15 +56,15 @@
 	return l
 }
 
-// Open gives a request a budget of so many retries until it expires. Opening an
-// open request again changes nothing. It returns false if the ledger is full;
-// the request then runs without retries.
+// Open opens a budget with the given number of retries for a request until expiry.
+// Opening an open request again has no effect. It returns false if the ledger is
+// full; the request then runs without retries.
 func (l *Ledger) Open(id callcontext.RequestID, retries int, expiry time.Time) bool {
 	now := l.now()
 	s := l.shard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if known := s.budgets[id]; known != nil && now.Before(known.expiry) {
+	if b := s.budgets[id]; b != nil && now.Before(b.expiry) {
 		return true
 	}
 	delete(s.budgets, id)
@@ -75,9 +75,9 @@
 	return true
 }
 
-// Grant spends one retry of the request and reports whether there was one left.
-// The same token always gets the same answer and spends at most one retry.
-// Unknown, closed and expired requests get none.
+// Grant spends one retry of the request and reports whether one was left. Grant is
+// idempotent: a repeated token gets the same result and spends at most one retry.
+// Requests that are unknown, closed or expired get no retry.
 func (l *Ledger) Grant(id callcontext.RequestID, token grant.Token) bool {
 	now := l.now()
 	s := l.shard(id)
@@ -97,8 +97,7 @@
 	return true
 }
 
-// Close forgets a request that has been answered. Grants that are asked for
-// later are denied.
+// Close removes a completed request. Later grants for it are denied.
 func (l *Ledger) Close(id callcontext.RequestID) {
 	s := l.shard(id)
 	s.mu.Lock()
@@ -106,7 +105,7 @@
 	delete(s.budgets, id)
 }
 
-// Spent returns how many retries of an open request were granted.
+// Spent returns the number of retries granted to an open request.
 func (l *Ledger) Spent(id callcontext.RequestID) int {
 	s := l.shard(id)
 	s.mu.Lock()
@@ -117,8 +116,8 @@
 	return 0
 }
 
-// Len returns the number of requests held, expired ones that were not yet
-// removed included.
+// Len returns the number of requests in the ledger, including expired ones that have
+// not been removed yet.
 func (l *Ledger) Len() int {
 	total := 0
 	for i := range l.shards {
@@ -134,8 +133,8 @@
 	return &l.shards[binary.LittleEndian.Uint64(id[:])%shardCount]
 }
 
-// hasRoom reports whether one more request fits, after removing expired ones
-// if the shard is full.
+// hasRoom reports whether one more request fits. It removes expired requests if the
+// shard is full.
 func (s *shard) hasRoom(now time.Time) bool {
 	if len(s.budgets) < s.capacity {
 		return true
--- a/internal/retrybudget/ratio.go
+++ b/internal/retrybudget/ratio.go
@@ -15,22 +15,22 @@
 	DefaultHalfLife         = 10 * time.Second
 )
 
-// RatioConfig sets a Ratio. A zero field takes its default.
+// RatioConfig configures a Ratio. A zero field takes its default.
 type RatioConfig struct {
-	// Share is the number of retries that one success pays for, between 0 and 1.
+	// Share is the number of retries that one success earns, between 0 and 1.
 	Share float64
-	// ReservePerSecond is how many retries per second are allowed without successes.
+	// ReservePerSecond is the number of retries per second allowed without successes.
 	ReservePerSecond float64
 	// Reserve is the balance up to which the reserve refills, in retries.
 	Reserve float64
-	// MaxBalance is the largest balance, in retries.
+	// MaxBalance is the maximum balance, in retries.
 	MaxBalance float64
 	// HalfLife is the time in which the balance above Reserve halves, so that
-	// old successes do not pay for a retry storm.
+	// old successes do not fund a retry storm.
 	HalfLife time.Duration
 }
 
-// Ratio holds a node's retries to a share of its successes. It is safe for
+// Ratio limits a node's retries to a share of its successes. It is safe for
 // concurrent use.
 type Ratio struct {
 	config RatioConfig
@@ -41,7 +41,7 @@
 	updated time.Time
 }
 
-// NewRatio returns a ratio whose reserve is full.
+// NewRatio returns a Ratio with a full reserve.
 func NewRatio(config RatioConfig, now func() time.Time) *Ratio {
 	config.Share = positiveOr(config.Share, DefaultShare)
 	config.ReservePerSecond = positiveOr(config.ReservePerSecond, DefaultReservePerSecond)
@@ -53,7 +53,7 @@
 	return &Ratio{config: config, now: now, balance: config.Reserve, updated: now()}
 }
 
-// Success pays in for a call that was answered.
+// Success adds Share to the balance for a successful call.
 func (r *Ratio) Success() {
 	now := r.now()
 	r.mu.Lock()
@@ -62,20 +62,20 @@
 	r.balance = min(r.balance+r.config.Share, r.config.MaxBalance)
 }
 
-// Allow spends one retry and reports whether there was one left.
+// Allow spends one retry and reports whether one was left.
 func (r *Ratio) Allow() bool {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.advance(now)
-	if r.balance < 1-balanceSlack {
+	if r.balance < 1-balanceTolerance {
 		return false
 	}
 	r.balance = max(r.balance-1, 0)
 	return true
 }
 
-// Balance returns the number of retries allowed now.
+// Balance returns the number of retries currently allowed.
 func (r *Ratio) Balance() float64 {
 	now := r.now()
 	r.mu.Lock()
@@ -84,7 +84,7 @@
 	return r.balance
 }
 
-// advance refills the reserve, or fades what lies above it.
+// advance refills the reserve, or decays the balance above it.
 func (r *Ratio) advance(now time.Time) {
 	elapsed := now.Sub(r.updated).Seconds()
 	if elapsed <= 0 {
@@ -99,8 +99,8 @@
 	r.balance = min(r.balance+elapsed*r.config.ReservePerSecond, r.config.Reserve)
 }
 
-// balanceSlack absorbs rounding when shares are summed.
-const balanceSlack = 1e-9
+// balanceTolerance absorbs rounding errors in sums of shares.
+const balanceTolerance = 1e-9
 
 func positiveOr(value, fallback float64) float64 {
 	if value > 0 {
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -38,7 +38,7 @@
 		assert.Assert(t, l.Grant(id, token(1)))
 	}
 	assert.Equal(t, l.Spent(id), 1)
-	assert.Assert(t, l.Open(id, 9, epoch.Add(time.Hour)), "opening again is harmless")
+	assert.Assert(t, l.Open(id, 9, epoch.Add(time.Hour)), "opening again has no effect")
 	assert.Assert(t, l.Grant(id, token(2)))
 	for range 3 {
 		assert.Assert(t, !l.Grant(id, token(3)), "opening again must not refill")
@@ -62,7 +62,7 @@
 	assert.Assert(t, l.Grant(requestID(0), token(1)))
 	c.time = epoch.Add(time.Second)
 	assert.Assert(t, !l.Grant(requestID(0), token(1)), "expired")
-	assert.Assert(t, l.Open(requestID(20000), 1, c.time.Add(time.Second)), "expired entries make room")
+	assert.Assert(t, l.Open(requestID(20000), 1, c.time.Add(time.Second)), "expired entries free capacity")
 	assert.Assert(t, l.Open(requestID(0), 1, c.time.Add(time.Second)))
 	assert.Equal(t, l.Spent(requestID(0)), 0)
 }
@@ -73,9 +73,9 @@
 	id := callcontext.NewRequestID()
 	l.Open(id, budget, time.Now().Add(time.Minute))
 	var granted atomic.Int64
-	var group sync.WaitGroup
+	var wg sync.WaitGroup
 	for worker := range 8 {
-		group.Go(func() {
+		wg.Go(func() {
 			for i := range 100 {
 				if l.Grant(id, token(worker*100+i)) {
 					granted.Add(1)
@@ -83,7 +83,7 @@
 			}
 		})
 	}
-	group.Wait()
+	wg.Wait()
 	assert.Equal(t, granted.Load(), int64(budget))
 }
 
@@ -91,7 +91,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		l := retrybudget.NewLedger(1000, func() time.Time { return epoch })
 		budgets := make(map[int]int)
-		answers := make(map[[2]int]bool)
+		grants := make(map[[2]int]bool)
 		for range rapid.IntRange(1, 100).Draw(r, "steps") {
 			request := rapid.IntRange(0, 3).Draw(r, "request")
 			if rapid.IntRange(0, 4).Draw(r, "action") == 0 {
@@ -102,14 +102,14 @@
 				}
 				continue
 			}
-			asked := rapid.IntRange(0, 6).Draw(r, "token")
+			tokenNumber := rapid.IntRange(0, 6).Draw(r, "token")
 			left, open := budgets[request]
-			want := answers[[2]int{request, asked}] || open && left > 0
-			if got := l.Grant(requestID(request), token(asked)); got != want {
-				r.Fatalf("request %d token %d: granted %t, want %t", request, asked, got, want)
+			want := grants[[2]int{request, tokenNumber}] || open && left > 0
+			if got := l.Grant(requestID(request), token(tokenNumber)); got != want {
+				r.Fatalf("request %d token %d: granted %t, want %t", request, tokenNumber, got, want)
 			}
-			if want && !answers[[2]int{request, asked}] {
-				answers[[2]int{request, asked}] = true
+			if want && !grants[[2]int{request, tokenNumber}] {
+				grants[[2]int{request, tokenNumber}] = true
 				budgets[request]--
 			}
 		}
@@ -137,10 +137,10 @@
 	c.time = c.time.Add(3 * time.Second)
 	assert.Equal(t, allowed(r, 100), 3, "the reserve refills slowly")
 	c.time = c.time.Add(time.Hour)
-	assert.Equal(t, allowed(r, 100), 5, "and only up to its size")
+	assert.Equal(t, allowed(r, 100), 5, "up to its maximum")
 }
 
-func TestRatioForgetsOldSuccesses(t *testing.T) {
+func TestRatioDecaysOldSuccesses(t *testing.T) {
 	c := &clock{time: epoch}
 	r := retrybudget.NewRatio(retrybudget.RatioConfig{}, c.now)
 	for range 100000 {
@@ -153,7 +153,7 @@
 	assert.Equal(t, allowed(r, 100), 5)
 }
 
-func TestRatioHoldsARetryStorm(t *testing.T) {
+func TestRatioLimitsRetryStorm(t *testing.T) {
 	c := &clock{time: epoch}
 	r := retrybudget.NewRatio(retrybudget.RatioConfig{Share: 0.2}, c.now)
 	successes, retries := 0, 0
