--- a/internal/retrybudget/allowance.go
+++ b/internal/retrybudget/allowance.go
@@ -15,8 +15,8 @@
 	// contains it, between 0 and 1; it contributes the rest to the window after that.
 	PresentShare float64
 	// Reserve returns the number of retries per window that are allowed without
-	// requests. A new allowance has no reserve until it is older than Window and Delay
-	// together, so that restarts add no retries.
+	// requests. A new allowance has no reserve until it is older than a window plus
+	// the longest delay, so that restarts add no retries.
 	Reserve func() float64
 	// Window is the length of a window.
 	Window time.Duration
@@ -106,12 +106,12 @@
 }
 
 // Return refunds a retry that reached no target.
-func (a *Allowance) Return(payment Payment) {
+func (a *Allowance) Return(charge Payment) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.advance()
-	if a.newest-payment.slot < ringSlots {
-		a.countsAt(payment.slot).retries--
+	if a.newest-charge.slot < ringSlots {
+		a.countsAt(charge.slot).retries--
 	}
 }
 
--- a/internal/retrybudget/allowance_test.go
+++ b/internal/retrybudget/allowance_test.go
@@ -70,16 +70,16 @@
 func TestReturnRefundsRetry(t *testing.T) {
 	a, c := newAllowance(0)
 	c.request(a, 10, time.Second)
-	payment, paid := a.Spend(1)
+	charge, paid := a.Spend(1)
 	assert.Assert(t, paid)
 	_, paid = a.Spend(1)
 	assert.Assert(t, !paid)
 	c.time = c.time.Add(time.Second)
-	a.Return(payment)
+	a.Return(charge)
 	assert.Equal(t, spendAll(a, 1), 1)
 	c.time = c.time.Add(time.Hour)
-	a.Return(payment)
-	assert.Equal(t, spendAll(a, 1), 0, "an old payment has no effect")
+	a.Return(charge)
+	assert.Equal(t, spendAll(a, 1), 0, "an old charge has no effect")
 }
 
 // Every request needs a retry, and in each window nearly as many are made as the
