--- a/internal/routetable/configuration.go
+++ b/internal/routetable/configuration.go
@@ -1,6 +1,6 @@
-// Package routetable holds the routing configuration in force: which host and
-// path lead to which service, how long a request may take and how often it may
-// be tried. A Table is an immutable snapshot; a Holder publishes the newest.
+// Package routetable holds the active routing configuration: which host and path
+// are routed to which service, how long a request may take and how often it may be
+// attempted. A Table is an immutable snapshot; a Holder publishes the newest.
 package routetable
 
 import (
@@ -10,54 +10,54 @@
 	"time"
 )
 
-// Version orders configurations: a larger one is newer. Zero is no version.
+// Version orders configurations: a larger version is newer. Zero means no version.
 type Version uint64
 
-// Kind tells how often a request of a route may run.
+// Kind is whether requests of a route may be executed more than once.
 type Kind uint8
 
 // The kinds of routes.
 const (
-	// Once marks requests that may run at most once.
+	// Once is the kind of requests that may be executed at most once.
 	Once Kind = iota
-	// Repeatable marks requests that may run more than once.
+	// Repeatable is the kind of requests that may be executed more than once.
 	Repeatable
 )
 
-// WeightedService is a service with its share of a route's requests.
+// WeightedService is a service and its weight in the split of a route's requests.
 type WeightedService struct {
 	Name   string
 	Weight int
 }
 
-// Route leads the requests of a host below a path prefix to services.
+// Route maps the requests to a host below a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time for which a request is held; zero is no bound.
+	// Timeout is the maximum duration of a request; zero means no bound.
 	Timeout time.Duration
-	// Objective is the time within which an answer is worth most.
+	// Objective is the latency objective: the time within which a response is most useful.
 	Objective time.Duration
-	// Attempts is the largest number of targets that one request may reach.
+	// Attempts is the maximum number of targets that one request may reach.
 	Attempts int
-	// Priority ranks routes; zero is the most important.
+	// Priority orders routes by importance; zero is the most important.
 	Priority int
-	// Services holds at least one service with a positive weight.
+	// Services contains at least one service with a positive weight.
 	Services []WeightedService
-	// Public tells that requests need no key.
+	// Public reports whether requests need no API key.
 	Public bool
 }
 
-// Service describes what targets of a service have in common.
+// Service holds the settings common to all targets of a service.
 type Service struct {
 	Name           string
 	HealthPath     string
 	MaxConnections int
 }
 
-// Limits bound what callers may send. A zero field means no bound.
+// Limits bounds what callers may send. A zero field means no bound.
 type Limits struct {
 	MaxHeaderBytes int64
 	MaxBodyBytes   int64
@@ -65,39 +65,40 @@
 	IdleTimeout    time.Duration
 }
 
-// KeyDigest stands for an API key, which is kept nowhere itself.
+// KeyDigest is the SHA-256 digest of an API key. No configuration or table holds the key itself.
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of an API key.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// Tenant is a party whose requests carry API keys and share a limit.
+// Tenant is a client whose requests carry API keys and share a rate limit.
 type Tenant struct {
 	Name string
-	// Keys are the digests of its API keys; without any it can't send requests.
+	// Keys are the digests of its API keys; a tenant without keys cannot send requests.
 	Keys []KeyDigest
-	// Priority ranks tenants; zero is the most important.
+	// Priority orders tenants by importance; zero is the most important.
 	Priority int
-	// Rate is the number of requests a second that all nodes together may run for it,
-	// and Burst how many it may run beyond at once. A rate of zero is no limit.
+	// Rate is the number of requests per second that all nodes together may run for the
+	// tenant, and Burst the number that it may run at once in addition. A rate of zero
+	// means no limit.
 	Rate, Burst float64
 }
 
-// Limited reports whether the number of the tenant's requests is bounded.
+// Limited reports whether the tenant has a rate limit.
 func (t *Tenant) Limited() bool { return t.Rate > 0 }
 
-// Configuration is a whole routing configuration.
+// Configuration is a complete routing configuration.
 type Configuration struct {
 	Version  Version
 	Routes   []Route
 	Services []Service
-	// Tenants may send requests to routes that are not public. Without any, no request
-	// needs a key.
+	// Tenants may send requests to routes that are not public. If there are none, no
+	// request needs an API key.
 	Tenants []Tenant
 	Limits  Limits
 }
 
-// Validate reports the first fault of the configuration, nil if it has none.
+// Validate returns the first error in the configuration, nil if it is valid.
 func (c *Configuration) Validate() error {
 	if c.Version == 0 {
 		return fmt.Errorf("configuration has no version")
@@ -110,10 +111,10 @@
 	return c.validateTenants()
 }
 
-// validateTenants never names a key: its errors are logged.
+// validateTenants never includes a key in an error, since errors are logged.
 func (c *Configuration) validateTenants() error {
 	names := make(map[string]bool, len(c.Tenants))
-	holders := make(map[KeyDigest]string)
+	owners := make(map[KeyDigest]string)
 	for i := range c.Tenants {
 		tenant := &c.Tenants[i]
 		switch {
@@ -126,10 +127,10 @@
 		}
 		names[tenant.Name] = true
 		for _, key := range tenant.Keys {
-			if holder, held := holders[key]; held && holder != tenant.Name {
-				return fmt.Errorf("tenants %q and %q hold the same key", holder, tenant.Name)
+			if owner, exists := owners[key]; exists && owner != tenant.Name {
+				return fmt.Errorf("tenants %q and %q hold the same key", owner, tenant.Name)
 			}
-			holders[key] = tenant.Name
+			owners[key] = tenant.Name
 		}
 	}
 	return nil
--- a/internal/routetable/split.go
+++ b/internal/routetable/split.go
@@ -5,70 +5,70 @@
 	"sync"
 )
 
-// Splitter deals a route's requests to its services in proportion to their
-// weights (smooth weighted round-robin with a random start, so that many nodes
-// with few requests each do not all begin with the same service). It is safe
+// Splitter distributes a route's requests over its services in proportion to their
+// weights. It uses smooth weighted round-robin with a random start, so that many
+// nodes with few requests each do not all start with the same service. It is safe
 // for concurrent use.
 type Splitter struct {
 	mutex  sync.Mutex
-	routes map[string]*rotation
+	states map[string]*routeState
 }
 
-// rotation is the state of one route. It starts anew when the weights change.
-type rotation struct {
-	services []WeightedService
-	credit   []int
+// routeState is the round-robin state of one route. It is reset when the weights change.
+type routeState struct {
+	services       []WeightedService
+	currentWeights []int
 }
 
-// maxRotations bounds the routes that are remembered; beyond it all start anew.
-const maxRotations = 4096
+// maxRouteStates bounds the number of route states; all are reset when one more is needed.
+const maxRouteStates = 4096
 
-// Choose returns the service that the route's next request goes to.
+// Choose returns the service for the route's next request.
 func (s *Splitter) Choose(route *Route) string {
 	if len(route.Services) == 1 {
 		return route.Services[0].Name
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	r := s.rotationOf(route)
+	r := s.stateFor(route)
 	total, best := 0, 0
 	for i, service := range r.services {
-		r.credit[i] += service.Weight
+		r.currentWeights[i] += service.Weight
 		total += service.Weight
-		if r.credit[i] > r.credit[best] {
+		if r.currentWeights[i] > r.currentWeights[best] {
 			best = i
 		}
 	}
-	r.credit[best] -= total
+	r.currentWeights[best] -= total
 	return r.services[best].Name
 }
 
-func (s *Splitter) rotationOf(route *Route) *rotation {
-	r := s.routes[route.Name]
+func (s *Splitter) stateFor(route *Route) *routeState {
+	r := s.states[route.Name]
 	if r != nil && sameServices(r.services, route.Services) {
 		return r
 	}
-	if s.routes == nil || len(s.routes) >= maxRotations {
-		s.routes = make(map[string]*rotation)
+	if s.states == nil || len(s.states) >= maxRouteStates {
+		s.states = make(map[string]*routeState)
 	}
-	r = &rotation{services: route.Services, credit: randomCredit(route)}
-	s.routes[route.Name] = r
+	r = &routeState{services: route.Services, currentWeights: randomWeights(route)}
+	s.states[route.Name] = r
 	return r
 }
 
-// randomCredit returns a start whose credits add up to zero, as they do after
-// every turn.
-func randomCredit(route *Route) []int {
-	credit := make([]int, len(route.Services))
+// randomWeights returns random initial weights with a sum of zero, which Choose
+// preserves.
+func randomWeights(route *Route) []int {
+	weights := make([]int, len(route.Services))
 	for i, service := range route.Services {
 		if service.Weight == 0 {
 			continue
 		}
 		shift := rand.IntN(service.Weight)
-		credit[i] += shift
-		credit[(i+1)%len(credit)] -= shift
+		weights[i] += shift
+		weights[(i+1)%len(weights)] -= shift
 	}
-	return credit
+	return weights
 }
 
 func sameServices(a, b []WeightedService) bool {
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -13,33 +13,33 @@
 	version  Version
 	limits   Limits
 	services map[string]*Service
-	// routes holds each host's routes, the longest prefix first.
+	// routes maps each host to its routes, longest prefix first.
 	routes map[string][]*Route
-	// tenants are found by their names, and holders by their keys.
-	tenants map[string]*Tenant
-	holders map[KeyDigest]*Tenant
-	// limited tells that a tenant has a limit.
-	limited bool
-	// withdrawn are keys that an earlier configuration knew and this one doesn't.
-	withdrawn map[KeyDigest]bool
+	// tenants maps names to tenants, and tenantsByKey digests of API keys.
+	tenants      map[string]*Tenant
+	tenantsByKey map[KeyDigest]*Tenant
+	// hasTenantLimits reports whether any tenant has a rate limit.
+	hasTenantLimits bool
+	// revoked is the set of keys in earlier configurations that are not in this one.
+	revoked map[KeyDigest]bool
 }
 
-// NewTable indexes a valid configuration. The caller must not change it later.
+// NewTable indexes a valid configuration. The caller must not modify it afterwards.
 func NewTable(configuration *Configuration) *Table {
 	t := &Table{
-		version:  configuration.Version,
-		limits:   configuration.Limits,
-		services: make(map[string]*Service, len(configuration.Services)),
-		routes:   make(map[string][]*Route),
-		tenants:  make(map[string]*Tenant, len(configuration.Tenants)),
-		holders:  make(map[KeyDigest]*Tenant, len(configuration.Tenants)),
+		version:      configuration.Version,
+		limits:       configuration.Limits,
+		services:     make(map[string]*Service, len(configuration.Services)),
+		routes:       make(map[string][]*Route),
+		tenants:      make(map[string]*Tenant, len(configuration.Tenants)),
+		tenantsByKey: make(map[KeyDigest]*Tenant, len(configuration.Tenants)),
 	}
 	for i := range configuration.Tenants {
 		tenant := &configuration.Tenants[i]
 		t.tenants[tenant.Name] = tenant
-		t.limited = t.limited || tenant.Limited()
+		t.hasTenantLimits = t.hasTenantLimits || tenant.Limited()
 		for _, key := range tenant.Keys {
-			t.holders[key] = tenant
+			t.tenantsByKey[key] = tenant
 		}
 	}
 	for i := range configuration.Services {
@@ -66,46 +66,46 @@
 // Service returns a service by its name, nil if there is none.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// HasTenants reports whether requests to routes that are not public need a key.
+// HasTenants reports whether requests to routes that are not public need an API key.
 func (t *Table) HasTenants() bool { return len(t.tenants) > 0 }
 
-// HasLimits reports whether any tenant has a limit.
-func (t *Table) HasLimits() bool { return t.limited }
+// HasLimits reports whether any tenant has a rate limit.
+func (t *Table) HasLimits() bool { return t.hasTenantLimits }
 
 // Tenant returns a tenant by its name, nil if there is none.
 func (t *Table) Tenant(name string) *Tenant { return t.tenants[name] }
 
-// HolderOf returns the tenant that holds an API key, nil if none does.
-func (t *Table) HolderOf(key string) *Tenant { return t.holders[DigestKey(key)] }
+// HolderOf returns the tenant that an API key belongs to, nil if there is none.
+func (t *Table) HolderOf(key string) *Tenant { return t.tenantsByKey[DigestKey(key)] }
 
-// Withdrawn reports whether an API key was held by a tenant before.
-func (t *Table) Withdrawn(key string) bool { return t.withdrawn[DigestKey(key)] }
+// Withdrawn reports whether an API key belonged to a tenant in an earlier configuration and no longer does.
+func (t *Table) Withdrawn(key string) bool { return t.revoked[DigestKey(key)] }
 
-// maxWithdrawn bounds the keys that are remembered after they were taken away.
-const maxWithdrawn = 4096
+// maxRevoked bounds the number of revoked keys that are kept.
+const maxRevoked = 4096
 
-// remember takes the keys that the previous table knows and this one does not.
-func (t *Table) remember(previous *Table) {
+// recordRevoked records the keys of the previous table, including its revoked ones, that are not in this one.
+func (t *Table) recordRevoked(previous *Table) {
 	if previous == nil {
 		return
 	}
-	t.withdrawn = make(map[KeyDigest]bool)
-	for key := range previous.holders {
-		t.withdraw(key)
+	t.revoked = make(map[KeyDigest]bool)
+	for key := range previous.tenantsByKey {
+		t.revoke(key)
 	}
-	for key := range previous.withdrawn {
-		t.withdraw(key)
+	for key := range previous.revoked {
+		t.revoke(key)
 	}
 }
 
-func (t *Table) withdraw(key KeyDigest) {
-	if t.holders[key] == nil && len(t.withdrawn) < maxWithdrawn {
-		t.withdrawn[key] = true
+func (t *Table) revoke(key KeyDigest) {
+	if t.tenantsByKey[key] == nil && len(t.revoked) < maxRevoked {
+		t.revoked[key] = true
 	}
 }
 
-// Match returns the host's route with the longest prefix of the path, nil if
-// there is none. The host may carry a port.
+// Match returns the host's route with the longest matching path prefix, nil if
+// there is none. The host may include a port.
 func (t *Table) Match(host, path string) *Route {
 	for _, route := range t.routes[hostName(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -122,8 +122,8 @@
 	return strings.ToLower(host)
 }
 
-// Holder publishes the newest table. Versions only rise during its life. It is
-// safe for concurrent use.
+// Holder publishes the newest table. Its version never decreases. It is safe for
+// concurrent use.
 type Holder struct {
 	mutex   sync.Mutex
 	current atomic.Pointer[Table]
@@ -132,7 +132,7 @@
 // Current returns the newest table, nil before the first.
 func (h *Holder) Current() *Table { return h.current.Load() }
 
-// Version returns the version in force, zero before the first.
+// Version returns the version of the newest table, zero before the first.
 func (h *Holder) Version() Version {
 	if table := h.current.Load(); table != nil {
 		return table.version
@@ -140,8 +140,8 @@
 	return 0
 }
 
-// Offer puts the configuration in force if it is newer than the one in force,
-// and reports whether it did.
+// Offer installs the configuration if it is newer than the current one, and
+// reports whether it did.
 func (h *Holder) Offer(configuration *Configuration) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
@@ -149,7 +149,7 @@
 		return false
 	}
 	table := NewTable(configuration)
-	table.remember(h.current.Load())
+	table.recordRevoked(h.current.Load())
 	h.current.Store(table)
 	return true
 }
