--- a/internal/shed/controller.go
+++ b/internal/shed/controller.go
@@ -112,7 +112,7 @@
 
 	mu sync.Mutex
 	// rates are the arrivals per second of each rank. Those of ranks that are being
-	// shed keep their values from before.
+	// shed were measured before the shedding.
 	rates    [criticality.RankCount]float64
 	lastTick time.Time
 	served   uint64
