--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -28,7 +28,7 @@
 func (f *Forwarder) run(ctx context.Context, q *request) (*peering.Reply, *problem.Problem) {
 	if !q.call.Repeat {
 		f.budget(q.service).Request()
-		f.observer.Counted(q.service, FirstSent, "")
+		f.observer.BudgetCounted(q.service, FirstSent, "")
 	}
 	reply, failure := f.tryHomes(ctx, q)
 	if failure != nil && q.errorAnswer != nil {
--- a/internal/peering/message.go
+++ b/internal/peering/message.go
@@ -102,7 +102,7 @@
 
 // Departures takes what peers tell of targets that leave.
 type Departures interface {
-	HeardDeparture(departure registry.Departure)
+	LearnDeparture(departure registry.Departure)
 }
 
 // Permits issues permits of tenants' limits.
