--- a/internal/forward/budget_simulation_test.go
+++ b/internal/forward/budget_simulation_test.go
@@ -97,7 +97,7 @@
 	reserve := func() float64 { return min(budgetSlack/float64(len(s.nodes)), 1) }
 	return New(Config{
 		Node: "node", Zone: "z", Address: "here", DefaultTimeout: time.Second,
-		Retries: retrybudget.AllowanceConfig{Ratio: budgetRatio, PresentShare: 0.5, Reserve: reserve, Window: budgetWindow, Delay: 500 * time.Millisecond},
+		Retries: retrybudget.AllowanceConfig{Ratio: budgetRatio, CurrentShare: 0.5, Reserve: reserve, Window: budgetWindow, MaxDelay: 500 * time.Millisecond},
 	}, Dependencies{
 		Routes: &routetable.Holder{}, Policies: compilePolicies(s.t, routepolicy.Sources{}), Directory: s.directory, Local: &parentHome{}, Levels: pressure.New(now),
 		Peers: s, Observer: s.observer, Now: now,
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -165,7 +165,7 @@
 	t.Helper()
 	routes := &routetable.Holder{}
 	service := []routetable.WeightedService{{Name: "s", Weight: 1}}
-	routes.Offer(&routetable.Configuration{Version: 4, Limits: routetable.Limits{MaxBodyBytes: 100, MaxHeaderBytes: 1000}, Routes: []routetable.Route{
+	routes.Update(&routetable.Configuration{Version: 4, Limits: routetable.Limits{MaxBodyBytes: 100, MaxHeaderBytes: 1000}, Routes: []routetable.Route{
 		{Name: "read", Host: "a.example", Prefix: "/read/", Kind: routetable.Repeatable, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Priority: 2, Services: service},
 		{Name: "once", Host: "a.example", Prefix: "/once/", Kind: routetable.Once, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Services: service},
 		{Name: "brief", Host: "a.example", Prefix: "/brief/", Kind: routetable.Repeatable, Attempts: 2, Timeout: 200 * time.Millisecond, Objective: time.Second, Services: service},
@@ -173,7 +173,7 @@
 	var forwarder *Forwarder
 	forwarder = New(Config{
 		Node: "node", Zone: "z", Service: "caller", Address: "here", DefaultTimeout: time.Second, WaitShare: 0.2, InnerWaitShare: 0.6,
-		Retries: retrybudget.AllowanceConfig{Ratio: testRetryRatio, PresentShare: 0.5, Reserve: func() float64 { return 1 }, Window: testRetryWindow},
+		Retries: retrybudget.AllowanceConfig{Ratio: testRetryRatio, CurrentShare: 0.5, Reserve: func() float64 { return 1 }, Window: testRetryWindow},
 		Headers: callheader.Names{RequestID: "X-Id", DeadlineMillis: "X-Deadline"},
 		ParentOf: func(id string) (string, bool) {
 			parent, _, found := strings.Cut(id, ".")
@@ -187,7 +187,7 @@
 		Observer: noopObserver{}, Now: time.Now,
 	})
 	for range testRequestsPerRetry {
-		forwarder.budget("s").Request()
+		forwarder.budget("s").CountRequest()
 	}
 	return forwarder
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -282,7 +282,7 @@
 	// that it was offered to, and arrivals the targets that it may have reached.
 	attempts, offers, arrivals int
 	// payment is what the last offer took from the retry budget if it was a retry.
-	payment retrybudget.Payment
+	payment retrybudget.Charge
 	// excluded are the homes that the request is not offered to again, and rejected those
 	// whose targets rejected it, which are offered it again once no other home is left.
 	excluded, rejected []*registry.Home
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -297,7 +297,7 @@
 	record, err := cbor.Marshal(registry.Record{Instance: "i-full", Service: "full", Zone: "z", Address: full, Slots: 10, State: registry.Ready})
 	assert.NilError(t, err)
 	f.forwarder.directory.ApplyChanges([]store.Entry{{Key: "homes/" + full, Value: record, Revision: 100}}, "store")
-	f.forwarder.routes.Offer(&routetable.Configuration{Version: 5, Routes: []routetable.Route{{Name: "split", Host: "a.example", Prefix: "/split/", Kind: routetable.Once,
+	f.forwarder.routes.Update(&routetable.Configuration{Version: 5, Routes: []routetable.Route{{Name: "split", Host: "a.example", Prefix: "/split/", Kind: routetable.Once,
 		Timeout: testTimeout, Objective: time.Second, Services: []routetable.WeightedService{{Name: "s", Weight: 70}, {Name: "full", Weight: 30}}}}})
 	answered, refused := 0, 0
 	for i := range requests {
--- a/internal/forward/repeat.go
+++ b/internal/forward/repeat.go
@@ -96,7 +96,7 @@
 		if reached {
 			f.observer.BudgetCounted(q.service, RetrySent, q.retryCause())
 		} else {
-			f.budget(q.service).Return(q.payment)
+			f.budget(q.service).Refund(q.payment)
 		}
 	}
 	if reached {
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -28,7 +28,7 @@
 // failure is the answer if no other target answers.
 func (f *Forwarder) run(ctx context.Context, q *request) (*peering.Reply, *problem.Problem) {
 	if !q.call.Repeat {
-		f.budget(q.service).Request()
+		f.budget(q.service).CountRequest()
 		f.observer.BudgetCounted(q.service, FirstSent, "")
 	}
 	reply, failure := f.tryHomes(ctx, q)
--- a/internal/retrybudget/allowance.go
+++ b/internal/retrybudget/allowance.go
@@ -11,24 +11,24 @@
 type AllowanceConfig struct {
 	// Ratio is the number of retries that each request allows.
 	Ratio float64
-	// PresentShare is the share of Ratio that a request contributes to the window that
+	// CurrentShare is the share of Ratio that a request contributes to the window that
 	// contains it, between 0 and 1; it contributes the rest to the window after that.
-	PresentShare float64
+	CurrentShare float64
 	// Reserve returns the number of retries per window that are allowed without
 	// requests. A new allowance has no reserve until it is older than a window plus
 	// the longest delay, so that restarts add no retries.
 	Reserve func() float64
 	// Window is the length of a window.
 	Window time.Duration
-	// Delay is the longest time from sending a retry to its arrival.
-	Delay time.Duration
+	// MaxDelay is the longest time from sending a retry to its arrival.
+	MaxDelay time.Duration
 }
 
 // Allowance bounds the retries that one node sends to one service. A retry is
 // charged when it is sent, so that in any window, a period of length Window,
 //
-//	arriving retries <= Ratio x PresentShare x requests in the window
-//	                  + Ratio x (1 - PresentShare) x requests in the window before
+//	arriving retries <= Ratio x CurrentShare x requests in the window
+//	                  + Ratio x (1 - CurrentShare) x requests in the window before
 //	                  + Reserve.
 //
 // Each request and each retry is counted only by the node that sends it. The sums
@@ -58,16 +58,16 @@
 // slotCounts holds the numbers of requests and retries sent in one slot.
 type slotCounts struct{ requests, retries int }
 
-// Payment identifies a retry that was charged to an Allowance.
-type Payment struct{ slot int64 }
+// Charge identifies a retry that was charged to an Allowance.
+type Charge struct{ slot int64 }
 
 // NewAllowance returns an allowance with no requests counted.
 func NewAllowance(config AllowanceConfig, now func() time.Time) *Allowance {
 	return &Allowance{config: config, now: now, created: now()}
 }
 
-// Request counts the first attempt of a request.
-func (a *Allowance) Request() {
+// CountRequest counts the first attempt of a request.
+func (a *Allowance) CountRequest() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.advance()
@@ -77,18 +77,18 @@
 // Spend charges one retry and reports whether the budget permits it. The urgency is
 // between 0 and 1: the lower it is, the larger the share of the budget that must be
 // left for other retries, so that a scarce budget goes to the most urgent ones.
-func (a *Allowance) Spend(urgency float64) (Payment, bool) {
+func (a *Allowance) Spend(urgency float64) (Charge, bool) {
 	share := spendableShare(urgency)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.advance()
 	for w := range a.windows() {
 		if !w.fits(1, share) {
-			return Payment{}, false
+			return Charge{}, false
 		}
 	}
 	a.countsAt(a.newest).retries++
-	return Payment{slot: a.newest}, true
+	return Charge{slot: a.newest}, true
 }
 
 // urgencyExponent determines how much budget is left for more urgent retries.
@@ -105,8 +105,8 @@
 	return 1 - math.Pow(1-min(max(urgency, 0), 1), urgencyExponent)
 }
 
-// Return refunds a retry that reached no target.
-func (a *Allowance) Return(charge Payment) {
+// Refund refunds a retry that reached no target.
+func (a *Allowance) Refund(charge Charge) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.advance()
@@ -131,9 +131,9 @@
 // budget not to count as scarce.
 const headroomUrgency = 0.5
 
-// Ample reports whether the budget currently permits the given number of retries of
+// HasHeadroom reports whether the budget currently permits the given number of retries of
 // medium urgency. Numbers above a window's total budget are capped to it.
-func (a *Allowance) Ample(retries int) bool {
+func (a *Allowance) HasHeadroom(retries int) bool {
 	share := spendableShare(headroomUrgency)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -165,10 +165,10 @@
 // requests count with the smaller of the two shares.
 func (a *Allowance) windows() iter.Seq[window] {
 	return func(yield func(window) bool) {
-		currentShare := a.config.Ratio * a.config.PresentShare
-		previousShare := a.config.Ratio * (1 - a.config.PresentShare)
+		currentShare := a.config.Ratio * a.config.CurrentShare
+		previousShare := a.config.Ratio * (1 - a.config.CurrentShare)
 		reserve := a.reserve()
-		delay := a.slotCount(a.config.Delay)
+		delay := a.slotCount(a.config.MaxDelay)
 		spent := a.sum(a.newest-delay+1, a.newest).retries
 		requests := 0
 		previousRequests := a.sum(a.newest-slotsPerWindow+1, a.newest-1).requests
@@ -198,7 +198,7 @@
 
 // reserve returns the number of retries allowed without requests.
 func (a *Allowance) reserve() float64 {
-	if a.now().Sub(a.created) <= a.config.Window+a.config.Delay {
+	if a.now().Sub(a.created) <= a.config.Window+a.config.MaxDelay {
 		return 0
 	}
 	return a.config.Reserve()
--- a/internal/retrybudget/allowance_test.go
+++ b/internal/retrybudget/allowance_test.go
@@ -16,7 +16,7 @@
 )
 
 func allowanceConfig(reserve float64) retrybudget.AllowanceConfig {
-	return retrybudget.AllowanceConfig{Ratio: 0.2, PresentShare: 0.5, Reserve: func() float64 { return reserve }, Window: testWindow, Delay: testDelay}
+	return retrybudget.AllowanceConfig{Ratio: 0.2, CurrentShare: 0.5, Reserve: func() float64 { return reserve }, Window: testWindow, MaxDelay: testDelay}
 }
 
 func newAllowance(reserve float64) (*retrybudget.Allowance, *clock) {
@@ -27,7 +27,7 @@
 // request counts requests spread evenly over the given time.
 func (c *clock) request(a *retrybudget.Allowance, count int, over time.Duration) {
 	for range count {
-		a.Request()
+		a.CountRequest()
 		c.time = c.time.Add(over / time.Duration(count))
 	}
 }
@@ -67,7 +67,7 @@
 	assert.Equal(t, spendAll(a, 1), 0, "nothing for older requests")
 }
 
-func TestReturnRefundsRetry(t *testing.T) {
+func TestRefund(t *testing.T) {
 	a, c := newAllowance(0)
 	c.request(a, 10, time.Second)
 	charge, paid := a.Spend(1)
@@ -75,10 +75,10 @@
 	_, paid = a.Spend(1)
 	assert.Assert(t, !paid)
 	c.time = c.time.Add(time.Second)
-	a.Return(charge)
+	a.Refund(charge)
 	assert.Equal(t, spendAll(a, 1), 1)
 	c.time = c.time.Add(time.Hour)
-	a.Return(charge)
+	a.Refund(charge)
 	assert.Equal(t, spendAll(a, 1), 0, "an old charge has no effect")
 }
 
@@ -93,7 +93,7 @@
 	spentIn := func(requests int) int {
 		spent := 0
 		for range requests {
-			a.Request()
+			a.CountRequest()
 			if _, paid := a.Spend(1); paid {
 				spent++
 			}
@@ -115,16 +115,16 @@
 	c.request(a, 1100, time.Second)
 	const budget = 110
 	assert.Assert(t, a.Balance() > budget-3)
-	assert.Assert(t, a.Ample(4))
-	assert.Assert(t, a.Ample(1000), "the number is capped to the budget of a window")
+	assert.Assert(t, a.HasHeadroom(4))
+	assert.Assert(t, a.HasHeadroom(1000), "the number is capped to the budget of a window")
 	assert.Equal(t, spendAll(a, 0), 1, "a retry of no urgency only while the budget is unused")
 	spentLow := 1 + spendAll(a, 0.1)
 	assert.Assert(t, spentLow > budget*30/100 && spentLow < budget*38/100, "%d", spentLow)
-	assert.Assert(t, !a.Ample(1000))
-	assert.Assert(t, a.Ample(4))
+	assert.Assert(t, !a.HasHeadroom(1000))
+	assert.Assert(t, a.HasHeadroom(4))
 	spentMedium := spentLow + spendAll(a, 0.5)
 	assert.Assert(t, spentMedium > budget*90/100 && spentMedium < budget*95/100, "%d", spentMedium)
-	assert.Assert(t, !a.Ample(1))
+	assert.Assert(t, !a.HasHeadroom(1))
 	remaining := spendAll(a, 1)
 	assert.Assert(t, spentMedium+remaining >= budget-3, "%d", spentMedium+remaining)
 	assert.Equal(t, spendAll(a, 1), 0)
@@ -139,7 +139,7 @@
 		for range rapid.IntRange(1, 400).Draw(r, "steps") {
 			c.time = c.time.Add(time.Duration(rapid.IntRange(0, 400).Draw(r, "pause")) * time.Millisecond)
 			for range rapid.IntRange(0, 20).Draw(r, "requests") {
-				a.Request()
+				a.CountRequest()
 				requests = append(requests, c.time)
 			}
 			for range rapid.IntRange(0, 20).Draw(r, "repetitions") {
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -24,10 +24,10 @@
 
 func TestHolderRejectsOlderVersions(t *testing.T) {
 	var holder Holder
-	assert.Assert(t, holder.Offer(testConfiguration(5)))
-	assert.Assert(t, !holder.Offer(testConfiguration(4)))
-	assert.Assert(t, !holder.Offer(testConfiguration(5)))
-	assert.Assert(t, holder.Offer(testConfiguration(6)))
+	assert.Assert(t, holder.Update(testConfiguration(5)))
+	assert.Assert(t, !holder.Update(testConfiguration(4)))
+	assert.Assert(t, !holder.Update(testConfiguration(5)))
+	assert.Assert(t, holder.Update(testConfiguration(6)))
 	assert.Equal(t, holder.Version(), Version(6))
 }
 
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -69,17 +69,17 @@
 // HasTenants reports whether requests to routes that are not public need an API key.
 func (t *Table) HasTenants() bool { return len(t.tenants) > 0 }
 
-// HasLimits reports whether any tenant has a rate limit.
-func (t *Table) HasLimits() bool { return t.hasTenantLimits }
+// HasTenantLimits reports whether any tenant has a rate limit.
+func (t *Table) HasTenantLimits() bool { return t.hasTenantLimits }
 
 // Tenant returns a tenant by its name, nil if there is none.
 func (t *Table) Tenant(name string) *Tenant { return t.tenants[name] }
 
-// HolderOf returns the tenant that an API key belongs to, nil if there is none.
-func (t *Table) HolderOf(key string) *Tenant { return t.tenantsByKey[DigestKey(key)] }
+// TenantByKey returns the tenant that an API key belongs to, nil if there is none.
+func (t *Table) TenantByKey(key string) *Tenant { return t.tenantsByKey[DigestKey(key)] }
 
-// Withdrawn reports whether an API key belonged to a tenant in an earlier configuration and no longer does.
-func (t *Table) Withdrawn(key string) bool { return t.revoked[DigestKey(key)] }
+// Revoked reports whether an API key belonged to a tenant in an earlier configuration and no longer does.
+func (t *Table) Revoked(key string) bool { return t.revoked[DigestKey(key)] }
 
 // maxRevoked bounds the number of revoked keys that are kept.
 const maxRevoked = 4096
@@ -140,9 +140,9 @@
 	return 0
 }
 
-// Offer installs the configuration if it is newer than the current one, and
+// Update installs the configuration if it is newer than the current one, and
 // reports whether it did.
-func (h *Holder) Offer(configuration *Configuration) bool {
+func (h *Holder) Update(configuration *Configuration) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if configuration.Version <= h.Version() {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -186,8 +186,8 @@
 
 // precedes reports whether the request is served before another one of the same level.
 func (r *Request) precedes(other Request) bool {
-	if r.Done != other.Done {
-		return r.Done > other.Done
+	if r.EarlierCalls != other.EarlierCalls {
+		return r.EarlierCalls > other.EarlierCalls
 	}
 	return r.Rank.MoreImportantThan(other.Rank)
 }
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -285,7 +285,7 @@
 		h := newHarness(t, 1, scheduler.Config{ByRank: true, MaxWait: time.Minute})
 		withEarlierCalls := func(l criticality.Level, cohort uint8, calls int) scheduler.Request {
 			request := withRank(l, cohort)
-			request.Done = calls
+			request.EarlierCalls = calls
 			return request
 		}
 		calls := []*call{
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -195,10 +195,10 @@
 		DefaultTimeout: defaultTimeout,
 		Retries: retrybudget.AllowanceConfig{
 			Ratio:        n.settings.Retries.BudgetRatio,
-			PresentShare: presentRetryShare,
+			CurrentShare: presentRetryShare,
 			Reserve:      n.retryReserve,
 			Window:       n.settings.Retries.window(),
-			Delay:        retryDelay,
+			MaxDelay:     retryDelay,
 		},
 		WaitShare:      n.settings.Queue.ObjectiveShare,
 		InnerWaitShare: n.settings.Queue.InnerObjectiveShare,
