--- a/internal/peering/client.go
+++ b/internal/peering/client.go
@@ -110,28 +110,28 @@
 	remaining := call.Remaining
 	exchange := &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: callPath}
 	if call.Process != 0 {
-		exchange.Silence = silence
+		exchange.SilenceTimeout = silence
 	}
 	if c.config.OnInterim != nil {
-		exchange.Interim = func() { c.config.OnInterim(address) }
+		exchange.OnInterim = func() { c.config.OnInterim(address) }
 	}
 	for {
 		exchange.Body = c.config.Codec.encodeCall(call)
 		answer, err := c.exchange(ctx, address, exchange)
 		var failure *transport.Failure
-		if !errors.As(err, &failure) || failure.Unanswered == nil {
+		if !errors.As(err, &failure) || failure.SilentConnection == nil {
 			return answer, sentBefore(err, call)
 		}
 		// The home would take its end for the caller's, so that it stays open until then.
-		defer func() { _ = failure.Unanswered.Close() }()
+		defer func() { _ = failure.SilentConnection.Close() }()
 		c.Forget(address)
 		call.Resumed = true
 		if c.config.OnResume != nil {
 			c.config.OnResume(call, address, clock.Since(began))
 		}
 		call.Remaining = remaining - clock.Since(began)
-		exchange.Fresh = true
-		exchange.Silence *= 2
+		exchange.NewConnection = true
+		exchange.SilenceTimeout *= 2
 	}
 }
 
@@ -191,7 +191,7 @@
 // Ping asks the peer whether it is there, over a new connection: that an old one is
 // silent says nothing of the peer.
 func (c *Client) Ping(ctx context.Context, address string) error {
-	_, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodGet, Host: peerHost, RequestURI: pingPath, Fresh: true})
+	_, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodGet, Host: peerHost, RequestURI: pingPath, NewConnection: true})
 	return err
 }
 
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -25,21 +25,20 @@
 	errTooManyInterim = errors.New("too many interim answers")
 )
 
-// connection is one connection to a target. It belongs to one exchange at a
-// time.
+// connection is a connection to a target. It carries one exchange at a time.
 type connection struct {
 	socket    net.Conn
 	reader    *bufio.Reader
 	idleSince time.Time
-	// headerLeft is how much more of a header may be read; negative while a
-	// body is read.
-	headerLeft int64
-	// keepAlive is how long the other side said that it keeps the connection when
-	// idle; zero means that it did not say.
-	keepAlive time.Duration
-	// readBy is when reads fail, zero if they are not bounded.
-	readBy  time.Time
-	unwatch func() bool
+	// headerRemaining is the number of bytes that may still be read of a header; negative
+	// while a body is read.
+	headerRemaining int64
+	// peerKeepAlive is the idle timeout that the target announced; zero if it announced
+	// none.
+	peerKeepAlive time.Duration
+	// readDeadline is the read deadline, zero for none.
+	readDeadline time.Time
+	stopWatch    func() bool
 }
 
 func newConnection(socket net.Conn) *connection {
@@ -48,58 +47,58 @@
 	return c
 }
 
-// Read reads from the socket, within the bound of a header.
+// Read reads from the socket and enforces the limit on the header's size.
 func (c *connection) Read(buffer []byte) (int, error) {
-	if c.headerLeft < 0 {
+	if c.headerRemaining < 0 {
 		return c.read(buffer)
 	}
-	if c.headerLeft == 0 {
+	if c.headerRemaining == 0 {
 		return 0, errHeaderTooLarge
 	}
-	if int64(len(buffer)) > c.headerLeft {
-		buffer = buffer[:c.headerLeft]
+	if int64(len(buffer)) > c.headerRemaining {
+		buffer = buffer[:c.headerRemaining]
 	}
 	n, err := c.read(buffer)
-	c.headerLeft -= int64(n)
+	c.headerRemaining -= int64(n)
 	return n, err
 }
 
-// read reads from the socket. Where the process stood still over the bound of the read, what
-// arrived meanwhile is read: the other side was not silent.
+// read reads from the socket. If the process was stalled when the read deadline passed,
+// it reads again: data may have arrived meanwhile, so the target was not silent.
 func (c *connection) read(buffer []byte) (int, error) {
 	n, err := c.socket.Read(buffer)
-	if n > 0 || c.readBy.IsZero() || !errors.Is(err, os.ErrDeadlineExceeded) || !clock.Late(time.Since(c.readBy)) {
+	if n > 0 || c.readDeadline.IsZero() || !errors.Is(err, os.ErrDeadlineExceeded) || !clock.Late(time.Since(c.readDeadline)) {
 		return n, err
 	}
-	if err := c.bound(time.Now().Add(clock.ReadyGrace)); err != nil {
+	if err := c.setReadDeadline(time.Now().Add(clock.ReadyGrace)); err != nil {
 		return 0, err
 	}
 	return c.socket.Read(buffer)
 }
 
-// watch has the exchange end with the context.
-func (c *connection) watch(ctx context.Context) {
+// closeOnDone closes the socket when the context ends.
+func (c *connection) closeOnDone(ctx context.Context) {
 	if ctx.Done() == nil {
-		c.unwatch = func() bool { return true }
+		c.stopWatch = func() bool { return true }
 		return
 	}
-	c.unwatch = context.AfterFunc(ctx, func() { _ = c.socket.Close() })
+	c.stopWatch = context.AfterFunc(ctx, func() { _ = c.socket.Close() })
 }
 
-// maxInterim bounds the interim answers (1xx) before an answer.
+// maxInterim bounds the interim responses (1xx) before a final response.
 const maxInterim = 8
 
-// readHeader reads the status and the header of the answer to a call of the
-// method. The answer's body must be read before the next exchange. If the silence is
-// not zero, it bounds the time between interim answers instead of their number.
-func (c *connection) readHeader(call *Call, maxBytes int64, silence time.Duration) (*http.Response, error) {
+// readHeader reads the status and the header of the response to the call. The response's
+// body must be read before the next exchange. If the silence timeout is not zero, it
+// bounds the time between interim responses, and their number is not limited.
+func (c *connection) readHeader(call *Call, maxBytes int64, silenceTimeout time.Duration) (*http.Response, error) {
 	request := &http.Request{Method: call.Method}
-	c.headerLeft = maxBytes
-	for interim := 0; interim < maxInterim || silence > 0; interim++ {
-		if silence > 0 {
-			c.headerLeft = maxBytes
+	c.headerRemaining = maxBytes
+	for interim := 0; interim < maxInterim || silenceTimeout > 0; interim++ {
+		if silenceTimeout > 0 {
+			c.headerRemaining = maxBytes
 		}
-		if err := c.boundRead(silence); err != nil {
+		if err := c.startSilenceTimeout(silenceTimeout); err != nil {
 			return nil, err
 		}
 		response, err := http.ReadResponse(c.reader, request)
@@ -109,40 +108,40 @@
 		case response.StatusCode == http.StatusSwitchingProtocols:
 			return nil, errUpgrade
 		case response.StatusCode >= http.StatusOK:
-			c.headerLeft = -1
-			return response, c.unboundRead(silence)
-		case call.Interim != nil:
-			call.Interim()
+			c.headerRemaining = -1
+			return response, c.clearSilenceTimeout(silenceTimeout)
+		case call.OnInterim != nil:
+			call.OnInterim()
 		}
 	}
 	return nil, errTooManyInterim
 }
 
-// boundRead has reads fail after the silence, if it is not zero.
-func (c *connection) boundRead(silence time.Duration) error {
-	if silence <= 0 {
+// startSilenceTimeout sets the read deadline to the end of the timeout if it is not zero.
+func (c *connection) startSilenceTimeout(silenceTimeout time.Duration) error {
+	if silenceTimeout <= 0 {
 		return nil
 	}
-	return c.bound(time.Now().Add(silence))
+	return c.setReadDeadline(time.Now().Add(silenceTimeout))
 }
 
-// unboundRead takes back the bound of boundRead.
-func (c *connection) unboundRead(silence time.Duration) error {
-	if silence <= 0 {
+// clearSilenceTimeout clears the read deadline set by startSilenceTimeout.
+func (c *connection) clearSilenceTimeout(silenceTimeout time.Duration) error {
+	if silenceTimeout <= 0 {
 		return nil
 	}
-	return c.bound(time.Time{})
+	return c.setReadDeadline(time.Time{})
 }
 
-// bound has reads fail from the moment on, or never if it is zero.
-func (c *connection) bound(moment time.Time) error {
-	c.readBy = moment
-	return c.socket.SetReadDeadline(moment)
+// setReadDeadline sets the read deadline; zero clears it.
+func (c *connection) setReadDeadline(deadline time.Time) error {
+	c.readDeadline = deadline
+	return c.socket.SetReadDeadline(deadline)
 }
 
-// alive reports whether an idle connection is still open: nothing may have
-// arrived on it, neither an end nor bytes that nobody asked for.
-func (c *connection) alive() bool {
+// isOpen reports whether an idle connection can be reused: it must not have received
+// anything, neither an end of file nor unexpected bytes.
+func (c *connection) isOpen() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -151,49 +150,49 @@
 		return false
 	}
 	alive := false
-	err = raw.Read(func(descriptor uintptr) bool {
+	err = raw.Read(func(fd uintptr) bool {
 		var probe [1]byte
-		_, _, failure := syscall.Recvfrom(int(descriptor), probe[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		_, _, failure := syscall.Recvfrom(int(fd), probe[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		alive = errors.Is(failure, syscall.EAGAIN)
 		return true
 	})
 	return err == nil && alive
 }
 
-// encoded is a call as it is written to a connection.
-type encoded struct{ bytes.Buffer }
+// encodedCall is a call in the form that is written to a connection.
+type encodedCall struct{ bytes.Buffer }
 
-var messages = sync.Pool{New: func() any { return new(encoded) }}
+var bufferPool = sync.Pool{New: func() any { return new(encodedCall) }}
 
-// maxPooledMessage bounds the buffers that are kept for later calls, in bytes.
-const maxPooledMessage = 64 << 10
+// maxPooledBytes is the capacity of the largest buffer that is returned to the pool.
+const maxPooledBytes = 64 << 10
 
-func (e *encoded) free() {
-	if e.Cap() <= maxPooledMessage {
+func (e *encodedCall) free() {
+	if e.Cap() <= maxPooledBytes {
 		e.Reset()
-		messages.Put(e)
+		bufferPool.Put(e)
 	}
 }
 
-// framing are the headers that the transport writes itself.
-var framing = map[string]bool{"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Connection": true}
+// framingHeaders are the headers that the transport sets itself.
+var framingHeaders = map[string]bool{"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Connection": true}
 
-// encode writes the call in the form of HTTP/1.1. The method, the URI and the
-// header were parsed by net/http or made by this program, so that none holds a
-// line break; header values are cleaned of them all the same.
-func encode(host string, call *Call) *encoded {
+// encode encodes the call as an HTTP/1.1 request. The method, the URI and the header
+// were parsed by net/http or created by this program, so none contains a line break;
+// WriteSubset replaces line breaks in header values anyway.
+func encode(host string, call *Call) *encodedCall {
 	if call.Host != "" {
 		host = call.Host
 	}
-	message := messages.Get().(*encoded)
+	message := bufferPool.Get().(*encodedCall)
 	message.WriteString(call.Method)
 	message.WriteByte(' ')
 	message.WriteString(call.RequestURI)
 	message.WriteString(" HTTP/1.1\r\nHost: ")
 	message.WriteString(host)
 	message.WriteString("\r\n")
-	_ = call.Header.WriteSubset(message, framing)
-	if len(call.Body) > 0 || hasBody(call.Method) {
+	_ = call.Header.WriteSubset(message, framingHeaders)
+	if len(call.Body) > 0 || expectsBody(call.Method) {
 		message.WriteString("Content-Length: ")
 		message.WriteString(strconv.Itoa(len(call.Body)))
 		message.WriteString("\r\n")
@@ -203,8 +202,8 @@
 	return message
 }
 
-// hasBody reports whether calls of the method are expected to have a body, so
-// that the length of an empty one is told.
-func hasBody(method string) bool {
+// expectsBody reports whether the method usually has a body, in which case
+// Content-Length is sent even for an empty one.
+func expectsBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
--- a/internal/transport/foreign_test.go
+++ b/internal/transport/foreign_test.go
@@ -11,47 +11,47 @@
 	"gotest.tools/v3/assert"
 )
 
-func owned(id string) *Call {
-	call := get()
+func callWithID(id string) *Call {
+	call := getCall()
 	call.Belongs = func(header http.Header) bool { return header.Get("X-Id") == id }
 	return call
 }
 
-func answerOf(id, body string) string {
+func responseWithID(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func TestAnswersToOtherCallsArePassedOver(t *testing.T) {
-	target := newRawTarget(t, writing(answerOf("other", "x")+answerOf("own", "y"), true))
-	answer, err := target.pool(t, nil).Exchange(context.Background(), owned("own"))
+func TestMismatchedResponsesAreSkipped(t *testing.T) {
+	target := newRawTarget(t, respondWith(responseWithID("other", "x")+responseWithID("own", "y"), true))
+	response, err := target.pool(t, nil).Exchange(context.Background(), callWithID("own"))
 	assert.NilError(t, err)
-	assert.Equal(t, string(answer.Body), "y")
+	assert.Equal(t, string(response.Body), "y")
 }
 
-func TestOnlyForeignAnswersAreAFailureThatMayHaveRun(t *testing.T) {
-	target := newRawTarget(t, writing(strings.Repeat(answerOf("other", "x"), maxForeign), true))
-	_, err := target.pool(t, nil).Exchange(context.Background(), owned("own"))
-	assert.ErrorIs(t, err, errForeign)
-	assert.Assert(t, failureOf(t, err).Sent)
+func TestOnlyMismatchedResponsesReportSent(t *testing.T) {
+	target := newRawTarget(t, respondWith(strings.Repeat(responseWithID("other", "x"), maxMismatched), true))
+	_, err := target.pool(t, nil).Exchange(context.Background(), callWithID("own"))
+	assert.ErrorIs(t, err, errMismatched)
+	assert.Assert(t, asFailure(t, err).Sent)
 }
 
-func TestAnUndelimitedAnswerIsTakenOnlyWhereAllowed(t *testing.T) {
-	target := newRawTarget(t, writing("HTTP/1.1 200 OK\r\n\r\nwhole", false))
-	_, err := target.pool(t, nil).Exchange(context.Background(), get())
-	assert.ErrorIs(t, err, errNotDelimited)
+func TestCloseDelimitedResponses(t *testing.T) {
+	target := newRawTarget(t, respondWith("HTTP/1.1 200 OK\r\n\r\nwhole", false))
+	_, err := target.pool(t, nil).Exchange(context.Background(), getCall())
+	assert.ErrorIs(t, err, errCloseDelimited)
 	accepting := target.pool(t, func(config *Config) { config.AcceptUndelimited = true })
-	answer, err := accepting.Exchange(context.Background(), get())
+	response, err := accepting.Exchange(context.Background(), getCall())
 	assert.NilError(t, err)
-	assert.Equal(t, string(answer.Body), "whole")
+	assert.Equal(t, string(response.Body), "whole")
 }
 
-func TestKeepAliveBoundsTheIdleTime(t *testing.T) {
+func TestKeepAliveBoundsIdleTime(t *testing.T) {
 	for text, expected := range map[string]time.Duration{
 		"timeout=5": 5 * time.Second, "max=10, timeout=7": 7 * time.Second, "": 0, "timeout=x": 0, "timeout=0": 0,
 	} {
-		assert.Equal(t, keepAliveOf(http.Header{"Keep-Alive": {text}}), expected, text)
+		assert.Equal(t, keepAliveTimeout(http.Header{"Keep-Alive": {text}}), expected, text)
 	}
-	c := &connection{keepAlive: 2 * time.Second}
+	c := &connection{peerKeepAlive: 2 * time.Second}
 	assert.Equal(t, c.idleLimit(time.Minute), 2*time.Second-keepAliveMargin)
 	assert.Equal(t, c.idleLimit(time.Second), time.Second)
 	assert.Equal(t, (&connection{}).idleLimit(time.Minute), time.Minute)
--- a/internal/transport/idle.go
+++ b/internal/transport/idle.go
@@ -10,16 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// keepAliveMargin is how much earlier than the other side an idle connection is
-// given up, so that a call does not cross its end.
+// keepAliveMargin is how long before the target's idle timeout a connection is no longer
+// used, so that the target does not close it while a call is being sent.
 const keepAliveMargin = 500 * time.Millisecond
 
-// keepAliveProbes is how many unanswered probes end a connection.
+// keepAliveProbes is the number of unanswered TCP keep-alive probes that end a
+// connection.
 const keepAliveProbes = 2
 
-// keepAliveOf returns the idle time that an answer's Keep-Alive header tells,
-// zero if it tells none.
-func keepAliveOf(header http.Header) time.Duration {
+// keepAliveTimeout returns the timeout parameter of the Keep-Alive header, zero if there
+// is none.
+func keepAliveTimeout(header http.Header) time.Duration {
 	for _, parameter := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(parameter), "=")
 		seconds, err := strconv.Atoi(strings.TrimSpace(value))
@@ -30,24 +31,24 @@
 	return 0
 }
 
-// idleLimit returns how long the connection may be idle and still be used.
+// idleLimit returns the idle time after which the connection must not be reused.
 func (c *connection) idleLimit(configured time.Duration) time.Duration {
-	if c.keepAlive == 0 {
+	if c.peerKeepAlive == 0 {
 		return configured
 	}
-	return min(configured, c.keepAlive-keepAliveMargin)
+	return min(configured, c.peerKeepAlive-keepAliveMargin)
 }
 
-// SocketControl returns what sets the bound on unacknowledged bytes before a
-// connection is opened, nil for no bound.
+// SocketControl returns a net.Dialer control function that sets TCP_USER_TIMEOUT, nil if
+// the timeout is not positive.
 func SocketControl(userTimeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	if userTimeout <= 0 {
 		return nil
 	}
 	return func(_, _ string, raw syscall.RawConn) error {
 		var failure error
-		err := raw.Control(func(descriptor uintptr) {
-			failure = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+		err := raw.Control(func(fd uintptr) {
+			failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -15,14 +15,14 @@
 type Pool struct {
 	config Config
 	dialer net.Dialer
-	// room holds one token for each exchange; nil means no bound. As a connection
-	// is opened only when none is idle, it bounds the open connections too.
-	room chan struct{}
-
-	mutex  sync.Mutex
-	idle   []*connection
-	closed bool
-	expiry *time.Timer
+	// slots holds one token per exchange; nil means no bound. Connections are opened only
+	// when none is idle, so it also bounds the open connections.
+	slots chan struct{}
+
+	mutex       sync.Mutex
+	idle        []*connection
+	closed      bool
+	expiryTimer *time.Timer
 }
 
 // NewPool returns a pool without connections; they are opened on demand.
@@ -33,20 +33,20 @@
 		p.dialer.KeepAliveConfig = net.KeepAliveConfig{Enable: true, Idle: config.KeepAlive, Interval: config.KeepAlive, Count: keepAliveProbes}
 	}
 	if config.MaxConnections > 0 {
-		p.room = make(chan struct{}, config.MaxConnections)
+		p.slots = make(chan struct{}, config.MaxConnections)
 	}
 	return p
 }
 
-// Close closes the idle connections. Exchanges in progress go on, and their
-// connections are closed after them.
+// Close closes the idle connections. Exchanges in progress continue, and their
+// connections are closed when they end.
 func (p *Pool) Close() {
 	p.mutex.Lock()
 	idle := p.idle
 	p.idle = nil
 	p.closed = true
-	if p.expiry != nil {
-		p.expiry.Stop()
+	if p.expiryTimer != nil {
+		p.expiryTimer.Stop()
 	}
 	p.mutex.Unlock()
 	for _, c := range idle {
@@ -54,30 +54,30 @@
 	}
 }
 
-// acquire returns the connection that was used last, or a new one.
-func (p *Pool) acquire(ctx context.Context, fresh bool) (c *connection, reused bool, err error) {
-	if err := p.takeRoom(ctx); err != nil {
+// acquire returns the most recently used idle connection or a new one.
+func (p *Pool) acquire(ctx context.Context, forceNew bool) (c *connection, reused bool, err error) {
+	if err := p.acquireSlot(ctx); err != nil {
 		return nil, false, err
 	}
-	for c := p.takeIdle(); c != nil; c = p.takeIdle() {
-		if fresh {
+	for c := p.popIdle(); c != nil; c = p.popIdle() {
+		if forceNew {
 			_ = c.socket.Close()
 			break
 		}
-		if clock.Since(c.idleSince) < c.idleLimit(p.config.IdleTimeout) && c.alive() {
+		if clock.Since(c.idleSince) < c.idleLimit(p.config.IdleTimeout) && c.isOpen() {
 			return c, true, nil
 		}
 		_ = c.socket.Close()
 	}
 	socket, err := p.dialer.DialContext(ctx, "tcp", p.config.Address)
 	if err != nil {
-		p.giveRoom()
+		p.releaseSlot()
 		return nil, false, err
 	}
 	return newConnection(socket), false, nil
 }
 
-func (p *Pool) takeIdle() *connection {
+func (p *Pool) popIdle() *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	last := len(p.idle) - 1
@@ -90,53 +90,53 @@
 	return c
 }
 
-func (p *Pool) takeRoom(ctx context.Context) error {
-	if p.room == nil {
+func (p *Pool) acquireSlot(ctx context.Context) error {
+	if p.slots == nil {
 		return nil
 	}
 	select {
-	case p.room <- struct{}{}:
+	case p.slots <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (p *Pool) giveRoom() {
-	if p.room != nil {
-		<-p.room
+func (p *Pool) releaseSlot() {
+	if p.slots != nil {
+		<-p.slots
 	}
 }
 
-// Probe finds out whether the target takes connections. One that it opens is kept for a
-// later exchange.
+// Probe checks that the target accepts connections. The connection is kept for a later
+// exchange.
 func (p *Pool) Probe(ctx context.Context) error {
 	c, _, err := p.acquire(ctx, false)
 	if err != nil {
 		return err
 	}
-	if !p.keep(c) {
+	if !p.pushIdle(c) {
 		_ = c.socket.Close()
 	}
-	p.giveRoom()
+	p.releaseSlot()
 	return nil
 }
 
-// detach takes a connection out of the pool that is still open. Closing what it
-// returns drops bytes that were not delivered yet.
+// detach removes an open connection from the pool. Closing the result resets the
+// connection, which drops undelivered bytes.
 func (p *Pool) detach(c *connection) io.Closer {
-	c.unwatch()
-	p.giveRoom()
-	return &resetter{c.socket}
+	c.stopWatch()
+	p.releaseSlot()
+	return &resetCloser{c.socket}
 }
 
-// resetter closes a connection with a reset.
-type resetter struct{ socket net.Conn }
+// resetCloser closes a connection with a reset.
+type resetCloser struct{ socket net.Conn }
 
 // Close resets the connection.
-func (r *resetter) Close() error {
+func (r *resetCloser) Close() error {
 	if tcp, ok := r.socket.(*net.TCPConn); ok {
-		// Without it what is still to be delivered would be.
+		// Without this the kernel would still deliver buffered bytes.
 		if err := tcp.SetLinger(0); err != nil {
 			return errors.Join(err, r.socket.Close())
 		}
@@ -144,18 +144,19 @@
 	return r.socket.Close()
 }
 
-// release gives a connection back after a complete exchange.
+// release returns a connection to the pool after a complete exchange.
 func (p *Pool) release(c *connection, response *http.Response) {
-	c.keepAlive = keepAliveOf(response.Header)
-	if response.Close || !c.unwatch() || c.reader.Buffered() > 0 || !p.keep(c) {
+	c.peerKeepAlive = keepAliveTimeout(response.Header)
+	if response.Close || !c.stopWatch() || c.reader.Buffered() > 0 || !p.pushIdle(c) {
 		p.discard(c)
 		return
 	}
-	p.giveRoom()
+	p.releaseSlot()
 }
 
-// keep puts the connection among the idle ones, if there is room.
-func (p *Pool) keep(c *connection) bool {
+// pushIdle adds the connection to the idle ones. It returns false if the pool is closed
+// or has MaxIdle of them.
+func (p *Pool) pushIdle(c *connection) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.closed || len(p.idle) >= p.config.MaxIdle {
@@ -163,15 +164,15 @@
 	}
 	c.idleSince = clock.Now()
 	p.idle = append(p.idle, c)
-	if p.expiry == nil {
-		p.expiry = time.AfterFunc(p.config.IdleTimeout, p.expire)
+	if p.expiryTimer == nil {
+		p.expiryTimer = time.AfterFunc(p.config.IdleTimeout, p.closeExpired)
 	}
 	return true
 }
 
-// expire closes the connections that were idle for too long, and looks again
-// later while there are others.
-func (p *Pool) expire() {
+// closeExpired closes the connections whose idle timeout has passed and reschedules
+// itself while others remain.
+func (p *Pool) closeExpired() {
 	p.mutex.Lock()
 	oldest := 0
 	for oldest < len(p.idle) && clock.Since(p.idle[oldest].idleSince) >= p.config.IdleTimeout {
@@ -179,9 +180,9 @@
 	}
 	expired := append([]*connection(nil), p.idle[:oldest]...)
 	p.idle = append(p.idle[:0], p.idle[oldest:]...)
-	p.expiry = nil
+	p.expiryTimer = nil
 	if len(p.idle) > 0 && !p.closed {
-		p.expiry = time.AfterFunc(p.config.IdleTimeout, p.expire)
+		p.expiryTimer = time.AfterFunc(p.config.IdleTimeout, p.closeExpired)
 	}
 	p.mutex.Unlock()
 	for _, c := range expired {
@@ -191,7 +192,7 @@
 
 // discard closes the connection of an exchange that failed or can't be reused.
 func (p *Pool) discard(c *connection) {
-	c.unwatch()
+	c.stopWatch()
 	_ = c.socket.Close()
-	p.giveRoom()
+	p.releaseSlot()
 }
--- a/internal/transport/stall_test.go
+++ b/internal/transport/stall_test.go
@@ -10,41 +10,41 @@
 	"gotest.tools/v3/assert"
 )
 
-// overdueSocket tells of a passed read deadline until the deadline is moved, as a socket does
-// whose process stood still, and then gives what had arrived.
-type overdueSocket struct {
+// expiredSocket returns a deadline error until the read deadline is extended, as a socket
+// does after a stall of the process, and then returns the data that had arrived.
+type expiredSocket struct {
 	net.Conn
-	moved bool
+	extended bool
 }
 
-func (s *overdueSocket) SetReadDeadline(time.Time) error {
-	s.moved = true
+func (s *expiredSocket) SetReadDeadline(time.Time) error {
+	s.extended = true
 	return nil
 }
 
-func (s *overdueSocket) Read(buffer []byte) (int, error) {
-	if !s.moved {
+func (s *expiredSocket) Read(buffer []byte) (int, error) {
+	if !s.extended {
 		return 0, os.ErrDeadlineExceeded
 	}
 	return copy(buffer, "ready"), nil
 }
 
-// TestWhatArrivedWhileTheProcessStoodStillIsRead: connections on which an answer lay ready
-// counted as silent once the process went on, because the bound of the read is looked at
-// first. The call went on over a new connection, whose time was over.
-func TestWhatArrivedWhileTheProcessStoodStillIsRead(t *testing.T) {
+// TestReadAfterProcessStall guards against treating a connection as silent after a stall
+// of the process although a response is ready to be read: the socket checks the read
+// deadline first. The call was then resumed over a new connection, which timed out.
+func TestReadAfterProcessStall(t *testing.T) {
 	for name, c := range map[string]struct {
-		overdue time.Duration
-		err     error
+		lateness time.Duration
+		err      error
 	}{
-		"stood still":      {time.Second, nil},
-		"was silent":       {0, os.ErrDeadlineExceeded},
-		"a moment of load": {10 * time.Millisecond, os.ErrDeadlineExceeded},
+		"process stalled": {time.Second, nil},
+		"target silent":   {0, os.ErrDeadlineExceeded},
+		"delayed by load": {10 * time.Millisecond, os.ErrDeadlineExceeded},
 	} {
 		t.Run(name, func(t *testing.T) {
-			connection := newConnection(&overdueSocket{})
-			connection.headerLeft = -1
-			connection.readBy = time.Now().Add(-c.overdue)
+			connection := newConnection(&expiredSocket{})
+			connection.headerRemaining = -1
+			connection.readDeadline = time.Now().Add(-c.lateness)
 			content, err := io.ReadAll(io.LimitReader(connection, 5))
 			if c.err != nil {
 				assert.ErrorIs(t, err, c.err)
--- a/internal/transport/target_test.go
+++ b/internal/transport/target_test.go
@@ -12,33 +12,33 @@
 	"gotest.tools/v3/assert"
 )
 
-// received is a call as a raw target got it, on the connection of that number.
-type received struct {
+// receivedCall is a call that a rawTarget received on the connection of that number.
+type receivedCall struct {
 	connection int
 	request    *http.Request
 	body       string
 }
 
-// rawTarget is a target that writes what the test says, byte for byte.
+// rawTarget is a target that writes the raw bytes that a test specifies.
 type rawTarget struct {
-	listener net.Listener
-	mutex    sync.Mutex
-	calls    []received
-	left     chan int
+	listener     net.Listener
+	mutex        sync.Mutex
+	calls        []receivedCall
+	disconnected chan int
 }
 
-// unread is the path of calls whose connection the target closes without
+// unreadPath is the path of calls whose connection the target closes without
 // reading the body.
-const unread = "/unread"
+const unreadPath = "/unread"
 
-// answering runs on each call; it returns false to close the connection.
-type answering func(w io.Writer, call received) bool
+// responder handles a call; it returns false to close the connection.
+type responder func(w io.Writer, call receivedCall) bool
 
-func newRawTarget(t *testing.T, answer answering) *rawTarget {
+func newRawTarget(t *testing.T, respond responder) *rawTarget {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	target := &rawTarget{listener: listener, left: make(chan int, 100)}
+	target := &rawTarget{listener: listener, disconnected: make(chan int, 100)}
 	var running sync.WaitGroup
 	running.Go(func() {
 		for number := 0; ; number++ {
@@ -47,75 +47,75 @@
 				return
 			}
 			t.Cleanup(func() { _ = connection.Close() })
-			go target.serve(connection, number, answer)
+			go target.serve(connection, number, respond)
 		}
 	})
 	t.Cleanup(func() { _ = listener.Close(); running.Wait() })
 	return target
 }
 
-func (r *rawTarget) serve(connection net.Conn, number int, answer answering) {
-	defer func() { _ = connection.Close(); r.left <- number }()
+func (r *rawTarget) serve(connection net.Conn, number int, respond responder) {
+	defer func() { _ = connection.Close(); r.disconnected <- number }()
 	reader := bufio.NewReader(connection)
 	for {
 		request, err := http.ReadRequest(reader)
 		if err != nil {
 			return
 		}
-		if request.URL.Path == unread {
-			r.note(received{connection: number, request: request})
+		if request.URL.Path == unreadPath {
+			r.record(receivedCall{connection: number, request: request})
 			return
 		}
 		body, err := io.ReadAll(request.Body)
 		if err != nil {
 			return
 		}
-		call := received{connection: number, request: request, body: string(body)}
-		r.note(call)
-		if !answer(connection, call) {
+		call := receivedCall{connection: number, request: request, body: string(body)}
+		r.record(call)
+		if !respond(connection, call) {
 			return
 		}
 	}
 }
 
-func (r *rawTarget) note(call received) {
+func (r *rawTarget) record(call receivedCall) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.calls = append(r.calls, call)
 }
 
-func (r *rawTarget) seen() []received {
+func (r *rawTarget) received() []receivedCall {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return append([]received(nil), r.calls...)
+	return append([]receivedCall(nil), r.calls...)
 }
 
-// pool returns a pool to the target; change may set its bounds.
-func (r *rawTarget) pool(t *testing.T, change func(*Config)) *Pool {
+// pool returns a pool for the target; configure, if not nil, may adjust its Config.
+func (r *rawTarget) pool(t *testing.T, configure func(*Config)) *Pool {
 	t.Helper()
 	config := Config{Address: r.listener.Addr().String()}
-	if change != nil {
-		change(&config)
+	if configure != nil {
+		configure(&config)
 	}
 	pool := NewPool(config)
 	t.Cleanup(pool.Close)
 	return pool
 }
 
-// writing answers every call with the text and goes on, or ends the connection.
-func writing(text string, keep bool) answering {
-	return func(w io.Writer, _ received) bool {
+// respondWith answers every call with the text and keeps or closes the connection.
+func respondWith(text string, keepOpen bool) responder {
+	return func(w io.Writer, _ receivedCall) bool {
 		_, err := io.WriteString(w, text)
-		return err == nil && keep
+		return err == nil && keepOpen
 	}
 }
 
-func whole(body string) string {
+func responseWithLength(body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-func chunked(chunks string) string {
+func chunkedResponse(chunks string) string {
 	return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunks
 }
 
-func get() *Call { return &Call{Method: http.MethodGet, RequestURI: "/x", Header: http.Header{}} }
+func getCall() *Call { return &Call{Method: http.MethodGet, RequestURI: "/x", Header: http.Header{}} }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,14 +1,13 @@
-// Package transport exchanges calls with one target over pooled connections.
+// Package transport exchanges HTTP/1.1 calls with one target over pooled connections.
 //
-// A connection carries one exchange at a time. An answer is complete only when
-// its Content-Length or final chunk was read; anything else is a typed error.
-// A call is written at most once, and a failure tells whether any of it may
-// have reached the target, so that every further attempt is the gateway's
-// decision.
+// A connection carries one exchange at a time. A response is complete only when its
+// Content-Length or final chunk was read; anything else is a typed error. A call is
+// written at most once, and a failure reports whether any of it may have reached the
+// target, so that retrying is always the caller's decision.
 //
-// The messages are written and parsed by net/http; its Transport is not used,
-// because it resends calls by itself and hands every exchange through two
-// further goroutines (docs/decisions/0003-transport.md).
+// Headers and responses are encoded and parsed by net/http. Its Transport is not used,
+// because it retries calls by itself and passes each exchange through two more goroutines
+// (docs/decisions/0003-transport.md).
 package transport
 
 import (
@@ -35,29 +34,29 @@
 	// MaxIdle bounds the idle connections kept; zero means MaxConnections, or
 	// DefaultMaxIdle where that is zero as well.
 	MaxIdle int
-	// DialTimeout bounds the set-up of a connection.
+	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
 	// IdleTimeout is how long an idle connection is kept.
 	IdleTimeout time.Duration
-	// MaxBuffered is the largest answer body, in bytes, that Exchange reads whole.
+	// MaxBuffered is the largest response body, in bytes, that Exchange buffers
+	// completely.
 	MaxBuffered int64
-	// MaxHeaderBytes bounds the header of an answer.
+	// MaxHeaderBytes bounds the header of a response.
 	MaxHeaderBytes int64
-	// AcceptUndelimited takes an answer without a length or chunks as complete
-	// when its connection ends in order. Without it such an answer is a failure,
-	// because one that was cut off can look the same.
+	// AcceptUndelimited accepts a response without Content-Length or chunked encoding as
+	// complete when the connection is closed cleanly. Otherwise such a response is a
+	// failure, because a truncated one can look the same.
 	AcceptUndelimited bool
-	// UserTimeout bounds the time for which sent bytes may stay unacknowledged by
-	// the other side's machine; zero leaves it to the system.
+	// UserTimeout bounds the time for which sent bytes may stay unacknowledged by the
+	// target's machine (TCP_USER_TIMEOUT); zero selects the system's default.
 	UserTimeout time.Duration
-	// KeepAlive is how long a connection may carry nothing before the other side's
-	// machine is asked, and asked again, whether it still knows the connection; zero
-	// leaves it to the system. It is in whole seconds.
+	// KeepAlive is the idle time after which TCP keep-alive probes are sent, and the
+	// interval between them, in whole seconds; zero selects the system's default.
 	KeepAlive time.Duration
-	// Silence bounds the time for which nothing comes, not even an interim answer, while
-	// an answer is awaited; zero for no bound. It is for other sides that send interim
-	// answers in time.
-	Silence time.Duration
+	// SilenceTimeout bounds the time between the call, its interim responses (1xx) and its
+	// response; zero means no bound. It is for targets that send interim responses
+	// periodically.
+	SilenceTimeout time.Duration
 }
 
 // Defaults of a Config.
@@ -91,60 +90,60 @@
 	return c
 }
 
-// Call is a call as the target receives it.
+// Call is a request as the target receives it.
 type Call struct {
 	Method string
 	// Host is the Host header; empty means the target's address.
 	Host string
-	// RequestURI is the path with the query.
+	// RequestURI is the path and the query.
 	RequestURI string
 	Header     http.Header
 	Body       []byte
-	// Belongs reports whether an answer with the header belongs to the call; nil
-	// means that each does. One that does not, such as a surplus answer to an
-	// earlier call, is passed over, and the next one is awaited.
+	// Belongs reports whether a response with the header belongs to the call; nil accepts
+	// every response. Responses that do not belong to it, such as a surplus response to an
+	// earlier call, are skipped.
 	Belongs func(http.Header) bool
-	// Interim is told of each interim answer; it may be nil.
-	Interim func()
-	// Fresh has the call go over a new connection.
-	Fresh bool
-	// Silence replaces that of the configuration for this call, zero for no change.
-	Silence time.Duration
+	// OnInterim is called for each interim response; it may be nil.
+	OnInterim func()
+	// NewConnection sends the call over a new connection instead of an idle one.
+	NewConnection bool
+	// SilenceTimeout overrides Config.SilenceTimeout for this call unless it is zero.
+	SilenceTimeout time.Duration
 }
 
-// Answer is a target's answer. When Rest is nil the body is complete.
+// Answer is a target's response. If Rest is nil, Body is complete.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
-	// NoBody tells that the answer has no body whatever its Content-Length says,
-	// as an answer to HEAD.
+	// NoBody reports whether the response has no body regardless of its Content-Length,
+	// as a response to HEAD.
 	NoBody bool
-	// Rest is what follows Body of an answer larger than the buffer. The reader
-	// returns io.EOF only after a complete answer. It must be closed.
+	// Rest reads the bytes after Body if the response is larger than the buffer. It
+	// returns io.EOF only after a complete response. It must be closed.
 	Rest io.ReadCloser
 }
 
-// Close releases the connection of an answer with a Rest.
+// Close releases the connection of a response with a Rest.
 func (a *Answer) Close() {
 	if a.Rest != nil {
 		_ = a.Rest.Close()
 	}
 }
 
-// Failure is why an exchange brought no complete answer.
+// Failure is the error of an exchange without a complete response.
 type Failure struct {
-	// Sent tells whether the target may have received any part of the call.
+	// Sent reports whether the target may have received any part of the call.
 	Sent bool
-	// Incomplete tells that an answer began and did not end.
+	// Incomplete reports whether a response began but did not end.
 	Incomplete bool
-	// Unanswered is the connection if the other side was silent for too long. It is
-	// still open, so that a call which is under way there goes on, and must be closed.
-	Unanswered io.Closer
-	cause      error
+	// SilentConnection is the connection if the target was silent for too long. It is left
+	// open, because closing it cancels the call at the target. The caller must close it.
+	SilentConnection io.Closer
+	cause            error
 }
 
-// Error returns the cause, with the step and the target.
+// Error returns the text of the cause, which names the step and the target.
 func (f *Failure) Error() string { return f.cause.Error() }
 
 // Unwrap returns the cause.
@@ -156,32 +155,31 @@
 	return &Failure{Sent: sent, Incomplete: incomplete, cause: wrapped}
 }
 
-// Exchange sends the call and reads the answer. The context bounds both, and
-// its end closes the connection, which tells the target to stop. The error is
-// a *Failure.
+// Exchange sends the call and reads the response. Ending the context closes the
+// connection, which cancels the call at the target. The error is a *Failure.
 func (p *Pool) Exchange(ctx context.Context, call *Call) (*Answer, error) {
 	message := encode(p.config.Address, call)
 	defer message.free()
-	connection, failure := p.send(ctx, message.Bytes(), call.Fresh)
+	connection, failure := p.send(ctx, message.Bytes(), call.NewConnection)
 	if failure != nil {
 		return nil, failure
 	}
-	answer, err := p.receive(ctx, connection, call)
+	response, err := p.receive(ctx, connection, call)
 	if err != nil {
 		return nil, err
 	}
-	return answer, nil
+	return response, nil
 }
 
-// send writes the message to a connection. A reused connection that takes no
-// byte of it is replaced by a new one.
-func (p *Pool) send(ctx context.Context, message []byte, fresh bool) (*connection, *Failure) {
+// send writes the message to a connection. If a reused connection accepts no byte of
+// it, send tries another one.
+func (p *Pool) send(ctx context.Context, message []byte, forceNew bool) (*connection, *Failure) {
 	for {
-		c, reused, err := p.acquire(ctx, fresh)
+		c, reused, err := p.acquire(ctx, forceNew)
 		if err != nil {
 			return nil, p.failure("connect", false, false, err)
 		}
-		c.watch(ctx)
+		c.closeOnDone(ctx)
 		written, err := c.socket.Write(message)
 		if err == nil {
 			return c, nil
@@ -196,62 +194,63 @@
 	}
 }
 
-// receive reads the answer to a call that was sent.
+// receive reads the response to a call that was sent.
 func (p *Pool) receive(ctx context.Context, c *connection, call *Call) (*Answer, *Failure) {
 	method := call.Method
-	silence := cmp.Or(call.Silence, p.config.Silence)
-	response, err := p.awaitOwn(c, call, silence)
-	if ctx.Err() == nil && silence > 0 && wentSilent(err) {
+	silenceTimeout := cmp.Or(call.SilenceTimeout, p.config.SilenceTimeout)
+	httpResponse, err := p.awaitMatching(c, call, silenceTimeout)
+	if ctx.Err() == nil && silenceTimeout > 0 && isSilenceTimeout(err) {
 		failure := p.failure("await answer", true, false, err)
-		failure.Unanswered = p.detach(c)
+		failure.SilentConnection = p.detach(c)
 		return nil, failure
 	}
 	if err != nil {
 		p.discard(c)
 		return nil, p.failure("await answer", true, false, contextError(ctx, err))
 	}
-	answer := &Answer{Status: response.StatusCode, Header: response.Header}
+	response := &Answer{Status: httpResponse.StatusCode, Header: httpResponse.Header}
 	if method == http.MethodHead {
-		answer.NoBody = true
-		p.release(c, response)
-		return answer, nil
+		response.NoBody = true
+		p.release(c, httpResponse)
+		return response, nil
 	}
-	if !delimited(response) {
+	if !delimited(httpResponse) {
 		if !p.config.AcceptUndelimited {
 			p.discard(c)
-			return nil, p.failure("read answer", true, true, errNotDelimited)
+			return nil, p.failure("read answer", true, true, errCloseDelimited)
 		}
-		response.Close = true
+		httpResponse.Close = true
 	}
-	answer.Body, err = readUpTo(response.Body, response.ContentLength, p.config.MaxBuffered)
+	response.Body, err = readUpTo(httpResponse.Body, httpResponse.ContentLength, p.config.MaxBuffered)
 	switch {
 	case err != nil:
 		p.discard(c)
 		return nil, p.failure("read answer", true, true, contextError(ctx, err))
-	case int64(len(answer.Body)) > p.config.MaxBuffered:
-		answer.Rest = &rest{pool: p, connection: c, response: response}
+	case int64(len(response.Body)) > p.config.MaxBuffered:
+		response.Rest = &remainder{pool: p, connection: c, response: httpResponse}
 	default:
-		p.release(c, response)
+		p.release(c, httpResponse)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// wentSilent reports whether an exchange failed because nothing came for the allowed
-// silence, or because the other machine left bytes or probes unanswered.
-func wentSilent(err error) bool {
+// isSilenceTimeout reports whether an exchange failed because the silence timeout
+// expired, or because the target's machine did not acknowledge bytes or keep-alive
+// probes.
+func isSilenceTimeout(err error) bool {
 	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, syscall.ETIMEDOUT)
 }
 
-// maxForeign bounds the answers that are passed over for one call.
-const maxForeign = 4
+// maxMismatched bounds the mismatched responses that are skipped for one call.
+const maxMismatched = 4
 
-var errForeign = errors.New("the answers on the connection belong to other calls")
+var errMismatched = errors.New("the answers on the connection belong to other calls")
 
-// awaitOwn reads the header of the call's own answer and passes over answers
-// that belong to other calls.
-func (p *Pool) awaitOwn(c *connection, call *Call, silence time.Duration) (*http.Response, error) {
-	for range maxForeign {
-		response, err := c.readHeader(call, p.config.MaxHeaderBytes, silence)
+// awaitMatching reads the header of the call's response and skips responses that belong
+// to other calls.
+func (p *Pool) awaitMatching(c *connection, call *Call, silenceTimeout time.Duration) (*http.Response, error) {
+	for range maxMismatched {
+		response, err := c.readHeader(call, p.config.MaxHeaderBytes, silenceTimeout)
 		if err != nil {
 			return nil, err
 		}
@@ -259,26 +258,27 @@
 			return response, nil
 		}
 		if response.Close || !delimited(response) {
-			return nil, errForeign
+			return nil, errMismatched
 		}
 		if _, err := io.Copy(io.Discard, io.LimitReader(response.Body, p.config.MaxBuffered)); err != nil {
 			return nil, err
 		}
 	}
-	return nil, errForeign
+	return nil, errMismatched
 }
 
-// errNotDelimited means that an answer ends with its connection: a complete one
-// looks like one that was cut off.
-var errNotDelimited = errors.New("the answer has neither a length nor chunks")
+// errCloseDelimited means that the response ends with its connection, so that a complete
+// one cannot be distinguished from a truncated one.
+var errCloseDelimited = errors.New("the answer has neither a length nor chunks")
 
-// delimited reports whether the end of the answer's body can be told from a
+// delimited reports whether the end of the response's body can be distinguished from a
 // broken connection.
 func delimited(response *http.Response) bool {
 	return response.ContentLength >= 0 || slices.Contains(response.TransferEncoding, "chunked")
 }
 
-// contextError returns the context's error where it is what ended an exchange.
+// contextError joins the context's error to the error of an exchange that the context
+// ended.
 func contextError(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return errors.Join(ctx.Err(), err)
@@ -286,8 +286,8 @@
 	return err
 }
 
-// readUpTo reads the whole body, or one byte more than the limit of a longer
-// one. A negative length is an unknown one.
+// readUpTo reads the whole body, or limit+1 bytes of a longer one. A negative length
+// means that the length is unknown.
 func readUpTo(body io.Reader, length, limit int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(io.LimitReader(body, limit+1))
@@ -302,8 +302,8 @@
 	return content, nil
 }
 
-// rest reads what follows the buffered part of a large answer.
-type rest struct {
+// remainder reads the bytes after the buffered part of a large response.
+type remainder struct {
 	pool       *Pool
 	connection *connection
 	response   *http.Response
@@ -311,8 +311,8 @@
 	closed     bool
 }
 
-// Read returns io.EOF only after a complete answer.
-func (r *rest) Read(buffer []byte) (int, error) {
+// Read returns io.EOF only after a complete response.
+func (r *remainder) Read(buffer []byte) (int, error) {
 	n, err := r.response.Body.Read(buffer)
 	if errors.Is(err, io.EOF) {
 		r.complete = true
@@ -322,9 +322,9 @@
 	return n, err
 }
 
-// Close gives the connection back, or closes it if the answer was not read to
-// its end.
-func (r *rest) Close() error {
+// Close returns the connection to the pool, or closes it if the response was not read
+// to its end.
+func (r *remainder) Close() error {
 	if r.closed {
 		return nil
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -15,69 +15,69 @@
 	"gotest.tools/v3/assert"
 )
 
-func failureOf(t *testing.T, err error) *Failure {
+func asFailure(t *testing.T, err error) *Failure {
 	t.Helper()
 	var failure *Failure
-	assert.Assert(t, errors.As(err, &failure), "%v is no *Failure", err)
+	assert.Assert(t, errors.As(err, &failure), "%v is not a *Failure", err)
 	return failure
 }
 
-func TestCompleteAnswers(t *testing.T) {
+func TestCompleteResponses(t *testing.T) {
 	for name, c := range map[string]struct{ raw, body string }{
-		"length":          {whole("hello"), "hello"},
-		"empty":           {whole(""), ""},
-		"chunked":         {chunked("3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n"), "hello"},
-		"chunked, empty":  {chunked("0\r\n\r\n"), ""},
-		"with trailer":    {chunked("5\r\nhello\r\n0\r\nX-Sum: 1\r\n\r\n"), "hello"},
+		"length":          {responseWithLength("hello"), "hello"},
+		"empty":           {responseWithLength(""), ""},
+		"chunked":         {chunkedResponse("3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n"), "hello"},
+		"chunked, empty":  {chunkedResponse("0\r\n\r\n"), ""},
+		"with trailer":    {chunkedResponse("5\r\nhello\r\n0\r\nX-Sum: 1\r\n\r\n"), "hello"},
 		"no content":      {"HTTP/1.1 204 No Content\r\n\r\n", ""},
-		"after a 100":     {"HTTP/1.1 100 Continue\r\n\r\n" + whole("hello"), "hello"},
-		"exactly buffer":  {whole(strings.Repeat("x", 100)), strings.Repeat("x", 100)},
-		"exactly, chunks": {chunked("64\r\n" + strings.Repeat("x", 100) + "\r\n0\r\n\r\n"), strings.Repeat("x", 100)},
+		"after a 100":     {"HTTP/1.1 100 Continue\r\n\r\n" + responseWithLength("hello"), "hello"},
+		"exactly buffer":  {responseWithLength(strings.Repeat("x", 100)), strings.Repeat("x", 100)},
+		"exactly, chunks": {chunkedResponse("64\r\n" + strings.Repeat("x", 100) + "\r\n0\r\n\r\n"), strings.Repeat("x", 100)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			target := newRawTarget(t, writing(c.raw, true))
+			target := newRawTarget(t, respondWith(c.raw, true))
 			pool := target.pool(t, func(c *Config) { c.MaxBuffered = 100 })
 			for range 3 {
-				answer, err := pool.Exchange(t.Context(), get())
+				response, err := pool.Exchange(t.Context(), getCall())
 				assert.NilError(t, err)
-				assert.Equal(t, string(answer.Body), c.body)
-				if answer.Rest != nil {
-					rest, err := io.ReadAll(answer.Rest)
+				assert.Equal(t, string(response.Body), c.body)
+				if response.Rest != nil {
+					rest, err := io.ReadAll(response.Rest)
 					assert.NilError(t, err)
 					assert.Equal(t, len(rest), 0)
-					answer.Close()
+					response.Close()
 				}
 			}
-			assert.Equal(t, target.seen()[2].connection, 0, "the connection was not used again")
+			assert.Equal(t, target.received()[2].connection, 0, "the connection was not reused")
 		})
 	}
 }
 
-func TestIncompleteAnswersAreFailures(t *testing.T) {
+func TestIncompleteResponsesReturnFailure(t *testing.T) {
 	for name, raw := range map[string]string{
-		"length, nothing":       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
-		"length, a part":        "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhell",
-		"chunk cut":             chunked("5\r\nhel"),
-		"no final chunk":        chunked("5\r\nhello\r\n"),
-		"final chunk cut":       chunked("5\r\nhello\r\n0\r\n"),
-		"chunk size wrong":      chunked("5\r\nhelloooo\r\n0\r\n\r\n"),
-		"neither length nor":    "HTTP/1.1 200 OK\r\n\r\nhello",
+		"length, empty":         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
+		"length, truncated":     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhell",
+		"truncated chunk":       chunkedResponse("5\r\nhel"),
+		"no final chunk":        chunkedResponse("5\r\nhello\r\n"),
+		"truncated final chunk": chunkedResponse("5\r\nhello\r\n0\r\n"),
+		"chunk size wrong":      chunkedResponse("5\r\nhelloooo\r\n0\r\n\r\n"),
+		"no length or chunks":   "HTTP/1.1 200 OK\r\n\r\nhello",
 		"close-delimited":       "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello",
 		"close-delimited, 1.0":  "HTTP/1.0 200 OK\r\n\r\nhello",
 		"two different lengths": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 4\r\n\r\nhello",
-		"header cut":            "HTTP/1.1 200 OK\r\nContent-Le",
+		"truncated header":      "HTTP/1.1 200 OK\r\nContent-Le",
 		"nothing":               "",
 		"nonsense":              "hello\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			target := newRawTarget(t, writing(raw, false))
-			answer, err := target.pool(t, nil).Exchange(t.Context(), get())
+			target := newRawTarget(t, respondWith(raw, false))
+			response, err := target.pool(t, nil).Exchange(t.Context(), getCall())
 			if err == nil {
-				t.Fatalf("taken for a complete answer: %q", answer.Body)
+				t.Fatalf("accepted as a complete response: %q", response.Body)
 			}
-			assert.Assert(t, failureOf(t, err).Sent)
+			assert.Assert(t, asFailure(t, err).Sent)
 			assert.ErrorContains(t, err, target.listener.Addr().String())
-			assert.Equal(t, len(target.seen()), 1, "the call was sent more than once")
+			assert.Equal(t, len(target.received()), 1, "the call was sent more than once")
 		})
 	}
 }
@@ -89,84 +89,82 @@
 		raw      string
 		complete bool
 	}{
-		"length":       {whole(body), true},
-		"chunked":      {chunked(chunks + "0\r\n\r\n"), true},
-		"length, cut":  {whole(body)[:5000], false},
-		"chunked, cut": {chunked(chunks), false},
+		"length":             {responseWithLength(body), true},
+		"chunked":            {chunkedResponse(chunks + "0\r\n\r\n"), true},
+		"length, truncated":  {responseWithLength(body)[:5000], false},
+		"chunked, truncated": {chunkedResponse(chunks), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			target := newRawTarget(t, writing(c.raw, false))
-			answer, err := target.pool(t, func(c *Config) { c.MaxBuffered = 100 }).Exchange(t.Context(), get())
+			target := newRawTarget(t, respondWith(c.raw, false))
+			response, err := target.pool(t, func(c *Config) { c.MaxBuffered = 100 }).Exchange(t.Context(), getCall())
 			assert.NilError(t, err)
-			assert.Assert(t, answer.Rest != nil)
-			assert.Assert(t, len(answer.Body) <= 101, "%d bytes were held", len(answer.Body))
-			rest, err := io.ReadAll(answer.Rest)
-			answer.Close()
+			assert.Assert(t, response.Rest != nil)
+			assert.Assert(t, len(response.Body) <= 101, "%d bytes were buffered", len(response.Body))
+			rest, err := io.ReadAll(response.Rest)
+			response.Close()
 			if !c.complete {
-				assert.Assert(t, err != nil, "the end of a cut answer looks like the end of a complete one")
+				assert.Assert(t, err != nil, "a truncated response was read as a complete one")
 				return
 			}
 			assert.NilError(t, err)
-			assert.Equal(t, string(answer.Body)+string(rest), body)
+			assert.Equal(t, string(response.Body)+string(rest), body)
 		})
 	}
 }
 
-func TestNothingIsSentToAClosedPort(t *testing.T) {
+func TestClosedPortReportsNotSent(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	pool := NewPool(Config{Address: listener.Addr().String()})
 	assert.NilError(t, listener.Close())
-	_, err = pool.Exchange(t.Context(), get())
-	assert.Assert(t, !failureOf(t, err).Sent)
+	_, err = pool.Exchange(t.Context(), getCall())
+	assert.Assert(t, !asFailure(t, err).Sent)
 }
 
 func TestHead(t *testing.T) {
-	target := newRawTarget(t, writing("HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n", true))
+	target := newRawTarget(t, respondWith("HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n", true))
 	pool := target.pool(t, nil)
-	call := get()
+	call := getCall()
 	call.Method = http.MethodHead
 	for range 2 {
-		answer, err := pool.Exchange(t.Context(), call)
+		response, err := pool.Exchange(t.Context(), call)
 		assert.NilError(t, err)
-		assert.Assert(t, answer.NoBody && answer.Rest == nil && len(answer.Body) == 0)
-		assert.Equal(t, answer.Header.Get("Content-Length"), "5000000")
+		assert.Assert(t, response.NoBody && response.Rest == nil && len(response.Body) == 0)
+		assert.Equal(t, response.Header.Get("Content-Length"), "5000000")
 	}
-	assert.Equal(t, target.seen()[1].connection, 0)
+	assert.Equal(t, target.received()[1].connection, 0)
 }
 
-// A reused connection that breaks after the target has read a call is where
-// net/http sends a call again by itself.
-func TestEndOfTheContextClosesTheConnection(t *testing.T) {
-	for name, start := range map[string]string{"before the answer": "", "in the answer": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhe"} {
+func TestContextCancellationClosesConnection(t *testing.T) {
+	for name, start := range map[string]string{"before the response": "", "within the response": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhe"} {
 		t.Run(name, func(t *testing.T) {
-			began := make(chan struct{}, 1)
-			target := newRawTarget(t, func(w io.Writer, call received) bool {
+			started := make(chan struct{}, 1)
+			target := newRawTarget(t, func(w io.Writer, call receivedCall) bool {
 				_, _ = io.WriteString(w, start)
-				began <- struct{}{}
+				started <- struct{}{}
 				return true
 			})
 			ctx, cancel := context.WithCancel(t.Context())
-			go func() { <-began; cancel() }()
-			_, err := target.pool(t, nil).Exchange(ctx, get())
+			go func() { <-started; cancel() }()
+			_, err := target.pool(t, nil).Exchange(ctx, getCall())
 			assert.ErrorIs(t, err, context.Canceled)
-			assert.Assert(t, failureOf(t, err).Sent)
+			assert.Assert(t, asFailure(t, err).Sent)
 			select {
-			case <-target.left:
+			case <-target.disconnected:
 			case <-time.After(5 * time.Second):
-				t.Fatal("the target does not see that nobody waits")
+				t.Fatal("the connection was not closed")
 			}
 		})
 	}
 }
 
-func TestEndedContextSendsNothing(t *testing.T) {
-	target := newRawTarget(t, writing(whole("ok"), true))
+func TestCanceledContextSendsNothing(t *testing.T) {
+	target := newRawTarget(t, respondWith(responseWithLength("ok"), true))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err := target.pool(t, nil).Exchange(ctx, get())
-	assert.Assert(t, !failureOf(t, err).Sent)
-	assert.Equal(t, len(target.seen()), 0)
+	_, err := target.pool(t, nil).Exchange(ctx, getCall())
+	assert.Assert(t, !asFailure(t, err).Sent)
+	assert.Equal(t, len(target.received()), 0)
 }
 
 func TestHeaderTooLarge(t *testing.T) {
@@ -175,16 +173,15 @@
 		"many": "HTTP/1.1 200 OK\r\n" + strings.Repeat("X: "+strings.Repeat("x", 90)+"\r\n", 100) + "Content-Length: 0\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			target := newRawTarget(t, writing(raw, true))
-			_, err := target.pool(t, func(c *Config) { c.MaxHeaderBytes = 2000 }).Exchange(t.Context(), get())
-			assert.Assert(t, failureOf(t, err).Sent)
+			target := newRawTarget(t, respondWith(raw, true))
+			_, err := target.pool(t, func(c *Config) { c.MaxHeaderBytes = 2000 }).Exchange(t.Context(), getCall())
+			assert.Assert(t, asFailure(t, err).Sent)
 		})
 	}
 }
 
-// An answer that nobody asked for must not be taken for that of the next call.
-func TestTheCallArrivesAsItIs(t *testing.T) {
-	target := newRawTarget(t, writing(whole("ok"), true))
+func TestCallIsSentUnchanged(t *testing.T) {
+	target := newRawTarget(t, respondWith(responseWithLength("ok"), true))
 	call := &Call{
 		Method:     http.MethodPut,
 		RequestURI: "/a%2Fb/c?q=1&r=%20",
@@ -193,11 +190,11 @@
 	}
 	_, err := target.pool(t, nil).Exchange(t.Context(), call)
 	assert.NilError(t, err)
-	got := target.seen()[0]
-	assert.Equal(t, got.request.Method, call.Method)
-	assert.Equal(t, got.request.RequestURI, call.RequestURI)
-	assert.DeepEqual(t, got.request.Header["X-Own"], []string{"1", "2"})
-	assert.DeepEqual(t, got.request.Header["Accept-Encoding"], []string{"br"})
-	assert.Equal(t, got.body, string(call.Body))
-	assert.Equal(t, got.request.ContentLength, int64(len(call.Body)))
+	received := target.received()[0]
+	assert.Equal(t, received.request.Method, call.Method)
+	assert.Equal(t, received.request.RequestURI, call.RequestURI)
+	assert.DeepEqual(t, received.request.Header["X-Own"], []string{"1", "2"})
+	assert.DeepEqual(t, received.request.Header["Accept-Encoding"], []string{"br"})
+	assert.Equal(t, received.body, string(call.Body))
+	assert.Equal(t, received.request.ContentLength, int64(len(call.Body)))
 }
