--- a/internal/forward/budget_simulation_test.go
+++ b/internal/forward/budget_simulation_test.go
@@ -70,7 +70,7 @@
 
 func (h *parentHome) Running(string) (guard.Running, bool) { return h.running, true }
 
-func (h *parentHome) CallMade(string, string) int {
+func (h *parentHome) CountCall(string, string) int {
 	h.made++
 	return h.made
 }
@@ -84,7 +84,7 @@
 		address, service := fmt.Sprint("target-", i), []string{"price", "card"}[i%2]
 		record, err := cbor.Marshal(registry.Record{Instance: address, Service: service, Zone: "z", Address: address, Slots: 20, State: registry.Ready})
 		assert.NilError(t, err)
-		s.directory.Change([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
+		s.directory.ApplyChanges([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
 	}
 	for range nodes {
 		s.nodes = append(s.nodes, s.newNode())
@@ -97,8 +97,8 @@
 	reserve := func() float64 { return min(budgetSlack/float64(len(s.nodes)), 1) }
 	return New(Config{
 		Node: "node", Zone: "z", Address: "here", DefaultTimeout: time.Second,
-		Retries: retrybudget.AllowanceConfig{Ratio: budgetRatio, PresentShare: 0.5, Reserve: reserve, Window: budgetWindow, Delay: 500 * time.Millisecond},
-	}, Parts{
+		Retries: retrybudget.AllowanceConfig{Ratio: budgetRatio, CurrentShare: 0.5, Reserve: reserve, Window: budgetWindow, MaxDelay: 500 * time.Millisecond},
+	}, Dependencies{
 		Routes: &routetable.Holder{}, Policies: policiesOf(s.t, routepolicy.Sources{}), Directory: s.directory, Local: &parentHome{}, Levels: pressure.New(now),
 		Peers: s, Observer: s.observer, Now: now,
 	})
@@ -141,7 +141,7 @@
 			break
 		}
 	}
-	below := node.levels.Below("card")
+	below := node.levels.Downstream("card")
 	load.Calls, load.Scarce = below.Calls, below.Scarce
 	return &peering.Reply{Outcome: peering.Answered, Status: status, Load: load}
 }
@@ -155,7 +155,7 @@
 		call:  &peering.Call{RequestID: id, Route: route, Rank: rank, Repeat: repeat}}
 	if parentRoute != "" {
 		q.inner, q.parent, q.parentRoute = true, "parent", parentRoute
-		q.callNumber = node.local.CallMade("parent", route)
+		q.callNumber = node.local.CountCall("parent", route)
 	}
 	q.policyCall = node.policyCallOf(q, httptest.NewRequest(http.MethodGet, "http://a.example/x", nil))
 	node.learnCall(q)
--- a/internal/forward/choose_test.go
+++ b/internal/forward/choose_test.go
@@ -186,7 +186,7 @@
 	}
 	others := func(own string) bool {
 		f.forwarder.config.Address = own
-		return f.forwarder.OthersServe()
+		return f.forwarder.OtherHomesServe()
 	}
 	assert.Assert(t, others(first) && others(last))
 	for _, address := range []string{first, last} {
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -49,7 +49,7 @@
 }
 
 func (h *fakeHome) Running(id string) (guard.Running, bool) {
-	return guard.Running{Route: "parent", Rank: criticality.RankOf(7), Wanted: h.wanted()}, id == "running"
+	return guard.Running{Route: "parent", Rank: criticality.RankOf(7), Context: h.wanted()}, id == "running"
 }
 
 // wanted ends with the test's own context, if it has one.
@@ -62,9 +62,9 @@
 
 func (h *fakeHome) Abandoned(id string) bool { return id == "abandoned" }
 
-func (h *fakeHome) CallMade(string, string) int { return 1 }
+func (h *fakeHome) CountCall(string, string) int { return 1 }
 
-func (h *fakeHome) CallFailed(id string) {
+func (h *fakeHome) RecordCallFailure(id string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.callsFailed = append(h.callsFailed, id)
@@ -111,7 +111,7 @@
 
 func (observer) Identified(string, problem.Reason) {}
 
-func (observer) Counted(string, BudgetEvent, peering.Reason) {}
+func (observer) BudgetCounted(string, BudgetEvent, peering.Reason) {}
 
 func (observer) Stalled(time.Duration) {}
 
@@ -164,7 +164,7 @@
 	t.Helper()
 	routes := &routetable.Holder{}
 	service := []routetable.WeightedService{{Name: "s", Weight: 1}}
-	routes.Offer(&routetable.Configuration{Version: 4, Limits: routetable.Limits{MaxBodyBytes: 100, MaxHeaderBytes: 1000}, Routes: []routetable.Route{
+	routes.Update(&routetable.Configuration{Version: 4, Limits: routetable.Limits{MaxBodyBytes: 100, MaxHeaderBytes: 1000}, Routes: []routetable.Route{
 		{Name: "read", Host: "a.example", Prefix: "/read/", Kind: routetable.Repeatable, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Priority: 2, Services: service},
 		{Name: "once", Host: "a.example", Prefix: "/once/", Kind: routetable.Once, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Services: service},
 		{Name: "brief", Host: "a.example", Prefix: "/brief/", Kind: routetable.Repeatable, Attempts: 2, Timeout: 200 * time.Millisecond, Objective: time.Second, Services: service},
@@ -172,21 +172,21 @@
 	var forwarder *Forwarder
 	forwarder = New(Config{
 		Node: "node", Zone: "z", Service: "caller", Address: "here", DefaultTimeout: time.Second, WaitShare: 0.2, InnerWaitShare: 0.6,
-		Retries: retrybudget.AllowanceConfig{Ratio: testRetryRatio, PresentShare: 0.5, Reserve: func() float64 { return 1 }, Window: testRetryWindow},
+		Retries: retrybudget.AllowanceConfig{Ratio: testRetryRatio, CurrentShare: 0.5, Reserve: func() float64 { return 1 }, Window: testRetryWindow},
 		Headers: callheader.Names{RequestID: "X-Id", DeadlineMillis: "X-Deadline"},
 		ParentOf: func(id string) (string, bool) {
 			parent, _, told := strings.Cut(id, ".")
 			return parent, told
 		},
-	}, Parts{
+	}, Dependencies{
 		Routes: routes, Policies: policiesOf(t, routepolicy.Sources{}), Directory: directoryOf(t, addresses), Local: &fakeHome{answer: answered}, Levels: fixture.levels,
 		Quarantine: fixture.suspects,
 		Peers: peering.NewClient(peering.ClientConfig{MaxBuffered: 1 << 20, DialTimeout: time.Second, UserTimeout: time.Second, MaxIdle: 4, IdleTimeout: time.Minute, Codec: testCodec,
-			OnInterim: func(address string) { forwarder.StillRuns(address) }}),
+			OnInterim: func(address string) { forwarder.InterimReceived(address) }}),
 		Observer: observer{}, Now: time.Now,
 	})
 	for range testRequestsForARepetition {
-		forwarder.budget("s").Request()
+		forwarder.budget("s").CountRequest()
 	}
 	return forwarder
 }
@@ -206,7 +206,7 @@
 	for i, address := range addresses {
 		record, err := cbor.Marshal(registry.Record{Instance: "i-" + strconv.Itoa(i), Service: "s", Zone: "z", Address: address, Slots: 10, State: registry.Ready})
 		assert.NilError(t, err)
-		directory.Change([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
+		directory.ApplyChanges([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
 	}
 	return directory
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -53,8 +53,8 @@
 	ParentOf func(id string) (string, bool)
 }
 
-// Parts are what a forwarder works with.
-type Parts struct {
+// Dependencies are what a forwarder works with.
+type Dependencies struct {
 	Routes    *routetable.Holder
 	Directory *registry.Directory
 	// Local runs calls at the target beside the node.
@@ -107,11 +107,11 @@
 	// Abandoned reports whether nobody waits any more for the answer to a request that
 	// the target may still work on.
 	Abandoned(id string) bool
-	// CallMade notes that such a request makes a call of the route, and returns how
+	// CountCall notes that such a request makes a call of the route, and returns how
 	// many it has made by now.
-	CallMade(id, route string) int
-	// CallFailed notes that a call that such a request made brought no success.
-	CallFailed(id string)
+	CountCall(id, route string) int
+	// RecordCallFailure notes that a call that such a request made brought no success.
+	RecordCallFailure(id string)
 }
 
 // Peers reach the homes beside other targets.
@@ -131,9 +131,9 @@
 	// Identified sees what was decided on a request by its API key and its tenant's limit.
 	// The tenant is empty where the key was refused; an admitted request has no reason.
 	Identified(tenant string, reason problem.Reason)
-	// Counted sees what the retry budget of a service counted. The cause of what is
+	// BudgetCounted sees what the retry budget of a service counted. The cause of what is
 	// sent for the first time is empty.
-	Counted(service string, kind BudgetEvent, cause peering.Reason)
+	BudgetCounted(service string, kind BudgetEvent, cause peering.Reason)
 	// Stalled sees that the process stood still for so long.
 	Stalled(duration time.Duration)
 }
@@ -158,7 +158,7 @@
 	splitter routetable.Splitter
 	stopping atomic.Bool
 	// end is the moment by which all requests must have ended.
-	end      ending.Moment
+	end      ending.ShutdownTime
 	inFlight atomic.Int64
 	// made is when the forwarder was made, and arrived how much later the last
 	// request came. Both are told by the steady clock.
@@ -170,7 +170,7 @@
 }
 
 // New returns a forwarder.
-func New(config Config, parts Parts) *Forwarder {
+func New(config Config, parts Dependencies) *Forwarder {
 	return &Forwarder{
 		config:    config,
 		routes:    parts.Routes,
@@ -196,10 +196,10 @@
 // Stop makes every answer ask its caller to close the connection.
 func (f *Forwarder) Stop() { f.stopping.Store(true) }
 
-// OthersServe reports whether the service of the target beside the node would be
+// OtherHomesServe reports whether the service of the target beside the node would be
 // served without it. Of homes that are all about to stop the one with the least
 // address counts, so that they don't rely on each other.
-func (f *Forwarder) OthersServe() bool {
+func (f *Forwarder) OtherHomesServe() bool {
 	now := f.now()
 	for _, home := range f.directory.Homes(f.config.Service) {
 		if home.Address == f.config.Address {
@@ -213,19 +213,19 @@
 	return false
 }
 
-// EndBy refuses later requests that may not have ended by the moment.
-func (f *Forwarder) EndBy(moment time.Time) { f.end.Set(moment) }
+// SetShutdownDeadline refuses later requests that may not have ended by the moment.
+func (f *Forwarder) SetShutdownDeadline(moment time.Time) { f.end.Set(moment) }
 
-// Heard notes a sign of life of a peer: one that is passed over is asked at once
+// PeerAlive notes a sign of life of a peer: one that is passed over is asked at once
 // whether calls reach it.
-func (f *Forwarder) Heard(address string) {
+func (f *Forwarder) PeerAlive(address string) {
 	if state := f.homes.known(address); state != nil {
 		state.askNow(f.now())
 	}
 }
 
-// StillRuns notes that a peer told that it runs a call, which is a sign of life.
-func (f *Forwarder) StillRuns(address string) {
+// InterimReceived notes that a peer told that it runs a call, which is a sign of life.
+func (f *Forwarder) InterimReceived(address string) {
 	if state := f.homes.known(address); state != nil {
 		state.hear(f.now())
 	}
@@ -257,9 +257,9 @@
 // InFlight returns the number of requests that wait for their answer.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
-// QuietFor returns how long ago the last request came, or the forwarder was
+// IdleTime returns how long ago the last request came, or the forwarder was
 // made.
-func (f *Forwarder) QuietFor() time.Duration {
+func (f *Forwarder) IdleTime() time.Duration {
 	return f.now().Sub(f.made) - time.Duration(f.arrived.Load())
 }
 
@@ -281,7 +281,7 @@
 	// that it was offered to, and arrivals the targets that it may have reached.
 	attempts, offers, arrivals int
 	// payment is that of the last offer if it was a repetition.
-	payment retrybudget.Payment
+	payment retrybudget.Charge
 	// excluded are the homes that it is not offered to again, and rejected those
 	// whose targets turned it away, which are offered to again once no other is left.
 	excluded, rejected []*registry.Home
@@ -328,7 +328,7 @@
 	}
 	reply, failure := f.run(ctx, q)
 	if q.inner && (failure != nil || reply.Status >= http.StatusMultipleChoices) {
-		f.local.CallFailed(q.parent)
+		f.local.RecordCallFailure(q.parent)
 	}
 	switch {
 	case r.Context().Err() != nil:
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -257,7 +257,7 @@
 	assert.Equal(t, inner.Rank, uint16(7), "a call has the rank of the request that made it")
 	assert.Assert(t, inner.Inner)
 	assert.Equal(t, inner.MaxWait, 600*time.Millisecond)
-	assert.Equal(t, f.levels.Below("parent").Threshold, shed.None, "the reply's own threshold is the newest")
+	assert.Equal(t, f.levels.Downstream("parent").Threshold, shed.None, "the reply's own threshold is the newest")
 }
 
 // TestALeavingHomesThresholdIsForgotten has a home that told that it has room say
@@ -276,7 +276,7 @@
 // take longer are told at once that they have not run.
 func TestBeforeItsEndANodeTakesWhatIsSureToEnd(t *testing.T) {
 	f := newFixture(t, answered)
-	f.forwarder.EndBy(time.Now().Add(testTimeout / 2))
+	f.forwarder.SetShutdownDeadline(time.Now().Add(testTimeout / 2))
 	answer := f.do("POST", "/once/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "nothing is known of the route")
 	assert.Assert(t, answer.Header().Get("Retry-After") != "")
@@ -296,8 +296,8 @@
 	full := f.addresses[1]
 	record, err := cbor.Marshal(registry.Record{Instance: "i-full", Service: "full", Zone: "z", Address: full, Slots: 10, State: registry.Ready})
 	assert.NilError(t, err)
-	f.forwarder.directory.Change([]store.Entry{{Key: "homes/" + full, Value: record, Revision: 100}}, "store")
-	f.forwarder.routes.Offer(&routetable.Configuration{Version: 5, Routes: []routetable.Route{{Name: "split", Host: "a.example", Prefix: "/split/", Kind: routetable.Once,
+	f.forwarder.directory.ApplyChanges([]store.Entry{{Key: "homes/" + full, Value: record, Revision: 100}}, "store")
+	f.forwarder.routes.Update(&routetable.Configuration{Version: 5, Routes: []routetable.Route{{Name: "split", Host: "a.example", Prefix: "/split/", Kind: routetable.Once,
 		Timeout: testTimeout, Objective: time.Second, Services: []routetable.WeightedService{{Name: "s", Weight: 70}, {Name: "full", Weight: 30}}}}})
 	answered, refused := 0, 0
 	for i := range requests {
--- a/internal/forward/home_test.go
+++ b/internal/forward/home_test.go
@@ -49,9 +49,9 @@
 	}
 	state.suspect(now)
 	assert.Assert(t, !state.toAsk(now.Add(maxSuspicion/2)))
-	f.Heard("home")
+	f.PeerAlive("home")
 	assert.Assert(t, state.toAsk(now), "a sign of life")
-	f.Heard("unknown")
+	f.PeerAlive("unknown")
 	assert.Assert(t, f.homes.known("unknown") == nil)
 }
 
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -63,7 +63,7 @@
 	f := newFixture(t, crashing, crashing, crashing, crashing)
 	f.forwarder.routes.Current().Match("a.example", "/read/x").Attempts = 4
 	for range 4 * testRequestsForARepetition {
-		f.forwarder.budget("s").Request()
+		f.forwarder.budget("s").CountRequest()
 	}
 	answer := f.do("GET", "/read/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusBadGateway, "it has run")
--- a/internal/forward/receive.go
+++ b/internal/forward/receive.go
@@ -82,7 +82,7 @@
 	}
 	callheader.StripConnection(r.Header)
 	r.Header.Del("Content-Length")
-	f.config.Headers.StripOwn(r.Header)
+	f.config.Headers.StripInternal(r.Header)
 	f.nameTenant(r.Header, q, table)
 	q.service = f.splitter.Choose(q.route)
 	f.learnCall(q)
@@ -111,9 +111,9 @@
 func (f *Forwarder) endsInTime(q *request) bool {
 	needed := q.deadline.Sub(q.arrived)
 	if usual := f.homes.usualOf(q.route.Name).latency; usual > 0 {
-		needed = min(ending.SureTime(usual), needed)
+		needed = min(ending.SafeDuration(usual), needed)
 	}
-	return f.end.Leaves(needed, q.arrived)
+	return f.end.Allows(needed, q.arrived)
 }
 
 // headerBytes returns the size of a request's header fields, in bytes.
@@ -152,8 +152,8 @@
 		}
 		return guard.Running{}, nil
 	}
-	q.inner, q.parent, q.parentRoute, q.wanted = true, id, parent.Route, parent.Wanted
-	q.callNumber = f.local.CallMade(id, q.route.Name)
+	q.inner, q.parent, q.parentRoute, q.wanted = true, id, parent.Route, parent.Context
+	q.callNumber = f.local.CountCall(id, q.route.Name)
 	return parent, nil
 }
 
@@ -163,8 +163,8 @@
 	if !q.inner {
 		return
 	}
-	expected := max(f.levels.Expected(q.parentRoute, q.route.Name), q.callNumber)
-	f.levels.Learn(q.parentRoute, q.route.Name, pressure.Calls{Count: q.callNumber, Scarce: !f.budget(q.service).Ample(expected)})
+	expected := max(f.levels.ExpectedCalls(q.parentRoute, q.route.Name), q.callNumber)
+	f.levels.RecordCalls(q.parentRoute, q.route.Name, pressure.CallStats{Count: q.callNumber, Scarce: !f.budget(q.service).HasHeadroom(expected)})
 }
 
 // admit ranks a request that begins here and refuses it if its policy does or if
--- a/internal/forward/rejected_offers_test.go
+++ b/internal/forward/rejected_offers_test.go
@@ -15,7 +15,7 @@
 	sent map[string]map[BudgetEvent]int
 }
 
-func (o *sendingObserver) Counted(service string, kind BudgetEvent, _ peering.Reason) {
+func (o *sendingObserver) BudgetCounted(service string, kind BudgetEvent, _ peering.Reason) {
 	if o.sent == nil {
 		o.sent = make(map[string]map[BudgetEvent]int)
 	}
@@ -56,9 +56,9 @@
 	for _, service := range []string{"price", "card"} {
 		assert.Check(t, s.worst(service) <= 0, "%s passes the bound by %.0f", service, s.worst(service))
 		counted := s.observer.sent[service]
-		assert.Check(t, counted[RepetitionSent] == len(s.repeats[service]), "%s: %d repetitions reached targets, %d were charged",
-			service, len(s.repeats[service]), counted[RepetitionSent])
+		assert.Check(t, counted[RetrySent] == len(s.repeats[service]), "%s: %d repetitions reached targets, %d were charged",
+			service, len(s.repeats[service]), counted[RetrySent])
 		assert.Check(t, counted[FirstSent] == len(s.requests[service]), "%s: %d requests, %d counted", service, len(s.requests[service]), counted[FirstSent])
 	}
-	assert.Assert(t, s.observer.sent["price"][RepetitionUnpaid] > 0, "the budget must have been the limit")
+	assert.Assert(t, s.observer.sent["price"][RetryDenied] > 0, "the budget must have been the limit")
 }
--- a/internal/forward/repeat.go
+++ b/internal/forward/repeat.go
@@ -14,10 +14,10 @@
 const (
 	// FirstSent is a request that is sent to the service for the first time.
 	FirstSent BudgetEvent = iota
-	// RepetitionSent is an arrival at a target beyond the first of its request.
-	RepetitionSent
-	// RepetitionUnpaid is a repetition that was not made for want of budget.
-	RepetitionUnpaid
+	// RetrySent is an arrival at a target beyond the first of its request.
+	RetrySent
+	// RetryDenied is a repetition that was not made for want of budget.
+	RetryDenied
 )
 
 var budgetEventNames = [...]string{"first", "repeated", "unpaid"}
@@ -57,7 +57,7 @@
 	}
 	left := 1
 	if q.inner {
-		left = max(f.levels.Expected(q.parentRoute, q.route.Name)-q.callNumber+1, 1)
+		left = max(f.levels.ExpectedCalls(q.parentRoute, q.route.Name)-q.callNumber+1, 1)
 	}
 	calls := f.levels.Calls(q.route.Name)
 	urgency := levelUrgency[min(q.rank.Level, criticality.LevelCount-1)] / float64(left*(1+calls))
@@ -76,7 +76,7 @@
 	}
 	payment, paid := f.budget(q.service).Spend(f.urgency(q))
 	if !paid {
-		f.observer.Counted(q.service, RepetitionUnpaid, q.repetitionCause())
+		f.observer.BudgetCounted(q.service, RetryDenied, q.repetitionCause())
 		return f.unpaid(q)
 	}
 	q.payment = payment
@@ -92,9 +92,9 @@
 	reached := reply.Reached()
 	if q.repeats() {
 		if reached {
-			f.observer.Counted(q.service, RepetitionSent, q.repetitionCause())
+			f.observer.BudgetCounted(q.service, RetrySent, q.repetitionCause())
 		} else {
-			f.budget(q.service).Return(q.payment)
+			f.budget(q.service).Refund(q.payment)
 		}
 	}
 	if reached {
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -27,8 +27,8 @@
 // own failure stands if no other target answers.
 func (f *Forwarder) run(ctx context.Context, q *request) (*peering.Reply, *problem.Problem) {
 	if !q.call.Repeat {
-		f.budget(q.service).Request()
-		f.observer.Counted(q.service, FirstSent, "")
+		f.budget(q.service).CountRequest()
+		f.observer.BudgetCounted(q.service, FirstSent, "")
 	}
 	reply, failure := f.tryHomes(ctx, q)
 	if failure != nil && q.errorAnswer != nil {
--- a/internal/forward/tenant_test.go
+++ b/internal/forward/tenant_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	fixture := newFixture(t, answers...)
 	service := []routetable.WeightedService{{Name: "s", Weight: 1}}
-	fixture.forwarder.routes.Offer(&routetable.Configuration{Version: 5, Tenants: []routetable.Tenant{testTenant}, Routes: []routetable.Route{
+	fixture.forwarder.routes.Update(&routetable.Configuration{Version: 5, Tenants: []routetable.Tenant{testTenant}, Routes: []routetable.Route{
 		{Name: "read", Host: "a.example", Prefix: "/read/", Kind: routetable.Repeatable, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Priority: 2, Services: service},
 		{Name: "open", Host: "a.example", Prefix: "/open/", Kind: routetable.Repeatable, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Public: true, Services: service},
 	}})
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -43,13 +43,13 @@
 // target sends again is a retry of the request and needs a grant.
 func (g *Gateway) runForTarget(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
 	fingerprint := resend.FingerprintOf(c.service.Name, c.message.Method, c.message.RequestURI, c.message.Body)
-	if g.resent.Resent(c.context, fingerprint) && !g.granted(ctx, c) {
+	if g.resent.IsResend(c.context, fingerprint) && !g.granted(ctx, c) {
 		return nil, g.problem(problem.RetriesSpent, "resend", "the request has no retry left for a call that was sent again").
 			WithRetryAfter(retryAfterDefault)
 	}
 	reply, failure := g.runOnce(ctx, c)
 	if failure != nil || reply.Status >= http.StatusInternalServerError {
-		g.resent.Failed(c.context, fingerprint)
+		g.resent.RecordFailure(c.context, fingerprint)
 	}
 	return reply, failure
 }
--- a/internal/guard/crash_test.go
+++ b/internal/guard/crash_test.go
@@ -178,8 +178,8 @@
 	g := guardOf(target.address())
 	replies := runAll(g, callTo("a", "/deadly"))
 	target.awaitArrivals(t, 1)
-	g.Withdraw(callTo("", "/other").Fingerprint())
-	g.Withdraw(callTo("", "/deadly").Fingerprint())
+	g.CancelQuarantined(callTo("", "/other").Fingerprint())
+	g.CancelQuarantined(callTo("", "/deadly").Fingerprint())
 	reply := <-replies
 	assert.Equal(t, reply.Outcome, peering.Failed, "it has run")
 	assert.Equal(t, reply.Reason, peering.Quarantined)
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -64,7 +64,7 @@
 		MaxQueue:       16,
 		MaxBuffered:    1 << 20,
 		MaxConnections: func() int { return 100 },
-		Below:          func(string) pressure.Level { return pressure.Level{Threshold: shed.None} },
+		Downstream:     func(string) pressure.Level { return pressure.Level{Threshold: shed.None} },
 		Quarantine:     quarantine.New(quarantine.Config{Now: time.Now}),
 	}, nil, time.Now)
 	g.SetTarget(target(registry.Ready, 2))
@@ -236,7 +236,7 @@
 	reply := g.Run(context.Background(), call("a"))
 	assert.Equal(t, reply.Outcome, peering.Refused)
 	assert.Equal(t, reply.Reason, peering.Unconnected)
-	g.Stop()
+	g.MarkStopping()
 	reply = g.Run(context.Background(), call("a"))
 	assert.Equal(t, reply.Reason, peering.Unconnected, "it is offered to the target, as this may be the last home")
 	assert.Assert(t, reply.Load.Stopping)
@@ -259,10 +259,10 @@
 		c.Route = route
 		return g.Run(context.Background(), c).Reason
 	}
-	g.EndBy(time.Now().Add(5 * time.Second))
+	g.SetStopDeadline(time.Now().Add(5 * time.Second))
 	assert.Equal(t, run("quick"), peering.Reason(""))
 	assert.Equal(t, run("slow"), peering.Stopping)
-	g.EndBy(time.Now().Add(ending.SureTime(0) / 2))
+	g.SetStopDeadline(time.Now().Add(ending.SafeDuration(0) / 2))
 	assert.Equal(t, run("quick"), peering.Stopping)
 }
 
@@ -314,7 +314,7 @@
 		if !found {
 			return poll.Continue("not running")
 		}
-		wanted = running.Wanted
+		wanted = running.Context
 		return poll.Success()
 	}, poll.WithDelay(2*time.Millisecond))
 	assert.NilError(t, wanted.Err())
--- a/internal/peering/message.go
+++ b/internal/peering/message.go
@@ -107,7 +107,7 @@
 
 // DepartureHandler handles peers' notices of targets that leave.
 type DepartureHandler interface {
-	HeardDeparture(departure registry.Departure)
+	LearnDeparture(departure registry.Departure)
 }
 
 // PermitIssuer issues permits under tenants' limits.
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -160,7 +160,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.Departures.HeardDeparture(departure)
+	s.Departures.LearnDeparture(departure)
 	writeResponse(w, nil)
 }
 
--- a/internal/resend/resend.go
+++ b/internal/resend/resend.go
@@ -62,8 +62,8 @@
 	return &Table{now: now, current: map[callID]time.Time{}, previous: map[callID]time.Time{}, turned: now()}
 }
 
-// Failed remembers until the deadline that the call failed.
-func (t *Table) Failed(context callcontext.Context, fingerprint Fingerprint) {
+// RecordFailure remembers until the deadline that the call failed.
+func (t *Table) RecordFailure(context callcontext.Context, fingerprint Fingerprint) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := t.now()
@@ -75,8 +75,8 @@
 	t.current[idOf(context, fingerprint)] = context.Deadline
 }
 
-// Resent reports whether the call failed before.
-func (t *Table) Resent(context callcontext.Context, fingerprint Fingerprint) bool {
+// IsResend reports whether the call failed before.
+func (t *Table) IsResend(context callcontext.Context, fingerprint Fingerprint) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	id := idOf(context, fingerprint)
--- a/internal/resend/resend_test.go
+++ b/internal/resend/resend_test.go
@@ -15,25 +15,25 @@
 	table := NewTable(func() time.Time { return now })
 	failed := callcontext.Context{RequestID: callcontext.NewRequestID(), Span: callcontext.NewSpanID(), Deadline: now.Add(time.Second)}
 	fingerprint := FingerprintOf("a", "GET", "/x", nil)
-	assert.Assert(t, !table.Resent(failed, fingerprint))
-	table.Failed(failed, fingerprint)
-	assert.Assert(t, table.Resent(failed, fingerprint))
+	assert.Assert(t, !table.IsResend(failed, fingerprint))
+	table.RecordFailure(failed, fingerprint)
+	assert.Assert(t, table.IsResend(failed, fingerprint))
 
 	otherRequest, otherParent := failed, failed
 	otherRequest.RequestID = callcontext.NewRequestID()
 	otherParent.Span = callcontext.NewSpanID()
-	assert.Assert(t, !table.Resent(otherRequest, fingerprint))
-	assert.Assert(t, !table.Resent(otherParent, fingerprint))
+	assert.Assert(t, !table.IsResend(otherRequest, fingerprint))
+	assert.Assert(t, !table.IsResend(otherParent, fingerprint))
 	for _, other := range []Fingerprint{
 		FingerprintOf("b", "GET", "/x", nil), FingerprintOf("a", "POST", "/x", nil),
 		FingerprintOf("a", "GET", "/y", nil), FingerprintOf("a", "GET", "/x", []byte("body")),
 		FingerprintOf("aG", "ET", "/x", nil),
 	} {
-		assert.Assert(t, !table.Resent(failed, other))
+		assert.Assert(t, !table.IsResend(failed, other))
 	}
 
 	now = now.Add(time.Second)
-	assert.Assert(t, !table.Resent(failed, fingerprint), "nobody waits any more")
+	assert.Assert(t, !table.IsResend(failed, fingerprint), "nobody waits any more")
 }
 
 func TestTableIsBounded(t *testing.T) {
@@ -41,8 +41,8 @@
 	table := NewTable(func() time.Time { return now })
 	context := callcontext.Context{Deadline: now.Add(time.Hour)}
 	for i := range 3 * MaxCalls {
-		table.Failed(context, FingerprintOf("a", "GET", strconv.Itoa(i), nil))
+		table.RecordFailure(context, FingerprintOf("a", "GET", strconv.Itoa(i), nil))
 	}
 	assert.Assert(t, len(table.current)+len(table.previous) <= MaxCalls)
-	assert.Assert(t, table.Resent(context, FingerprintOf("a", "GET", strconv.Itoa(3*MaxCalls-1), nil)))
+	assert.Assert(t, table.IsResend(context, FingerprintOf("a", "GET", strconv.Itoa(3*MaxCalls-1), nil)))
 }
--- a/internal/sidecar/copies.go
+++ b/internal/sidecar/copies.go
@@ -78,7 +78,7 @@
 // epochChanged takes that the store came back from a copy.
 func (n *Node) epochChanged(change epoch.Change) {
 	n.log.Record(eventlog.Event{Kind: eventlog.StoreRestored, Peer: change.Source, Previous: uint64(change.From), Version: uint64(change.To)})
-	n.registrar.StoreRestored()
+	n.registrar.HandleStoreRestored()
 	n.limits.keeper.StoreRestored()
 }
 
@@ -120,7 +120,7 @@
 		Address:   n.settings.advertised(),
 		Peers:     n.directory.Addresses,
 		Ask:       n.askPeer,
-		Heard:     func(peer string) { n.forwarder.Heard(peer) },
+		Heard:     func(peer string) { n.forwarder.PeerAlive(peer) },
 		Confirmed: n.gate.Hint,
 		Overdue:   c.verify.Overdue,
 		Epoch:     func(heard store.Epoch, peer string) { n.epochs.Observe(heard, peer) },
@@ -131,8 +131,8 @@
 }
 
 func (n *Node) recordsChanged(entries []store.Entry, source string) {
-	n.directory.Change(entries, source)
-	n.registrar.Change(entries)
+	n.directory.ApplyChanges(entries, source)
+	n.registrar.ApplyChanges(entries)
 	n.suspects.Change(entries)
 	n.limits.keeper.Change(entries)
 }
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -142,8 +142,8 @@
 // Identified counts what was decided by the API key and the limit of a tenant.
 func (m *metrics) Identified(tenant string, reason problem.Reason) { m.tenants.count(tenant, reason) }
 
-// Counted counts what the retry budget of a service counted.
-func (m *metrics) Counted(service string, kind forward.BudgetEvent, cause peering.Reason) {
+// BudgetCounted counts what the retry budget of a service counted.
+func (m *metrics) BudgetCounted(service string, kind forward.BudgetEvent, cause peering.Reason) {
 	m.sent.WithLabelValues(service, kind.String(), string(cause)).Inc()
 }
 
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -43,7 +43,7 @@
 	n.metrics.Finished("r", 200, "", time.Second)
 	n.metrics.Ended(peering.Answered, "", time.Millisecond, time.Second)
 	n.metrics.heartbeatRefused(registry.RefusedSlots)
-	n.metrics.Counted("s", forward.FirstSent, "")
+	n.metrics.BudgetCounted("s", forward.FirstSent, "")
 	n.calls.Called(purposeRecords, "list", "done")
 	var served []string
 	for _, match := range metricLine.FindAllStringSubmatch(scrape(n), -1) {
@@ -122,9 +122,9 @@
 	}
 	n.metrics.Ended(peering.Answered, "", time.Millisecond, time.Second)
 	for _, service := range []string{"a", "b", "c", "d"} {
-		n.metrics.Counted(service, forward.FirstSent, "")
-		n.metrics.Counted(service, forward.RepetitionSent, peering.TargetFull)
-		n.metrics.Counted(service, forward.RepetitionUnpaid, peering.TargetFull)
+		n.metrics.BudgetCounted(service, forward.FirstSent, "")
+		n.metrics.BudgetCounted(service, forward.RetrySent, peering.TargetFull)
+		n.metrics.BudgetCounted(service, forward.RetryDenied, peering.TargetFull)
 	}
 	begin := scrape(n)[:collected]
 	for _, line := range []string{
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -118,7 +118,7 @@
 		MaxQueue:       settings.Queue.MaxLength,
 		MaxBuffered:    maxMessageBytes,
 		MaxConnections: n.maxConnections,
-		Below:          n.levels.Below,
+		Downstream:     n.levels.Downstream,
 		Quarantine:     n.suspects,
 		Observer:       n.metrics,
 	}, n.log, clock.Now)
@@ -128,12 +128,12 @@
 		Process:          n.process,
 		HomesPrefix:      platform.HomesPrefix,
 		DeparturesPrefix: platform.DeparturesPrefix,
-		OnTarget:         n.guard.SetTarget,
+		OnTargetChange:   n.guard.SetTarget,
 		OnRefused:        n.metrics.heartbeatRefused,
 		Records:          n.recall,
 		Epoch:            n.epochs.Current,
 		Place:            n.directory.Place,
-		Peers:            registry.Peers{Addresses: n.directory.Addresses, Tell: n.tellDeparture},
+		Peers:            registry.Peers{Addresses: n.directory.Addresses, Notify: n.tellDeparture},
 		FirstStart:       settings.FirstStart,
 	}, n.registrarStores(), n.log, clock.Now)
 	n.codec = peering.NewCodec(platform.Headers().Signature)
@@ -147,7 +147,7 @@
 		From:        settings.advertised(),
 		Codec:       n.codec,
 		OnResume:    n.noteResumed,
-		OnInterim:   func(address string) { n.forwarder.StillRuns(address) },
+		OnInterim:   func(address string) { n.forwarder.InterimReceived(address) },
 	})
 	n.peers.SetSpread(n.copies.spread)
 	n.forwarder = n.newForwarder()
@@ -163,7 +163,7 @@
 // resumed notes that the machine was suspended.
 func (n *Node) resumed() {
 	n.log.Record(eventlog.Event{Kind: eventlog.MachineResumed, Age: clock.System.Suspended()})
-	n.registrar.Resumed()
+	n.registrar.HandleResume()
 }
 
 func (n *Node) newQuarantine() *quarantine.Quarantine {
@@ -179,7 +179,7 @@
 		Prefix:    platform.QuarantinePrefix,
 		Epoch:     n.epochs.Current,
 		Place:     n.directory.Place,
-		OnVerdict: func(hash fingerprint.Fingerprint) { n.guard.Withdraw(hash) },
+		OnVerdict: func(hash fingerprint.Fingerprint) { n.guard.CancelQuarantined(hash) },
 		Log:       n.log,
 		Now:       clock.Now,
 	})
@@ -195,15 +195,15 @@
 		DefaultTimeout: defaultTimeout,
 		Retries: retrybudget.AllowanceConfig{
 			Ratio:        n.settings.Retries.BudgetRatio,
-			PresentShare: presentRetryShare,
+			CurrentShare: presentRetryShare,
 			Reserve:      n.retryReserve,
 			Window:       n.settings.Retries.window(),
-			Delay:        retryDelay,
+			MaxDelay:     retryDelay,
 		},
 		WaitShare:      n.settings.Queue.ObjectiveShare,
 		InnerWaitShare: n.settings.Queue.InnerObjectiveShare,
 		ParentOf:       platform.ParentOf,
-	}, forward.Parts{
+	}, forward.Dependencies{
 		Routes:     n.routes,
 		Directory:  n.directory,
 		Local:      n.guard,
@@ -275,7 +275,7 @@
 func (n *Node) tasks() []func(context.Context) {
 	return []func(context.Context){
 		n.copies.keepConfiguration.Run, n.copies.keepRecords.Run, n.copies.spread.Run, n.copies.verify.Run,
-		n.settle, n.directory.Run, n.registrar.Run, n.guard.Watch, n.forwarder.Run, n.calls.run, n.suspects.Run, n.limits.keeper.Run,
+		n.settle, n.directory.Run, n.registrar.Run, n.guard.RunShedding, n.forwarder.Run, n.calls.run, n.suspects.Run, n.limits.keeper.Run,
 	}
 }
 
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -34,7 +34,7 @@
 	started := clock.Now()
 	n.log.Record(eventlog.Event{Kind: eventlog.ProcessStopping})
 	n.stopping.Store(true)
-	n.guard.Stop()
+	n.guard.MarkStopping()
 	n.forwarder.Stop()
 	n.running.Go(n.releaseShards)
 	end := started.Add(n.settings.grace() - stopMargin)
@@ -44,7 +44,7 @@
 	}
 	servesOn := n.endAdmission(end)
 	for clock.Now().Before(end) && (servesOn || !n.idle(started)) {
-		if servesOn && n.gate.Reachable() && n.forwarder.OthersServe() {
+		if servesOn && n.gate.Reachable() && n.forwarder.OtherHomesServe() {
 			servesOn = n.endAdmission(end)
 		}
 		time.Sleep(stopPoll)
@@ -67,12 +67,12 @@
 // comes next can't serve the target before the store tells it what was
 // acknowledged.
 func (n *Node) endAdmission(end time.Time) (servesOn bool) {
-	n.forwarder.EndBy(end)
+	n.forwarder.SetShutdownDeadline(end)
 	if n.gate.Reachable() {
 		n.guard.Close()
 		return false
 	}
-	n.guard.EndBy(end)
+	n.guard.SetStopDeadline(end)
 	return true
 }
 
@@ -91,5 +91,5 @@
 // idle reports whether the node may end: its stop was noticed, and nothing came
 // for a while or is in flight.
 func (n *Node) idle(stopStarted time.Time) bool {
-	return clock.Since(stopStarted) >= announce && n.inFlight() == 0 && n.forwarder.QuietFor() >= quiet
+	return clock.Since(stopStarted) >= announce && n.inFlight() == 0 && n.forwarder.IdleTime() >= quiet
 }
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -90,7 +90,7 @@
 // hasLimits reports whether any tenant has a limit.
 func (n *Node) hasLimits() bool {
 	table := n.routes.Current()
-	return table != nil && table.HasLimits()
+	return table != nil && table.HasTenantLimits()
 }
 
 // peerServices are what the node serves to its peers.
--- a/lab/replay/run.go
+++ b/lab/replay/run.go
@@ -20,7 +20,7 @@
 		p.budgets.Open(c.context.RequestID, p.maxRetries(c), c.context.Deadline.Add(budgetGrace))
 	}
 	c.fingerprint = resend.FingerprintOf(c.service.Name, c.method(), c.event.Path, nil)
-	if c.event.Parent != "" && p.resent.Resent(c.context, c.fingerprint) && !p.granted(c, false) {
+	if c.event.Parent != "" && p.resent.IsResend(c.context, c.fingerprint) && !p.granted(c, false) {
 		failure := p.problem(problem.RetriesSpent, "resend", "the request has no retry left for a call that was sent again")
 		p.finish(c, 0, failure.WithRetryAfter(retryAfterDefault))
 		return
@@ -233,7 +233,7 @@
 		p.claims.release(c.claimed, p.clock.now())
 	}
 	if c.service != nil && c.event.Parent != "" && c.result.status >= http.StatusInternalServerError {
-		p.resent.Failed(c.context, c.fingerprint)
+		p.resent.RecordFailure(c.context, c.fingerprint)
 	}
 	if c.external() && c.attempt > 0 {
 		p.report.spent[c.id] = p.budgets.Spent(c.context.RequestID)
