--- a/internal/peering/client.go
+++ b/internal/peering/client.go
@@ -35,8 +35,8 @@
 	IdleTimeout time.Duration
 	// MaxIdle bounds the idle connections to each peer.
 	MaxIdle int
-	// From is the address at which peers reach this node.
-	From string
+	// Address is the address at which peers reach this node.
+	Address string
 	// Codec must be the same on all nodes.
 	Codec *Codec
 	// OnInterim is called for each interim response of the node at the address, which
@@ -50,7 +50,7 @@
 // Client exchanges messages with peers. It is safe for concurrent use.
 type Client struct {
 	config      ClientConfig
-	antiEntropy Spread
+	antiEntropy AntiEntropy
 
 	mutex sync.Mutex
 	pools map[string]*transport.Pool
@@ -61,9 +61,9 @@
 	return &Client{config: config, pools: make(map[string]*transport.Pool)}
 }
 
-// SetSpread enables the exchange of replica digests on calls and replies. It must be
+// SetAntiEntropy enables the exchange of replica digests on calls and replies. It must be
 // called before the first call.
-func (c *Client) SetSpread(antiEntropy Spread) { c.antiEntropy = antiEntropy }
+func (c *Client) SetAntiEntropy(antiEntropy AntiEntropy) { c.antiEntropy = antiEntropy }
 
 // Error is the failure of an exchange with a peer.
 type Error struct {
@@ -83,7 +83,7 @@
 // is an *Error.
 func (c *Client) Call(ctx context.Context, address string, call *Call) (*Reply, error) {
 	sentAt := clock.Now()
-	call.From = c.config.From
+	call.From = c.config.Address
 	if c.antiEntropy != nil {
 		call.Digests = c.antiEntropy.Digests()
 	}
@@ -96,7 +96,7 @@
 		return nil, decodeError(address, err)
 	}
 	if c.antiEntropy != nil {
-		c.antiEntropy.HeardReply(address, reply.Digests, sentAt)
+		c.antiEntropy.HandleReplyDigests(address, reply.Digests, sentAt)
 	}
 	return reply, nil
 }
@@ -106,7 +106,7 @@
 // frozen home is silent as well. If the home's process is not known there is no silence
 // timeout: a resumption could reach a later process, which cannot know whether an
 // earlier one ran the call.
-func (c *Client) callWithResumption(ctx context.Context, address string, call *Call) (*transport.Answer, error) {
+func (c *Client) callWithResumption(ctx context.Context, address string, call *Call) (*transport.Response, error) {
 	started := clock.Now()
 	remaining := call.Remaining
 	exchange := &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: callPath}
@@ -126,7 +126,7 @@
 		// The home would treat closing this connection as cancellation, so it stays open
 		// until the call has ended.
 		defer func() { _ = failure.SilentConnection.Close() }()
-		c.Forget(address)
+		c.CloseIdle(address)
 		call.Resumed = true
 		if c.config.OnResume != nil {
 			c.config.OnResume(call, address, clock.Since(started))
@@ -160,8 +160,8 @@
 	return &answer, nil
 }
 
-// AskPermits requests permits of a tenant's limit from the peer.
-func (c *Client) AskPermits(ctx context.Context, address string, ask *ratelimit.Ask) (*ratelimit.Grant, error) {
+// RequestPermits requests permits of a tenant's limit from the peer.
+func (c *Client) RequestPermits(ctx context.Context, address string, ask *ratelimit.Ask) (*ratelimit.Grant, error) {
 	response, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: permitPath, Body: encode(ask)})
 	if err != nil {
 		return nil, err
@@ -173,14 +173,14 @@
 	return &grant, nil
 }
 
-// Notify sends the peer a notice of requests that crash targets.
-func (c *Client) Notify(ctx context.Context, address string, notice *quarantine.Notice) error {
+// SendQuarantineNotice sends the peer a notice of requests that crash targets.
+func (c *Client) SendQuarantineNotice(ctx context.Context, address string, notice *quarantine.Notice) error {
 	_, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: noticePath, Body: encode(notice)})
 	return err
 }
 
-// TellDeparture notifies the peer of a target that leaves.
-func (c *Client) TellDeparture(ctx context.Context, address string, departure registry.Departure) error {
+// SendDeparture notifies the peer of a target that leaves.
+func (c *Client) SendDeparture(ctx context.Context, address string, departure registry.Departure) error {
 	_, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: departurePath, Body: encode(departure)})
 	return err
 }
@@ -201,14 +201,14 @@
 // instead of repeating the address in each message.
 const peerHost = "p"
 
-func (c *Client) exchange(ctx context.Context, address string, call *transport.Call) (*transport.Answer, error) {
+func (c *Client) exchange(ctx context.Context, address string, call *transport.Call) (*transport.Response, error) {
 	response, err := c.pool(address).Exchange(ctx, call)
 	if err != nil {
 		var failure *transport.Failure
 		sent := !errors.As(err, &failure) || failure.Sent
 		return nil, &Error{Sent: sent, cause: err}
 	}
-	if response.Rest != nil {
+	if response.Remainder != nil {
 		response.Close()
 		return nil, &Error{Sent: true, cause: fmt.Errorf("message from %s is too large", address)}
 	}
@@ -218,8 +218,8 @@
 	return response, nil
 }
 
-// Forget closes the idle connections to a peer, for example after it was silent.
-func (c *Client) Forget(address string) {
+// CloseIdle closes the idle connections to a peer, for example after it was silent.
+func (c *Client) CloseIdle(address string) {
 	c.mutex.Lock()
 	pool := c.pools[address]
 	delete(c.pools, address)
--- a/internal/peering/datagram.go
+++ b/internal/peering/datagram.go
@@ -42,9 +42,9 @@
 // not respond.
 var errGrantTimeout = errors.New("no grant received in time")
 
-// Datagrams exchanges permit requests and grants over UDP. It is safe for concurrent
+// PermitSocket exchanges permit requests and grants over UDP. It is safe for concurrent
 // use.
-type Datagrams struct {
+type PermitSocket struct {
 	socket  *net.UDPConn
 	permits PermitIssuer
 
@@ -53,9 +53,9 @@
 	pending map[uint32]chan *ratelimit.Grant
 }
 
-// ListenDatagrams opens a socket at the address. Run answers requests with permits from
+// ListenPermitSocket opens a socket at the address. Run answers requests with permits from
 // the issuer.
-func ListenDatagrams(address string, permits PermitIssuer) (*Datagrams, error) {
+func ListenPermitSocket(address string, permits PermitIssuer) (*PermitSocket, error) {
 	listenAddress, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, oops.In("peering").With("step", "listen for datagrams").With("peer", address).Wrap(err)
@@ -64,11 +64,11 @@
 	if err != nil {
 		return nil, oops.In("peering").With("step", "listen for datagrams").With("peer", address).Wrap(err)
 	}
-	return &Datagrams{socket: socket, permits: permits, pending: make(map[uint32]chan *ratelimit.Grant)}, nil
+	return &PermitSocket{socket: socket, permits: permits, pending: make(map[uint32]chan *ratelimit.Grant)}, nil
 }
 
 // Run handles datagrams until the socket is closed.
-func (d *Datagrams) Run() {
+func (d *PermitSocket) Run() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
 		length, from, err := d.socket.ReadFromUDPAddrPort(buffer)
@@ -84,9 +84,9 @@
 }
 
 // Close closes the socket.
-func (d *Datagrams) Close() error { return d.socket.Close() }
+func (d *PermitSocket) Close() error { return d.socket.Close() }
 
-func (d *Datagrams) handle(datagram []byte, from netip.AddrPort) {
+func (d *PermitSocket) handle(datagram []byte, from netip.AddrPort) {
 	id, content := binary.BigEndian.Uint32(datagram[1:]), datagram[datagramHeaderBytes:]
 	switch datagram[0] {
 	case datagramRequest:
@@ -108,7 +108,7 @@
 	return append(binary.BigEndian.AppendUint32([]byte{kind}, id), encode(message)...)
 }
 
-func (d *Datagrams) deliver(id uint32, grant *ratelimit.Grant) {
+func (d *PermitSocket) deliver(id uint32, grant *ratelimit.Grant) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if grants := d.pending[id]; grants != nil {
@@ -117,9 +117,9 @@
 	}
 }
 
-// Ask requests permits from the node at the address. If the grant does not arrive in
+// Request requests permits from the node at the address. If the grant does not arrive in
 // time, Ask returns an error, and permits that were issued are lost.
-func (d *Datagrams) Ask(ctx context.Context, address string, ask *ratelimit.Ask) (*ratelimit.Grant, error) {
+func (d *PermitSocket) Request(ctx context.Context, address string, ask *ratelimit.Ask) (*ratelimit.Grant, error) {
 	holder, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("request permits from %s: %w", address, err)
@@ -142,7 +142,7 @@
 }
 
 // addPending returns the ID of a new request and the channel that receives its grant.
-func (d *Datagrams) addPending() (uint32, <-chan *ratelimit.Grant) {
+func (d *PermitSocket) addPending() (uint32, <-chan *ratelimit.Grant) {
 	grants := make(chan *ratelimit.Grant, 1)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -151,7 +151,7 @@
 	return d.lastID, grants
 }
 
-func (d *Datagrams) removePending(id uint32) {
+func (d *PermitSocket) removePending(id uint32) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.pending, id)
--- a/internal/peering/datagram_test.go
+++ b/internal/peering/datagram_test.go
@@ -25,16 +25,16 @@
 	return &ratelimit.Grant{Held: true, Issued: ask.Needed, Validity: time.Second}
 }
 
-func listenDatagrams(t testing.TB, permits PermitIssuer) *Datagrams {
+func listenDatagrams(t testing.TB, permits PermitIssuer) *PermitSocket {
 	t.Helper()
-	d, err := ListenDatagrams("127.0.0.1:0", permits)
+	d, err := ListenPermitSocket("127.0.0.1:0", permits)
 	assert.NilError(t, err)
 	go d.Run()
 	t.Cleanup(func() { _ = d.Close() })
 	return d
 }
 
-func addressOf(d *Datagrams) string { return d.socket.LocalAddr().String() }
+func addressOf(d *PermitSocket) string { return d.socket.LocalAddr().String() }
 
 // TestGrantsMatchConcurrentRequests checks that each of many concurrent requests to one
 // holder receives its own grant.
@@ -44,7 +44,7 @@
 	var requests sync.WaitGroup
 	for needed := range 200 {
 		requests.Go(func() {
-			grant, err := node.Ask(t.Context(), addressOf(holder), &ratelimit.Ask{Share: 3, Tenant: "acme", Needed: needed})
+			grant, err := node.Request(t.Context(), addressOf(holder), &ratelimit.Ask{Share: 3, Tenant: "acme", Needed: needed})
 			if err == nil {
 				assert.Equal(t, grant.Issued, needed)
 			}
@@ -59,7 +59,7 @@
 }
 
 // pendingRequests returns the number of requests that wait for their grants.
-func pendingRequests(d *Datagrams) int {
+func pendingRequests(d *PermitSocket) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return len(d.pending)
@@ -72,13 +72,13 @@
 	silent, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = silent.Close() }()
-	_, err = node.Ask(t.Context(), silent.LocalAddr().String(), &ratelimit.Ask{})
+	_, err = node.Request(t.Context(), silent.LocalAddr().String(), &ratelimit.Ask{})
 	assert.ErrorIs(t, err, errGrantTimeout)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = node.Ask(ctx, silent.LocalAddr().String(), &ratelimit.Ask{})
+	_, err = node.Request(ctx, silent.LocalAddr().String(), &ratelimit.Ask{})
 	assert.ErrorIs(t, err, context.Canceled)
-	_, err = node.Ask(t.Context(), "nowhere", &ratelimit.Ask{})
+	_, err = node.Request(t.Context(), "nowhere", &ratelimit.Ask{})
 	assert.ErrorContains(t, err, "nowhere")
 	assert.Equal(t, pendingRequests(node), 0)
 }
@@ -95,7 +95,7 @@
 		_, err := sender.Write(datagram)
 		assert.NilError(t, err)
 	}
-	grant, err := node.Ask(t.Context(), addressOf(holder), &ratelimit.Ask{Needed: 2})
+	grant, err := node.Request(t.Context(), addressOf(holder), &ratelimit.Ask{Needed: 2})
 	assert.NilError(t, err)
 	assert.Equal(t, grant.Issued, 2)
 }
@@ -107,7 +107,7 @@
 	holder, node := listenDatagrams(b, &noopIssuer{}), listenDatagrams(b, nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		_, err := node.Ask(b.Context(), addressOf(holder), &ratelimit.Ask{Share: 1, Tenant: "tenant", Needed: 1})
+		_, err := node.Request(b.Context(), addressOf(holder), &ratelimit.Ask{Share: 1, Tenant: "tenant", Needed: 1})
 		assert.NilError(b, err)
 	}
 }
--- a/internal/peering/exchanges.go
+++ b/internal/peering/exchanges.go
@@ -65,7 +65,7 @@
 // this first message. A matching key alone is not enough, because callers may reuse
 // request IDs.
 func (t *exchangeTable) open(call *Call, cancel context.CancelFunc) (e *exchange, runs bool) {
-	key := exchangeKey{from: call.From, requestID: call.RequestID, attempt: call.Offer}
+	key := exchangeKey{from: call.From, requestID: call.RequestID, attempt: call.OfferIndex}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.purge()
@@ -77,7 +77,7 @@
 	if known != nil {
 		t.retainedBytes -= len(known.reply)
 	}
-	e = &exchange{key: key, done: make(chan struct{}), cancel: cancel, atMostOnce: call.Once, resumed: call.Resumed}
+	e = &exchange{key: key, done: make(chan struct{}), cancel: cancel, atMostOnce: call.AtMostOnce, resumed: call.Resumed}
 	t.exchanges[key] = e
 	return e, true
 }
--- a/internal/peering/message.go
+++ b/internal/peering/message.go
@@ -53,19 +53,19 @@
 	// MaxWait is how long the call may be queued at the home; zero selects the
 	// home's default.
 	MaxWait time.Duration
-	// Once reports whether the request must not run twice.
-	Once bool
-	// Inner reports whether the call was made by a running request.
-	Inner bool
-	// Repeat reports whether the request, or one of its ancestors in the call chain, was
+	// AtMostOnce reports whether the request must not run twice.
+	AtMostOnce bool
+	// Nested reports whether the call was made by a running request.
+	Nested bool
+	// Retried reports whether the request, or one of its ancestors in the call chain, was
 	// sent to a target before.
-	Repeat bool
-	// Done is the number of calls of the same kind that the calling request made before
+	Retried bool
+	// PriorCalls is the number of calls of the same kind that the calling request made before
 	// this one.
-	Done int
-	// Offer numbers the attempts of the request's entry node to have a home run it,
+	PriorCalls int
+	// OfferIndex numbers the attempts of the request's entry node to have a home run it,
 	// starting at zero.
-	Offer int
+	OfferIndex int
 	// Crashes is the number of consecutive targets that crashed while running the
 	// request, as known to its entry node.
 	Crashes int
@@ -86,28 +86,28 @@
 	return fingerprint.Of(fingerprint.Content{Method: c.Method, Host: c.Host, URI: c.URI, Body: c.Body})
 }
 
-// Spread synchronizes the nodes' replicas of the store by anti-entropy. Digests are
+// AntiEntropy synchronizes the nodes' replicas of the store by anti-entropy. Digests are
 // piggybacked on calls and replies.
-type Spread interface {
+type AntiEntropy interface {
 	// Digests returns a digest of each of the node's replicas.
 	Digests() []replica.Digest
-	// HeardCall handles the digests on a call from the peer.
-	HeardCall(peer string, digests []replica.Digest)
-	// HeardReply handles the digests on a peer's reply to a call that was sent at the
+	// HandleCallDigests handles the digests on a call from the peer.
+	HandleCallDigests(peer string, digests []replica.Digest)
+	// HandleReplyDigests handles the digests on a peer's reply to a call that was sent at the
 	// given time.
-	HeardReply(peer string, digests []replica.Digest, sentAt time.Time)
-	// Answer returns the entries that the querying peer's replicas lack.
-	Answer(query *replica.Query) *replica.Answer
+	HandleReplyDigests(peer string, digests []replica.Digest, sentAt time.Time)
+	// AnswerQuery returns the entries that the querying peer's replicas lack.
+	AnswerQuery(query *replica.Query) *replica.Answer
 }
 
 // QuarantineHandler handles peers' notices of requests that crash targets.
 type QuarantineHandler interface {
-	Heard(notice *quarantine.Notice)
+	HandleNotice(notice *quarantine.Notice)
 }
 
 // DepartureHandler handles peers' notices of targets that leave.
 type DepartureHandler interface {
-	LearnDeparture(departure registry.Departure)
+	HandleDeparture(departure registry.Departure)
 }
 
 // PermitIssuer issues permits under tenants' limits.
@@ -149,19 +149,19 @@
 	// Threshold is the lowest rank of the route's calls that entry nodes should shed on
 	// the home's behalf.
 	Threshold uint16
-	// Failures is the percentage of calls that returned no usable response.
-	Failures int
+	// FailurePercent is the percentage of calls that returned no usable response.
+	FailurePercent int
 	// Stopping reports whether the home is shutting down, so that callers prefer others.
 	Stopping bool
-	// Errors is the percentage of responses that report a failure of the target itself.
+	// ErrorPercent is the percentage of responses that report a failure of the target itself.
 	// Responses of requests that had a failed call of their own do not count.
-	Errors int
-	// Calls is the number of calls, direct and indirect, that one request of the route
+	ErrorPercent int
+	// CallsPerRequest is the number of calls, direct and indirect, that one request of the route
 	// causes.
-	Calls int
-	// Scarce reports whether the retry budgets would barely cover the calls of a retried
+	CallsPerRequest int
+	// RetryBudgetLow reports whether the retry budgets would barely cover the calls of a retried
 	// request.
-	Scarce bool
+	RetryBudgetLow bool
 }
 
 // Reply is a home's reply to a call.
@@ -178,9 +178,9 @@
 	// Crashes is the number of consecutive targets that crashed while running the
 	// request, including this one.
 	Crashes int
-	// OwnFailure reports whether the response reports a failure of the target that no
+	// TargetError reports whether the response reports a failure of the target that no
 	// failed call of the request preceded.
-	OwnFailure bool
+	TargetError bool
 	// Digests tell up to which store revision the home's replicas are complete.
 	Digests []replica.Digest
 }
@@ -202,9 +202,9 @@
 	Evicted Reason = "evicted"
 	// Late: the call could not finish before its deadline.
 	Late Reason = "late"
-	// Waited: the call waited for a slot, or for its turn to run alone, for as long as it
+	// QueueTimeout: the call waited for a slot, or for its turn to run alone, for as long as it
 	// may.
-	Waited Reason = "waited"
+	QueueTimeout Reason = "waited"
 	// TargetFull: the target itself refused the call.
 	TargetFull Reason = "target-full"
 	// TargetFailed: the target reported a failure of its own. It is not used in replies,
@@ -215,16 +215,16 @@
 	ParentRepeated Reason = "parent-repeated"
 	// Misdirected: another target responded at the address.
 	Misdirected Reason = "misdirected"
-	// Unconnected: the connection to the target or the home could not be established.
-	Unconnected Reason = "unconnected"
-	// Broken: the exchange with the target or the home ended before a complete reply.
-	Broken Reason = "broken"
+	// ConnectFailed: the connection to the target or the home could not be established.
+	ConnectFailed Reason = "unconnected"
+	// ExchangeBroken: the exchange with the target or the home ended before a complete reply.
+	ExchangeBroken Reason = "broken"
 	// TargetCrashed: the target exited while running the call.
 	TargetCrashed Reason = "target-crashed"
 	// Quarantined: the request is blocked because it crashed too many targets.
 	Quarantined Reason = "quarantined"
-	// Spoilt: the target's response was invalid and must not be passed on.
-	Spoilt Reason = "spoilt"
+	// InvalidResponse: the target's response was invalid and must not be passed on.
+	InvalidResponse Reason = "spoilt"
 	// DeadlinePassed: the deadline expired before the response.
 	DeadlinePassed Reason = "deadline"
 	// CallerLeft: the caller canceled the call or disconnected.
@@ -233,14 +233,14 @@
 	Suspected Reason = "suspected"
 )
 
-// Final reports whether the home cannot serve the service until it announces
+// HomeUnavailable reports whether the home cannot serve the service until it announces
 // otherwise.
-func (r Reason) Final() bool {
+func (r Reason) HomeUnavailable() bool {
 	return r == NoTarget || r == TargetLeaving || r == Stopping || r == Misdirected
 }
 
-// Reached reports whether the call reached a target or may have.
-func (r *Reply) Reached() bool {
+// MayHaveReachedTarget reports whether the call reached a target or may have.
+func (r *Reply) MayHaveReachedTarget() bool {
 	if r.Outcome == Refused {
 		return r.Reason == TargetFull || r.Reason == Misdirected
 	}
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -57,17 +57,17 @@
 
 func (s *fakeAntiEntropy) Digests() []replica.Digest { return digestsAt(s.revision) }
 
-func (s *fakeAntiEntropy) HeardCall(peer string, digests []replica.Digest) {
+func (s *fakeAntiEntropy) HandleCallDigests(peer string, digests []replica.Digest) {
 	s.peer = peer
 	s.calls <- digests
 }
 
-func (s *fakeAntiEntropy) HeardReply(peer string, digests []replica.Digest, sentAt time.Time) {
+func (s *fakeAntiEntropy) HandleReplyDigests(peer string, digests []replica.Digest, sentAt time.Time) {
 	s.peer, s.sentAt = peer, sentAt
 	s.replies <- digests
 }
 
-func (s *fakeAntiEntropy) Answer(query *replica.Query) *replica.Answer {
+func (s *fakeAntiEntropy) AnswerQuery(query *replica.Query) *replica.Answer {
 	items := []replica.Item{{Key: "k", Value: []byte("document"), Revision: 4, Lease: store.LeaseID{Number: 6}}, {Key: "gone", Revision: 5, Deleted: true}}
 	return &replica.Answer{Deltas: []replica.Delta{{Digest: query.Digests[0], Whole: true, Items: items}}}
 }
@@ -84,10 +84,10 @@
 func startPeer(t *testing.T) *testPeer {
 	t.Helper()
 	p := &testPeer{home: &echoHome{canceled: make(chan struct{})}, callerDigests: newFakeAntiEntropy(3), peerDigests: newFakeAntiEntropy(5)}
-	server := httptest.NewServer(Handler(Services{Home: p.home, Spread: p.peerDigests, Codec: testCodec, MaxBytes: testMaxBytes, Process: testProcess}))
+	server := httptest.NewServer(Handler(Services{Home: p.home, AntiEntropy: p.peerDigests, Codec: testCodec, MaxBytes: testMaxBytes, Process: testProcess}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
-	p.client = NewClient(ClientConfig{MaxBuffered: testMaxBytes, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, From: callerAddress, Codec: testCodec})
-	p.client.SetSpread(p.callerDigests)
+	p.client = NewClient(ClientConfig{MaxBuffered: testMaxBytes, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: callerAddress, Codec: testCodec})
+	p.client.SetAntiEntropy(p.callerDigests)
 	p.address = strings.TrimPrefix(server.URL, "http://")
 	return p
 }
@@ -107,7 +107,7 @@
 		Load: Load{InFlight: 1, Limit: 3, Latency: time.Millisecond, Threshold: 7, Stopping: true}, Digests: digestsAt(5)})
 }
 
-func TestTheEndOfACallReachesTheHome(t *testing.T) {
+func TestCancellationReachesHome(t *testing.T) {
 	client, home, address := start(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
@@ -153,7 +153,7 @@
 	p := startPeer(t)
 	answer, err := p.client.Query(t.Context(), p.address, &replica.Query{From: callerAddress, Digests: digestsAt(7)})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, answer, p.peerDigests.Answer(&replica.Query{Digests: digestsAt(7)}))
+	assert.DeepEqual(t, answer, p.peerDigests.AnswerQuery(&replica.Query{Digests: digestsAt(7)}))
 	assert.NilError(t, p.client.Ping(t.Context(), p.address))
 	_, err = p.client.Query(t.Context(), "127.0.0.1:1", &replica.Query{})
 	var failure *Error
@@ -180,20 +180,20 @@
 	}, poll.WithDelay(5*time.Millisecond), poll.WithTimeout(20*time.Second))
 }
 
-// TestACallBringsWhatTheCallerLacks checks that a node fetches a document when the
+// TestReplyDigestTriggersQuery checks that a node fetches a document when the
 // digests on a reply show that the peer's replica is ahead of its own.
-func TestACallBringsWhatTheCallerLacks(t *testing.T) {
+func TestReplyDigestTriggersQuery(t *testing.T) {
 	source := memory.New(time.Now)
 	_, err := source.CompareAndSwap(t.Context(), "k", 0, []byte("document"), store.NoLease)
 	assert.NilError(t, err)
-	server := httptest.NewServer(Handler(Services{Home: &echoHome{}, Spread: replica.NewSpread(replica.SpreadConfig{Address: "peer", Peers: noPeers, Now: time.Now}, filledCopy(t, source)), Codec: testCodec, MaxBytes: testMaxBytes, Process: testProcess}))
+	server := httptest.NewServer(Handler(Services{Home: &echoHome{}, AntiEntropy: replica.NewSpread(replica.SpreadConfig{Address: "peer", Peers: noPeers, Now: time.Now}, filledCopy(t, source)), Codec: testCodec, MaxBytes: testMaxBytes, Process: testProcess}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	address := strings.TrimPrefix(server.URL, "http://")
 
 	received := make(chan string, 1)
 	empty := replica.NewCopy(time.Second, func(entries []store.Entry, from string) { received <- string(entries[0].Value) + " from " + from }, time.Now)
-	client := NewClient(ClientConfig{MaxBuffered: testMaxBytes, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, From: callerAddress, Codec: testCodec})
-	client.SetSpread(replica.NewSpread(replica.SpreadConfig{Address: callerAddress, Peers: noPeers, Ask: client.Query, Now: time.Now}, empty))
+	client := NewClient(ClientConfig{MaxBuffered: testMaxBytes, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: callerAddress, Codec: testCodec})
+	client.SetAntiEntropy(replica.NewSpread(replica.SpreadConfig{Address: callerAddress, Peers: noPeers, Ask: client.Query, Now: time.Now}, empty))
 	_, err = client.Call(t.Context(), address, &Call{URI: "/x"})
 	assert.NilError(t, err)
 	assert.Equal(t, <-received, "document from "+address)
@@ -201,10 +201,10 @@
 
 func TestHomeUnavailableReasons(t *testing.T) {
 	for _, reason := range []Reason{NoTarget, TargetLeaving, Stopping, Misdirected} {
-		assert.Assert(t, reason.Final(), string(reason))
+		assert.Assert(t, reason.HomeUnavailable(), string(reason))
 	}
-	for _, reason := range []Reason{QueueFull, Evicted, Late, Waited, TargetFull, Unconnected, Broken, Spoilt, DeadlinePassed, CallerLeft, Suspected} {
-		assert.Assert(t, !reason.Final(), string(reason))
+	for _, reason := range []Reason{QueueFull, Evicted, Late, QueueTimeout, TargetFull, ConnectFailed, ExchangeBroken, InvalidResponse, DeadlinePassed, CallerLeft, Suspected} {
+		assert.Assert(t, !reason.HomeUnavailable(), string(reason))
 	}
 }
 
--- a/internal/peering/resume_test.go
+++ b/internal/peering/resume_test.go
@@ -119,10 +119,10 @@
 func newResumeFixture(t *testing.T, duration time.Duration) *resumeFixture {
 	t.Helper()
 	home := &slowHome{duration: duration, started: make(chan struct{}, 1)}
-	server := httptest.NewServer(Handler(Services{Home: home, Spread: newFakeAntiEntropy(1), Codec: testCodec, MaxBytes: testMaxBytes, Process: testProcess}))
+	server := httptest.NewServer(Handler(Services{Home: home, AntiEntropy: newFakeAntiEntropy(1), Codec: testCodec, MaxBytes: testMaxBytes, Process: testProcess}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	f := &resumeFixture{home: home, proxy: newBlackholeProxy(t, strings.TrimPrefix(server.URL, "http://"))}
-	f.client = NewClient(ClientConfig{MaxBuffered: testMaxBytes, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, From: callerAddress, Codec: testCodec,
+	f.client = NewClient(ClientConfig{MaxBuffered: testMaxBytes, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: callerAddress, Codec: testCodec,
 		OnResume: func(*Call, string, time.Duration) { f.resumed.Add(1) }})
 	return f
 }
@@ -136,14 +136,14 @@
 	return f.client.Call(ctx, f.proxy.listener.Addr().String(), &Call{Service: "s", RequestID: id, Method: "POST", URI: "/x", Remaining: 5 * time.Second, Process: process})
 }
 
-// TestACallWhoseConnectionGoesSilentIsAnsweredFromTheOneRun guards against connections
+// TestResumedCallRunsOnce guards against connections
 // that stay open but carry no data, while new ones work. When half of the connections
 // between nodes went silent, calls waiting on them, and the next call on each idle one,
 // heard nothing for a second or until their deadline: a sixth of the requests of two
 // seconds failed, and 488 requests that had reached no target got 502 or 504. Nodes
 // detected silence only by unacknowledged bytes (TCP_USER_TIMEOUT) and could not know
 // whether the call had run.
-func TestACallWhoseConnectionGoesSilentIsAnsweredFromTheOneRun(t *testing.T) {
+func TestResumedCallRunsOnce(t *testing.T) {
 	t.Run("while it runs", func(t *testing.T) {
 		f := newResumeFixture(t, 300*time.Millisecond)
 		go func() {
@@ -178,7 +178,7 @@
 	assert.Equal(t, f.home.runs.Load(), int64(1))
 }
 
-func TestAHomeSendsInterimAnswersWhileACallRuns(t *testing.T) {
+func TestHomeSendsInterimResponses(t *testing.T) {
 	f := newResumeFixture(t, 2*interimInterval)
 	message := testCodec.encodeCall(&Call{Service: "s", RequestID: "a", Method: "POST", URI: "/x", Remaining: time.Minute, From: callerAddress})
 	interim := 0
@@ -196,9 +196,9 @@
 	assert.Assert(t, interim > 0)
 }
 
-// TestAnotherProcessDoesNotRunAResumedCall covers a home that restarts between the first
+// TestRestartedHomeDoesNotRunResumedCall covers a home that restarts between the first
 // message and its resumption: the earlier process may have run the call.
-func TestAnotherProcessDoesNotRunAResumedCall(t *testing.T) {
+func TestRestartedHomeDoesNotRunResumedCall(t *testing.T) {
 	f := newResumeFixture(t, time.Minute)
 	go func() {
 		<-f.home.started
@@ -210,7 +210,7 @@
 	assert.Equal(t, f.home.runs.Load(), int64(1))
 }
 
-func TestACallerThatLeavesWithdrawsAResumedCall(t *testing.T) {
+func TestCancellationStopsResumedCall(t *testing.T) {
 	f := newResumeFixture(t, time.Minute)
 	go func() {
 		<-f.home.started
@@ -225,9 +225,9 @@
 	}
 }
 
-// TestAFirstMessageAfterItsResumptionDoesNotRun covers a network partition that delays
+// TestDelayedFirstMessageDoesNotRun covers a network partition that delays
 // the first message until long after the resumption got its reply.
-func TestAFirstMessageAfterItsResumptionDoesNotRun(t *testing.T) {
+func TestDelayedFirstMessageDoesNotRun(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newExchangeTable(func() time.Time { return now })
 	resumption := &Call{From: "a", RequestID: "x", Process: testProcess, Resumed: true}
@@ -237,20 +237,20 @@
 	now = now.Add(exchangeRetention - time.Second)
 	_, runs = table.open(&Call{From: "a", RequestID: "x"}, func() {})
 	assert.Assert(t, !runs)
-	_, runs = table.open(&Call{From: "a", RequestID: "x", Offer: 1}, func() {})
+	_, runs = table.open(&Call{From: "a", RequestID: "x", OfferIndex: 1}, func() {})
 	assert.Assert(t, runs, "another attempt of the request must run")
 }
 
-// TestALateResumptionDoesNotRunAnEndedCallAgain covers a resumption that arrives long
+// TestLateResumptionDoesNotRerunCall covers a resumption that arrives long
 // after the run has ended and its reply was dropped.
-func TestALateResumptionDoesNotRunAnEndedCallAgain(t *testing.T) {
+func TestLateResumptionDoesNotRerunCall(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newExchangeTable(func() time.Time { return now })
-	e, runs := table.open(&Call{From: "a", RequestID: "x", Once: true}, func() {})
+	e, runs := table.open(&Call{From: "a", RequestID: "x", AtMostOnce: true}, func() {})
 	assert.Assert(t, runs)
 	table.finish(e, []byte("reply"))
 	now = now.Add(exchangeRetention - time.Second)
-	e, runs = table.open(&Call{From: "a", RequestID: "x", Once: true, Process: testProcess, Resumed: true}, func() {})
+	e, runs = table.open(&Call{From: "a", RequestID: "x", AtMostOnce: true, Process: testProcess, Resumed: true}, func() {})
 	assert.Assert(t, !runs)
 	assert.Assert(t, table.reply(e) == nil, "the reply should have been dropped")
 }
@@ -289,15 +289,15 @@
 	assert.Equal(t, len(table.exchanges), 1)
 }
 
-// TestEachCallerThatLeavesWithdrawsAResumedCall guards against a race that left the run
+// TestCancellationAlwaysStopsResumedCall guards against a race that left the run
 // going after its caller had disconnected; on a busy machine it failed one in 24 runs of
-// TestACallerThatLeavesWithdrawsAResumedCall. The end of the context could wake the
+// TestCancellationStopsResumedCall. The end of the context could wake the
 // waiting exchange before the AfterFunc that cancels the run had started, and the
 // exchange's return then removed the AfterFunc.
-func TestEachCallerThatLeavesWithdrawsAResumedCall(t *testing.T) {
+func TestCancellationAlwaysStopsResumedCall(t *testing.T) {
 	for range 3000 {
 		home := &slowHome{duration: time.Minute, started: make(chan struct{}, 1)}
-		s := &server{Services: Services{Home: home, Spread: newFakeAntiEntropy(1), Codec: testCodec, Process: testProcess}, exchanges: newExchangeTable(time.Now)}
+		s := &server{Services: Services{Home: home, AntiEntropy: newFakeAntiEntropy(1), Codec: testCodec, Process: testProcess}, exchanges: newExchangeTable(time.Now)}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -24,10 +24,10 @@
 
 // Services configures what a node serves to its peers.
 type Services struct {
-	Home   Home
-	Spread Spread
-	// Notices, Departures and Permits may be nil.
-	Notices    QuarantineHandler
+	Home        Home
+	AntiEntropy AntiEntropy
+	// Quarantine, Departures and Permits may be nil.
+	Quarantine QuarantineHandler
 	Departures DepartureHandler
 	Permits    PermitIssuer
 	Codec      *Codec
@@ -50,7 +50,7 @@
 	mux.HandleFunc("GET "+pingPath, func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("POST "+callPath, s.serveCall)
 	mux.HandleFunc("POST "+queryPath, s.serveQuery)
-	if s.Notices != nil {
+	if s.Quarantine != nil {
 		mux.HandleFunc("POST "+noticePath, s.serveNotice)
 	}
 	if s.Departures != nil {
@@ -73,7 +73,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.Spread.HeardCall(call.From, call.Digests)
+	s.AntiEntropy.HandleCallDigests(call.From, call.Digests)
 	interim := startInterimWriter(w)
 	reply, completed := s.runOrResume(r.Context(), call)
 	interim.stop()
@@ -87,7 +87,7 @@
 func (s *server) runOrResume(ctx context.Context, call *Call) (reply []byte, completed bool) {
 	if call.Resumed && call.Process != s.Process {
 		// The process that first received the call may have run it.
-		return s.encode(&Reply{Outcome: Failed, Reason: Broken}), true
+		return s.encode(&Reply{Outcome: Failed, Reason: ExchangeBroken}), true
 	}
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	exchange, runs := s.exchanges.open(call, cancel)
@@ -110,13 +110,13 @@
 		return nil, false
 	}
 	if reply = s.exchanges.reply(exchange); reply == nil {
-		return s.encode(&Reply{Outcome: Failed, Reason: Broken}), true
+		return s.encode(&Reply{Outcome: Failed, Reason: ExchangeBroken}), true
 	}
 	return reply, true
 }
 
 func (s *server) encode(reply *Reply) []byte {
-	reply.Digests = s.Spread.Digests()
+	reply.Digests = s.AntiEntropy.Digests()
 	return s.Codec.encodeReply(reply)
 }
 
@@ -131,7 +131,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	writeResponse(w, encode(s.Spread.Answer(&query)))
+	writeResponse(w, encode(s.AntiEntropy.AnswerQuery(&query)))
 }
 
 func (s *server) serveNotice(w http.ResponseWriter, r *http.Request) {
@@ -145,7 +145,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.Notices.Heard(&notice)
+	s.Quarantine.HandleNotice(&notice)
 	writeResponse(w, nil)
 }
 
@@ -160,7 +160,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.Departures.LearnDeparture(departure)
+	s.Departures.HandleDeparture(departure)
 	writeResponse(w, nil)
 }
 
--- a/internal/peering/wire.go
+++ b/internal/peering/wire.go
@@ -113,8 +113,8 @@
 	return encode(&wireCall{
 		Service: call.Service, RequestID: wireID(call.RequestID), Method: encodeMethod(call.Method), URI: call.URI, Host: call.Host,
 		Header: c.encodeHeader(call.Header), Body: call.Body, Remaining: call.Remaining.Milliseconds(), Caller: call.Caller, Route: call.Route,
-		Rank: call.Rank, MaxWait: call.MaxWait.Milliseconds(), Nested: call.Inner, Retried: call.Repeat, PriorCalls: call.Done,
-		Attempt: call.Offer, AtMostOnce: call.Once, Crashes: call.Crashes, ResumedProcess: resumedProcessOf(call), From: wireAddress(call.From), Digests: encodeDigests(call.Digests), Epochs: encodeEpochs(call.Digests), Newest: encodeNewest(call.Digests),
+		Rank: call.Rank, MaxWait: call.MaxWait.Milliseconds(), Nested: call.Nested, Retried: call.Retried, PriorCalls: call.PriorCalls,
+		Attempt: call.OfferIndex, AtMostOnce: call.AtMostOnce, Crashes: call.Crashes, ResumedProcess: resumedProcessOf(call), From: wireAddress(call.From), Digests: encodeDigests(call.Digests), Epochs: encodeEpochs(call.Digests), Newest: encodeNewest(call.Digests),
 	})
 }
 
@@ -136,8 +136,8 @@
 	}
 	return &Call{
 		Service: w.Service, RequestID: string(w.RequestID), Method: decodeMethod(w.Method), URI: w.URI, Host: w.Host, Header: header, Body: w.Body,
-		Remaining: milliseconds(w.Remaining), Caller: w.Caller, Route: w.Route, Rank: w.Rank, MaxWait: milliseconds(w.MaxWait), Inner: w.Nested,
-		Repeat: w.Retried, Done: w.PriorCalls, Offer: w.Attempt, Once: w.AtMostOnce, Crashes: w.Crashes, Process: w.ResumedProcess, Resumed: w.ResumedProcess != 0, From: string(w.From), Digests: decodeDigests(w.Digests, w.Epochs, w.Newest),
+		Remaining: milliseconds(w.Remaining), Caller: w.Caller, Route: w.Route, Rank: w.Rank, MaxWait: milliseconds(w.MaxWait), Nested: w.Nested,
+		Retried: w.Retried, PriorCalls: w.PriorCalls, OfferIndex: w.Attempt, AtMostOnce: w.AtMostOnce, Crashes: w.Crashes, Process: w.ResumedProcess, Resumed: w.ResumedProcess != 0, From: string(w.From), Digests: decodeDigests(w.Digests, w.Epochs, w.Newest),
 	}, nil
 }
 
@@ -145,11 +145,11 @@
 	load := &reply.Load
 	return encode(&wireReply{
 		Outcome: reply.Outcome, Reason: reply.Reason, Status: reply.Status, Header: c.encodeHeader(reply.Header), Body: reply.Body,
-		RetryAfter: reply.RetryAfter.Milliseconds(), Crashes: reply.Crashes, TargetError: reply.OwnFailure, Digests: encodeDigests(reply.Digests), Epochs: encodeEpochs(reply.Digests), Newest: encodeNewest(reply.Digests),
+		RetryAfter: reply.RetryAfter.Milliseconds(), Crashes: reply.Crashes, TargetError: reply.TargetError, Digests: encodeDigests(reply.Digests), Epochs: encodeEpochs(reply.Digests), Newest: encodeNewest(reply.Digests),
 		Load: wireLoad{
 			InFlight: load.InFlight, Queued: load.Queued, Limit: load.Limit, Latency: int64(load.Latency / latencyUnit),
-			ShedOffset: shed.None - min(load.Threshold, shed.None), FailurePercent: load.Failures, Stopping: load.Stopping, ErrorPercent: load.Errors,
-			CallsPerRequest: load.Calls, RetryBudgetLow: load.Scarce,
+			ShedOffset: shed.None - min(load.Threshold, shed.None), FailurePercent: load.FailurePercent, Stopping: load.Stopping, ErrorPercent: load.ErrorPercent,
+			CallsPerRequest: load.CallsPerRequest, RetryBudgetLow: load.RetryBudgetLow,
 		},
 	})
 }
@@ -166,11 +166,11 @@
 	load := &w.Load
 	return &Reply{
 		Outcome: w.Outcome, Reason: w.Reason, Status: w.Status, Header: header, Body: w.Body, RetryAfter: milliseconds(w.RetryAfter),
-		Crashes: w.Crashes, OwnFailure: w.TargetError, Digests: decodeDigests(w.Digests, w.Epochs, w.Newest),
+		Crashes: w.Crashes, TargetError: w.TargetError, Digests: decodeDigests(w.Digests, w.Epochs, w.Newest),
 		Load: Load{
 			InFlight: load.InFlight, Queued: load.Queued, Limit: load.Limit, Latency: time.Duration(load.Latency) * latencyUnit,
-			Threshold: shed.None - min(load.ShedOffset, shed.None), Failures: load.FailurePercent, Stopping: load.Stopping, Errors: load.ErrorPercent,
-			Calls: load.CallsPerRequest, Scarce: load.RetryBudgetLow,
+			Threshold: shed.None - min(load.ShedOffset, shed.None), FailurePercent: load.FailurePercent, Stopping: load.Stopping, ErrorPercent: load.ErrorPercent,
+			CallsPerRequest: load.CallsPerRequest, RetryBudgetLow: load.RetryBudgetLow,
 		},
 	}, nil
 }
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -147,8 +147,8 @@
 	return true
 }
 
-// Heard takes the notice of a peer.
-func (q *Quarantine) Heard(notice *Notice) {
+// HandleNotice takes the notice of a peer.
+func (q *Quarantine) HandleNotice(notice *Notice) {
 	for _, crash := range notice.Crashes {
 		for _, hash := range q.table.Crashed(crash) {
 			q.noteQuarantined(hash, "a peer told that target "+crash.Instance+" crashed")
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -90,7 +90,7 @@
 	if _, err := fmt.Sscan(address, &number); err != nil {
 		return err
 	}
-	g.nodes[number].Heard(notice)
+	g.nodes[number].HandleNotice(notice)
 	return nil
 }
 
@@ -267,7 +267,7 @@
 	g.await("suspected", func(node *Quarantine) bool { return node.Standing(hash).Isolated() })
 	g.nodes[1].Answered(OpenCall{Fingerprint: hash})
 	g.await("cleared", func(node *Quarantine) bool { return node.Standing(hash) == Standing{Cleared: true} })
-	g.nodes[2].Heard(&Notice{Crashes: []Crash{{Instance: "i-2", Suspects: []Suspicion{{Fingerprint: hash, Crashes: 2}}}}})
+	g.nodes[2].HandleNotice(&Notice{Crashes: []Crash{{Instance: "i-2", Suspects: []Suspicion{{Fingerprint: hash, Crashes: 2}}}}})
 	assert.Assert(t, !g.nodes[2].Standing(hash).Suspected(), "a report that comes late says nothing new")
 }
 
--- a/internal/registry/departure_replication.go
+++ b/internal/registry/departure_replication.go
@@ -81,9 +81,9 @@
 	}
 }
 
-// LearnDeparture handles a departure reported by a peer. It concerns either that peer's target,
+// HandleDeparture handles a departure reported by a peer. It concerns either that peer's target,
 // or the local one if an earlier process here acknowledged it.
-func (r *Registrar) LearnDeparture(departure Departure) {
+func (r *Registrar) HandleDeparture(departure Departure) {
 	if !r.departures.addFromPeer(departure) {
 		return
 	}
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -54,7 +54,7 @@
 	if !found {
 		return errors.New("connection refused")
 	}
-	peer.(*testNode).LearnDeparture(departure)
+	peer.(*testNode).HandleDeparture(departure)
 	return nil
 }
 
--- a/internal/transport/foreign_test.go
+++ b/internal/transport/foreign_test.go
@@ -13,7 +13,7 @@
 
 func callWithID(id string) *Call {
 	call := getCall()
-	call.Belongs = func(header http.Header) bool { return header.Get("X-Id") == id }
+	call.Matches = func(header http.Header) bool { return header.Get("X-Id") == id }
 	return call
 }
 
@@ -39,7 +39,7 @@
 	target := newRawTarget(t, respondWith("HTTP/1.1 200 OK\r\n\r\nwhole", false))
 	_, err := target.pool(t, nil).Exchange(context.Background(), getCall())
 	assert.ErrorIs(t, err, errCloseDelimited)
-	accepting := target.pool(t, func(config *Config) { config.AcceptUndelimited = true })
+	accepting := target.pool(t, func(config *Config) { config.AcceptCloseDelimited = true })
 	response, err := accepting.Exchange(context.Background(), getCall())
 	assert.NilError(t, err)
 	assert.Equal(t, string(response.Body), "whole")
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -43,10 +43,10 @@
 	MaxBuffered int64
 	// MaxHeaderBytes bounds the header of a response.
 	MaxHeaderBytes int64
-	// AcceptUndelimited accepts a response without Content-Length or chunked encoding as
+	// AcceptCloseDelimited accepts a response without Content-Length or chunked encoding as
 	// complete when the connection is closed cleanly. Otherwise such a response is a
 	// failure, because a truncated one can look the same.
-	AcceptUndelimited bool
+	AcceptCloseDelimited bool
 	// UserTimeout bounds the time for which sent bytes may stay unacknowledged by the
 	// target's machine (TCP_USER_TIMEOUT); zero selects the system's default.
 	UserTimeout time.Duration
@@ -99,10 +99,10 @@
 	RequestURI string
 	Header     http.Header
 	Body       []byte
-	// Belongs reports whether a response with the header belongs to the call; nil accepts
+	// Matches reports whether a response with the header belongs to the call; nil accepts
 	// every response. Responses that do not belong to it, such as a surplus response to an
 	// earlier call, are skipped.
-	Belongs func(http.Header) bool
+	Matches func(http.Header) bool
 	// OnInterim is called for each interim response; it may be nil.
 	OnInterim func()
 	// NewConnection sends the call over a new connection instead of an idle one.
@@ -111,23 +111,23 @@
 	SilenceTimeout time.Duration
 }
 
-// Answer is a target's response. If Rest is nil, Body is complete.
-type Answer struct {
+// Response is a target's response. If Rest is nil, Body is complete.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 	// NoBody reports whether the response has no body regardless of its Content-Length,
 	// as a response to HEAD.
 	NoBody bool
-	// Rest reads the bytes after Body if the response is larger than the buffer. It
+	// Remainder reads the bytes after Body if the response is larger than the buffer. It
 	// returns io.EOF only after a complete response. It must be closed.
-	Rest io.ReadCloser
+	Remainder io.ReadCloser
 }
 
 // Close releases the connection of a response with a Rest.
-func (a *Answer) Close() {
-	if a.Rest != nil {
-		_ = a.Rest.Close()
+func (a *Response) Close() {
+	if a.Remainder != nil {
+		_ = a.Remainder.Close()
 	}
 }
 
@@ -157,7 +157,7 @@
 
 // Exchange sends the call and reads the response. Ending the context closes the
 // connection, which cancels the call at the target. The error is a *Failure.
-func (p *Pool) Exchange(ctx context.Context, call *Call) (*Answer, error) {
+func (p *Pool) Exchange(ctx context.Context, call *Call) (*Response, error) {
 	message := encode(p.config.Address, call)
 	defer message.free()
 	connection, failure := p.send(ctx, message.Bytes(), call.NewConnection)
@@ -195,7 +195,7 @@
 }
 
 // receive reads the response to a call that was sent.
-func (p *Pool) receive(ctx context.Context, c *connection, call *Call) (*Answer, *Failure) {
+func (p *Pool) receive(ctx context.Context, c *connection, call *Call) (*Response, *Failure) {
 	method := call.Method
 	silenceTimeout := cmp.Or(call.SilenceTimeout, p.config.SilenceTimeout)
 	httpResponse, err := p.awaitMatching(c, call, silenceTimeout)
@@ -208,14 +208,14 @@
 		p.discard(c)
 		return nil, p.failure("await answer", true, false, contextError(ctx, err))
 	}
-	response := &Answer{Status: httpResponse.StatusCode, Header: httpResponse.Header}
+	response := &Response{Status: httpResponse.StatusCode, Header: httpResponse.Header}
 	if method == http.MethodHead {
 		response.NoBody = true
 		p.release(c, httpResponse)
 		return response, nil
 	}
 	if !delimited(httpResponse) {
-		if !p.config.AcceptUndelimited {
+		if !p.config.AcceptCloseDelimited {
 			p.discard(c)
 			return nil, p.failure("read answer", true, true, errCloseDelimited)
 		}
@@ -227,7 +227,7 @@
 		p.discard(c)
 		return nil, p.failure("read answer", true, true, contextError(ctx, err))
 	case int64(len(response.Body)) > p.config.MaxBuffered:
-		response.Rest = &remainder{pool: p, connection: c, response: httpResponse}
+		response.Remainder = &remainder{pool: p, connection: c, response: httpResponse}
 	default:
 		p.release(c, httpResponse)
 	}
@@ -254,7 +254,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if call.Belongs == nil || call.Belongs(response.Header) {
+		if call.Matches == nil || call.Matches(response.Header) {
 			return response, nil
 		}
 		if response.Close || !delimited(response) {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -41,8 +41,8 @@
 				response, err := pool.Exchange(t.Context(), getCall())
 				assert.NilError(t, err)
 				assert.Equal(t, string(response.Body), c.body)
-				if response.Rest != nil {
-					rest, err := io.ReadAll(response.Rest)
+				if response.Remainder != nil {
+					rest, err := io.ReadAll(response.Remainder)
 					assert.NilError(t, err)
 					assert.Equal(t, len(rest), 0)
 					response.Close()
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestLargeAnswers(t *testing.T) {
+func TestLargeResponses(t *testing.T) {
 	body := strings.Repeat("0123456789", 1000)
 	chunks := fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
 	for name, c := range map[string]struct {
@@ -98,9 +98,9 @@
 			target := newRawTarget(t, respondWith(c.raw, false))
 			response, err := target.pool(t, func(c *Config) { c.MaxBuffered = 100 }).Exchange(t.Context(), getCall())
 			assert.NilError(t, err)
-			assert.Assert(t, response.Rest != nil)
+			assert.Assert(t, response.Remainder != nil)
 			assert.Assert(t, len(response.Body) <= 101, "%d bytes were buffered", len(response.Body))
-			rest, err := io.ReadAll(response.Rest)
+			rest, err := io.ReadAll(response.Remainder)
 			response.Close()
 			if !c.complete {
 				assert.Assert(t, err != nil, "a truncated response was read as a complete one")
@@ -129,7 +129,7 @@
 	for range 2 {
 		response, err := pool.Exchange(t.Context(), call)
 		assert.NilError(t, err)
-		assert.Assert(t, response.NoBody && response.Rest == nil && len(response.Body) == 0)
+		assert.Assert(t, response.NoBody && response.Remainder == nil && len(response.Body) == 0)
 		assert.Equal(t, response.Header.Get("Content-Length"), "5000000")
 	}
 	assert.Equal(t, target.received()[1].connection, 0)
