--- a/internal/forward/budget_simulation_test.go
+++ b/internal/forward/budget_simulation_test.go
@@ -142,7 +142,7 @@
 		}
 	}
 	below := node.levels.Downstream("card")
-	load.CallsPerRequest, load.RetryBudgetLow = below.Calls, below.Scarce
+	load.CallsPerRequest, load.RetryBudgetLow = below.Calls, below.RetryBudgetLow
 	return &peering.Reply{Outcome: peering.Answered, Status: status, Load: load}
 }
 
--- a/internal/forward/receive.go
+++ b/internal/forward/receive.go
@@ -167,7 +167,7 @@
 		return
 	}
 	expected := max(f.levels.ExpectedCalls(q.parentRoute, q.route.Name), q.callNumber)
-	f.levels.RecordCalls(q.parentRoute, q.route.Name, pressure.CallStats{Count: q.callNumber, Scarce: !f.budget(q.service).HasHeadroom(expected)})
+	f.levels.RecordCalls(q.parentRoute, q.route.Name, pressure.CallStats{Count: q.callNumber, RetryBudgetLow: !f.budget(q.service).HasHeadroom(expected)})
 }
 
 // admit ranks a request that enters at this node, and refuses it if its policy does or if
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -168,7 +168,7 @@
 	case q.isolated():
 		// The next target is likely to crash as well.
 		detail = "targets crashed under the request"
-	case f.levels.Scarce(q.route.Name):
+	case f.levels.RetryBudgetLow(q.route.Name):
 		detail = "no retry budget left for the calls of the request"
 	default:
 		return nil
@@ -279,6 +279,6 @@
 		f.homes.recordAnswerSize(q.route.Name, len(reply.Body))
 	}
 	if reply.Load.Limit > 0 {
-		f.levels.Report(q.route.Name, home.Address, pressure.Level{Threshold: reply.Load.Threshold, Calls: reply.Load.CallsPerRequest, Scarce: reply.Load.RetryBudgetLow}, reply.Load.Limit)
+		f.levels.Report(q.route.Name, home.Address, pressure.Level{Threshold: reply.Load.Threshold, Calls: reply.Load.CallsPerRequest, RetryBudgetLow: reply.Load.RetryBudgetLow}, reply.Load.Limit)
 	}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -220,7 +220,7 @@
 		FailurePercent:  i.stats.failurePercent(),
 		ErrorPercent:    i.stats.errorPercent(),
 		CallsPerRequest: downstream.Calls,
-		RetryBudgetLow:  downstream.Scarce,
+		RetryBudgetLow:  downstream.RetryBudgetLow,
 		Stopping:        g.stopping.Load(),
 	}
 }
