--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,10 +1,11 @@
-// Package clock tells time that goes on while the machine is suspended.
+// Package clock provides a clock that includes the time for which the machine is suspended.
 //
-// The steady clock behind time.Now, timers and contexts stands still meanwhile, so that
-// whatever is dated by it looks younger than it is after a resume: copies, leases,
-// deadlines. The time of day goes on, and jumps for other reasons as well. The clock of
-// this package is the steady one plus the time for which the machine was suspended. It is
-// dated from the process's start, and its times may only be compared with each other.
+// The monotonic clock behind time.Now, timers and contexts stops during a suspension, so that
+// ages and deadlines measured with it are wrong after a resume: copies, leases and requests
+// look younger than they are. The wall clock continues, but it also jumps for other reasons.
+// The clock of this package is the monotonic clock plus the time for which the machine was
+// suspended. It starts at the wall time of the process's start, and its times may be compared
+// only with each other.
 package clock
 
 import (
@@ -15,111 +16,115 @@
 )
 
 const (
-	// noticedJump is by how much the time of day must move against the steady clock for
-	// the time since boot to be read. Reading that costs a system call, comparing the two
-	// others nothing; corrections of the time of day move it by 0.5 ms a second at most.
-	noticedJump = 2 * time.Millisecond
-	// leastSuspension is what counts as one: the clocks are not read at the same moment.
-	leastSuspension = 20 * time.Millisecond
+	// wallJumpThreshold is the change of the wall clock relative to the monotonic one from which
+	// on the boot clock is read. Reading the boot clock costs a system call, comparing the other
+	// two doesn't. Clock discipline slews the wall clock by at most 0.5 ms per second.
+	wallJumpThreshold = 2 * time.Millisecond
+	// minSuspension is the shortest suspension that is recognized. The clocks are not read at
+	// the same instant, so shorter differences may be due to that.
+	minSuspension = 20 * time.Millisecond
 )
 
-// Reading is what the system's clocks showed at a moment.
+// Reading is a simultaneous reading of the system's wall and monotonic clocks.
 type Reading struct {
-	// Wall is the time of day, and Steady the time since some moment on the clock that
-	// stands still while the machine is suspended.
-	Wall   time.Time
-	Steady time.Duration
+	// Wall is the wall-clock time, and Monotonic the time since an arbitrary instant on the
+	// clock that stops while the machine is suspended.
+	Wall      time.Time
+	Monotonic time.Duration
 }
 
 // Source reads the system's clocks.
 type Source struct {
 	Read func() Reading
-	// SinceBoot reads the clock that goes on while the machine is suspended.
+	// SinceBoot reads the boot clock, which continues while the machine is suspended.
 	SinceBoot func() (time.Duration, error)
 }
 
-// Clock tells time that goes on while the machine is suspended. It is safe for concurrent
-// use.
+// Clock is a clock that includes the time for which the machine is suspended. It is safe for
+// concurrent use.
 type Clock struct {
 	source Source
-	began  Reading
-	// unsteady is by how much the clock since boot was ahead of the steady one when the
-	// clock was made; known tells whether it could be read.
-	unsteady time.Duration
-	known    bool
-
-	// suspended is for how long the machine was suspended so far, and drift by how much
-	// the time of day had moved against the steady clock when that was found out.
+	start  Reading
+	// initialBootOffset is the boot clock minus the monotonic clock when the Clock was created;
+	// hasBootClock is whether the boot clock could be read.
+	initialBootOffset time.Duration
+	hasBootClock      bool
+
+	// suspended is the total time of suspension so far, and drift the change of the wall clock
+	// relative to the monotonic one when suspended was last checked.
 	suspended, drift atomic.Int64
 
-	mutex     sync.Mutex
-	deadlines map[*deadline]struct{}
-	onResume  []func()
+	mutex       sync.Mutex
+	deadlines   map[*deadline]struct{}
+	resumeHooks []func()
 }
 
-// deadline ends a context.
+// deadline is the deadline of a context.
 type deadline struct {
 	at     time.Time
 	expire context.CancelCauseFunc
 }
 
-// New returns a clock that reads the source.
+// New returns a clock based on the source.
 func New(source Source) *Clock {
-	c := &Clock{source: source, began: source.Read(), deadlines: make(map[*deadline]struct{})}
+	c := &Clock{source: source, start: source.Read(), deadlines: make(map[*deadline]struct{})}
 	sinceBoot, err := source.SinceBoot()
-	// Without it the clock is the steady one.
-	c.known = err == nil
-	c.unsteady = sinceBoot - c.began.Steady
+	// Without a boot clock, the clock equals the monotonic one.
+	c.hasBootClock = err == nil
+	c.initialBootOffset = sinceBoot - c.start.Monotonic
 	return c
 }
 
-// Now returns the time.
+// Now returns the current time.
 func (c *Clock) Now() time.Time {
 	reading := c.source.Read()
-	elapsed := reading.Steady - c.began.Steady
-	drift := reading.Wall.Sub(c.began.Wall) - elapsed
-	if moved := drift - time.Duration(c.drift.Load()); moved > noticedJump || moved < -noticedJump {
-		c.look(drift)
+	elapsed := reading.Monotonic - c.start.Monotonic
+	drift := reading.Wall.Sub(c.start.Wall) - elapsed
+	if jump := drift - time.Duration(c.drift.Load()); jump > wallJumpThreshold || jump < -wallJumpThreshold {
+		c.checkSuspension(drift)
 	}
-	return c.began.Wall.Add(elapsed + time.Duration(c.suspended.Load()))
+	return c.start.Wall.Add(elapsed + time.Duration(c.suspended.Load()))
 }
 
-// Since returns the time since a moment of this clock.
-func (c *Clock) Since(moment time.Time) time.Duration { return c.Now().Sub(moment) }
+// Since returns the time elapsed since an earlier time of this clock.
+func (c *Clock) Since(earlier time.Time) time.Duration { return c.Now().Sub(earlier) }
 
-// Suspended returns for how long the machine was suspended since the clock was made.
+// Suspended returns the total time for which the machine was suspended since the clock was
+// created, as far as it was noticed.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// look finds out whether the machine was suspended.
-func (c *Clock) look(drift time.Duration) {
+// checkSuspension updates the suspended time from the boot clock and, after a suspension,
+// starts handleResume.
+func (c *Clock) checkSuspension(drift time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.drift.Store(int64(drift))
-	if !c.known {
+	if !c.hasBootClock {
 		return
 	}
 	sinceBoot, err := c.source.SinceBoot()
 	if err != nil {
-		// It was there before; the next jump brings another look.
+		// The boot clock was readable before; the next jump of the wall clock checks again.
 		return
 	}
-	suspended := sinceBoot - c.source.Read().Steady - c.unsteady
-	if suspended-time.Duration(c.suspended.Load()) < leastSuspension {
+	suspended := sinceBoot - c.source.Read().Monotonic - c.initialBootOffset
+	if suspended-time.Duration(c.suspended.Load()) < minSuspension {
 		return
 	}
 	c.suspended.Store(int64(suspended))
-	go c.resumed()
+	go c.handleResume()
 }
 
-// OnResume has the function called after each suspension, once that was noticed.
-func (c *Clock) OnResume(do func()) {
+// OnResume registers a function to be called after each suspension, once it is noticed. A
+// suspension is noticed by a call of Now.
+func (c *Clock) OnResume(hook func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.onResume = append(c.onResume, do)
+	c.resumeHooks = append(c.resumeHooks, hook)
 }
 
-// resumed ends what is overdue and tells those that want to know.
-func (c *Clock) resumed() {
+// handleResume ends the contexts whose deadlines have passed and calls the resume hooks.
+func (c *Clock) handleResume() {
 	now := c.Now()
 	c.mutex.Lock()
 	var overdue []*deadline
@@ -128,7 +133,7 @@
 			overdue = append(overdue, d)
 		}
 	}
-	hooks := c.onResume
+	hooks := c.resumeHooks
 	c.mutex.Unlock()
 	for _, d := range overdue {
 		d.expire(context.DeadlineExceeded)
@@ -138,24 +143,24 @@
 	}
 }
 
-// WithDeadline returns a context that ends at a moment of this clock, also if the machine
-// is suspended meanwhile. Its cause is then context.DeadlineExceeded, by which Expired
-// tells; its error is context.Canceled, and it tells no deadline of its own.
+// WithDeadline returns a context that ends at a time of this clock, also if the machine is
+// suspended meanwhile. Its cause is then context.DeadlineExceeded, which Expired checks; its
+// Err is context.Canceled, and its Deadline method reports none.
 //
-// Where the process stood still over the moment, the context ends ReadyGrace after it goes
-// on: what arrived meanwhile is ready, and is to be read before it is given up.
+// If the process was stalled when the deadline passed, the context ends ReadyGrace after the
+// process continues, so that data that arrived meanwhile can still be read.
 func (c *Clock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, expire := context.WithCancelCause(parent)
 	d := &deadline{at: at, expire: expire}
-	left := at.Sub(c.Now())
-	if left <= 0 {
+	remaining := at.Sub(c.Now())
+	if remaining <= 0 {
 		expire(context.DeadlineExceeded)
 		return ctx, func() {}
 	}
 	c.mutex.Lock()
 	c.deadlines[d] = struct{}{}
 	c.mutex.Unlock()
-	timer := time.AfterFunc(left, func() { c.reached(d, at, maxGraces) })
+	timer := time.AfterFunc(remaining, func() { c.deadlineReached(d, at, maxGracePeriods) })
 	return ctx, func() {
 		c.mutex.Lock()
 		delete(c.deadlines, d)
@@ -165,27 +170,28 @@
 	}
 }
 
-// reached ends a context whose moment has come, or was due to end at the moment. A process
-// that stands still again within the grace gets another one.
-func (c *Clock) reached(d *deadline, due time.Time, graces int) {
-	if graces == 0 || !Late(c.Since(due)) {
+// deadlineReached runs when the timer for the time due has fired, which is the deadline or the
+// end of a grace period. It ends the context, or starts a grace period if the timer fired so
+// late that the process must have been stalled.
+func (c *Clock) deadlineReached(d *deadline, due time.Time, gracePeriods int) {
+	if gracePeriods == 0 || !Late(c.Since(due)) {
 		d.expire(context.DeadlineExceeded)
 		return
 	}
 	due = c.Now().Add(ReadyGrace)
-	time.AfterFunc(ReadyGrace, func() { c.reached(d, due, graces-1) })
+	time.AfterFunc(ReadyGrace, func() { c.deadlineReached(d, due, gracePeriods-1) })
 }
 
-// ReadyGrace is how long a bound that is noticed late still holds, so that what is ready
-// is read first.
+// ReadyGrace is how long a deadline is extended if the process was stalled when it passed, so
+// that data that is ready is read first.
 const ReadyGrace = 50 * time.Millisecond
 
-// maxGraces bounds the graces of one context: callers wait for it.
-const maxGraces = 3
+// maxGracePeriods limits the grace periods of one context, because callers wait for it to end.
+const maxGracePeriods = 3
 
-// leastLateness is by how much a timer fires too late only if the process stood still.
-const leastLateness = 50 * time.Millisecond
+// stallThreshold is the lateness of a timer above which the process must have been stalled.
+const stallThreshold = 50 * time.Millisecond
 
-// Late reports whether a timer that fires so much too late tells that the process stood
-// still.
-func Late(by time.Duration) bool { return by > leastLateness }
+// Late reports whether a timer that fired late by the given time shows that the process was
+// stalled.
+func Late(lateness time.Duration) bool { return lateness > stallThreshold }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -10,27 +10,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// machine is a machine whose clocks part.
-type machine struct {
-	mutex                   sync.Mutex
-	wall, steady, sinceBoot time.Duration
-	reads                   int
-	broken                  bool
+// fakeMachine is a machine whose clocks can be advanced independently of each other.
+type fakeMachine struct {
+	mutex                      sync.Mutex
+	wall, monotonic, sinceBoot time.Duration
+	bootClockReads             int
+	bootClockFails             bool
 }
 
-func (m *machine) source() Source {
+func (m *fakeMachine) source() Source {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	return Source{
 		Read: func() Reading {
 			m.mutex.Lock()
 			defer m.mutex.Unlock()
-			return Reading{Wall: start.Add(m.wall), Steady: m.steady}
+			return Reading{Wall: start.Add(m.wall), Monotonic: m.monotonic}
 		},
 		SinceBoot: func() (time.Duration, error) {
 			m.mutex.Lock()
 			defer m.mutex.Unlock()
-			m.reads++
-			if m.broken {
+			m.bootClockReads++
+			if m.bootClockFails {
 				return 0, errors.New("no such clock")
 			}
 			return m.sinceBoot, nil
@@ -38,60 +38,60 @@
 	}
 }
 
-func (m *machine) run(span time.Duration) { m.move(span, span, span) }
+func (m *fakeMachine) run(duration time.Duration) { m.advance(duration, duration, duration) }
 
-// suspend has all clocks but the steady one go on.
-func (m *machine) suspend(span time.Duration) { m.move(span, 0, span) }
+// suspend advances all clocks but the monotonic one.
+func (m *fakeMachine) suspend(duration time.Duration) { m.advance(duration, 0, duration) }
 
-// step moves the time of day alone.
-func (m *machine) step(span time.Duration) { m.move(span, 0, 0) }
+// stepWallClock changes the wall clock only.
+func (m *fakeMachine) stepWallClock(duration time.Duration) { m.advance(duration, 0, 0) }
 
-func (m *machine) move(wall, steady, sinceBoot time.Duration) {
+func (m *fakeMachine) advance(wall, monotonic, sinceBoot time.Duration) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.wall += wall
-	m.steady += steady
+	m.monotonic += monotonic
 	m.sinceBoot += sinceBoot
 }
 
 func TestOnlySuspensionsAreAdded(t *testing.T) {
-	m := &machine{sinceBoot: time.Hour, steady: 50 * time.Minute}
+	m := &fakeMachine{sinceBoot: time.Hour, monotonic: 50 * time.Minute}
 	c := New(m.source())
-	began := c.Now()
+	start := c.Now()
 	steps := []struct {
-		name     string
-		move     func(time.Duration)
-		by, want time.Duration
+		name        string
+		advance     func(time.Duration)
+		by, elapsed time.Duration
 	}{
 		{"runs", m.run, time.Second, time.Second},
 		{"is suspended", m.suspend, 5 * time.Second, 6 * time.Second},
 		{"runs on", m.run, time.Second, 7 * time.Second},
-		{"has its time of day step ahead", m.step, 10 * time.Second, 7 * time.Second},
-		{"has its time of day step back", m.step, -20 * time.Second, 7 * time.Second},
+		{"has its wall clock stepped forward", m.stepWallClock, 10 * time.Second, 7 * time.Second},
+		{"has its wall clock stepped back", m.stepWallClock, -20 * time.Second, 7 * time.Second},
 		{"is suspended again", m.suspend, 3 * time.Second, 10 * time.Second},
 		{"runs on again", m.run, time.Minute, 70 * time.Second},
 	}
 	for _, step := range steps {
-		step.move(step.by)
-		assert.Equal(t, c.Since(began), step.want, "the machine %s", step.name)
+		step.advance(step.by)
+		assert.Equal(t, c.Since(start), step.elapsed, "the machine %s", step.name)
 	}
 	assert.Equal(t, c.Suspended(), 8*time.Second)
-	assert.Equal(t, m.reads, 5, "the time since boot is read only where the others part")
+	assert.Equal(t, m.bootClockReads, 5, "the boot clock is read only after the wall clock jumped")
 }
 
-func TestWithoutATimeSinceBootTheSteadyClockCounts(t *testing.T) {
-	m := &machine{broken: true}
+func TestMissingBootClockFallsBackToMonotonic(t *testing.T) {
+	m := &fakeMachine{bootClockFails: true}
 	c := New(m.source())
-	began := c.Now()
+	start := c.Now()
 	m.suspend(5 * time.Second)
 	m.run(time.Second)
-	assert.Equal(t, c.Since(began), time.Second)
+	assert.Equal(t, c.Since(start), time.Second)
 }
 
-// TestADeadlineThatPassedInASuspensionEndsItsContext has two contexts, of which the
-// deadline of one passes while the machine is suspended.
+// TestADeadlineThatPassedInASuspensionEndsItsContext creates two contexts and lets the
+// deadline of one of them pass while the machine is suspended.
 func TestADeadlineThatPassedInASuspensionEndsItsContext(t *testing.T) {
-	m := &machine{}
+	m := &fakeMachine{}
 	c := New(m.source())
 	resumed := make(chan struct{}, 1)
 	c.OnResume(func() { resumed <- struct{}{} })
@@ -107,50 +107,49 @@
 	assert.Assert(t, Expired(passed))
 	assert.NilError(t, other.Err())
 	cancelOther()
-	assert.Assert(t, !Expired(other), "a context that was cancelled has not expired")
+	assert.Assert(t, !Expired(other), "a canceled context has not expired")
 }
 
-func TestADeadlineEndsItsContextInTime(t *testing.T) {
+func TestDeadlineEndsContext(t *testing.T) {
 	ctx, cancel := WithDeadline(t.Context(), Now().Add(10*time.Millisecond))
 	defer cancel()
 	select {
 	case <-ctx.Done():
 		assert.Assert(t, Expired(ctx))
 	case <-time.After(10 * time.Second):
-		t.Fatal("it did not end")
+		t.Fatal("the context did not end")
 	}
 	child, cancelChild := context.WithCancelCause(ctx)
 	defer cancelChild(nil)
 	assert.Assert(t, Expired(child))
 }
 
-// TestADeadlineThatIsNoticedLateLeavesTimeToReadWhatIsReady: a process stood still over the
-// deadline of a request, its target's answer had arrived meanwhile, and the caller was told
-// that no answer came in time. Once the process went on, its timers ran before its reads.
-// Four nodes' worth of such requests, 48 in all: 32 got 504 or 502 for an answer that lay
-// ready.
-func TestADeadlineThatIsNoticedLateLeavesTimeToReadWhatIsReady(t *testing.T) {
-	const span = 20 * time.Millisecond
-	m := &machine{}
+// TestLateDeadlineAllowsReadingPendingData: a process was stalled when the deadline of a
+// request passed, and the target's response arrived meanwhile. When the process continued, its
+// timers ran before its reads, and the caller was told that there was no response in time. Of
+// 48 such requests on four nodes, 32 got 504 or 502 although the response was ready to read.
+func TestLateDeadlineAllowsReadingPendingData(t *testing.T) {
+	const timeout = 20 * time.Millisecond
+	m := &fakeMachine{}
 	c := New(m.source())
-	began := time.Now()
-	late, cancelLate := c.WithDeadline(t.Context(), c.Now().Add(span))
-	defer cancelLate()
+	start := time.Now()
+	expired, cancel := c.WithDeadline(t.Context(), c.Now().Add(timeout))
+	defer cancel()
 	m.run(time.Second)
-	<-late.Done()
-	assert.Assert(t, time.Since(began) >= span+ReadyGrace, "after %v", time.Since(began))
-	assert.Assert(t, Expired(late))
+	<-expired.Done()
+	assert.Assert(t, time.Since(start) >= timeout+ReadyGrace, "after %v", time.Since(start))
+	assert.Assert(t, Expired(expired))
 }
 
-func TestADeadlineThatHasPassedHasNoGrace(t *testing.T) {
-	c := New((&machine{}).source())
+func TestPassedDeadlineHasNoGrace(t *testing.T) {
+	c := New((&fakeMachine{}).source())
 	passed, cancel := c.WithDeadline(t.Context(), c.Now().Add(-time.Second))
 	defer cancel()
 	assert.Assert(t, passed.Err() != nil)
 	assert.Assert(t, Expired(passed))
 }
 
-// BenchmarkNow takes 115 ns, of which time.Now takes 69 (one processor of eight).
+// BenchmarkNow measured 115 ns for Now, 69 ns of which are time.Now (one processor of eight).
 func BenchmarkNow(b *testing.B) {
 	b.Run("clock", func(b *testing.B) {
 		for b.Loop() {
--- a/internal/clock/system.go
+++ b/internal/clock/system.go
@@ -8,41 +8,41 @@
 	"golang.org/x/sys/unix"
 )
 
-// System is the clock of the machine.
-var System = New(systemSource())
+// System is the clock of the local machine.
+var System = New(newSystemSource())
 
-// Now returns the time of the machine's clock.
+// Now returns the current time of the System clock.
 func Now() time.Time { return System.Now() }
 
-// Since returns the time since a moment of the machine's clock.
-func Since(moment time.Time) time.Duration { return System.Since(moment) }
+// Since returns the time elapsed since an earlier time of the System clock.
+func Since(earlier time.Time) time.Duration { return System.Since(earlier) }
 
-// WithDeadline returns a context that ends at a moment of the machine's clock.
-func WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
-	return System.WithDeadline(parent, at)
+// WithDeadline calls System.WithDeadline.
+func WithDeadline(parent context.Context, deadline time.Time) (context.Context, context.CancelFunc) {
+	return System.WithDeadline(parent, deadline)
 }
 
-// WithTimeout returns a context that ends after a span of the machine's clock.
-func WithTimeout(parent context.Context, span time.Duration) (context.Context, context.CancelFunc) {
-	return System.WithDeadline(parent, Now().Add(span))
+// WithTimeout is like WithDeadline with a deadline after the timeout from now.
+func WithTimeout(parent context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
+	return System.WithDeadline(parent, Now().Add(timeout))
 }
 
-// Expired reports whether a context has ended by its deadline.
+// Expired reports whether a context ended because its deadline passed.
 func Expired(ctx context.Context) bool {
 	return errors.Is(context.Cause(ctx), context.DeadlineExceeded)
 }
 
-func systemSource() Source {
-	began := time.Now()
+func newSystemSource() Source {
+	start := time.Now()
 	return Source{
 		Read: func() Reading {
 			now := time.Now()
-			return Reading{Wall: now.Round(0), Steady: now.Sub(began)}
+			return Reading{Wall: now.Round(0), Monotonic: now.Sub(start)}
 		},
 		SinceBoot: func() (time.Duration, error) {
-			var read unix.Timespec
-			err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &read)
-			return time.Duration(read.Nano()), err
+			var timespec unix.Timespec
+			err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &timespec)
+			return time.Duration(timespec.Nano()), err
 		},
 	}
 }
