--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -1,33 +1,34 @@
-// Package stall tells when a process stood still: when it got no processor for a while,
-// waited for memory, or was stopped and continued.
+// Package stall detects that the process was stalled: it got no CPU time for a while, waited
+// for memory, or was stopped and continued.
 //
-// Meanwhile no deadline is kept and no answer is sent, and afterwards all that looks late
-// may be so for that reason alone. A detector rides on a loop that wakes up at a steady
-// period anyway, so that it costs no wake-ups of its own.
+// During a stall no deadline is kept and no response is sent, and whatever looks late
+// afterwards may be so only because of the stall. A Detector uses a loop that wakes up
+// periodically anyway, so that it needs no wake-ups of its own.
 package stall
 
 import "time"
 
-// Detector measures by how much a periodic loop wakes up too late, from its first Tick on.
-// It belongs to one goroutine.
+// Detector measures how late a periodic loop wakes up, from its first Tick on. It is not safe
+// for concurrent use.
 type Detector struct {
-	// Period is the time between two ticks, and Tolerance the lateness that is usual.
+	// Period is the expected time between two ticks, and Tolerance the lateness that is not
+	// reported as a stall.
 	Period, Tolerance time.Duration
 
-	last time.Time
+	lastTick time.Time
 }
 
-// Tick notes that the loop woke up. It returns by how much too late that was, or zero if
-// it was no later than is usual.
+// Tick records a wake-up of the loop. It returns how late the wake-up was, or zero if that is
+// within the tolerance.
 func (d *Detector) Tick(now time.Time) time.Duration {
-	last := d.last
-	d.last = now
-	if last.IsZero() {
+	previous := d.lastTick
+	d.lastTick = now
+	if previous.IsZero() {
 		return 0
 	}
-	late := now.Sub(last) - d.Period
-	if late <= d.Tolerance {
+	lateness := now.Sub(previous) - d.Period
+	if lateness <= d.Tolerance {
 		return 0
 	}
-	return late
+	return lateness
 }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -10,21 +10,21 @@
 func TestTick(t *testing.T) {
 	const period, tolerance = 100 * time.Millisecond, 150 * time.Millisecond
 	for name, c := range map[string]struct {
-		between, late time.Duration
+		interval, lateness time.Duration
 	}{
-		"in time":             {period, 0},
-		"early":               {period / 2, 0},
-		"as late as is usual": {period + tolerance, 0},
-		"stood still":         {1600 * time.Millisecond, 1500 * time.Millisecond},
-		"clock set back":      {-time.Second, 0},
+		"on time":              {period, 0},
+		"early":                {period / 2, 0},
+		"within the tolerance": {period + tolerance, 0},
+		"process stalled":      {1600 * time.Millisecond, 1500 * time.Millisecond},
+		"clock set back":       {-time.Second, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			detector := Detector{Period: period, Tolerance: tolerance}
 			now := time.Unix(1, 0)
 			assert.Equal(t, detector.Tick(now), time.Duration(0), "the first tick")
-			now = now.Add(c.between)
-			assert.Equal(t, detector.Tick(now), c.late)
-			assert.Equal(t, detector.Tick(now.Add(period)), time.Duration(0), "the tick after")
+			now = now.Add(c.interval)
+			assert.Equal(t, detector.Tick(now), c.lateness)
+			assert.Equal(t, detector.Tick(now.Add(period)), time.Duration(0), "the tick after it")
 		})
 	}
 }
