--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a while or for the end of a context, whichever comes first.
+// Package pause provides a sleep that ends early with a context.
 package pause
 
 import (
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// For waits for the duration and reports whether it passed before the context ended. It does
-// not wait for one of zero or less.
+// For waits until the duration has passed or the context ends, and reports whether the duration
+// passed first. If the duration is zero or negative, it doesn't wait and reports whether the
+// context is still active.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -10,15 +10,15 @@
 	"github.com/lugspur/lugspur/internal/virtualtime"
 )
 
-func TestAPauseEndsWithItsTimeOrItsContext(t *testing.T) {
+func TestForReturnsAfterDurationOrContext(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		begun := time.Now()
+		start := time.Now()
 		assert.Assert(t, For(ctx, time.Second))
-		assert.Equal(t, time.Since(begun), time.Second)
+		assert.Equal(t, time.Since(start), time.Second)
 		assert.Assert(t, !For(ctx, time.Hour))
-		assert.Equal(t, time.Since(begun), time.Minute)
+		assert.Equal(t, time.Since(start), time.Minute)
 		assert.Assert(t, !For(ctx, 0))
 		assert.Assert(t, For(t.Context(), 0))
 	})
