--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -1,5 +1,5 @@
-// Package problem defines the refusals that callers receive: RFC 9457 problem
-// documents that say whether the call was run and when to come back.
+// Package problem defines the errors that callers receive: RFC 9457 problem
+// documents that say whether the call was executed and when to retry.
 package problem
 
 import (
@@ -15,24 +15,24 @@
 const ContentType = "application/problem+json"
 
 // ExecutedHeader repeats the document's executed member, so that a target can
-// pass it on without reading the body.
+// forward it without parsing the body.
 const ExecutedHeader = "Lugspur-Executed"
 
-// Executed says what a caller may conclude about the call.
+// Executed says whether a call may have been executed.
 type Executed string
 
 // The values of Executed.
 const (
-	// ExecutedNo means that no target has run any part of the call.
+	// ExecutedNo means that no target has executed any part of the call.
 	ExecutedNo Executed = "no"
-	// ExecutedUnknown means that a target may have run the call, or a part.
+	// ExecutedUnknown means that a target may have executed the call, or part of it.
 	ExecutedUnknown Executed = "unknown"
 )
 
-// Reason is the kind of a problem; it is the last part of the document's type.
+// Reason is the kind of a problem. It is the last component of the document's type.
 type Reason string
 
-// The reasons, with the status each is answered with.
+// The reasons. Status returns the HTTP status of each.
 const (
 	BadRequest        Reason = "bad-request"
 	BadContext        Reason = "bad-context"
@@ -95,7 +95,7 @@
 	return http.StatusInternalServerError
 }
 
-// Problem is a refusal or failure of one call. It is an error.
+// Problem describes why a call was refused or failed. It implements error.
 type Problem struct {
 	Type      string   `json:"type"`
 	Title     string   `json:"title"`
@@ -103,25 +103,25 @@
 	Detail    string   `json:"detail,omitempty"`
 	Executed  Executed `json:"executed"`
 	RequestID string   `json:"request_id,omitempty"`
-	// RetryAfterSeconds is when to come back; zero means that coming back with
-	// the same call is of no use.
+	// RetryAfterSeconds is the delay before a retry; zero means that retrying the
+	// same call is useless.
 	RetryAfterSeconds int `json:"retry_after_seconds,omitempty"`
-	// Step is the step of the call's way at which the problem arose.
+	// Step is the processing step in which the problem arose.
 	Step string `json:"step,omitempty"`
-	// Peer is the node or target at which it arose.
+	// Peer is the node or target at which the problem arose.
 	Peer string `json:"peer,omitempty"`
 
 	Reason Reason `json:"-"`
-	// RetryDelay is when to come back, to the millisecond; the header tells it in
-	// place of the whole seconds where it is set.
+	// RetryDelay is the delay before a retry with millisecond precision. If set, it
+	// replaces the whole seconds in the Retry-After header.
 	RetryDelay time.Duration `json:"-"`
 	cause      error
 }
 
-// typePrefix starts the type member of every document.
+// typePrefix is the prefix of the type member of every document.
 const typePrefix = "urn:lugspur:problem:"
 
-// New returns a problem. The step and the peer say where it arose.
+// New returns a problem that arose in the given step at the given peer.
 func New(reason Reason, executed Executed, step, peer, detail string) *Problem {
 	return &Problem{
 		Type:     typePrefix + string(reason),
@@ -135,27 +135,27 @@
 	}
 }
 
-// WithRetryAfter says when to come back, rounded up to a whole second of at
-// least one.
+// WithRetryAfter sets the delay before a retry, rounded up to whole seconds and
+// at least one second.
 func (p *Problem) WithRetryAfter(delay time.Duration) *Problem {
 	seconds := int((delay + time.Second - 1) / time.Second)
 	p.RetryAfterSeconds = max(seconds, 1)
 	return p
 }
 
-// WithRetryDelay says when to come back, to the millisecond.
+// WithRetryDelay sets the delay before a retry with millisecond precision.
 func (p *Problem) WithRetryDelay(delay time.Duration) *Problem {
 	p.RetryDelay = delay
 	return p.WithRetryAfter(delay)
 }
 
-// WithCause keeps the error that led to the problem, for logs and errors.Is.
+// WithCause sets the error that caused the problem, for logs and errors.Is.
 func (p *Problem) WithCause(err error) *Problem {
 	p.cause = err
 	return p
 }
 
-// Error returns the problem in one line.
+// Error returns a one-line description of the problem.
 func (p *Problem) Error() string {
 	return fmt.Sprintf("%s at %s (%s): %s, executed: %s", p.Reason, p.Step, p.Peer, p.Detail, p.Executed)
 }
@@ -163,7 +163,7 @@
 // Unwrap returns the cause.
 func (p *Problem) Unwrap() error { return p.cause }
 
-// Write answers a call with the problem.
+// Write writes the problem as the HTTP response to a call.
 func (p *Problem) Write(w http.ResponseWriter) {
 	header := w.Header()
 	header.Set("Content-Type", ContentType)
@@ -181,20 +181,20 @@
 	_, _ = w.Write(body)
 }
 
-// Document returns the problem document.
+// Document returns the JSON problem document.
 func (p *Problem) Document() []byte {
 	document, err := json.Marshal(p)
 	if err != nil {
-		// A struct of strings and numbers always has a JSON form.
+		// A struct of strings and numbers can always be encoded.
 		panic(err)
 	}
 	return document
 }
 
-// Disown returns the document of an answer by which a target passes a problem
-// on from further down its chain, corrected: the target itself has run, so
-// that whatever was told of the call below, this call was not left unexecuted.
-// It returns false for a body that does not claim to be ours or needs no
+// Disown corrects the problem document in a target's response that forwards a
+// problem of one of the target's own downstream calls. Even if the downstream
+// call was not executed, the target itself was, so executed becomes unknown. It
+// returns false if the body is not a lugspur problem document or needs no
 // correction.
 func Disown(body []byte) ([]byte, bool) {
 	var p Problem
@@ -205,8 +205,8 @@
 	return p.Document(), true
 }
 
-// Parse reads a problem document, as a node writes it. Whatever else claims to
-// be one is an error.
+// Parse parses a problem document as written by a node. It returns an error for
+// any other document.
 func Parse(body []byte) (*Problem, error) {
 	var p Problem
 	if err := json.Unmarshal(body, &p); err != nil {
--- a/internal/problem/problem_test.go
+++ b/internal/problem/problem_test.go
@@ -21,29 +21,29 @@
 	recorder := httptest.NewRecorder()
 	written.Write(recorder)
 
-	answer := recorder.Result()
-	assert.Equal(t, answer.StatusCode, http.StatusServiceUnavailable)
-	assert.Equal(t, answer.Header.Get("Content-Type"), ContentType)
-	assert.Equal(t, answer.Header.Get(ExecutedHeader), "no")
-	assert.Equal(t, answer.Header.Get("Retry-After"), "2")
-	assert.Equal(t, answer.Header.Get("Content-Length"), strconv.Itoa(recorder.Body.Len()))
+	response := recorder.Result()
+	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
+	assert.Equal(t, response.Header.Get("Content-Type"), ContentType)
+	assert.Equal(t, response.Header.Get(ExecutedHeader), "no")
+	assert.Equal(t, response.Header.Get("Retry-After"), "2")
+	assert.Equal(t, response.Header.Get("Content-Length"), strconv.Itoa(recorder.Body.Len()))
 
 	parsed, err := Parse(recorder.Body.Bytes())
 	assert.NilError(t, err)
-	want := *written
-	want.cause = nil
-	assert.Equal(t, *parsed, want)
+	expected := *written
+	expected.cause = nil
+	assert.Equal(t, *parsed, expected)
 }
 
-func TestRetryAfterIsWholeSeconds(t *testing.T) {
-	for delay, want := range map[time.Duration]int{
+func TestRetryAfterRoundsUpToSeconds(t *testing.T) {
+	for delay, expected := range map[time.Duration]int{
 		0: 1, time.Millisecond: 1, time.Second: 1, time.Second + 1: 2, 90 * time.Second: 90, -time.Second: 1,
 	} {
-		assert.Equal(t, New(Overloaded, ExecutedNo, "", "", "").WithRetryAfter(delay).RetryAfterSeconds, want, "%s", delay)
+		assert.Equal(t, New(Overloaded, ExecutedNo, "", "", "").WithRetryAfter(delay).RetryAfterSeconds, expected, "%s", delay)
 	}
 }
 
-func TestNoRetryAfterWithoutHope(t *testing.T) {
+func TestNoRetryAfterForPermanentFailure(t *testing.T) {
 	recorder := httptest.NewRecorder()
 	New(UnknownService, ExecutedNo, "receive", "n-1", "").Write(recorder)
 	_, present := recorder.Header()["Retry-After"]
