--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -13,7 +13,7 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-func TestWhatIsCountedIsShown(t *testing.T) {
+func TestHandlerServesMetrics(t *testing.T) {
 	m := New()
 	m.Answered(gateway.Edge, "a", 200, 30*time.Millisecond)
 	m.Answered(gateway.Edge, "a", 200, 70*time.Millisecond)
@@ -33,7 +33,7 @@
 	for line := range strings.Lines(recorder.Body.String()) {
 		lines[strings.TrimSpace(line)] = true
 	}
-	for _, want := range []string{
+	for _, line := range []string{
 		`lugspur_answers_total{listener="edge",service="a",status="200"} 2`,
 		`lugspur_refusals_total{executed="no",listener="mesh",reason="overloaded",service="a"} 1`,
 		`lugspur_retries_total{service="a"} 1`,
@@ -47,6 +47,6 @@
 		`lugspur_target_queue_delay_seconds{target="a-1"} 0.25`,
 		`lugspur_target_shed_threshold{target="a-1"} 512`,
 	} {
-		assert.Check(t, lines[want], "no line %s", want)
+		assert.Check(t, lines[line], "missing line %s", line)
 	}
 }
