--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version tells what the running program was built from.
+// Package version reports the build information of the running program.
 package version
 
 import (
@@ -6,17 +6,17 @@
 	"runtime/debug"
 )
 
-// Build is what a program was built from.
+// Build is the build information of a program.
 type Build struct {
 	Version string `json:"version"`
-	// Commit is the revision of the source, empty when it is not known.
+	// Commit is the VCS revision of the source, empty if unknown.
 	Commit string `json:"commit,omitempty"`
-	// Modified says that the source was changed after the commit.
+	// Modified reports whether the source had uncommitted changes.
 	Modified bool   `json:"modified,omitempty"`
 	Go       string `json:"go"`
 }
 
-// Current returns the build of the running program.
+// Current returns the build information of the running program.
 func Current() Build {
 	build := Build{Version: "unknown", Go: runtime.Version()}
 	info, ok := debug.ReadBuildInfo()
