--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -119,8 +119,8 @@
 	Call(ctx context.Context, address string, call *peering.Call) (*peering.Reply, error)
 	// Ping checks that the node at the address responds.
 	Ping(ctx context.Context, address string) error
-	// Forget closes the idle connections to a node.
-	Forget(address string)
+	// CloseIdle closes the idle connections to a node.
+	CloseIdle(address string)
 }
 
 // Observer is notified of the results of requests, for metrics.
--- a/internal/forward/tenant_test.go
+++ b/internal/forward/tenant_test.go
@@ -201,9 +201,9 @@
 	}{
 		"answered":                    {"1", []func(context.Context, *peering.Call) *peering.Reply{answerOK}, 1, 0},
 		"failed":                      {"1", []func(context.Context, *peering.Call) *peering.Reply{failCall, failCall}, 1, 0},
-		"refused":                     {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited)}, 1, 1},
-		"refused by one, then run":    {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited), answerOK}, 1, 0},
-		"a call of a running request": {"running.2", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited)}, 0, 0},
+		"refused":                     {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout)}, 1, 1},
+		"refused by one, then run":    {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout), answerOK}, 1, 0},
+		"a call of a running request": {"running.2", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout)}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limits := &fixedLimits{}
--- a/internal/sidecar/copies.go
+++ b/internal/sidecar/copies.go
@@ -158,7 +158,7 @@
 	}
 }
 
-var _ peering.Spread = (*replica.Spread)(nil)
+var _ peering.AntiEntropy = (*replica.Spread)(nil)
 
 // gateLog logs when the store stops answering and when it answers again.
 type gateLog struct{ log *eventlog.Log }
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -64,7 +64,7 @@
 
 func TestCallsAreCountedByOutcome(t *testing.T) {
 	n := newTestNode(t)
-	n.metrics.Ended(peering.Refused, peering.Waited, 180*time.Millisecond, 0)
+	n.metrics.Ended(peering.Refused, peering.QueueTimeout, 180*time.Millisecond, 0)
 	n.metrics.Ended(peering.Answered, "", time.Millisecond, 30*time.Millisecond)
 	text := scrape(n)
 	for _, line := range []string{
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -144,12 +144,12 @@
 		KeepAlive:   peerKeepAlive,
 		IdleTimeout: peerIdleTimeout,
 		MaxIdle:     peerMaxIdle,
-		From:        settings.advertised(),
+		Address:     settings.advertised(),
 		Codec:       n.codec,
 		OnResume:    n.noteResumed,
 		OnInterim:   func(address string) { n.forwarder.InterimReceived(address) },
 	})
-	n.peers.SetSpread(n.copies.spread)
+	n.peers.SetAntiEntropy(n.copies.spread)
 	n.forwarder = n.newForwarder()
 	n.provisionGauges()
 	clock.System.OnResume(n.resumed)
@@ -157,7 +157,7 @@
 }
 
 func (n *Node) tellDeparture(ctx context.Context, address string, departure registry.Departure) error {
-	return n.peers.TellDeparture(ctx, address, departure)
+	return n.peers.SendDeparture(ctx, address, departure)
 }
 
 // resumed notes that the machine was suspended.
@@ -172,7 +172,7 @@
 			Address: n.settings.advertised(),
 			Peers:   n.directory.Addresses,
 			Send: func(ctx context.Context, address string, notice *quarantine.Notice) error {
-				return n.peers.Notify(ctx, address, notice)
+				return n.peers.SendQuarantineNotice(ctx, address, notice)
 			},
 		},
 		Store:     n.gate.Wrap(n.store.For(purposeQuarantine)),
