--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -147,7 +147,7 @@
 // suspended meanwhile. Its cause is then context.DeadlineExceeded, which Expired checks; its
 // Err is context.Canceled, and its Deadline method reports none.
 //
-// If the process was stalled when the deadline passed, the context ends ReadyGrace after the
+// If the process was stalled when the deadline passed, the context ends LateDeadlineGrace after the
 // process continues, so that data that arrived meanwhile can still be read.
 func (c *Clock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, expire := context.WithCancelCause(parent)
@@ -174,17 +174,17 @@
 // end of a grace period. It ends the context, or starts a grace period if the timer fired so
 // late that the process must have been stalled.
 func (c *Clock) deadlineReached(d *deadline, due time.Time, gracePeriods int) {
-	if gracePeriods == 0 || !Late(c.Since(due)) {
+	if gracePeriods == 0 || !IsStall(c.Since(due)) {
 		d.expire(context.DeadlineExceeded)
 		return
 	}
-	due = c.Now().Add(ReadyGrace)
-	time.AfterFunc(ReadyGrace, func() { c.deadlineReached(d, due, gracePeriods-1) })
+	due = c.Now().Add(LateDeadlineGrace)
+	time.AfterFunc(LateDeadlineGrace, func() { c.deadlineReached(d, due, gracePeriods-1) })
 }
 
-// ReadyGrace is how long a deadline is extended if the process was stalled when it passed, so
+// LateDeadlineGrace is how long a deadline is extended if the process was stalled when it passed, so
 // that data that is ready is read first.
-const ReadyGrace = 50 * time.Millisecond
+const LateDeadlineGrace = 50 * time.Millisecond
 
 // maxGracePeriods limits the grace periods of one context, because callers wait for it to end.
 const maxGracePeriods = 3
@@ -192,6 +192,6 @@
 // stallThreshold is the lateness of a timer above which the process must have been stalled.
 const stallThreshold = 50 * time.Millisecond
 
-// Late reports whether a timer that fired late by the given time shows that the process was
+// IsStall reports whether a timer that fired late by the given time shows that the process was
 // stalled.
-func Late(lateness time.Duration) bool { return lateness > stallThreshold }
+func IsStall(lateness time.Duration) bool { return lateness > stallThreshold }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -54,7 +54,7 @@
 	m.sinceBoot += sinceBoot
 }
 
-func TestOnlySuspensionsAreAdded(t *testing.T) {
+func TestClockAddsOnlySuspensions(t *testing.T) {
 	m := &fakeMachine{sinceBoot: time.Hour, monotonic: 50 * time.Minute}
 	c := New(m.source())
 	start := c.Now()
@@ -88,9 +88,9 @@
 	assert.Equal(t, c.Since(start), time.Second)
 }
 
-// TestADeadlineThatPassedInASuspensionEndsItsContext creates two contexts and lets the
+// TestDeadlinePassedDuringSuspensionEndsContext creates two contexts and lets the
 // deadline of one of them pass while the machine is suspended.
-func TestADeadlineThatPassedInASuspensionEndsItsContext(t *testing.T) {
+func TestDeadlinePassedDuringSuspensionEndsContext(t *testing.T) {
 	m := &fakeMachine{}
 	c := New(m.source())
 	resumed := make(chan struct{}, 1)
@@ -137,7 +137,7 @@
 	defer cancel()
 	m.run(time.Second)
 	<-expired.Done()
-	assert.Assert(t, time.Since(start) >= timeout+ReadyGrace, "after %v", time.Since(start))
+	assert.Assert(t, time.Since(start) >= timeout+LateDeadlineGrace, "after %v", time.Since(start))
 	assert.Assert(t, Expired(expired))
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -107,18 +107,18 @@
 // Retried records a retry.
 func (m *Metrics) Retried(service string) { m.retryCount.WithLabelValues(service).Inc() }
 
-// Gauge registers a gauge whose value is read at each scrape.
-func (m *Metrics) Gauge(name, help string, read func() float64) {
+// RegisterGauge registers a gauge whose value is read at each scrape.
+func (m *Metrics) RegisterGauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Counter registers a counter whose value is read at each scrape.
-func (m *Metrics) Counter(name, help string, read func() float64) {
+// RegisterCounter registers a counter whose value is read at each scrape.
+func (m *Metrics) RegisterCounter(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Homes registers the metrics of the targets whose home is this node.
-func (m *Metrics) Homes(loads func() map[string]home.Load) {
+// RegisterHomes registers the metrics of the targets whose home is this node.
+func (m *Metrics) RegisterHomes(loads func() map[string]home.Load) {
 	m.registry.MustRegister(&homeLoadCollector{loads: loads})
 }
 
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -191,12 +191,12 @@
 	return document
 }
 
-// Disown corrects the problem document in a target's response that forwards a
+// MarkExecutionUnknown corrects the problem document in a target's response that forwards a
 // problem of one of the target's own downstream calls. Even if the downstream
 // call was not executed, the target itself was, so executed becomes unknown. It
 // returns false if the body is not a lugspur problem document or needs no
 // correction.
-func Disown(body []byte) ([]byte, bool) {
+func MarkExecutionUnknown(body []byte) ([]byte, bool) {
 	var p Problem
 	if json.Unmarshal(body, &p) != nil || !strings.HasPrefix(p.Type, typePrefix) || p.Executed == ExecutedUnknown {
 		return nil, false
--- a/internal/sidecar/copies.go
+++ b/internal/sidecar/copies.go
@@ -111,9 +111,9 @@
 		recordsFirst = firstStartDelay + rand.N(firstStartSpread)
 		configurationFirst = recordsFirst
 	}
-	c.keepConfiguration = &replica.Keeper{Copy: c.configuration, Store: n.gate.Wrap(n.store.For(purposeConfiguration).Waiting(configurationWait)), Prefix: platform.ConfigurationKey,
+	c.keepConfiguration = &replica.Keeper{Copy: c.configuration, Store: n.gate.Wrap(n.store.WithPurpose(purposeConfiguration).WithWatchWait(configurationWait)), Prefix: platform.ConfigurationKey,
 		Place: n.directory.Place, Gather: configurationGather, FirstDelay: configurationFirst, Now: clock.Now}
-	c.keepRecords = &replica.Keeper{Copy: c.records, Store: n.gate.Wrap(n.store.For(purposeRecords)), Prefix: platform.RecordsPrefix,
+	c.keepRecords = &replica.Keeper{Copy: c.records, Store: n.gate.Wrap(n.store.WithPurpose(purposeRecords)), Prefix: platform.RecordsPrefix,
 		Place: n.directory.Place, Gather: recordsGather, FirstDelay: recordsFirst, Now: clock.Now}
 	c.verify = &replica.Verifier{Keeper: c.keepConfiguration, After: verifyAfter, Needed: n.hasTenants}
 	c.spread = replica.NewSpread(replica.SpreadConfig{
@@ -153,8 +153,8 @@
 // not wait long, as the target takes no late acknowledgement.
 func (n *Node) registrarStores() registry.Stores {
 	return registry.Stores{
-		Record:    n.gate.Wrap(n.store.For(purposeOwnRecord)),
-		Departure: n.gate.WrapUrgent(n.store.For(purposeDeparture)),
+		Record:    n.gate.Wrap(n.store.WithPurpose(purposeOwnRecord)),
+		Departure: n.gate.WrapUrgent(n.store.WithPurpose(purposeDeparture)),
 	}
 }
 
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -101,10 +101,10 @@
 	}
 	n := &Node{policies: routepolicy.NewHolder(policies), sources: settings.Policies, settings: settings, routes: &routetable.Holder{},
 		started: clock.Now(), process: max(rand.Uint32(), 1)}
-	n.log = eventlog.New(eventlog.Config{RootOf: platform.RootOf}, settings.Name, output, time.Now)
+	n.log = eventlog.New(eventlog.Config{RootOf: platform.RootRequestID}, settings.Name, output, time.Now)
 	n.metrics = newMetrics(n.log)
 	n.provisionStore()
-	n.feed = configfeed.New(platform.ConfigurationKey, platform.Configuration, n.routes, n.log, clock.Now)
+	n.feed = configfeed.New(platform.ConfigurationKey, platform.ParseConfiguration, n.routes, n.log, clock.Now)
 	n.directory = registry.NewDirectory(platform.HomesPrefix, settings.advertised(), n.log, clock.Now)
 	n.provisionCopies()
 	n.provisionLimits()
@@ -175,7 +175,7 @@
 				return n.peers.SendQuarantineNotice(ctx, address, notice)
 			},
 		},
-		Store:     n.gate.Wrap(n.store.For(purposeQuarantine)),
+		Store:     n.gate.Wrap(n.store.WithPurpose(purposeQuarantine)),
 		Prefix:    platform.QuarantinePrefix,
 		Epoch:     n.epochs.Current,
 		Place:     n.directory.Place,
@@ -202,7 +202,7 @@
 		},
 		WaitShare:      n.settings.Queue.ObjectiveShare,
 		InnerWaitShare: n.settings.Queue.InnerObjectiveShare,
-		ParentOf:       platform.ParentOf,
+		ParentOf:       platform.ParentRequestID,
 	}, forward.Dependencies{
 		Routes:     n.routes,
 		Directory:  n.directory,
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -32,7 +32,7 @@
 		Epoch:      n.epochs.Current,
 
 		Prefix: platform.ShardsPrefix,
-		Store:  n.gate.Wrap(n.store.For(purposeShards)),
+		Store:  n.gate.Wrap(n.store.WithPurpose(purposeShards)),
 		Place:  n.directory.Place,
 		Nodes:  func() int { return len(n.directory.Addresses()) },
 		Needed: n.hasLimits,
--- a/internal/virtualtime/virtualtime_test.go
+++ b/internal/virtualtime/virtualtime_test.go
@@ -8,11 +8,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTimersThatAreReadLate guards against a crash of the race detector: goroutines on several
+// TestConcurrentReadsOfDueTimers guards against a crash of the race detector: goroutines on several
 // threads read timers that are already due, while the bubble runs other timers. Without
 // virtualtime, this test crashed in 6 of 6 processes, for example with
 // "CHECK failed: tsan_rtl.cpp:346".
-func TestTimersThatAreReadLate(t *testing.T) {
+func TestConcurrentReadsOfDueTimers(t *testing.T) {
 	const goroutines, rounds = 100, 500
 	Run(t, func(t *testing.T) {
 		finished := make(chan int, goroutines)
