--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -139,9 +139,9 @@
 	if len(keys) != 1 || keys[0] == "" {
 		return Decision{Outcome: Missing, Age: age}, fresh
 	}
-	tenant := table.HolderOf(keys[0])
+	tenant := table.TenantByKey(keys[0])
 	if tenant == nil {
-		return Decision{Outcome: Unknown, Age: age}, later || (fresh && table.Withdrawn(keys[0]))
+		return Decision{Outcome: Unknown, Age: age}, later || (fresh && table.Revoked(keys[0]))
 	}
 	if c.bound > 0 && (age < 0 || age > c.bound-boundMargin) {
 		return unproved(age), true
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -83,7 +83,7 @@
 	stopping atomic.Bool
 	closed   atomic.Bool
 	// stopDeadline is the time by which all calls must have ended.
-	stopDeadline ending.Moment
+	stopDeadline ending.ShutdownTime
 	inFlight     atomic.Int64
 	current      atomic.Pointer[incarnation]
 	running      runningTable
@@ -157,12 +157,12 @@
 		shedding:  shed.NewController(shedConfig),
 		scheduler: scheduler.New(scheduler.Config{MaxQueue: g.config.MaxQueue, MaxWait: g.config.MaxWait, ByRank: true}, limit, g.now),
 		pool: transport.NewPool(transport.Config{
-			Address:           g.config.Address,
-			MaxConnections:    g.config.MaxConnections(),
-			MaxBuffered:       g.config.MaxBuffered,
-			AcceptUndelimited: true,
-			UserTimeout:       targetUserTimeout,
-			KeepAlive:         targetKeepAlive,
+			Address:              g.config.Address,
+			MaxConnections:       g.config.MaxConnections(),
+			MaxBuffered:          g.config.MaxBuffered,
+			AcceptCloseDelimited: true,
+			UserTimeout:          targetUserTimeout,
+			KeepAlive:            targetKeepAlive,
 		}),
 	}
 }
@@ -194,7 +194,7 @@
 // endsInTime reports whether a call of the route that begins now is certain to end
 // before the stop deadline.
 func (g *Guard) endsInTime(i *incarnation, route string, now time.Time) bool {
-	return g.stopDeadline.Leaves(ending.SureTime(i.stats.latency(route, now)), now)
+	return g.stopDeadline.Allows(ending.SafeDuration(i.stats.latency(route, now)), now)
 }
 
 // Close refuses all later calls; calls in flight continue.
@@ -212,16 +212,16 @@
 	stats := i.scheduler.Stats()
 	downstream := g.config.Downstream(route)
 	return peering.Load{
-		InFlight:  stats.InFlight,
-		Queued:    stats.Queued,
-		Limit:     stats.Limit,
-		Latency:   i.stats.latency(route, g.now()),
-		Threshold: min(i.shedding.Threshold(), downstream.Threshold),
-		Failures:  i.stats.failurePercent(),
-		Errors:    i.stats.errorPercent(),
-		Calls:     downstream.Calls,
-		Scarce:    downstream.Scarce,
-		Stopping:  g.stopping.Load(),
+		InFlight:        stats.InFlight,
+		Queued:          stats.Queued,
+		Limit:           stats.Limit,
+		Latency:         i.stats.latency(route, g.now()),
+		Threshold:       min(i.shedding.Threshold(), downstream.Threshold),
+		FailurePercent:  i.stats.failurePercent(),
+		ErrorPercent:    i.stats.errorPercent(),
+		CallsPerRequest: downstream.Calls,
+		RetryBudgetLow:  downstream.RetryBudgetLow,
+		Stopping:        g.stopping.Load(),
 	}
 }
 
@@ -253,7 +253,7 @@
 	}
 	event := eventlog.Event{Kind: kind, Request: call.RequestID, Route: call.Route, Service: call.Service, Reason: string(reply.Reason),
 		Count: reply.Load.Queued, Wait: reply.RetryAfter, Duration: g.now().Sub(started)}
-	if reply.Reason == peering.Broken || reply.Reason == peering.TargetCrashed || reply.Reason == peering.Quarantined {
+	if reply.Reason == peering.ExchangeBroken || reply.Reason == peering.TargetCrashed || reply.Reason == peering.Quarantined {
 		event.Fingerprint = call.Fingerprint().String()
 	}
 	g.log.Record(event)
--- a/internal/guard/isolation.go
+++ b/internal/guard/isolation.go
@@ -103,7 +103,7 @@
 	}
 	unlock, acquired := g.suspectLock.tryAcquire(s.hash, s.standing.Isolated())
 	if !acquired {
-		return refusedReply(peering.Waited)
+		return refusedReply(peering.QueueTimeout)
 	}
 	s.unlock = unlock
 	return nil
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -145,7 +145,7 @@
 	if peer == nil || f.find(query.From).process.Load() == nil {
 		return nil, errDead
 	}
-	answer := peer.spread.Answer(query)
+	answer := peer.spread.AnswerQuery(query)
 	f.late()
 	return answer, nil
 }
@@ -183,11 +183,11 @@
 		digests := p.spread.Digests()
 		time.Sleep(peerLatency)
 		f.late()
-		peer.spread.HeardCall(p.address, digests)
+		peer.spread.HandleCallDigests(p.address, digests)
 		digests = peer.spread.Digests()
 		f.late()
 		time.Sleep(peerLatency)
-		p.spread.HeardReply(peer.address, digests, asked)
+		p.spread.HandleReplyDigests(peer.address, digests, asked)
 	}
 }
 
--- a/internal/replica/spread.go
+++ b/internal/replica/spread.go
@@ -127,9 +127,9 @@
 	return digests
 }
 
-// HeardCall takes the digests of a peer that called. How long they were under way
+// HandleCallDigests takes the digests of a peer that called. How long they were under way
 // is not known, so that they prove nothing of earlier moments.
-func (s *Spread) HeardCall(peer string, digests []Digest) {
+func (s *Spread) HandleCallDigests(peer string, digests []Digest) {
 	if peer == "" || peer == s.config.Address {
 		return
 	}
@@ -140,9 +140,9 @@
 	s.heard(peer, digests, time.Time{})
 }
 
-// HeardReply takes the digests that a peer told on a reply to a message of the
+// HandleReplyDigests takes the digests that a peer told on a reply to a message of the
 // given moment.
-func (s *Spread) HeardReply(peer string, digests []Digest, asked time.Time) {
+func (s *Spread) HandleReplyDigests(peer string, digests []Digest, asked time.Time) {
 	s.heard(peer, digests, asked)
 }
 
@@ -161,16 +161,16 @@
 	}
 }
 
-// Answer answers a peer's query and learns from it that the peer is there and
+// AnswerQuery answers a peer's query and learns from it that the peer is there and
 // what it has.
-func (s *Spread) Answer(query *Query) *Answer {
+func (s *Spread) AnswerQuery(query *Query) *Answer {
 	answer := &Answer{Deltas: make([]Delta, len(s.copies)), Settled: s.Settled()}
 	for i, held := range s.copies {
 		if i < len(query.Digests) {
 			answer.Deltas[i] = held.Since(query.Digests[i])
 		}
 	}
-	s.HeardCall(query.From, query.Digests)
+	s.HandleCallDigests(query.From, query.Digests)
 	return answer
 }
 
