--- a/internal/peering/message.go
+++ b/internal/peering/message.go
@@ -97,7 +97,7 @@
 
 // Notices takes what peers tell of requests that crash targets.
 type Notices interface {
-	Heard(notice *quarantine.Notice)
+	HandleNotice(notice *quarantine.Notice)
 }
 
 // Departures takes what peers tell of targets that leave.
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -144,7 +144,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.Quarantine.Heard(&notice)
+	s.Quarantine.HandleNotice(&notice)
 	write(w, nil)
 }
 
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -148,8 +148,8 @@
 	return true
 }
 
-// Heard processes the notice of a peer.
-func (q *Quarantine) Heard(notice *Notice) {
+// HandleNotice processes the notice of a peer.
+func (q *Quarantine) HandleNotice(notice *Notice) {
 	for _, crash := range notice.Crashes {
 		for _, hash := range q.table.RecordCrash(crash) {
 			q.handleQuarantined(hash, "a peer told that target "+crash.Instance+" crashed")
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -90,7 +90,7 @@
 	if _, err := fmt.Sscan(address, &number); err != nil {
 		return err
 	}
-	c.nodes[number].Heard(notice)
+	c.nodes[number].HandleNotice(notice)
 	return nil
 }
 
@@ -269,7 +269,7 @@
 	c.await("suspected", func(node *Quarantine) bool { return node.Standing(hash).Isolated() })
 	c.nodes[1].Answered(OpenCall{Fingerprint: hash})
 	c.await("cleared", func(node *Quarantine) bool { return node.Standing(hash) == Standing{Cleared: true} })
-	c.nodes[2].Heard(&Notice{Crashes: []Crash{{Instance: "i-2", Suspects: []SuspectReport{{Fingerprint: hash, Crashes: 2}}}}})
+	c.nodes[2].HandleNotice(&Notice{Crashes: []Crash{{Instance: "i-2", Suspects: []SuspectReport{{Fingerprint: hash, Crashes: 2}}}}})
 	assert.Assert(t, !c.nodes[2].Standing(hash).Suspected(), "a delayed report of a cleared crash is ignored")
 }
 
