--- a/internal/forward/tenant.go
+++ b/internal/forward/tenant.go
@@ -55,7 +55,7 @@
 	}
 	f.observer.Identified(q.tenant.Name, reason)
 	f.log.Record(eventlog.Event{Kind: eventlog.LimitRefused, Request: q.id, Route: q.route.Name, Outcome: q.tenant.Name, Reason: detail,
-		Count: q.permit.Asked, Wait: q.permit.RetryAfter, Version: uint64(f.routes.Version())})
+		Count: q.permit.HoldersAsked, Wait: q.permit.RetryAfter, Version: uint64(f.routes.Version())})
 	return f.problem(reason, problem.ExecutedNo, "limit", detail).WithRetryDelay(q.permit.RetryAfter)
 }
 
--- a/internal/forward/tenant_test.go
+++ b/internal/forward/tenant_test.go
@@ -176,7 +176,7 @@
 // TestRequestOverLimitHasNoSideEffects refuses a request by its tenant's limit: no home
 // must receive it, and it must add nothing to its service's retry budget.
 func TestRequestOverLimitHasNoSideEffects(t *testing.T) {
-	for outcome, status := range map[ratelimit.Outcome]int{ratelimit.Reached: http.StatusTooManyRequests, ratelimit.Unavailable: http.StatusServiceUnavailable} {
+	for outcome, status := range map[ratelimit.Outcome]int{ratelimit.LimitReached: http.StatusTooManyRequests, ratelimit.Unavailable: http.StatusServiceUnavailable} {
 		limits := &fixedLimits{decision: ratelimit.Decision{Outcome: outcome, RetryAfter: 400 * time.Millisecond}}
 		f := newLimitFixture(t, limits, answerOK)
 		before := f.forwarder.budget("s").Balance()
--- a/internal/quarantine/broadcast.go
+++ b/internal/quarantine/broadcast.go
@@ -33,8 +33,8 @@
 	maxBatch = 256
 )
 
-// SpreadConfig holds the settings and dependencies of a Broadcaster.
-type SpreadConfig struct {
+// BroadcastConfig holds the settings and dependencies of a Broadcaster.
+type BroadcastConfig struct {
 	// Address is the address at which peers reach the node.
 	Address string
 	// Peers returns the addresses of all nodes, with or without the own one.
@@ -45,7 +45,7 @@
 
 // Broadcaster sends the reports of the node to all others. It is safe for concurrent use.
 type Broadcaster struct {
-	config SpreadConfig
+	config BroadcastConfig
 	wake   chan struct{}
 	slots  chan struct{}
 
@@ -54,7 +54,7 @@
 }
 
 // NewBroadcaster returns a broadcaster that sends nothing before Run.
-func NewBroadcaster(config SpreadConfig) *Broadcaster {
+func NewBroadcaster(config BroadcastConfig) *Broadcaster {
 	return &Broadcaster{config: config, wake: make(chan struct{}, 1), slots: make(chan struct{}, maxConcurrentSends)}
 }
 
--- a/internal/quarantine/operator.go
+++ b/internal/quarantine/operator.go
@@ -9,19 +9,19 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Listed is a quarantine record with its fingerprint.
-type Listed struct {
+// Entry is a quarantine record with its fingerprint.
+type Entry struct {
 	Fingerprint fingerprint.Fingerprint
 	Record
 }
 
 // List returns the quarantine records in the store, except lifted ones.
-func List(ctx context.Context, backend store.Store, prefix string) ([]Listed, error) {
+func List(ctx context.Context, backend store.Store, prefix string) ([]Entry, error) {
 	snapshot, err := backend.List(ctx, prefix)
 	if err != nil {
 		return nil, fmt.Errorf("list quarantine records: %w", err)
 	}
-	var listed []Listed
+	var listed []Entry
 	for _, entry := range snapshot.Entries {
 		hash, err := fingerprint.Parse(strings.TrimPrefix(entry.Key, prefix))
 		if err != nil {
@@ -32,7 +32,7 @@
 			return nil, fmt.Errorf("quarantine record %s: %w", entry.Key, err)
 		}
 		if !record.Lifted {
-			listed = append(listed, Listed{Fingerprint: hash, Record: record})
+			listed = append(listed, Entry{Fingerprint: hash, Record: record})
 		}
 	}
 	return listed, nil
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -11,7 +11,7 @@
 
 // Config holds the settings and dependencies of a Quarantine.
 type Config struct {
-	Spread SpreadConfig
+	Broadcast BroadcastConfig
 	// Store holds the quarantine records, with keys that begin with Prefix.
 	Store  store.Store
 	Prefix string
@@ -19,10 +19,10 @@
 	// the node's position in an order of all nodes, false if it has none; it may be nil.
 	Epoch func() store.Epoch
 	Place func() (int, bool)
-	// OnVerdict is called when a request is quarantined; it may be nil.
-	OnVerdict func(hash fingerprint.Fingerprint)
-	Log       *eventlog.Log
-	Now       func() time.Time
+	// OnQuarantine is called when a request is quarantined; it may be nil.
+	OnQuarantine func(hash fingerprint.Fingerprint)
+	Log          *eventlog.Log
+	Now          func() time.Time
 }
 
 // Quarantine tracks on one node the requests that crash targets, and shares its reports with
@@ -40,11 +40,11 @@
 func New(config Config) *Quarantine {
 	return &Quarantine{
 		table:       NewTable(config.Now),
-		broadcaster: NewBroadcaster(config.Spread),
+		broadcaster: NewBroadcaster(config.Broadcast),
 		records:     newRecordStore(config),
 		log:         config.Log,
 
-		onQuarantine: config.OnVerdict,
+		onQuarantine: config.OnQuarantine,
 	}
 }
 
@@ -67,8 +67,8 @@
 // Empty reports whether there are no suspects, so that no request needs to be checked.
 func (q *Quarantine) Empty() bool { return q.table.Empty() }
 
-// Standing returns the crashes and the quarantine state of a request.
-func (q *Quarantine) Standing(hash fingerprint.Fingerprint) Standing { return q.table.State(hash) }
+// State returns the crashes and the quarantine state of a request.
+func (q *Quarantine) State(hash fingerprint.Fingerprint) State { return q.table.State(hash) }
 
 // Quarantined returns the number of quarantined requests.
 func (q *Quarantine) Quarantined() int { return q.table.Quarantined() }
@@ -77,16 +77,16 @@
 // was reached.
 func (q *Quarantine) Unplaced() uint64 { return q.table.Unplaced() }
 
-// OpenCall identifies a call to the local target, which crashed, answered or is to run a trial.
-type OpenCall struct {
+// Call identifies a call to the local target, which crashed, answered or is to run a trial.
+type Call struct {
 	Fingerprint    fingerprint.Fingerprint
 	Service, Route string
 	// Crashes is the number of consecutive crashes of the request, including this one.
 	Crashes int
 }
 
-// Crashed records a crash of the local target with the calls that were open.
-func (q *Quarantine) Crashed(instance string, open []OpenCall) {
+// RecordCrash records a crash of the local target with the calls that were open.
+func (q *Quarantine) RecordCrash(instance string, open []Call) {
 	crash := crashReport(instance, open)
 	records := make(map[fingerprint.Fingerprint]Record, len(open))
 	for _, call := range open {
@@ -104,7 +104,7 @@
 // second request reached quarantineCrashes in the same crash: one of the two is harmless,
 // and nodes that learn of crashes late let them run concurrently. With two or more, the
 // crashes are capped at isolationCrashes, so that the requests run one at a time.
-func crashReport(instance string, open []OpenCall) Crash {
+func crashReport(instance string, open []Call) Crash {
 	eligible := make(map[fingerprint.Fingerprint]bool)
 	for _, call := range open {
 		if call.Crashes >= quarantineCrashes {
@@ -122,8 +122,8 @@
 	return crash
 }
 
-// Answered records that a target answered the request, and ends its quarantine.
-func (q *Quarantine) Answered(call OpenCall) {
+// RecordAnswer records that a target answered the request, and ends its quarantine.
+func (q *Quarantine) RecordAnswer(call Call) {
 	wasQuarantined := q.table.State(call.Fingerprint).Quarantined
 	cleared, broadcast := q.table.RecordAnswer(call.Fingerprint)
 	if !broadcast {
@@ -138,7 +138,7 @@
 
 // ClaimTrial reports whether the node may run a quarantined request whose trial is due.
 // Only one node of the cluster gets the trial, and none while the store is unavailable.
-func (q *Quarantine) ClaimTrial(ctx context.Context, call OpenCall) bool {
+func (q *Quarantine) ClaimTrial(ctx context.Context, call Call) bool {
 	trials := q.table.trials(call.Fingerprint) + 1
 	if !q.records.claimTrial(ctx, call.Fingerprint, Record{Service: call.Service, Route: call.Route, Trials: trials}) {
 		return false
@@ -162,8 +162,8 @@
 	}
 }
 
-// Change processes changes of the store.
-func (q *Quarantine) Change(entries []store.Entry) {
+// ApplyChanges processes changes of the store.
+func (q *Quarantine) ApplyChanges(entries []store.Entry) {
 	quarantined := func(hash fingerprint.Fingerprint) bool { return q.table.State(hash).Quarantined }
 	for _, change := range q.records.applyChanges(entries, quarantined) {
 		switch {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -66,7 +66,7 @@
 func (c *testCluster) startNode(addresses []string, number int) *Quarantine {
 	node := New(Config{
 		Store: unavailableStore{c.store, c}, Prefix: testPrefix, Now: c.now,
-		Spread: SpreadConfig{Address: addresses[number], Peers: func() []string { return addresses }, Send: c.send},
+		Broadcast: BroadcastConfig{Address: addresses[number], Peers: func() []string { return addresses }, Send: c.send},
 	})
 	c.nodes = append(c.nodes, node)
 	go node.Run(c.t.Context())
@@ -99,13 +99,13 @@
 	c.t.Helper()
 	snapshot, err := c.store.List(c.t.Context(), testPrefix)
 	assert.NilError(c.t, err)
-	node.Change(snapshot.Entries)
+	node.ApplyChanges(snapshot.Entries)
 }
 
 // crash reports a crash of a node's target while it ran the request.
 func (c *testCluster) crash(number int, instance string, hash fingerprint.Fingerprint) {
 	node := c.nodes[number]
-	node.Crashed(instance, []OpenCall{{Fingerprint: hash, Service: "s", Route: "r", Crashes: node.Standing(hash).Crashes + 1}})
+	node.RecordCrash(instance, []Call{{Fingerprint: hash, Service: "s", Route: "r", Crashes: node.State(hash).Crashes + 1}})
 }
 
 // await waits until the condition is true on all nodes.
@@ -127,9 +127,9 @@
 	c.t.Helper()
 	for i := range quarantineCrashes {
 		c.crash(i%len(c.nodes), fmt.Sprintf("i-%s-%d", hash, i), hash)
-		c.await("crash reported", func(node *Quarantine) bool { return node.Standing(hash).Crashes == i+1 })
+		c.await("crash reported", func(node *Quarantine) bool { return node.State(hash).Crashes == i+1 })
 	}
-	c.await("quarantined", func(node *Quarantine) bool { return node.Standing(hash).Quarantined })
+	c.await("quarantined", func(node *Quarantine) bool { return node.State(hash).Quarantined })
 }
 
 // awaitRecord waits until the store holds a record of the request that accept returns true
@@ -159,7 +159,7 @@
 	c.awaitRecord(hash, func(record Record) bool { return record == Record{Service: "s", Route: "r"} })
 	started := c.startNode([]string{"0", "1", "2", "3", "4"}, 4)
 	c.syncFromStore(started)
-	assert.Assert(t, started.Standing(hash).Quarantined, "a starting node finds the quarantine in the store")
+	assert.Assert(t, started.State(hash).Quarantined, "a starting node finds the quarantine in the store")
 	assert.Equal(t, started.Quarantined(), 1)
 }
 
@@ -186,26 +186,26 @@
 	revision, err := c.store.CompareAndDelete(t.Context(), key, entry.Revision)
 	assert.NilError(t, err)
 	for _, node := range c.nodes {
-		node.Change([]store.Entry{{Key: key, Revision: revision, Deleted: true}})
-		assert.Assert(t, node.Standing(hash).Quarantined)
+		node.ApplyChanges([]store.Entry{{Key: key, Revision: revision, Deleted: true}})
+		assert.Assert(t, node.State(hash).Quarantined)
 	}
 	c.awaitRecord(hash, anyRecord)
 }
 
-func TestOneNodeOfAllMakesATrial(t *testing.T) {
+func TestOnlyOneNodeClaimsTrial(t *testing.T) {
 	c := newTestCluster(t, 8)
 	hash := fingerprintOf(1)
 	c.quarantineRequest(hash)
 	c.awaitRecord(hash, anyRecord)
 	for _, node := range c.nodes {
 		c.syncFromStore(node)
-		assert.Assert(t, !node.Standing(hash).TrialDue)
+		assert.Assert(t, !node.State(hash).TrialDue)
 	}
 	c.advance(initialTrialDelay)
 	c.storeDown.Store(true)
-	call := OpenCall{Fingerprint: hash, Service: "s", Route: "r"}
+	call := Call{Fingerprint: hash, Service: "s", Route: "r"}
 	for _, node := range c.nodes {
-		assert.Assert(t, node.Standing(hash).TrialDue)
+		assert.Assert(t, node.State(hash).TrialDue)
 		assert.Assert(t, !node.ClaimTrial(t.Context(), call), "trial claimed without the store")
 	}
 	c.storeDown.Store(false)
@@ -222,7 +222,7 @@
 	assert.Equal(t, claimed.Load(), int32(1))
 	for _, node := range c.nodes {
 		c.syncFromStore(node)
-		state := node.Standing(hash)
+		state := node.State(hash)
 		assert.Assert(t, state.Quarantined && !state.TrialDue)
 		assert.Equal(t, state.RetryAfter, 2*initialTrialDelay, "the delay doubles after a trial")
 	}
@@ -235,14 +235,14 @@
 	c.awaitRecord(hash, anyRecord)
 	c.advance(initialTrialDelay)
 	c.syncFromStore(c.nodes[2])
-	call := OpenCall{Fingerprint: hash, Service: "s", Route: "r"}
+	call := Call{Fingerprint: hash, Service: "s", Route: "r"}
 	assert.Assert(t, c.nodes[2].ClaimTrial(t.Context(), call))
-	c.nodes[2].Answered(call)
-	c.await("cleared", func(node *Quarantine) bool { return !node.Standing(hash).Quarantined })
+	c.nodes[2].RecordAnswer(call)
+	c.await("cleared", func(node *Quarantine) bool { return !node.State(hash).Quarantined })
 	c.awaitRecord(hash, func(record Record) bool { return record.Lifted })
 	started := c.startNode([]string{"0", "1", "2", "3"}, 3)
 	c.syncFromStore(started)
-	assert.Assert(t, !started.Standing(hash).Quarantined)
+	assert.Assert(t, !started.State(hash).Quarantined)
 }
 
 func TestOperatorLiftEndsQuarantineOnAllNodes(t *testing.T) {
@@ -257,7 +257,7 @@
 	assert.NilError(t, err)
 	for _, node := range c.nodes {
 		c.syncFromStore(node)
-		assert.Assert(t, !node.Standing(hash).Quarantined)
+		assert.Assert(t, !node.State(hash).Quarantined)
 	}
 }
 
@@ -266,16 +266,16 @@
 	hash := fingerprintOf(1)
 	c.crash(0, "i-1", hash)
 	c.crash(0, "i-2", hash)
-	c.await("suspected", func(node *Quarantine) bool { return node.Standing(hash).Isolated() })
-	c.nodes[1].Answered(OpenCall{Fingerprint: hash})
-	c.await("cleared", func(node *Quarantine) bool { return node.Standing(hash) == Standing{Cleared: true} })
+	c.await("suspected", func(node *Quarantine) bool { return node.State(hash).Isolated() })
+	c.nodes[1].RecordAnswer(Call{Fingerprint: hash})
+	c.await("cleared", func(node *Quarantine) bool { return node.State(hash) == State{Cleared: true} })
 	c.nodes[2].HandleNotice(&Notice{Crashes: []Crash{{Instance: "i-2", Suspects: []SuspectReport{{Fingerprint: hash, Crashes: 2}}}}})
-	assert.Assert(t, !c.nodes[2].Standing(hash).Suspected(), "a delayed report of a cleared crash is ignored")
+	assert.Assert(t, !c.nodes[2].State(hash).Suspected(), "a delayed report of a cleared crash is ignored")
 }
 
 func TestInvalidRecordsAreIgnored(t *testing.T) {
 	c := newTestCluster(t, 1)
-	c.nodes[0].Change([]store.Entry{
+	c.nodes[0].ApplyChanges([]store.Entry{
 		{Key: testPrefix + "no-fingerprint", Value: Record{}.Encode(), Revision: 1},
 		{Key: testPrefix + fingerprintOf(1).String(), Value: []byte("no record"), Revision: 2},
 		{Key: "elsewhere/" + fingerprintOf(2).String(), Value: Record{}.Encode(), Revision: 3},
--- a/internal/quarantine/restore_test.go
+++ b/internal/quarantine/restore_test.go
@@ -36,9 +36,9 @@
 	n := &restoredNode{stop: cancel}
 	n.Quarantine = New(Config{
 		Store: memoryStore, Prefix: testPrefix, Now: time.Now, Epoch: memoryStore.Epoch, Place: func() (int, bool) { return place, true },
-		Spread: SpreadConfig{Address: fmt.Sprint(place), Peers: func() []string { return nil }, Send: func(context.Context, string, *Notice) error { return errors.New("no peer") }},
+		Broadcast: BroadcastConfig{Address: fmt.Sprint(place), Peers: func() []string { return nil }, Send: func(context.Context, string, *Notice) error { return errors.New("no peer") }},
 	})
-	storeCopy := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.Change(entries) }, time.Now)
+	storeCopy := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.ApplyChanges(entries) }, time.Now)
 	keeper := &replica.Keeper{Copy: storeCopy, Store: slowStore{memoryStore}, Prefix: testPrefix, Place: func() (int, bool) { return 0, true }, Gather: 800 * time.Millisecond, Now: time.Now}
 	go keeper.Run(ctx)
 	go n.Run(ctx)
@@ -48,14 +48,14 @@
 // quarantineRequest reports crashes of the node's target until the request is quarantined.
 func (n *restoredNode) quarantineRequest(hash fingerprint.Fingerprint) {
 	for i := range quarantineCrashes {
-		n.Crashed(fmt.Sprint("i-", i), []OpenCall{{Fingerprint: hash, Service: "s", Route: "r", Crashes: i + 1}})
+		n.RecordCrash(fmt.Sprint("i-", i), []Call{{Fingerprint: hash, Service: "s", Route: "r", Crashes: i + 1}})
 	}
 }
 
-// TestAVerdictOutlastsARestoredStore checks a quarantine whose record is lost because the
+// TestQuarantineSurvivesStoreRestore checks a quarantine whose record is lost because the
 // store is restored from an older backup: the node that wrote the record rewrites it, or
 // another one if that node has stopped, and a node that starts later learns of it.
-func TestAVerdictOutlastsARestoredStore(t *testing.T) {
+func TestQuarantineSurvivesStoreRestore(t *testing.T) {
 	for _, writerStops := range []bool{false, true} {
 		virtualtime.Run(t, func(t *testing.T) {
 			memoryStore := memory.New(time.Now)
@@ -71,7 +71,7 @@
 			time.Sleep(time.Second)
 			nodes[0].quarantineRequest(hash)
 			time.Sleep(2 * time.Second)
-			assert.Assert(t, nodes[1].Standing(hash).Quarantined)
+			assert.Assert(t, nodes[1].State(hash).Quarantined)
 			if writerStops {
 				nodes[0].stop()
 			}
@@ -79,15 +79,15 @@
 			time.Sleep(3 * time.Second)
 			nodes = append(nodes, startRestoredNode(memoryStore, 2))
 			time.Sleep(time.Second)
-			assert.Assert(t, nodes[1].Standing(hash).Quarantined)
-			assert.Assert(t, nodes[2].Standing(hash).Quarantined, "the node that wrote the record stopped: %v", writerStops)
+			assert.Assert(t, nodes[1].State(hash).Quarantined)
+			assert.Assert(t, nodes[2].State(hash).Quarantined, "the node that wrote the record stopped: %v", writerStops)
 		})
 	}
 }
 
-// TestAReleaseOutlastsARestoredStore checks a request that was cleared after the backup from
+// TestLiftSurvivesStoreRestore checks a request that was cleared after the backup from
 // which the store is restored: the restored record must not quarantine it again.
-func TestAReleaseOutlastsARestoredStore(t *testing.T) {
+func TestLiftSurvivesStoreRestore(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		memoryStore := memory.New(time.Now)
 		hash := fingerprint.Fingerprint{1}
@@ -102,18 +102,18 @@
 		nodes[0].quarantineRequest(hash)
 		time.Sleep(2 * time.Second)
 		backup := memoryStore.Backup()
-		nodes[0].Answered(OpenCall{Fingerprint: hash, Service: "s", Route: "r"})
+		nodes[0].RecordAnswer(Call{Fingerprint: hash, Service: "s", Route: "r"})
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, !nodes[1].Standing(hash).Quarantined)
+		assert.Assert(t, !nodes[1].State(hash).Quarantined)
 		memoryStore.Restore(backup)
 		for range 300 {
 			time.Sleep(10 * time.Millisecond)
 			for _, n := range nodes {
-				assert.Assert(t, !n.Standing(hash).Quarantined, "a cleared request is quarantined again")
+				assert.Assert(t, !n.State(hash).Quarantined, "a cleared request is quarantined again")
 			}
 		}
 		nodes = append(nodes, startRestoredNode(memoryStore, 2))
 		time.Sleep(time.Second)
-		assert.Assert(t, !nodes[2].Standing(hash).Quarantined)
+		assert.Assert(t, !nodes[2].State(hash).Quarantined)
 	})
 }
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -300,13 +300,13 @@
 	}
 }
 
-// TestRandomCrashesConvictHardlyAnybody checks that few harmless requests are quarantined when
+// TestRandomCrashesRarelyQuarantineHarmlessRequests checks that few harmless requests are quarantined when
 // targets crash at random, one or many at once, while they run both unique requests and
 // popular ones that recur many times a second. The rate of false positives grows with the
 // third power of the crash rate. In 8 seeds of 120 s there were none in 589 crashes with one
 // crash per target and minute, one in 1,401 with one every 20 s, and 16 in 3,015 with one
 // every 7 s.
-func TestRandomCrashesConvictHardlyAnybody(t *testing.T) {
+func TestRandomCrashesRarelyQuarantineHarmlessRequests(t *testing.T) {
 	const popular, perSecond, duration = 10, 200.0, 60 * time.Second
 	cases := []struct {
 		perSecond float64
@@ -338,10 +338,10 @@
 	}
 }
 
-// TestAQueryOfDeathEndsFewTargets checks how many targets a query of death crashes that is sent
+// TestQueryOfDeathCrashesFewTargets checks how many targets a query of death crashes that is sent
 // repeatedly to random nodes, at regular or random intervals and among harmless requests, in
 // clusters of several sizes. Attempts that start before the first crash can't be prevented.
-func TestAQueryOfDeathEndsFewTargets(t *testing.T) {
+func TestQueryOfDeathCrashesFewTargets(t *testing.T) {
 	cases := []struct {
 		size       int
 		interval   time.Duration
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -36,8 +36,8 @@
 	maxTrialDelay     = 8 * time.Minute
 )
 
-// Standing holds the crashes and the quarantine state of a request.
-type Standing struct {
+// State holds the crashes and the quarantine state of a request.
+type State struct {
 	// Crashes is the number of consecutive crashes of targets that ran the request.
 	Crashes int
 	// Quarantined reports that the request is refused. RetryAfter is the time until its next
@@ -51,10 +51,10 @@
 }
 
 // Suspected reports whether attempts of the request run one at a time on a target.
-func (s Standing) Suspected() bool { return s.Crashes > 0 }
+func (s State) Suspected() bool { return s.Crashes > 0 }
 
 // Isolated reports whether the request may not run together with another suspect.
-func (s Standing) Isolated() bool { return s.Crashes >= isolationCrashes }
+func (s State) Isolated() bool { return s.Crashes >= isolationCrashes }
 
 // SuspectReport is a request that was running when a target crashed.
 type SuspectReport struct {
@@ -139,15 +139,15 @@
 func (t *Table) Unplaced() uint64 { return t.unplaced.Load() }
 
 // State returns the crashes and the quarantine state of a request.
-func (t *Table) State(hash fingerprint.Fingerprint) Standing {
+func (t *Table) State(hash fingerprint.Fingerprint) State {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	entry := t.suspects[hash]
 	if entry == nil || t.expired(entry) {
 		_, cleared := t.cleared[hash]
-		return Standing{Cleared: cleared}
+		return State{Cleared: cleared}
 	}
-	state := Standing{Crashes: entry.crashes}
+	state := State{Crashes: entry.crashes}
 	if entry.quarantine != nil {
 		state.Quarantined = true
 		state.RetryAfter = max(entry.quarantine.nextTrial.Sub(t.now()), 0)
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -33,7 +33,7 @@
 	for i := range 10 {
 		table.RecordCrash(singleCrash(fmt.Sprint("i-", i), 1, 1))
 	}
-	assert.DeepEqual(t, table.State(fingerprintOf(1)), Standing{Crashes: 1})
+	assert.DeepEqual(t, table.State(fingerprintOf(1)), State{Crashes: 1})
 }
 
 func TestSuspectsExpire(t *testing.T) {
@@ -44,7 +44,7 @@
 	now = now.Add(suspectTTL - time.Second)
 	assert.Assert(t, table.State(fingerprintOf(1)).Quarantined)
 	now = now.Add(time.Second)
-	assert.DeepEqual(t, table.State(fingerprintOf(1)), Standing{})
+	assert.DeepEqual(t, table.State(fingerprintOf(1)), State{})
 	assert.Assert(t, !table.Empty())
 	table.Expire()
 	assert.Assert(t, table.Empty())
@@ -82,12 +82,12 @@
 // late: such a crash quarantines neither, and a crash of the first without the second
 // quarantines it.
 func TestConcurrentSuspectsAreNotQuarantined(t *testing.T) {
-	deadly, popular := OpenCall{Fingerprint: fingerprintOf(1), Crashes: 3}, OpenCall{Fingerprint: fingerprintOf(2), Crashes: 3}
+	deadly, popular := Call{Fingerprint: fingerprintOf(1), Crashes: 3}, Call{Fingerprint: fingerprintOf(2), Crashes: 3}
 	table := NewTable(time.Now)
-	assert.Equal(t, len(table.RecordCrash(crashReport("i-1", []OpenCall{deadly, popular, popular}))), 0)
+	assert.Equal(t, len(table.RecordCrash(crashReport("i-1", []Call{deadly, popular, popular}))), 0)
 	assert.Equal(t, table.State(fingerprintOf(2)).Crashes, isolationCrashes)
-	other := OpenCall{Fingerprint: fingerprintOf(3), Crashes: 1}
-	assert.Equal(t, len(table.RecordCrash(crashReport("i-2", []OpenCall{deadly, deadly, other}))), 1)
+	other := Call{Fingerprint: fingerprintOf(3), Crashes: 1}
+	assert.Equal(t, len(table.RecordCrash(crashReport("i-2", []Call{deadly, deadly, other}))), 1)
 	assert.Assert(t, table.State(fingerprintOf(1)).Quarantined)
 	assert.Assert(t, !table.State(fingerprintOf(2)).Quarantined)
 }
--- a/internal/ratelimit/acquire.go
+++ b/internal/ratelimit/acquire.go
@@ -12,9 +12,9 @@
 
 // settled reports whether the node has known its position for at least settleDelay while a
 // tenant has a limit.
-func (m *Keeper) settled() bool {
+func (m *ShardManager) settled() bool {
 	now := m.config.Now()
-	if _, known := m.config.Place(); !known || !m.config.Needed() {
+	if _, known := m.config.Place(); !known || !m.config.HasLimits() {
 		m.eligibleAt = time.Time{}
 		return false
 	}
@@ -26,9 +26,9 @@
 
 // shouldAcquire reports whether the node is to acquire the shard: an earlier process at its
 // address holds it, or it has no holder and no candidate before the node has acquired it.
-func (m *Keeper) shouldAcquire(number int, settled bool) bool {
+func (m *ShardManager) shouldAcquire(number int, settled bool) bool {
 	place, _ := m.config.Place()
-	heldCount := m.Held()
+	heldCount := m.HeldCount()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	state := m.shards[number]
@@ -66,7 +66,7 @@
 }
 
 // acquire writes the node as the holder of the shard, under its lease.
-func (m *Keeper) acquire(ctx context.Context, number int) {
+func (m *ShardManager) acquire(ctx context.Context, number int) {
 	if m.config.Now().After(m.leaseUntil) {
 		m.lease = store.NoLease
 	}
@@ -81,7 +81,7 @@
 	m.shards[number].retryAt = m.config.Now().Add(acquireRetryDelay)
 	m.mutex.Unlock()
 	idleSince := m.idleSince(previous)
-	value := encode(assignment{Holder: Holder{Address: m.config.Address, Datagrams: m.config.Datagrams}, Process: m.config.Process, Epoch: m.lease.Epoch})
+	value := encode(assignment{Holder: Holder{Address: m.config.Address, DatagramAddress: m.config.DatagramAddress}, Process: m.config.Process, Epoch: m.lease.Epoch})
 	revision, err := m.config.Store.CompareAndSwap(ctx, m.keyOf(number), previous.revision, value, m.lease)
 	switch {
 	case err == nil:
@@ -111,7 +111,7 @@
 // acquires in place of the given state. A shard that was free for shardTTL or longer may have
 // had a holder in the meantime whose lease ended. If it was free for less, the compare-and-swap
 // detects any holder in between.
-func (m *Keeper) idleSince(previous shardState) time.Time {
+func (m *ShardManager) idleSince(previous shardState) time.Time {
 	now := m.config.Now()
 	switch {
 	case previous.lost:
@@ -135,7 +135,7 @@
 }
 
 // grantLease obtains a new lease for the node from the store.
-func (m *Keeper) grantLease(ctx context.Context) bool {
+func (m *ShardManager) grantLease(ctx context.Context) bool {
 	started := m.config.Now()
 	lease, err := m.config.Store.GrantLease(ctx, shardTTL)
 	if err != nil {
@@ -146,7 +146,7 @@
 }
 
 // readShard reads the holder of a shard from the store.
-func (m *Keeper) readShard(ctx context.Context, number int) {
+func (m *ShardManager) readShard(ctx context.Context, number int) {
 	entry, err := m.config.Store.Get(ctx, m.keyOf(number))
 	switch {
 	case err == nil:
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -57,7 +57,7 @@
 // issue takes the needed permits as far as available. Prefetched permits come only from what
 // exceeds reservedFraction of the burst, because near the limit a permit that expires unused is
 // lost to the tenant.
-func (b *bucket) issue(request *Ask) int {
+func (b *bucket) issue(request *PermitRequest) int {
 	b.requests++
 	needed := b.take(float64(request.Needed))
 	prefetched := b.take(math.Min(float64(request.Prefetch), b.level-b.burst*reservedFraction))
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -74,7 +74,7 @@
 }
 
 // Issue handles a request for permits.
-func (i *Issuer) Issue(request *Ask) *Grant {
+func (i *Issuer) Issue(request *PermitRequest) *Grant {
 	tenant := i.tenants(request.Tenant)
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -15,8 +15,8 @@
 const (
 	// Admitted requests have a permit or need none.
 	Admitted Outcome = iota
-	// Reached means that the tenant has no permit left for the request.
-	Reached
+	// LimitReached means that the tenant has no permit left for the request.
+	LimitReached
 	// Unavailable means that no holder of a share was available.
 	Unavailable
 )
@@ -26,8 +26,8 @@
 	Outcome Outcome
 	// RetryAfter is the time after which a refused request is likely to obtain a permit.
 	RetryAfter time.Duration
-	// Asked is the number of holders that were asked for this request.
-	Asked int
+	// HoldersAsked is the number of holders that were asked for this request.
+	HoldersAsked int
 	// expires is when the permit expires, zero if none was needed.
 	expires time.Time
 }
@@ -35,8 +35,8 @@
 // Holder is a node that holds a shard.
 type Holder struct {
 	Address string
-	// Datagrams is the address for permit requests by datagram, empty if the node accepts none.
-	Datagrams string
+	// DatagramAddress is the address for permit requests by datagram, empty if the node accepts none.
+	DatagramAddress string
 }
 
 // Holders returns the holders of shards.
@@ -46,7 +46,7 @@
 }
 
 // RequestFunc requests permits from a holder.
-type RequestFunc func(ctx context.Context, holder Holder, request *Ask) (*Grant, error)
+type RequestFunc func(ctx context.Context, holder Holder, request *PermitRequest) (*Grant, error)
 
 const (
 	// requestTimeout bounds one permit request. Responses take some milliseconds; a holder that
@@ -201,7 +201,7 @@
 			time.Sleep(pause)
 			continue
 		}
-		request := &Ask{Share: share, Tenant: tenant, Needed: len(q.waiters), Prefetch: q.prefetch()}
+		request := &PermitRequest{Share: share, Tenant: tenant, Needed: len(q.waiters), Prefetch: q.prefetch()}
 		holder, _ := l.holders.Holder(shardOf(tenant, share))
 		for _, w := range q.waiters {
 			w.holdersAsked++
@@ -212,7 +212,7 @@
 }
 
 // requestFrom asks the holder of a share and processes its response.
-func (l *Limiter) requestFrom(q *queue, holder Holder, request *Ask) {
+func (l *Limiter) requestFrom(q *queue, holder Holder, request *PermitRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	requested := l.now()
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -33,7 +33,7 @@
 
 func (h *fakeHolder) Holder(int) (Holder, bool) { return Holder{Address: "holder"}, true }
 
-func (h *fakeHolder) request(ctx context.Context, _ Holder, request *Ask) (*Grant, error) {
+func (h *fakeHolder) request(ctx context.Context, _ Holder, request *PermitRequest) (*Grant, error) {
 	h.mutex.Lock()
 	h.requests++
 	err, delay := h.err, h.delay
@@ -75,7 +75,7 @@
 					admitted++
 					return
 				}
-				assert.Equal(t, decision.Outcome, Reached)
+				assert.Equal(t, decision.Outcome, LimitReached)
 				assert.Assert(t, decision.RetryAfter >= minRetryDelay && decision.RetryAfter < 4*maxRetryDelay, "%s", decision.RetryAfter)
 			})
 		}
@@ -117,7 +117,7 @@
 		decision := limiter.Admit(t.Context(), testTenant)
 		assert.Equal(t, decision.Outcome, Unavailable)
 		assert.Equal(t, time.Since(started), requestTimeout)
-		assert.Equal(t, decision.Asked, 1)
+		assert.Equal(t, decision.HoldersAsked, 1)
 		assert.Equal(t, limiter.Admit(t.Context(), testTenant).Outcome, Unavailable)
 		assert.Equal(t, time.Since(started), requestTimeout, "a silent holder is not asked again immediately")
 		h.delay, h.err = 0, errors.New("refused")
@@ -131,11 +131,11 @@
 	})
 }
 
-// TestAHolderThatIsBackIsAskedSoon checks holders that report that they hold no shard, as right
+// TestRestartedHolderIsRetriedSoon checks holders that report that they hold no shard, as right
 // after a restart of the whole cluster. When all processes were killed, requests were refused
 // for a second after the shards were held again, as their limit could not be checked: 77 of the
 // sampled refusals fell in that second, none later.
-func TestAHolderThatIsBackIsAskedSoon(t *testing.T) {
+func TestRestartedHolderIsRetriedSoon(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newFakeHolder(testTenant)
 		for number := range Shards {
@@ -176,7 +176,7 @@
 		tenant := routetable.Tenant{Name: "tenant", Rate: 100, Burst: 100}
 		h := newFakeHolder(&tenant)
 		time.Sleep(5 * time.Second)
-		request := &Ask{Tenant: "tenant", Needed: 1000}
+		request := &PermitRequest{Tenant: "tenant", Needed: 1000}
 		tenant.Rate, tenant.Burst = 10, 10
 		assert.Equal(t, h.issuer.Issue(request).Issued, 2, "a quarter of the burst")
 		time.Sleep(time.Second)
@@ -193,12 +193,12 @@
 // TestHolderWithoutTenant checks a holder whose configuration lacks the tenant.
 func TestHolderWithoutTenant(t *testing.T) {
 	h := newFakeHolder(nil)
-	grant := h.issuer.Issue(&Ask{Tenant: "tenant", Needed: 1})
+	grant := h.issuer.Issue(&PermitRequest{Tenant: "tenant", Needed: 1})
 	assert.Assert(t, grant.Held)
 	assert.Equal(t, grant.Issued, 0)
 	assert.Equal(t, grant.RetryAfter, minRetryDelay)
 	h.issuer.Release(shardOf("tenant", 0))
-	assert.Assert(t, !h.issuer.Issue(&Ask{Tenant: "tenant", Needed: 1}).Held)
+	assert.Assert(t, !h.issuer.Issue(&PermitRequest{Tenant: "tenant", Needed: 1}).Held)
 }
 
 // TestLapsedHoldAccruesFromItsEnd checks a hold that lapses while its store lease is kept,
@@ -212,7 +212,7 @@
 		number := shardOf(testTenant.Name, 0)
 		issuer.Hold(number, acquired, acquired.Add(6*time.Second))
 		time.Sleep(6*time.Second - time.Millisecond)
-		request := &Ask{Tenant: testTenant.Name, Needed: 1000}
+		request := &PermitRequest{Tenant: testTenant.Name, Needed: 1000}
 		assert.Equal(t, issuer.Issue(request).Issued, 25)
 		time.Sleep(201 * time.Millisecond)
 		issuer.Hold(number, acquired, time.Now().Add(6*time.Second))
--- a/internal/ratelimit/permits_test.go
+++ b/internal/ratelimit/permits_test.go
@@ -150,7 +150,7 @@
 		q.requesting = false
 		return
 	}
-	request := &Ask{Share: share, Tenant: s.sim.tenant.Name, Needed: len(q.waiters), Prefetch: q.prefetch()}
+	request := &PermitRequest{Share: share, Tenant: s.sim.tenant.Name, Needed: len(q.waiters), Prefetch: q.prefetch()}
 	if s.noPrefetch {
 		request.Prefetch = 0
 	}
--- a/internal/ratelimit/queue.go
+++ b/internal/ratelimit/queue.go
@@ -25,10 +25,10 @@
 func (q *queue) refusal(now time.Time, holdersAsked int) Decision {
 	at, empty := q.nextRetry(now)
 	if !empty {
-		return Decision{Outcome: Unavailable, RetryAfter: unavailableRetryAfter + rand.N(unavailableRetryAfter), Asked: holdersAsked}
+		return Decision{Outcome: Unavailable, RetryAfter: unavailableRetryAfter + rand.N(unavailableRetryAfter), HoldersAsked: holdersAsked}
 	}
 	wait := max(at.Sub(now), minRetryDelay)
-	return Decision{Outcome: Reached, RetryAfter: wait + rand.N(wait), Asked: holdersAsked}
+	return Decision{Outcome: LimitReached, RetryAfter: wait + rand.N(wait), HoldersAsked: holdersAsked}
 }
 
 // serve gives permits to waiting requests in the order of their arrival.
@@ -38,7 +38,7 @@
 		if !taken {
 			return
 		}
-		q.waiters[0].decision <- Decision{expires: expires, Asked: q.waiters[0].holdersAsked}
+		q.waiters[0].decision <- Decision{expires: expires, HoldersAsked: q.waiters[0].holdersAsked}
 		q.waiters = q.waiters[1:]
 	}
 }
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -87,8 +87,8 @@
 	return min(max(validity-arrivalDelay, minValidity), maxValidity)
 }
 
-// Ask is a request for permits to the holder of a share of a tenant's limit.
-type Ask struct {
+// PermitRequest is a request for permits to the holder of a share of a tenant's limit.
+type PermitRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Share  int
 	Tenant string
@@ -98,7 +98,7 @@
 }
 
 // Valid reports whether the request is well-formed.
-func (a *Ask) Valid() bool {
+func (a *PermitRequest) Valid() bool {
 	return a.Share >= 0 && a.Share < Shares && a.Needed >= 0 && a.Prefetch >= 0
 }
 
--- a/internal/ratelimit/restore_test.go
+++ b/internal/ratelimit/restore_test.go
@@ -34,7 +34,7 @@
 
 // restoredNode is one process with a shard manager that follows a local copy of the store.
 type restoredNode struct {
-	*Keeper
+	*ShardManager
 	issuer      *Issuer
 	partitioned atomic.Bool
 	stop        context.CancelFunc
@@ -67,10 +67,10 @@
 	epochs := epoch.NewTracker()
 	restored := &storetest.Restored{Store: c.store, Epochs: epochs, Refused: func() bool { return n.partitioned.Load() || c.storeDown.Load() }}
 	n.issuer = NewIssuer(testBounds, func(string) *routetable.Tenant { return testTenant }, time.Now)
-	n.Keeper = NewKeeper(KeeperConfig{Address: fmt.Sprint("node-", place), Process: c.started, Started: time.Now(), FirstStart: first, Epoch: epochs.Current,
-		Prefix: "shards/", Store: restored, Place: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, Needed: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
-	epochs.OnChange(func(epoch.Change) { n.StoreRestored() })
-	storeCopy := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.Change(entries) }, time.Now)
+	n.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", place), Process: c.started, Started: time.Now(), FirstStart: first, Epoch: epochs.Current,
+		Prefix: "shards/", Store: restored, Place: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
+	epochs.OnChange(func(epoch.Change) { n.HandleStoreRestored() })
+	storeCopy := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.ApplyChanges(entries) }, time.Now)
 	copyKeeper := &replica.Keeper{Copy: storeCopy, Store: restored, Prefix: "shards/", Place: func() (int, bool) { return 0, true }, Gather: 800 * time.Millisecond, Now: time.Now}
 	go copyKeeper.Run(ctx)
 	go n.Run(ctx)
@@ -130,9 +130,9 @@
 	time.Sleep(time.Minute)
 }
 
-// TestHoldersOutlastARestoredStore restores a store that lacks all or some of the shards, while
+// TestHoldersSurviveStoreRestore restores a store that lacks all or some of the shards, while
 // nodes hold them: the holders keep them without a gap, and no other node acquires one.
-func TestHoldersOutlastARestoredStore(t *testing.T) {
+func TestHoldersSurviveStoreRestore(t *testing.T) {
 	for _, settled := range []time.Duration{0, 2 * time.Second, 20 * time.Second} {
 		virtualtime.Run(t, func(t *testing.T) {
 			c := newRestoredCluster(t, 17)
@@ -165,11 +165,11 @@
 	})
 }
 
-// TestNoShardHasTwoHoldersBesideARestoredStore runs random schedules in which the store is
+// TestShardHasSingleHolderAfterStoreRestore runs random schedules in which the store is
 // restored from backups up to eight seconds old, also twice in a row, while nodes are killed,
 // started and cut off from the store. Two nodes must never hold a shard at the same time, and
 // all shards must have holders at the end.
-func TestNoShardHasTwoHoldersBesideARestoredStore(t *testing.T) {
+func TestShardHasSingleHolderAfterStoreRestore(t *testing.T) {
 	for _, seed := range regressionSeeds {
 		virtualtime.Run(t, func(t *testing.T) { runRestoreSchedule(t, seed) })
 	}
--- a/internal/ratelimit/shard_manager.go
+++ b/internal/ratelimit/shard_manager.go
@@ -58,14 +58,14 @@
 // released reports whether the holder released the shard.
 func (h *assignment) released() bool { return h.Address == "" }
 
-// KeeperConfig holds the settings and dependencies of a Keeper.
-type KeeperConfig struct {
+// ShardManagerConfig holds the settings and dependencies of a Keeper.
+type ShardManagerConfig struct {
 	// Address is the address of the node, and Process distinguishes it from earlier processes
 	// there.
 	Address string
 	Process uint32
-	// Datagrams is the address for permit requests by datagram, empty if the node accepts none.
-	Datagrams string
+	// DatagramAddress is the address for permit requests by datagram, empty if the node accepts none.
+	DatagramAddress string
 	// Started is the start time of the process: earlier processes issue no permits after it.
 	Started time.Time
 	// FirstStart reports that no process ran on any machine before.
@@ -79,17 +79,17 @@
 	Place func() (int, bool)
 	// Nodes returns the number of known nodes; nil stands for the number of shards.
 	Nodes func() int
-	// Needed reports whether any tenant has a limit.
-	Needed func() bool
-	Issuer *Issuer
-	Log    *eventlog.Log
-	Now    func() time.Time
+	// HasLimits reports whether any tenant has a limit.
+	HasLimits func() bool
+	Issuer    *Issuer
+	Log       *eventlog.Log
+	Now       func() time.Time
 }
 
-// Keeper acquires shards without a holder, renews the lease of those that the node holds, and
+// ShardManager acquires shards without a holder, renews the lease of those that the node holds, and
 // tracks the holders of all shards. It is safe for concurrent use.
-type Keeper struct {
-	config KeeperConfig
+type ShardManager struct {
+	config ShardManagerConfig
 
 	mutex  sync.Mutex
 	shards [Shards]shardState
@@ -127,15 +127,15 @@
 	freeAt time.Time
 }
 
-// NewKeeper returns a shard manager that knows no holder.
-func NewKeeper(config KeeperConfig) *Keeper {
+// NewShardManager returns a shard manager that knows no holder.
+func NewShardManager(config ShardManagerConfig) *ShardManager {
 	if config.Nodes == nil {
 		config.Nodes = func() int { return Shards }
 	}
 	if config.Epoch == nil {
 		config.Epoch = func() store.Epoch { return 0 }
 	}
-	m := &Keeper{config: config, wake: make(chan struct{}, 1)}
+	m := &ShardManager{config: config, wake: make(chan struct{}, 1)}
 	if !config.FirstStart {
 		m.deferAcquisition(config.Started)
 	}
@@ -143,15 +143,15 @@
 }
 
 // Holder returns the node that holds the shard, false if none is known.
-func (m *Keeper) Holder(shard int) (holder Holder, known bool) {
+func (m *ShardManager) Holder(shard int) (holder Holder, known bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	state := &m.shards[shard]
 	return state.Holder, (state.revision > 0 || state.lost) && !state.released()
 }
 
-// Change processes changes of the store; keys without the prefix are ignored.
-func (m *Keeper) Change(entries []store.Entry) {
+// ApplyChanges processes changes of the store; keys without the prefix are ignored.
+func (m *ShardManager) ApplyChanges(entries []store.Entry) {
 	for _, entry := range entries {
 		if number, found := m.numberOf(entry.Key); found {
 			m.applyEntry(number, entry)
@@ -159,16 +159,16 @@
 	}
 }
 
-func (m *Keeper) numberOf(key string) (int, bool) {
+func (m *ShardManager) numberOf(key string) (int, bool) {
 	text, found := strings.CutPrefix(key, m.config.Prefix)
 	number, err := strconv.Atoi(text)
 	return number, found && err == nil && number >= 0 && number < Shards
 }
 
-func (m *Keeper) keyOf(number int) string { return m.config.Prefix + strconv.Itoa(number) }
+func (m *ShardManager) keyOf(number int) string { return m.config.Prefix + strconv.Itoa(number) }
 
 // applyEntry updates the state of a shard from its entry in the store.
-func (m *Keeper) applyEntry(number int, entry store.Entry) {
+func (m *ShardManager) applyEntry(number int, entry store.Entry) {
 	var state assignment
 	if !entry.Deleted {
 		if err := cbor.Unmarshal(entry.Value, &state); err != nil {
@@ -198,7 +198,7 @@
 // detectLoss handles an entry of a restored store that does not come from the shard's holder,
 // and reports whether the entry was one. The previous holder keeps the shard for as long as its
 // lease would have lasted.
-func (m *Keeper) detectLoss(current *shardState, state *assignment, entry store.Entry) bool {
+func (m *ShardManager) detectLoss(current *shardState, state *assignment, entry store.Entry) bool {
 	restored := !entry.Deleted && state.Epoch < entry.Revision.Epoch()
 	absent := entry.Deleted && entry.Revision.Epoch() > current.lastRevision.Epoch()
 	if !restored && !absent {
@@ -230,16 +230,16 @@
 
 // deferAcquisition lets the node acquire no shard, except those that it held itself, before all
 // leases granted until the given time have ended.
-func (m *Keeper) deferAcquisition(granted time.Time) {
+func (m *ShardManager) deferAcquisition(granted time.Time) {
 	for number := range m.shards {
 		m.shards[number].freeAt = latest(m.shards[number].freeAt, granted.Add(shardTTL))
 	}
 }
 
-// StoreRestored handles that the store was restored from a backup: shards acquired since the
+// HandleStoreRestored handles that the store was restored from a backup: shards acquired since the
 // backup may be missing, and lease IDs are assigned again. A shard without a known holder may
 // have one whose assignment was lost.
-func (m *Keeper) StoreRestored() {
+func (m *ShardManager) HandleStoreRestored() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := m.config.Now()
@@ -253,7 +253,7 @@
 	m.signal()
 }
 
-func (m *Keeper) signal() {
+func (m *ShardManager) signal() {
 	select {
 	case m.wake <- struct{}{}:
 	default:
@@ -261,12 +261,12 @@
 }
 
 // markFree records that the shard has no holder.
-func (m *Keeper) markFree(number int) {
+func (m *ShardManager) markFree(number int) {
 	m.shards[number] = shardState{lastRevision: m.shards[number].lastRevision, since: m.config.Now(), freeAt: m.shards[number].freeAt}
 }
 
 // Run acquires shards and renews their lease until the context ends.
-func (m *Keeper) Run(ctx context.Context) {
+func (m *ShardManager) Run(ctx context.Context) {
 	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
@@ -281,7 +281,7 @@
 }
 
 // Stop releases the shards that the node holds, so that others acquire them immediately.
-func (m *Keeper) Stop(ctx context.Context) {
+func (m *ShardManager) Stop(ctx context.Context) {
 	m.mutex.Lock()
 	m.stopped = true
 	shards := m.shards
@@ -301,7 +301,7 @@
 }
 
 // check renews the lease if due and acquires the shards that the node is to hold.
-func (m *Keeper) check(ctx context.Context) {
+func (m *ShardManager) check(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	m.renew(ctx)
@@ -314,17 +314,17 @@
 }
 
 // owns reports whether this process holds the shard, according to the store.
-func (m *Keeper) owns(state shardState) bool {
+func (m *ShardManager) owns(state shardState) bool {
 	return state.revision > 0 && !state.lost && m.wasHolder(state)
 }
 
 // wasHolder reports whether this process is the last known holder of the shard.
-func (m *Keeper) wasHolder(state shardState) bool {
+func (m *ShardManager) wasHolder(state shardState) bool {
 	return state.Address == m.config.Address && state.Process == m.config.Process
 }
 
-// Held returns the number of shards that the node holds.
-func (m *Keeper) Held() int {
+// HeldCount returns the number of shards that the node holds.
+func (m *ShardManager) HeldCount() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	count := 0
@@ -337,13 +337,13 @@
 }
 
 // renew renews the lease of the shards that the node holds.
-func (m *Keeper) renew(ctx context.Context) {
+func (m *ShardManager) renew(ctx context.Context) {
 	if m.lease.Epoch < m.config.Epoch() {
 		// Leases of an earlier epoch are not renewed. The node keeps its shards until the end of
 		// the lease.
 		m.lease = store.NoLease
 	}
-	if m.lease == store.NoLease || m.config.Now().Before(m.renewAt) || m.Held() == 0 {
+	if m.lease == store.NoLease || m.config.Now().Before(m.renewAt) || m.HeldCount() == 0 {
 		return
 	}
 	started := m.config.Now()
@@ -359,7 +359,7 @@
 }
 
 // extendHolds extends the holds of the issuer to the end of the lease.
-func (m *Keeper) extendHolds() {
+func (m *ShardManager) extendHolds() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.stopped {
@@ -373,7 +373,7 @@
 }
 
 // handleLeaseLost releases all shards that the node held under the lost lease.
-func (m *Keeper) handleLeaseLost(reason string) {
+func (m *ShardManager) handleLeaseLost(reason string) {
 	m.lease = store.NoLease
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -386,6 +386,6 @@
 	}
 }
 
-func (m *Keeper) logChange(number int, outcome, reason string) {
+func (m *ShardManager) logChange(number int, outcome, reason string) {
 	m.config.Log.Record(eventlog.Event{Kind: eventlog.ShardChanged, Count: number, Outcome: outcome, Reason: reason})
 }
--- a/internal/ratelimit/shard_manager_test.go
+++ b/internal/ratelimit/shard_manager_test.go
@@ -45,7 +45,7 @@
 
 // testNode is a node with its shard manager and issuer.
 type testNode struct {
-	*Keeper
+	*ShardManager
 	store  *unavailableStore
 	issuer *Issuer
 	stop   context.CancelFunc
@@ -65,8 +65,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &testNode{store: &unavailableStore{Store: c.store}, stop: cancel}
 	n.issuer = NewIssuer(testBounds, func(string) *routetable.Tenant { return testTenant }, time.Now)
-	n.Keeper = NewKeeper(KeeperConfig{Address: fmt.Sprint("node-", place), Process: process, Started: time.Now(), FirstStart: process == 1, Prefix: "shards/", Store: n.store,
-		Place: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, Needed: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
+	n.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", place), Process: process, Started: time.Now(), FirstStart: process == 1, Prefix: "shards/", Store: n.store,
+		Place: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
 	go n.Run(ctx)
 	go n.follow(ctx)
 	return n
@@ -78,10 +78,10 @@
 	if err != nil {
 		return
 	}
-	n.Change(snapshot.Entries)
+	n.ApplyChanges(snapshot.Entries)
 	_ = n.store.Watch(ctx, "shards/", snapshot.Revision, func(batch []store.Entry, _ store.Revision) {
 		time.Sleep(300 * time.Millisecond)
-		n.Change(batch)
+		n.ApplyChanges(batch)
 	})
 }
 
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestAnotherNodeTakesAShard checks that other nodes take over the shards of a holder that
+// TestShardFailover checks that other nodes take over the shards of a holder that
 // crashes, is cut off from the store, or stops.
-func TestAnotherNodeTakesAShard(t *testing.T) {
+func TestShardFailover(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault func(c *testCluster)
 		bound time.Duration
@@ -193,9 +193,9 @@
 	})
 }
 
-// TestAStoreThatIsAwayLeavesHoldersInPlace checks store outages of 4 s and 10 s: holders keep
+// TestStoreOutageKeepsHolders checks store outages of 4 s and 10 s: holders keep
 // their shards until the lease ends, and all shards have holders again soon after the outage.
-func TestAStoreThatIsAwayLeavesHoldersInPlace(t *testing.T) {
+func TestStoreOutageKeepsHolders(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		c := newTestCluster(t, 20)
 		defer c.shutdown()
@@ -219,9 +219,9 @@
 	})
 }
 
-// TestAnOldEntryDoesNotBringAShardBack checks that a stale entry from the local copy of the
+// TestStaleEntryDoesNotRestoreShard checks that a stale entry from the local copy of the
 // store does not restore a hold that has ended.
-func TestAnOldEntryDoesNotBringAShardBack(t *testing.T) {
+func TestStaleEntryDoesNotRestoreShard(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		c := newTestCluster(t, 1)
 		defer c.shutdown()
@@ -230,7 +230,7 @@
 		entry, err := c.store.Get(t.Context(), "shards/3")
 		assert.NilError(t, err)
 		n.Stop(t.Context())
-		n.Change([]store.Entry{entry})
+		n.ApplyChanges([]store.Entry{entry})
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, !n.issuer.Holds(3))
 	})
--- a/internal/ratelimit/strategies_test.go
+++ b/internal/ratelimit/strategies_test.go
@@ -39,12 +39,12 @@
 	return sum
 }
 
-// TestWaysOfHoldingALimit compares three strategies on the same scenarios and seeds: permits
+// TestRateLimitStrategies compares three strategies on the same scenarios and seeds: permits
 // with prefetching (the strategy of the package), permits on demand only, and a coordinator that
 // returns the fraction to admit. With the coordinator, 1.7 times the bound is executed when 300
 // nodes suddenly send six times the usual rate of a small tenant, and 1.4 times when a third of
 // the nodes are partitioned while the tenant sends four times its usual rate.
-func TestWaysOfHoldingALimit(t *testing.T) {
+func TestRateLimitStrategies(t *testing.T) {
 	withPeak := func(s scenario, times float64) scenario {
 		s.peakFactor, s.peakFrom, s.peakUntil = times, 8*time.Second, 16*time.Second
 		return s
@@ -87,11 +87,11 @@
 	}
 }
 
-// TestNoLimitIsPassed runs random scenarios: tenants of all sizes that send up to eight times
+// TestLimitsAreNotExceeded runs random scenarios: tenants of all sizes that send up to eight times
 // their usual rate, from all nodes or from a changing few, while nodes are partitioned,
 // restarted or lost, possibly holders of shards first, and limits fall to a tenth. In no window
 // may the executed requests of the tenant over all nodes exceed the bound.
-func TestNoLimitIsPassed(t *testing.T) {
+func TestLimitsAreNotExceeded(t *testing.T) {
 	for seed := *firstSchedule; seed < *firstSchedule+uint64(*schedules); seed++ {
 		s := randomScenario(seed)
 		for _, burst := range []float64{s.burst, s.burst * smallBurstFactor} {
--- a/internal/sidecar/copies.go
+++ b/internal/sidecar/copies.go
@@ -79,7 +79,7 @@
 func (n *Node) epochChanged(change epoch.Change) {
 	n.log.Record(eventlog.Event{Kind: eventlog.StoreRestored, Peer: change.Source, Previous: uint64(change.From), Version: uint64(change.To)})
 	n.registrar.HandleStoreRestored()
-	n.limits.keeper.StoreRestored()
+	n.limits.keeper.HandleStoreRestored()
 }
 
 // passedOver notes that the store told less than a copy holds.
@@ -133,8 +133,8 @@
 func (n *Node) recordsChanged(entries []store.Entry, source string) {
 	n.directory.ApplyChanges(entries, source)
 	n.registrar.ApplyChanges(entries)
-	n.suspects.Change(entries)
-	n.limits.keeper.Change(entries)
+	n.suspects.ApplyChanges(entries)
+	n.limits.keeper.ApplyChanges(entries)
 }
 
 func (n *Node) askPeer(ctx context.Context, address string, query *replica.Query) (*replica.Answer, error) {
--- a/internal/sidecar/gauges.go
+++ b/internal/sidecar/gauges.go
@@ -23,7 +23,7 @@
 		{"records_copy_age_seconds", "Time since the copy of the records was known to be current.", func() float64 { return ageOf(n.copies.records) }},
 		{"store_watched", "Whether the node is one of those that watch the store, 1 or 0.", func() float64 { return truth(n.copies.keepRecords.Watches()) }},
 		{"configuration_verified_age_seconds", "Time since a read of the store began by which the configuration is known to be current; API keys rest on it.", func() float64 { return verifiedAgeOf(n.copies.configuration) }},
-		{"limit_shards_held", "Shards of tenants' limits that the node holds.", func() float64 { return float64(n.limits.keeper.Held()) }},
+		{"limit_shards_held", "Shards of tenants' limits that the node holds.", func() float64 { return float64(n.limits.keeper.HeldCount()) }},
 		{"homes_known", "Homes with a ready target that the node knows.", func() float64 { return float64(n.directory.Count()) }},
 		{"homes_suspected", "Homes that are passed over.", func() float64 { return float64(n.forwarder.Suspected()) }},
 		{"requests_quarantined", "Requests that are refused as targets crash under them.", func() float64 { return float64(n.suspects.Quarantined()) }},
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -168,20 +168,20 @@
 
 func (n *Node) newQuarantine() *quarantine.Quarantine {
 	return quarantine.New(quarantine.Config{
-		Spread: quarantine.SpreadConfig{
+		Broadcast: quarantine.BroadcastConfig{
 			Address: n.settings.advertised(),
 			Peers:   n.directory.Addresses,
 			Send: func(ctx context.Context, address string, notice *quarantine.Notice) error {
 				return n.peers.SendQuarantineNotice(ctx, address, notice)
 			},
 		},
-		Store:     n.gate.Wrap(n.store.WithPurpose(purposeQuarantine)),
-		Prefix:    platform.QuarantinePrefix,
-		Epoch:     n.epochs.Current,
-		Place:     n.directory.Place,
-		OnVerdict: func(hash fingerprint.Fingerprint) { n.guard.CancelQuarantined(hash) },
-		Log:       n.log,
-		Now:       clock.Now,
+		Store:        n.gate.Wrap(n.store.WithPurpose(purposeQuarantine)),
+		Prefix:       platform.QuarantinePrefix,
+		Epoch:        n.epochs.Current,
+		Place:        n.directory.Place,
+		OnQuarantine: func(hash fingerprint.Fingerprint) { n.guard.CancelQuarantined(hash) },
+		Log:          n.log,
+		Now:          clock.Now,
 	})
 }
 
