--- a/internal/store/leased/writer.go
+++ b/internal/store/leased/writer.go
@@ -1,5 +1,5 @@
-// Package leased writes entries that the store forgets some time after their writer, each
-// under a lease that is granted when it is needed and never renewed.
+// Package leased writes entries that expire in the store independently of their writer. Each is
+// written under a lease that is granted on demand and never renewed.
 package leased
 
 import (
@@ -11,9 +11,9 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// reusedPart is the part of a lease's time after which no more entries are written under
-// it, so that each lasts for nearly all of the time that it was meant to.
-const reusedPart = 4
+// reuseDivisor bounds the reuse of a lease to duration/reuseDivisor after it was granted, so that
+// each entry lasts for nearly the whole duration.
+const reuseDivisor = 4
 
 // Writer writes entries under leases of one duration. It is safe for concurrent use.
 type Writer struct {
@@ -21,27 +21,27 @@
 	duration time.Duration
 	now      func() time.Time
 
-	mutex   sync.Mutex
-	lease   store.LeaseID
-	granted time.Time
+	mutex     sync.Mutex
+	lease     store.LeaseID
+	grantedAt time.Time
 }
 
-// NewWriter returns a writer of entries that last for the duration.
-func NewWriter(target store.Store, duration time.Duration, now func() time.Time) *Writer {
-	return &Writer{store: target, duration: duration, now: now}
+// NewWriter returns a writer of entries that expire after the duration.
+func NewWriter(inner store.Store, duration time.Duration, now func() time.Time) *Writer {
+	return &Writer{store: inner, duration: duration, now: now}
 }
 
-// CompareAndSwap writes the key as the store's method of this name does, under a lease.
+// CompareAndSwap calls the store's CompareAndSwap with a lease.
 func (w *Writer) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte) (store.Revision, error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.lease == store.NoLease || w.now().Sub(w.granted) > w.duration/reusedPart {
-		granted := w.now()
+	if w.lease == store.NoLease || w.now().Sub(w.grantedAt) > w.duration/reuseDivisor {
+		grantedAt := w.now()
 		lease, err := w.store.GrantLease(ctx, w.duration)
 		if err != nil {
 			return 0, err
 		}
-		w.lease, w.granted = lease, granted
+		w.lease, w.grantedAt = lease, grantedAt
 	}
 	revision, err := w.store.CompareAndSwap(ctx, key, expected, value, w.lease)
 	if errors.Is(err, store.ErrLeaseLost) {
