--- a/internal/apikey/apikey_test.go
+++ b/internal/apikey/apikey_test.go
@@ -13,25 +13,25 @@
 	"github.com/lugspur/lugspur/internal/virtualtime"
 )
 
-// source is a verification that tests set.
-type source struct {
+// fakeVerification is a verification that tests set.
+type fakeVerification struct {
 	mutex    sync.Mutex
 	verified time.Time
 	changed  chan struct{}
 }
 
-func (s *source) VerifiedAt() time.Time {
+func (s *fakeVerification) VerifiedAt() time.Time {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.verified
 }
 
-func (s *source) Await(ctx context.Context, settled func(time.Time) bool) error {
+func (s *fakeVerification) Await(ctx context.Context, condition func(time.Time) bool) error {
 	for {
 		s.mutex.Lock()
 		verified, changed := s.verified, s.changed
 		s.mutex.Unlock()
-		if settled(verified) {
+		if condition(verified) {
 			return nil
 		}
 		select {
@@ -42,8 +42,8 @@
 	}
 }
 
-// verify notes that the configuration in force is current now.
-func (s *source) verify() {
+// markVerified records that the applied configuration is current now.
+func (s *fakeVerification) markVerified() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.verified = time.Now()
@@ -51,28 +51,28 @@
 	s.changed = make(chan struct{})
 }
 
-// fixture is a checker whose bound is 5 s.
+// fixture holds a checker with a maximum age of 5 s.
 type fixture struct {
-	t       *testing.T
-	routes  *routetable.Holder
-	source  *source
-	checker *Checker
+	t            *testing.T
+	routes       *routetable.Holder
+	verification *fakeVerification
+	checker      *Checker
 }
 
-const bound = 5 * time.Second
+const testMaxAge = 5 * time.Second
 
 func newFixture(t *testing.T) *fixture {
-	f := &fixture{t: t, routes: &routetable.Holder{}, source: &source{changed: make(chan struct{})}}
-	f.checker = NewChecker(f.routes, f.source, bound)
+	f := &fixture{t: t, routes: &routetable.Holder{}, verification: &fakeVerification{changed: make(chan struct{})}}
+	f.checker = NewChecker(f.routes, f.verification, testMaxAge)
 	return f
 }
 
-// put brings a configuration into force in which the tenants hold the keys.
-func (f *fixture) put(version routetable.Version, keys map[string][]string) {
+// apply applies a configuration in which the tenants hold the keys.
+func (f *fixture) apply(version routetable.Version, keys map[string][]string) {
 	configuration := &routetable.Configuration{Version: version}
-	for name, held := range keys {
+	for name, digests := range keys {
 		tenant := routetable.Tenant{Name: name}
-		for _, key := range held {
+		for _, key := range digests {
 			tenant.Keys = append(tenant.Keys, routetable.DigestKey(key))
 		}
 		configuration.Tenants = append(configuration.Tenants, tenant)
@@ -85,32 +85,32 @@
 	return f.checker.Check(f.t.Context(), keys, time.Now())
 }
 
-func TestAKeyNamesItsTenant(t *testing.T) {
+func TestKeyIdentifiesTenant(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newFixture(t)
-		f.put(1, map[string][]string{"one": {"a", "b"}, "two": {"c"}})
-		f.source.verify()
+		f.apply(1, map[string][]string{"one": {"a", "b"}, "two": {"c"}})
+		f.verification.markVerified()
 		assert.Equal(t, f.check("a").Tenant.Name, "one")
 		assert.Equal(t, f.check("c").Tenant.Name, "two")
 	})
 }
 
-func TestWithoutTenantsNoKeyIsNeeded(t *testing.T) {
+func TestNoKeyIsNeededWithoutTenants(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newFixture(t)
-		f.put(1, nil)
+		f.apply(1, nil)
 		assert.Equal(t, f.check().Outcome, Allowed)
 		assert.Equal(t, f.check("a").Outcome, Allowed)
 	})
 }
 
-// TestKeysOfAnyForm has callers send what is no key: whatever its bytes, length and number,
-// it is turned away for good.
-func TestKeysOfAnyForm(t *testing.T) {
+// TestMalformedKeysAreRejected checks that values which can't be keys are rejected for good,
+// whatever their bytes, length and number.
+func TestMalformedKeysAreRejected(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newFixture(t)
-		f.put(1, map[string][]string{"one": {"a"}})
-		f.source.verify()
+		f.apply(1, map[string][]string{"one": {"a"}})
+		f.verification.markVerified()
 		long := string(make([]byte, 1<<20))
 		for _, keys := range [][]string{nil, {""}, {"a", "a"}, {"", "a"}} {
 			assert.Equal(t, f.check(keys...).Outcome, Missing, "%q", keys)
@@ -118,109 +118,109 @@
 		for _, key := range []string{"A", " a", "a ", "\x00", "\xff\xfe", long} {
 			go func() {
 				time.Sleep(time.Second)
-				f.source.verify()
+				f.verification.markVerified()
 			}()
 			assert.Equal(t, f.check(key).Outcome, Unknown)
 		}
 	})
 }
 
-// TestAKeyThatWasTakenAwayIsTurnedAwayAtOnce has a caller go on with a key that the
-// configuration no longer holds: it need not wait for a verification.
-func TestAKeyThatWasTakenAwayIsTurnedAwayAtOnce(t *testing.T) {
+// TestRevokedKeyIsRejectedAtOnce checks that a revoked key is rejected without waiting for a
+// verification.
+func TestRevokedKeyIsRejectedAtOnce(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newFixture(t)
-		f.put(1, map[string][]string{"one": {"a", "b"}})
-		f.put(2, map[string][]string{"one": {"b"}})
-		f.put(3, map[string][]string{"one": {}})
-		f.source.verify()
-		began := time.Now()
+		f.apply(1, map[string][]string{"one": {"a", "b"}})
+		f.apply(2, map[string][]string{"one": {"b"}})
+		f.apply(3, map[string][]string{"one": {}})
+		f.verification.markVerified()
+		start := time.Now()
 		assert.Equal(t, f.check("a").Outcome, Unknown)
 		assert.Equal(t, f.check("b").Outcome, Unknown, "the last key of a tenant")
-		assert.Equal(t, time.Since(began), time.Duration(0))
-		f.put(4, map[string][]string{"two": {"a"}, "one": {"b"}})
+		assert.Equal(t, time.Since(start), time.Duration(0))
+		f.apply(4, map[string][]string{"two": {"a"}, "one": {"b"}})
 		assert.Equal(t, f.check("a").Tenant.Name, "two", "a key that moved")
 		assert.Equal(t, f.check("b").Tenant.Name, "one", "a key that was given back")
 	})
 }
 
-// TestAKeyThatWasJustAddedIsLookedUp has a caller use a key before the node has the
-// configuration that holds it.
-func TestAKeyThatWasJustAddedIsLookedUp(t *testing.T) {
+// TestNewKeyIsLookedUp checks that a request with a new key waits for the configuration that
+// holds it.
+func TestNewKeyIsLookedUp(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newFixture(t)
-		f.put(1, map[string][]string{"one": {"a"}})
-		f.source.verify()
+		f.apply(1, map[string][]string{"one": {"a"}})
+		f.verification.markVerified()
 		go func() {
 			time.Sleep(300 * time.Millisecond)
-			f.put(2, map[string][]string{"one": {"a", "new"}})
-			f.source.verify()
+			f.apply(2, map[string][]string{"one": {"a", "new"}})
+			f.verification.markVerified()
 		}()
-		began := time.Now()
+		start := time.Now()
 		assert.Equal(t, f.check("new").Outcome, Allowed)
-		assert.Equal(t, time.Since(began), 300*time.Millisecond)
+		assert.Equal(t, time.Since(start), 300*time.Millisecond)
 	})
 }
 
-// TestAnUnknownKeyIsNotTurnedAwayUnproved has the configuration be verified no more: that
-// a key is unknown proves nothing.
-func TestAnUnknownKeyIsNotTurnedAwayUnproved(t *testing.T) {
+// TestUnknownKeyIsUnverifiedWhenStale checks that an unknown key is not rejected for good once
+// the verification is no longer recent, as the key may be new.
+func TestUnknownKeyIsUnverifiedWhenStale(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newFixture(t)
-		f.put(1, map[string][]string{"one": {"a", "b"}})
-		f.put(2, map[string][]string{"one": {"a"}})
-		f.source.verify()
-		time.Sleep(recent + time.Millisecond)
+		f.apply(1, map[string][]string{"one": {"a", "b"}})
+		f.apply(2, map[string][]string{"one": {"a"}})
+		f.verification.markVerified()
+		time.Sleep(maxRecentAge + time.Millisecond)
 		for _, keys := range [][]string{{"new"}, {"b"}, {}} {
 			decision := f.check(keys...)
 			assert.Equal(t, decision.Outcome, Unproved)
-			assert.Assert(t, decision.RetryAfter >= unprovedDelay)
+			assert.Assert(t, decision.RetryAfter >= minRetryDelay)
 		}
 	})
 }
 
-// TestAKeyWorksNoLongerThanItsBound has the store be away for 9 s: the key works for as
-// long as it may, and again with the next verification.
-func TestAKeyWorksNoLongerThanItsBound(t *testing.T) {
+// TestKeyStopsWorkingAtMaxAge has no verification for 9 s: the key must stop working at the
+// maximum age, and work again after the next verification.
+func TestKeyStopsWorkingAtMaxAge(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newFixture(t)
-		f.put(1, map[string][]string{"one": {"a"}})
+		f.apply(1, map[string][]string{"one": {"a"}})
 		assert.Equal(t, f.check("a").Outcome, Unproved, "never verified")
-		f.source.verify()
+		f.verification.markVerified()
 		time.Sleep(4500 * time.Millisecond)
 		assert.Equal(t, f.check("a").Outcome, Allowed)
-		time.Sleep(bound - 4500*time.Millisecond)
+		time.Sleep(testMaxAge - 4500*time.Millisecond)
 		assert.Equal(t, f.check("a").Outcome, Unproved)
 		time.Sleep(4 * time.Second)
-		f.source.verify()
+		f.verification.markVerified()
 		assert.Equal(t, f.check("a").Outcome, Allowed)
 	})
 }
 
-// TestLookupsAreBounded has more callers with unknown keys than may wait.
+// TestLookupsAreBounded sends more requests with unknown keys than may wait at once.
 func TestLookupsAreBounded(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newFixture(t)
-		f.put(1, map[string][]string{"one": {"a"}})
-		f.source.verify()
+		f.apply(1, map[string][]string{"one": {"a"}})
+		f.verification.markVerified()
 		for range maxLookups {
 			go f.check("new")
 		}
 		synctest.Wait()
-		began := time.Now()
+		start := time.Now()
 		assert.Equal(t, f.check("new").Outcome, Unproved)
-		assert.Equal(t, time.Since(began), time.Duration(0))
+		assert.Equal(t, time.Since(start), time.Duration(0))
 		time.Sleep(lookupTimeout)
 		assert.Equal(t, f.check("a").Outcome, Allowed)
 	})
 }
 
-// BenchmarkCheck measures what a key adds to a request. It was 0 before there were keys.
+// BenchmarkCheck measures the cost per request of checking a key. It was 0 before API keys existed.
 func BenchmarkCheck(b *testing.B) {
 	routes := &routetable.Holder{}
 	routes.Offer(&routetable.Configuration{Version: 1, Tenants: []routetable.Tenant{{Name: "one", Keys: []routetable.KeyDigest{routetable.DigestKey("kmgjqnirth5mgjy5rcpi")}}}})
-	verification := &source{changed: make(chan struct{})}
-	verification.verify()
+	verification := &fakeVerification{changed: make(chan struct{})}
+	verification.markVerified()
 	checker := NewChecker(routes, verification, time.Hour)
 	arrived, keys := time.Now(), []string{"kmgjqnirth5mgjy5rcpi"}
 	for b.Loop() {
