--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -141,9 +141,9 @@
 	if len(keys) != 1 || keys[0] == "" {
 		return Decision{Outcome: Missing, Age: age}, recent
 	}
-	tenant := table.HolderOf(keys[0])
+	tenant := table.TenantByKey(keys[0])
 	if tenant == nil {
-		return Decision{Outcome: Unknown, Age: age}, afterRequest || (recent && table.Withdrawn(keys[0]))
+		return Decision{Outcome: Unknown, Age: age}, afterRequest || (recent && table.Revoked(keys[0]))
 	}
 	if c.maxAge > 0 && (age < 0 || age > c.maxAge-clockMargin) {
 		return unverified(age), true
--- a/internal/apikey/apikey_test.go
+++ b/internal/apikey/apikey_test.go
@@ -78,7 +78,7 @@
 		configuration.Tenants = append(configuration.Tenants, tenant)
 	}
 	assert.NilError(f.t, configuration.Validate())
-	f.routes.Offer(configuration)
+	f.routes.Update(configuration)
 }
 
 func (f *fixture) check(keys ...string) Decision {
@@ -218,7 +218,7 @@
 // BenchmarkCheck measures the cost per request of checking a key. It was 0 before API keys existed.
 func BenchmarkCheck(b *testing.B) {
 	routes := &routetable.Holder{}
-	routes.Offer(&routetable.Configuration{Version: 1, Tenants: []routetable.Tenant{{Name: "one", Keys: []routetable.KeyDigest{routetable.DigestKey("kmgjqnirth5mgjy5rcpi")}}}})
+	routes.Update(&routetable.Configuration{Version: 1, Tenants: []routetable.Tenant{{Name: "one", Keys: []routetable.KeyDigest{routetable.DigestKey("kmgjqnirth5mgjy5rcpi")}}}})
 	verification := &fakeVerification{changed: make(chan struct{})}
 	verification.markVerified()
 	checker := NewChecker(routes, verification, time.Hour)
--- a/internal/callheader/names.go
+++ b/internal/callheader/names.go
@@ -31,9 +31,9 @@
 	Tenant string
 }
 
-// StripOwn removes the headers of a call that only lugspur itself sets, whatever the
+// StripInternal removes the headers of a call that only lugspur itself sets, whatever the
 // caller wrote there. Most of them are set by the home beside the target.
-func (n *Names) StripOwn(header http.Header) {
+func (n *Names) StripInternal(header http.Header) {
 	for _, name := range []string{n.RequestID, n.DeadlineMillis, n.Caller, n.ExpectInstance, n.Tenant} {
 		delete(header, name)
 	}
--- a/internal/configfeed/feed.go
+++ b/internal/configfeed/feed.go
@@ -114,7 +114,7 @@
 
 func (f *Feed) apply(configuration *routetable.Configuration, document []byte, source string) {
 	previous := f.holder.Version()
-	if !f.holder.Offer(configuration) {
+	if !f.holder.Update(configuration) {
 		return
 	}
 	f.appliedAt = f.now()
--- a/internal/ending/ending.go
+++ b/internal/ending/ending.go
@@ -15,19 +15,19 @@
 	leastSure = 600 * time.Millisecond
 )
 
-// SureTime returns the time in which work is surely done that usually takes so
+// SafeDuration returns the time in which work is surely done that usually takes so
 // long; zero means that this is not known.
-func SureTime(usual time.Duration) time.Duration { return max(sureFactor*usual, leastSure) }
+func SafeDuration(usual time.Duration) time.Duration { return max(sureFactor*usual, leastSure) }
 
-// Moment is when a process ends. The zero value is never. It is safe for concurrent
+// ShutdownTime is when a process ends. The zero value is never. It is safe for concurrent
 // use.
-type Moment struct{ at atomic.Pointer[time.Time] }
+type ShutdownTime struct{ at atomic.Pointer[time.Time] }
 
 // Set sets the moment.
-func (m *Moment) Set(at time.Time) { m.at.Store(&at) }
+func (m *ShutdownTime) Set(at time.Time) { m.at.Store(&at) }
 
-// Leaves reports whether so much time is left from the given moment on.
-func (m *Moment) Leaves(needed time.Duration, from time.Time) bool {
+// Allows reports whether so much time is left from the given moment on.
+func (m *ShutdownTime) Allows(needed time.Duration, from time.Time) bool {
 	at := m.at.Load()
 	return at == nil || !from.Add(needed).After(*at)
 }
--- a/internal/ending/ending_test.go
+++ b/internal/ending/ending_test.go
@@ -11,14 +11,14 @@
 
 func TestWorkBeginsOnlyIfItIsDoneByTheEnd(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var end ending.Moment
-	assert.Assert(t, end.Leaves(time.Hour, now), "there is no end")
+	var end ending.ShutdownTime
+	assert.Assert(t, end.Allows(time.Hour, now), "there is no end")
 	end.Set(now.Add(time.Second))
-	assert.Assert(t, end.Leaves(time.Second, now))
-	assert.Assert(t, !end.Leaves(time.Second, now.Add(time.Millisecond)))
+	assert.Assert(t, end.Allows(time.Second, now))
+	assert.Assert(t, !end.Allows(time.Second, now.Add(time.Millisecond)))
 }
 
 func TestTheSureTimeIsManyTimesTheUsual(t *testing.T) {
-	assert.Assert(t, ending.SureTime(0) > 0, "nothing is known")
-	assert.Assert(t, ending.SureTime(time.Second) >= 5*time.Second)
+	assert.Assert(t, ending.SafeDuration(0) > 0, "nothing is known")
+	assert.Assert(t, ending.SafeDuration(time.Second) >= 5*time.Second)
 }
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -49,7 +49,7 @@
 }
 
 func (h *fakeHome) Running(id string) (guard.Running, bool) {
-	return guard.Running{Route: "parent", Rank: criticality.RankOf(7), Wanted: h.runningContext()}, id == "running"
+	return guard.Running{Route: "parent", Rank: criticality.RankOf(7), Context: h.runningContext()}, id == "running"
 }
 
 // runningContext returns the context of the running request.
@@ -62,9 +62,9 @@
 
 func (h *fakeHome) Abandoned(id string) bool { return id == "abandoned" }
 
-func (h *fakeHome) CallMade(string, string) int { return 1 }
+func (h *fakeHome) CountCall(string, string) int { return 1 }
 
-func (h *fakeHome) CallFailed(id string) {
+func (h *fakeHome) RecordCallFailure(id string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	h.callsFailed = append(h.callsFailed, id)
@@ -97,12 +97,12 @@
 // answerOwnFailure answers with an error that the target itself caused.
 func answerOwnFailure(ctx context.Context, call *peering.Call) *peering.Reply {
 	reply := answerError(ctx, call)
-	reply.OwnFailure = true
+	reply.TargetError = true
 	return reply
 }
 
 func failCall(context.Context, *peering.Call) *peering.Reply {
-	return &peering.Reply{Outcome: peering.Failed, Reason: peering.Broken, Load: peering.Load{Limit: 10, Threshold: shed.None}}
+	return &peering.Reply{Outcome: peering.Failed, Reason: peering.ExchangeBroken, Load: peering.Load{Limit: 10, Threshold: shed.None}}
 }
 
 type noopObserver struct{}
@@ -146,7 +146,7 @@
 	fixture := &fixture{levels: pressure.New(time.Now), quarantine: quarantine.New(quarantine.Config{Now: time.Now})}
 	for _, answer := range answers {
 		home := &fakeHome{answer: answer}
-		handler := peering.Handler(peering.Services{Home: home, Spread: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})
+		handler := peering.Handler(peering.Services{Home: home, AntiEntropy: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodGet {
 				fixture.pings.Add(1)
@@ -165,7 +165,7 @@
 	t.Helper()
 	routes := &routetable.Holder{}
 	service := []routetable.WeightedService{{Name: "s", Weight: 1}}
-	routes.Offer(&routetable.Configuration{Version: 4, Limits: routetable.Limits{MaxBodyBytes: 100, MaxHeaderBytes: 1000}, Routes: []routetable.Route{
+	routes.Update(&routetable.Configuration{Version: 4, Limits: routetable.Limits{MaxBodyBytes: 100, MaxHeaderBytes: 1000}, Routes: []routetable.Route{
 		{Name: "read", Host: "a.example", Prefix: "/read/", Kind: routetable.Repeatable, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Priority: 2, Services: service},
 		{Name: "once", Host: "a.example", Prefix: "/once/", Kind: routetable.Once, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Services: service},
 		{Name: "brief", Host: "a.example", Prefix: "/brief/", Kind: routetable.Repeatable, Attempts: 2, Timeout: 200 * time.Millisecond, Objective: time.Second, Services: service},
@@ -173,7 +173,7 @@
 	var forwarder *Forwarder
 	forwarder = New(Config{
 		Node: "node", Zone: "z", Service: "caller", Address: "here", DefaultTimeout: time.Second, WaitShare: 0.2, InnerWaitShare: 0.6,
-		Retries: retrybudget.AllowanceConfig{Ratio: testRetryRatio, PresentShare: 0.5, Reserve: func() float64 { return 1 }, Window: testRetryWindow},
+		Retries: retrybudget.AllowanceConfig{Ratio: testRetryRatio, CurrentShare: 0.5, Reserve: func() float64 { return 1 }, Window: testRetryWindow},
 		Headers: callheader.Names{RequestID: "X-Id", DeadlineMillis: "X-Deadline"},
 		ParentOf: func(id string) (string, bool) {
 			parent, _, found := strings.Cut(id, ".")
@@ -187,7 +187,7 @@
 		Observer: noopObserver{}, Now: time.Now,
 	})
 	for range testRequestsPerRetry {
-		forwarder.budget("s").Request()
+		forwarder.budget("s").CountRequest()
 	}
 	return forwarder
 }
@@ -207,7 +207,7 @@
 	for i, address := range addresses {
 		record, err := cbor.Marshal(registry.Record{Instance: "i-" + strconv.Itoa(i), Service: "s", Zone: "z", Address: address, Slots: 10, State: registry.Ready})
 		assert.NilError(t, err)
-		directory.Change([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
+		directory.ApplyChanges([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
 	}
 	return directory
 }
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -106,11 +106,11 @@
 	// Abandoned reports whether the caller of a request that the target may still be
 	// processing has gone.
 	Abandoned(id string) bool
-	// CallMade records that such a request makes a call of the route, and returns the
+	// CountCall records that such a request makes a call of the route, and returns the
 	// number of calls that it has made so far.
-	CallMade(id, route string) int
-	// CallFailed records that a call made by such a request did not succeed.
-	CallFailed(id string)
+	CountCall(id, route string) int
+	// RecordCallFailure records that a call made by such a request did not succeed.
+	RecordCallFailure(id string)
 }
 
 // Peers reaches the homes on other nodes.
@@ -119,8 +119,8 @@
 	Call(ctx context.Context, address string, call *peering.Call) (*peering.Reply, error)
 	// Ping checks that the node at the address responds.
 	Ping(ctx context.Context, address string) error
-	// Forget closes the idle connections to a node.
-	Forget(address string)
+	// CloseIdle closes the idle connections to a node.
+	CloseIdle(address string)
 }
 
 // Observer is notified of the results of requests, for metrics.
@@ -158,7 +158,7 @@
 	splitter routetable.Splitter
 	stopping atomic.Bool
 	// shutdownDeadline is the time by which all requests must have ended.
-	shutdownDeadline ending.Moment
+	shutdownDeadline ending.ShutdownTime
 	inFlight         atomic.Int64
 	// created is when the forwarder was created, and lastArrival the time from then to
 	// the arrival of the last request. Both are readings of the monotonic clock.
@@ -282,7 +282,7 @@
 	// that it was offered to, and arrivals the targets that it may have reached.
 	attempts, offers, arrivals int
 	// payment is what the last offer took from the retry budget if it was a retry.
-	payment retrybudget.Payment
+	payment retrybudget.Charge
 	// excluded are the homes that the request is not offered to again, and rejected those
 	// whose targets rejected it, which are offered it again once no other home is left.
 	excluded, rejected []*registry.Home
@@ -329,7 +329,7 @@
 	}
 	reply, failure := f.run(ctx, q)
 	if q.inner && (failure != nil || reply.Status >= http.StatusMultipleChoices) {
-		f.local.CallFailed(q.parent)
+		f.local.RecordCallFailure(q.parent)
 	}
 	switch {
 	case r.Context().Err() != nil:
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestRefusalByAllHomesHasRetryAfter(t *testing.T) {
-	f := newFixture(t, refuseWith(peering.QueueFull), refuseWith(peering.Waited))
+	f := newFixture(t, refuseWith(peering.QueueFull), refuseWith(peering.QueueTimeout))
 	answer := f.do("GET", "/once/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, answer.Header().Get("Retry-After"), "0.300")
@@ -255,9 +255,9 @@
 	assert.Equal(t, f.do("GET", "/read/x", "running.b", "").Code, 200)
 	inner := f.homes[0].calls[1]
 	assert.Equal(t, inner.Rank, uint16(7), "a call has the rank of the request that made it")
-	assert.Assert(t, inner.Inner)
+	assert.Assert(t, inner.Nested)
 	assert.Equal(t, inner.MaxWait, 600*time.Millisecond)
-	assert.Equal(t, f.levels.Below("parent").Threshold, shed.None, "the threshold in the reply replaces the reported one")
+	assert.Equal(t, f.levels.Downstream("parent").Threshold, shed.None, "the threshold in the reply replaces the reported one")
 }
 
 // TestThresholdOfLeavingHomeIsRemoved has a home that reported room say that its target
@@ -296,8 +296,8 @@
 	full := f.addresses[1]
 	record, err := cbor.Marshal(registry.Record{Instance: "i-full", Service: "full", Zone: "z", Address: full, Slots: 10, State: registry.Ready})
 	assert.NilError(t, err)
-	f.forwarder.directory.Change([]store.Entry{{Key: "homes/" + full, Value: record, Revision: 100}}, "store")
-	f.forwarder.routes.Offer(&routetable.Configuration{Version: 5, Routes: []routetable.Route{{Name: "split", Host: "a.example", Prefix: "/split/", Kind: routetable.Once,
+	f.forwarder.directory.ApplyChanges([]store.Entry{{Key: "homes/" + full, Value: record, Revision: 100}}, "store")
+	f.forwarder.routes.Update(&routetable.Configuration{Version: 5, Routes: []routetable.Route{{Name: "split", Host: "a.example", Prefix: "/split/", Kind: routetable.Once,
 		Timeout: testTimeout, Objective: time.Second, Services: []routetable.WeightedService{{Name: "s", Weight: 70}, {Name: "full", Weight: 30}}}}})
 	answered, refused := 0, 0
 	for i := range requests {
@@ -329,7 +329,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
-	server := &http.Server{Handler: peering.Handler(peering.Services{Home: &fakeHome{answer: answerOK}, Spread: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})}
+	server := &http.Server{Handler: peering.Handler(peering.Services{Home: &fakeHome{answer: answerOK}, AntiEntropy: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 }
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -65,7 +65,7 @@
 	f := newFixture(t, crashTarget, crashTarget, crashTarget, crashTarget)
 	f.forwarder.routes.Current().Match("a.example", "/read/x").Attempts = 4
 	for range 4 * testRequestsPerRetry {
-		f.forwarder.budget("s").Request()
+		f.forwarder.budget("s").CountRequest()
 	}
 	answer := f.do("GET", "/read/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusBadGateway, "the request may have been executed")
--- a/internal/forward/receive.go
+++ b/internal/forward/receive.go
@@ -85,26 +85,26 @@
 	}
 	callheader.StripConnection(r.Header)
 	r.Header.Del("Content-Length")
-	f.config.Headers.StripOwn(r.Header)
+	f.config.Headers.StripInternal(r.Header)
 	f.setTenantHeader(r.Header, q, table)
 	q.service = f.splitter.Choose(q.route)
 	f.recordInnerCall(q)
 	q.call = &peering.Call{
-		Service:   q.service,
-		RequestID: q.id,
-		Method:    r.Method,
-		URI:       requestURI(r),
-		Host:      r.Host,
-		Header:    r.Header,
-		Body:      body,
-		Caller:    f.config.Service,
-		Route:     q.route.Name,
-		Rank:      q.rank.Key(),
-		Once:      q.route.Kind != routetable.Repeatable,
-		Inner:     q.inner,
-		Done:      max(q.callNumber-1, 0),
-		Repeat:    parent.Repeat,
-		MaxWait:   f.maxWait(q),
+		Service:    q.service,
+		RequestID:  q.id,
+		Method:     r.Method,
+		URI:        requestURI(r),
+		Host:       r.Host,
+		Header:     r.Header,
+		Body:       body,
+		Caller:     f.config.Service,
+		Route:      q.route.Name,
+		Rank:       q.rank.Key(),
+		AtMostOnce: q.route.Kind != routetable.Repeatable,
+		Nested:     q.inner,
+		PriorCalls: max(q.callNumber-1, 0),
+		Retried:    parent.Repeat,
+		MaxWait:    f.maxWait(q),
 	}
 	return q, f.checkQuarantine(q)
 }
@@ -114,9 +114,9 @@
 func (f *Forwarder) endsBeforeShutdown(q *request) bool {
 	needed := q.deadline.Sub(q.arrived)
 	if usual := f.homes.statsOf(q.route.Name).latency; usual > 0 {
-		needed = min(ending.SureTime(usual), needed)
+		needed = min(ending.SafeDuration(usual), needed)
 	}
-	return f.shutdownDeadline.Leaves(needed, q.arrived)
+	return f.shutdownDeadline.Allows(needed, q.arrived)
 }
 
 // headerBytes returns the size of a request's header fields, in bytes.
@@ -155,8 +155,8 @@
 		}
 		return guard.Running{}, nil
 	}
-	q.inner, q.parent, q.parentRoute, q.parentContext = true, id, parent.Route, parent.Wanted
-	q.callNumber = f.local.CallMade(id, q.route.Name)
+	q.inner, q.parent, q.parentRoute, q.parentContext = true, id, parent.Route, parent.Context
+	q.callNumber = f.local.CountCall(id, q.route.Name)
 	return parent, nil
 }
 
@@ -166,8 +166,8 @@
 	if !q.inner {
 		return
 	}
-	expected := max(f.levels.Expected(q.parentRoute, q.route.Name), q.callNumber)
-	f.levels.Learn(q.parentRoute, q.route.Name, pressure.Calls{Count: q.callNumber, Scarce: !f.budget(q.service).Ample(expected)})
+	expected := max(f.levels.ExpectedCalls(q.parentRoute, q.route.Name), q.callNumber)
+	f.levels.RecordCalls(q.parentRoute, q.route.Name, pressure.CallStats{Count: q.callNumber, Scarce: !f.budget(q.service).HasHeadroom(expected)})
 }
 
 // admit ranks a request that enters at this node, and refuses it if its policy does or if
--- a/internal/forward/simulation_test.go
+++ b/internal/forward/simulation_test.go
@@ -76,7 +76,7 @@
 		address := fmt.Sprint("home-", i)
 		record, err := cbor.Marshal(registry.Record{Instance: address, Service: "s", Zone: fmt.Sprint(i % simulatedZones), Address: address, Slots: 38, State: registry.Ready})
 		assert.NilError(t, err)
-		directory.Change([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
+		directory.ApplyChanges([]store.Entry{{Key: "homes/" + address, Value: record, Revision: store.Revision(i + 1)}}, "store")
 		s.homes[address] = &simulatedHome{latency: time.Duration(float64(baseLatency) / speeds[i%len(speeds)])}
 	}
 	s.forwarder = &Forwarder{config: Config{Zone: "0"}, now: now, directory: directory}
--- a/internal/forward/tenant_test.go
+++ b/internal/forward/tenant_test.go
@@ -39,7 +39,7 @@
 	t.Helper()
 	fixture := newFixture(t, answers...)
 	service := []routetable.WeightedService{{Name: "s", Weight: 1}}
-	fixture.forwarder.routes.Offer(&routetable.Configuration{Version: 5, Tenants: []routetable.Tenant{testTenant}, Routes: []routetable.Route{
+	fixture.forwarder.routes.Update(&routetable.Configuration{Version: 5, Tenants: []routetable.Tenant{testTenant}, Routes: []routetable.Route{
 		{Name: "read", Host: "a.example", Prefix: "/read/", Kind: routetable.Repeatable, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Priority: 2, Services: service},
 		{Name: "open", Host: "a.example", Prefix: "/open/", Kind: routetable.Repeatable, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Public: true, Services: service},
 	}})
@@ -201,9 +201,9 @@
 	}{
 		"answered":                    {"1", []func(context.Context, *peering.Call) *peering.Reply{answerOK}, 1, 0},
 		"failed":                      {"1", []func(context.Context, *peering.Call) *peering.Reply{failCall, failCall}, 1, 0},
-		"refused":                     {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited)}, 1, 1},
-		"refused by one, then run":    {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited), answerOK}, 1, 0},
-		"a call of a running request": {"running.2", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited)}, 0, 0},
+		"refused":                     {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout)}, 1, 1},
+		"refused by one, then run":    {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout), answerOK}, 1, 0},
+		"a call of a running request": {"running.2", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout)}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limits := &fixedLimits{}
--- a/internal/guard/crash_test.go
+++ b/internal/guard/crash_test.go
@@ -123,7 +123,7 @@
 	t.Run("broken connection", func(t *testing.T) {
 		g := guardOf(rawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
 		reply := g.Run(context.Background(), callTo("a", "/a"))
-		assert.Equal(t, reply.Reason, peering.Broken)
+		assert.Equal(t, reply.Reason, peering.ExchangeBroken)
 		assert.Equal(t, reply.Crashes, 0)
 		assert.Assert(t, g.config.Quarantine.Empty())
 	})
@@ -134,7 +134,7 @@
 		crashing.awaitArrivals(t, 1)
 		g.SetTarget(target(registry.Draining, 2))
 		crashing.crash()
-		assert.Equal(t, (<-replies).Reason, peering.Broken)
+		assert.Equal(t, (<-replies).Reason, peering.ExchangeBroken)
 		next := target(registry.Ready, 2)
 		next.ID = "i-2"
 		g.SetTarget(next)
@@ -146,7 +146,7 @@
 // break while something takes new ones at its address, as a successor does.
 func TestATargetInTheOtherOnesPlaceTellsOfACrash(t *testing.T) {
 	g := guardOf(rawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
-	assert.Equal(t, g.Run(context.Background(), callTo("a", "/a")).Reason, peering.Broken)
+	assert.Equal(t, g.Run(context.Background(), callTo("a", "/a")).Reason, peering.ExchangeBroken)
 	next := target(registry.Ready, 2)
 	next.ID = "i-2"
 	g.SetTarget(next)
@@ -178,8 +178,8 @@
 	g := guardOf(target.address())
 	replies := runAll(g, callTo("a", "/deadly"))
 	target.awaitArrivals(t, 1)
-	g.Withdraw(callTo("", "/other").Fingerprint())
-	g.Withdraw(callTo("", "/deadly").Fingerprint())
+	g.CancelQuarantined(callTo("", "/other").Fingerprint())
+	g.CancelQuarantined(callTo("", "/deadly").Fingerprint())
 	reply := <-replies
 	assert.Equal(t, reply.Outcome, peering.Failed, "it has run")
 	assert.Equal(t, reply.Reason, peering.Quarantined)
@@ -232,7 +232,7 @@
 	target.awaitArrivals(t, 1)
 	waiting := callTo("2", "/a")
 	waiting.MaxWait = 20 * time.Millisecond
-	assert.Equal(t, g.Run(context.Background(), waiting).Reason, peering.Waited)
+	assert.Equal(t, g.Run(context.Background(), waiting).Reason, peering.QueueTimeout)
 	close(target.answer)
 	assert.Equal(t, (<-replies).Outcome, peering.Answered)
 }
--- a/internal/guard/ended_test.go
+++ b/internal/guard/ended_test.go
@@ -28,7 +28,7 @@
 	other := call("c")
 	other.URI = "/p/other"
 	for _, sent := range []*peering.Call{call("a"), call("b"), other} {
-		assert.Equal(t, g.Run(context.Background(), sent).Reason, peering.Broken)
+		assert.Equal(t, g.Run(context.Background(), sent).Reason, peering.ExchangeBroken)
 	}
 	next := target(registry.Ready, 2)
 	next.ID = "i-2"
--- a/internal/guard/exchange.go
+++ b/internal/guard/exchange.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		permit.Release(limit.Sample{Outcome: limit.Failure})
 		reply := g.failureOf(ctx, call, err)
-		if reply.Reason == peering.Broken {
+		if reply.Reason == peering.ExchangeBroken {
 			open := screened.openCall(call)
 			if g.brokeOff(ctx, i, open) {
 				reply.Reason = peering.TargetCrashed
@@ -49,7 +49,7 @@
 			}
 		}
 		i.record.ended(call.Route, reply, duration, ended)
-		if reply.Reason == peering.Unconnected {
+		if reply.Reason == peering.ConnectFailed {
 			g.noteReach(i, false)
 		}
 		return reply
@@ -58,7 +58,7 @@
 	i.crash.noteAnswer(ended)
 	g.noteReach(i, true)
 	reply := g.judge(answer)
-	reply.OwnFailure = failedItself(reply) && !callFailed
+	reply.TargetError = failedItself(reply) && !callFailed
 	if reply.Outcome == peering.Answered {
 		g.noteAnswered(screened, call, ended)
 	}
@@ -103,7 +103,7 @@
 		RequestURI: call.URI,
 		Header:     header,
 		Body:       call.Body,
-		Belongs: func(answered http.Header) bool {
+		Matches: func(answered http.Header) bool {
 			id := answered.Get(names.RequestID)
 			return id == "" || id == call.RequestID
 		},
@@ -114,7 +114,7 @@
 func (g *Guard) failureOf(ctx context.Context, call *peering.Call, err error) *peering.Reply {
 	var failure *transport.Failure
 	sent := !errors.As(err, &failure) || failure.Sent
-	reason := peering.Broken
+	reason := peering.ExchangeBroken
 	switch {
 	case errors.Is(context.Cause(ctx), errQuarantined):
 		reason = peering.Quarantined
@@ -123,7 +123,7 @@
 	case ctx.Err() != nil:
 		reason = peering.CallerLeft
 	case !sent:
-		reason = peering.Unconnected
+		reason = peering.ConnectFailed
 	}
 	if ctx.Err() == nil {
 		g.log.Record(eventlog.Event{Kind: eventlog.CallFailed, Request: call.RequestID, Route: call.Route, Reason: err.Error()})
@@ -135,21 +135,21 @@
 }
 
 // judge decides whether the target's answer may be passed on.
-func (g *Guard) judge(answer *transport.Answer) *peering.Reply {
+func (g *Guard) judge(answer *transport.Response) *peering.Reply {
 	names := &g.config.Headers
 	switch {
 	case answer.Status == http.StatusMisdirectedRequest:
 		return refused(peering.Misdirected)
 	case answer.Header.Get(names.NotExecuted) != "":
 		return refused(peering.TargetFull)
-	case answer.Rest != nil:
-		return failed(peering.Spoilt)
+	case answer.Remainder != nil:
+		return failed(peering.InvalidResponse)
 	case answer.Header.Get(names.RequestID) == "":
-		return failed(peering.Spoilt)
+		return failed(peering.InvalidResponse)
 	case answer.Header.Get("Content-Encoding") != "":
-		return failed(peering.Spoilt)
+		return failed(peering.InvalidResponse)
 	case answer.Status < http.StatusMultipleChoices && answer.Header.Get(names.Signature) == "":
-		return failed(peering.Spoilt)
+		return failed(peering.InvalidResponse)
 	}
 	callheader.StripConnection(answer.Header)
 	answer.Header.Del(names.Load)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -42,8 +42,8 @@
 	MaxBuffered int64
 	// MaxConnections returns the target's bound on connections, zero for none.
 	MaxConnections func() int
-	// Below returns what is known of the calls that requests of the route make.
-	Below func(route string) pressure.Level
+	// Downstream returns what is known of the calls that requests of the route make.
+	Downstream func(route string) pressure.Level
 	// Quarantine knows requests that crash targets.
 	Quarantine Quarantine
 	// Observer sees what becomes of calls; it may be nil.
@@ -80,7 +80,7 @@
 	stopping atomic.Bool
 	closed   atomic.Bool
 	// end is the moment by which all calls must have ended.
-	end      ending.Moment
+	end      ending.ShutdownTime
 	inFlight atomic.Int64
 	current  atomic.Pointer[incarnation]
 	running  runningTable
@@ -153,12 +153,12 @@
 		shedding:  shed.NewController(shedConfig),
 		scheduler: scheduler.New(scheduler.Config{MaxQueue: g.config.MaxQueue, MaxWait: g.config.MaxWait, ByRank: true}, bound, g.now),
 		pool: transport.NewPool(transport.Config{
-			Address:           g.config.Address,
-			MaxConnections:    g.config.MaxConnections(),
-			MaxBuffered:       g.config.MaxBuffered,
-			AcceptUndelimited: true,
-			UserTimeout:       targetUserTimeout,
-			KeepAlive:         targetKeepAlive,
+			Address:              g.config.Address,
+			MaxConnections:       g.config.MaxConnections(),
+			MaxBuffered:          g.config.MaxBuffered,
+			AcceptCloseDelimited: true,
+			UserTimeout:          targetUserTimeout,
+			KeepAlive:            targetKeepAlive,
 		}),
 	}
 }
@@ -177,18 +177,18 @@
 	return max(int(float64(target.Slots)*g.config.SlotShare), 1)
 }
 
-// Stop tells peers to prefer other homes ahead of a planned stop. Calls are still
+// MarkStopping tells peers to prefer other homes ahead of a planned stop. Calls are still
 // admitted, as this may be the last home of the service.
-func (g *Guard) Stop() { g.stopping.Store(true) }
+func (g *Guard) MarkStopping() { g.stopping.Store(true) }
 
-// EndBy refuses later calls that may not have ended by the moment. Calls in flight
+// SetStopDeadline refuses later calls that may not have ended by the moment. Calls in flight
 // go on.
-func (g *Guard) EndBy(moment time.Time) { g.end.Set(moment) }
+func (g *Guard) SetStopDeadline(moment time.Time) { g.end.Set(moment) }
 
 // endsInTime reports whether a call of the route that begins now has surely ended
 // before the guard's end.
 func (g *Guard) endsInTime(i *incarnation, route string, now time.Time) bool {
-	return g.end.Leaves(ending.SureTime(i.record.latency(route, now)), now)
+	return g.end.Allows(ending.SafeDuration(i.record.latency(route, now)), now)
 }
 
 // Close refuses all later calls; calls in flight go on.
@@ -204,18 +204,18 @@
 		return peering.Load{Threshold: shed.None}
 	}
 	stats := i.scheduler.Stats()
-	below := g.config.Below(route)
+	below := g.config.Downstream(route)
 	return peering.Load{
-		InFlight:  stats.InFlight,
-		Queued:    stats.Queued,
-		Limit:     stats.Limit,
-		Latency:   i.record.latency(route, g.now()),
-		Threshold: min(i.shedding.Threshold(), below.Threshold),
-		Failures:  i.record.failures(),
-		Errors:    i.record.errors(),
-		Calls:     below.Calls,
-		Scarce:    below.Scarce,
-		Stopping:  g.stopping.Load(),
+		InFlight:        stats.InFlight,
+		Queued:          stats.Queued,
+		Limit:           stats.Limit,
+		Latency:         i.record.latency(route, g.now()),
+		Threshold:       min(i.shedding.Threshold(), below.Threshold),
+		FailurePercent:  i.record.failures(),
+		ErrorPercent:    i.record.errors(),
+		CallsPerRequest: below.Calls,
+		RetryBudgetLow:  below.RetryBudgetLow,
+		Stopping:        g.stopping.Load(),
 	}
 }
 
@@ -246,7 +246,7 @@
 	}
 	event := eventlog.Event{Kind: kind, Request: call.RequestID, Route: call.Route, Service: call.Service, Reason: string(reply.Reason),
 		Count: reply.Load.Queued, Wait: reply.RetryAfter, Duration: g.now().Sub(started)}
-	if reply.Reason == peering.Broken || reply.Reason == peering.TargetCrashed || reply.Reason == peering.Quarantined {
+	if reply.Reason == peering.ExchangeBroken || reply.Reason == peering.TargetCrashed || reply.Reason == peering.Quarantined {
 		event.Fingerprint = call.Fingerprint().String()
 	}
 	g.log.Record(event)
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -64,7 +64,7 @@
 		MaxQueue:       16,
 		MaxBuffered:    1 << 20,
 		MaxConnections: func() int { return 100 },
-		Below:          func(string) pressure.Level { return pressure.Level{Threshold: shed.None} },
+		Downstream:     func(string) pressure.Level { return pressure.Level{Threshold: shed.None} },
 		Quarantine:     quarantine.New(quarantine.Config{Now: time.Now}),
 	}, nil, time.Now)
 	g.SetTarget(target(registry.Ready, 2))
@@ -110,10 +110,10 @@
 		{"own failure", "HTTP/1.1 500 Oops\r\nX-Id: a\r\nContent-Length: 0\r\n\r\n", peering.Answered, ""},
 		{"full", "HTTP/1.1 503 Full\r\nX-Id: a\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", peering.Refused, peering.TargetFull},
 		{"another target", "HTTP/1.1 421 Other\r\nX-Id: a\r\nX-Instance: i-2\r\nContent-Length: 0\r\n\r\n", peering.Refused, peering.Misdirected},
-		{"no signature", "HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.Spoilt},
-		{"no id", "HTTP/1.1 200 OK\r\nX-Signature: s\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.Spoilt},
-		{"encoded", "HTTP/1.1 200 OK\r\nX-Id: a\r\nX-Signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.Spoilt},
-		{"not HTTP", "hello\r\n\r\n", peering.Failed, peering.Broken},
+		{"no signature", "HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.InvalidResponse},
+		{"no id", "HTTP/1.1 200 OK\r\nX-Signature: s\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.InvalidResponse},
+		{"encoded", "HTTP/1.1 200 OK\r\nX-Id: a\r\nX-Signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.InvalidResponse},
+		{"not HTTP", "hello\r\n\r\n", peering.Failed, peering.ExchangeBroken},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -235,10 +235,10 @@
 	assert.Equal(t, g.Run(context.Background(), other).Reason, peering.NoTarget)
 	reply := g.Run(context.Background(), call("a"))
 	assert.Equal(t, reply.Outcome, peering.Refused)
-	assert.Equal(t, reply.Reason, peering.Unconnected)
-	g.Stop()
+	assert.Equal(t, reply.Reason, peering.ConnectFailed)
+	g.MarkStopping()
 	reply = g.Run(context.Background(), call("a"))
-	assert.Equal(t, reply.Reason, peering.Unconnected, "it is offered to the target, as this may be the last home")
+	assert.Equal(t, reply.Reason, peering.ConnectFailed, "it is offered to the target, as this may be the last home")
 	assert.Assert(t, reply.Load.Stopping)
 	g.Close()
 	assert.Equal(t, g.Run(context.Background(), call("b")).Reason, peering.Stopping)
@@ -259,10 +259,10 @@
 		c.Route = route
 		return g.Run(context.Background(), c).Reason
 	}
-	g.EndBy(time.Now().Add(5 * time.Second))
+	g.SetStopDeadline(time.Now().Add(5 * time.Second))
 	assert.Equal(t, run("quick"), peering.Reason(""))
 	assert.Equal(t, run("slow"), peering.Stopping)
-	g.EndBy(time.Now().Add(ending.SureTime(0) / 2))
+	g.SetStopDeadline(time.Now().Add(ending.SafeDuration(0) / 2))
 	assert.Equal(t, run("quick"), peering.Stopping)
 }
 
@@ -314,7 +314,7 @@
 		if !found {
 			return poll.Continue("not running")
 		}
-		wanted = running.Wanted
+		wanted = running.Context
 		return poll.Success()
 	}, poll.WithDelay(2*time.Millisecond))
 	assert.NilError(t, wanted.Err())
--- a/internal/guard/isolation.go
+++ b/internal/guard/isolation.go
@@ -103,7 +103,7 @@
 	}
 	endTurn, begun := g.turns.try(s.hash, s.standing.Isolated())
 	if !begun {
-		return refused(peering.Waited)
+		return refused(peering.QueueTimeout)
 	}
 	s.endTurn = endTurn
 	return nil
--- a/internal/guard/queue.go
+++ b/internal/guard/queue.go
@@ -15,11 +15,11 @@
 	rank := criticality.RankOf(call.Rank)
 	i.shedding.Observe(rank)
 	permit, err := i.scheduler.Acquire(ctx, scheduler.Request{
-		Rank:     rank,
-		Done:     call.Done,
-		Deadline: deadline,
-		ID:       call.RequestID,
-		MaxWait:  call.MaxWait,
+		Rank:         rank,
+		EarlierCalls: call.PriorCalls,
+		Deadline:     deadline,
+		ID:           call.RequestID,
+		MaxWait:      call.MaxWait,
 	})
 	if err != nil {
 		return nil, refusalOf(err)
@@ -35,7 +35,7 @@
 	scheduler.QueueFull:  peering.QueueFull,
 	scheduler.Evicted:    peering.Evicted,
 	scheduler.Deadline:   peering.Late,
-	scheduler.Overloaded: peering.Waited,
+	scheduler.Overloaded: peering.QueueTimeout,
 	scheduler.Closed:     peering.TargetLeaving,
 }
 
--- a/internal/guard/reach_test.go
+++ b/internal/guard/reach_test.go
@@ -25,13 +25,13 @@
 	var offset atomic.Int64
 	g.now = func() time.Time { return time.Now().Add(time.Duration(offset.Load())) }
 	for range unconnectedBound {
-		assert.Equal(t, g.Run(context.Background(), call("a")).Reason, peering.Unconnected)
+		assert.Equal(t, g.Run(context.Background(), call("a")).Reason, peering.ConnectFailed)
 	}
 	reply := g.Run(context.Background(), call("b"))
 	assert.Equal(t, reply.Reason, peering.NoTarget)
-	assert.Assert(t, reply.Reason.Final(), "peers pass it over")
+	assert.Assert(t, reply.Reason.HomeUnavailable(), "peers pass it over")
 	offset.Store(int64(unreachablePause))
-	assert.Equal(t, g.Run(context.Background(), call("c")).Reason, peering.Unconnected, "it is tried again")
+	assert.Equal(t, g.Run(context.Background(), call("c")).Reason, peering.ConnectFailed, "it is tried again")
 	assert.Equal(t, g.Run(context.Background(), call("d")).Reason, peering.NoTarget)
 }
 
--- a/internal/guard/record.go
+++ b/internal/guard/record.go
@@ -81,11 +81,11 @@
 // turned it away although it was offered no more than its slots.
 func (r *trackRecord) noteFailure(route string, reply *peering.Reply, duration time.Duration) {
 	if reply.Outcome == peering.Answered {
-		r.erring += (shareOf(reply.OwnFailure) - r.erring) * recordWeight
+		r.erring += (shareOf(reply.TargetError) - r.erring) * recordWeight
 	}
 	failed := false
 	switch {
-	case reply.Reason == peering.Broken, reply.Reason == peering.TargetCrashed, reply.Reason == peering.Spoilt, reply.Reason == peering.TargetFull:
+	case reply.Reason == peering.ExchangeBroken, reply.Reason == peering.TargetCrashed, reply.Reason == peering.InvalidResponse, reply.Reason == peering.TargetFull:
 		failed = true
 	case reply.Outcome == peering.Failed:
 		known := r.latencies[route]
--- a/internal/guard/record_test.go
+++ b/internal/guard/record_test.go
@@ -74,7 +74,7 @@
 func TestBrokenAnswersCountAsFailures(t *testing.T) {
 	var record trackRecord
 	for range 100 {
-		record.ended("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.Broken}, time.Millisecond, start)
+		record.ended("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.ExchangeBroken}, time.Millisecond, start)
 	}
 	assert.Assert(t, record.failures() > 90)
 	for range 100 {
@@ -86,7 +86,7 @@
 func TestErrorsOfTheTargetAreToldApart(t *testing.T) {
 	var record trackRecord
 	for i := range 200 {
-		record.ended("r", &peering.Reply{Outcome: peering.Answered, Status: 500, OwnFailure: i%2 == 0}, time.Millisecond, start)
+		record.ended("r", &peering.Reply{Outcome: peering.Answered, Status: 500, TargetError: i%2 == 0}, time.Millisecond, start)
 	}
 	assert.Assert(t, record.errors() > 30 && record.errors() < 70, "%d", record.errors())
 	assert.Equal(t, record.failures(), 0)
@@ -109,7 +109,7 @@
 	for range 200 {
 		record.began("r", now)
 		now = now.Add(time.Millisecond)
-		record.ended("r", &peering.Reply{Outcome: peering.Answered, Status: 500, OwnFailure: true}, time.Millisecond, now)
+		record.ended("r", &peering.Reply{Outcome: peering.Answered, Status: 500, TargetError: true}, time.Millisecond, now)
 	}
 	assert.Assert(t, record.latency("r", now) >= 99*time.Millisecond, "%s", record.latency("r", now))
 	assert.Assert(t, record.errors() > 90)
--- a/internal/guard/running.go
+++ b/internal/guard/running.go
@@ -19,8 +19,8 @@
 	Rank  criticality.Rank
 	// Repeat tells that the request, or one that led to it, ran before.
 	Repeat bool
-	// Wanted ends when nobody waits for the request's answer any more.
-	Wanted context.Context
+	// Context ends when nobody waits for the request's answer any more.
+	Context context.Context
 }
 
 // runningRequest is a request at the target with the calls that it made.
@@ -79,7 +79,7 @@
 func (t *runningTable) begin(call *peering.Call, withdraw context.CancelCauseFunc) func(answered bool, now time.Time) (callFailed bool) {
 	wanted, abandon := context.WithCancel(context.Background())
 	request := &runningRequest{
-		Running:  Running{Route: call.Route, Rank: criticality.RankOf(call.Rank), Repeat: call.Repeat, Wanted: wanted},
+		Running:  Running{Route: call.Route, Rank: criticality.RankOf(call.Rank), Repeat: call.Retried, Context: wanted},
 		abandon:  abandon,
 		call:     call,
 		withdraw: withdraw,
@@ -108,9 +108,9 @@
 // errQuarantined ends the exchanges of requests that are quarantined meanwhile.
 var errQuarantined = errors.New(string(peering.Quarantined))
 
-// Withdraw ends the exchanges with the target of a request that is quarantined from now
+// CancelQuarantined ends the exchanges with the target of a request that is quarantined from now
 // on: a target that drops it in time does not crash.
-func (g *Guard) Withdraw(hash fingerprint.Fingerprint) {
+func (g *Guard) CancelQuarantined(hash fingerprint.Fingerprint) {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
 	for _, request := range g.running.requests {
@@ -139,9 +139,9 @@
 	return g.running.abandoned.contains(id)
 }
 
-// CallMade notes that a request at the target made a call of the route. It returns
+// CountCall notes that a request at the target made a call of the route. It returns
 // how many it has made by now.
-func (g *Guard) CallMade(id, route string) int {
+func (g *Guard) CountCall(id, route string) int {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
 	request, found := g.running.requests[id]
@@ -155,9 +155,9 @@
 	return request.calls[route]
 }
 
-// CallFailed notes that a call which a request at the target made brought no
+// RecordCallFailure notes that a call which a request at the target made brought no
 // success, so that the target is not to blame if the request fails.
-func (g *Guard) CallFailed(id string) {
+func (g *Guard) RecordCallFailure(id string) {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
 	if request, found := g.running.requests[id]; found {
@@ -175,8 +175,8 @@
 // shedConfig lets thresholds fall until next to nothing is admitted.
 var shedConfig = shed.Config{Floor: 8}
 
-// Watch moves the shed threshold with the queue until the context ends.
-func (g *Guard) Watch(ctx context.Context) {
+// RunShedding moves the shed threshold with the queue until the context ends.
+func (g *Guard) RunShedding(ctx context.Context) {
 	ticker := time.NewTicker(tick)
 	defer ticker.Stop()
 	logged := shed.None
--- a/internal/guard/turns.go
+++ b/internal/guard/turns.go
@@ -75,7 +75,7 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			return nil, refused(peering.Waited)
+			return nil, refused(peering.QueueTimeout)
 		case <-ctx.Done():
 			return nil, refused(peering.CallerLeft)
 		}
--- a/internal/liveness/liveness.go
+++ b/internal/liveness/liveness.go
@@ -25,8 +25,8 @@
 	CatchUpLimit = 2 * time.Second
 )
 
-// Watch watches over one process. It is safe for concurrent use.
-type Watch struct {
+// Monitor watches over one process. It is safe for concurrent use.
+type Monitor struct {
 	now func() time.Time
 
 	mutex    sync.Mutex
@@ -35,13 +35,13 @@
 	catching bool
 }
 
-// NewWatch returns a watch of a process that runs and has missed nothing.
-func NewWatch(now func() time.Time) *Watch {
-	return &Watch{now: now, ticked: now()}
+// NewMonitor returns a watch of a process that runs and has missed nothing.
+func NewMonitor(now func() time.Time) *Monitor {
+	return &Monitor{now: now, ticked: now()}
 }
 
 // Run ticks until the context ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Monitor) Run(ctx context.Context) {
 	ticker := time.NewTicker(TickInterval)
 	defer ticker.Stop()
 	for {
@@ -55,13 +55,13 @@
 }
 
 // Tick notes that the process runs. It reports whether it was paused before.
-func (w *Watch) Tick() (paused bool) {
+func (w *Monitor) Tick() (paused bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.tick(w.now())
 }
 
-func (w *Watch) tick(now time.Time) (paused bool) {
+func (w *Monitor) tick(now time.Time) (paused bool) {
 	paused = elapsed(w.ticked, now) > PauseLimit
 	w.ticked = now
 	if paused {
@@ -71,9 +71,9 @@
 	return paused
 }
 
-// Acting reports whether the process may act on what it knows: it was not
+// MayAct reports whether the process may act on what it knows: it was not
 // paused, or has caught up since.
-func (w *Watch) Acting() bool {
+func (w *Monitor) MayAct() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.now()
@@ -86,9 +86,9 @@
 	return !w.catching
 }
 
-// CaughtUp notes that the process knows what another one, heard at the given
+// MarkCaughtUp notes that the process knows what another one, heard at the given
 // moment, knew. It counts only if the moment was after the last pause.
-func (w *Watch) CaughtUp(heard time.Time) {
+func (w *Monitor) MarkCaughtUp(heard time.Time) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.catching && elapsed(w.ticked, w.now()) <= PauseLimit && heard.After(w.resumed) {
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -104,7 +104,7 @@
 // from it.
 func (n *Node) noteCaughtUp(floor store.Revision) {
 	if n.viewFloor.Load() >= int64(floor) {
-		n.liveness.CaughtUp(time.Now())
+		n.liveness.MarkCaughtUp(time.Now())
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,7 +49,7 @@
 	metrics  *metrics.Metrics
 	digests  *digestTable
 	levels   levelMemory
-	liveness *liveness.Watch
+	liveness *liveness.Monitor
 	view     *catalog.View
 	built    viewInputs
 	// viewFloor is a revision up to which the view holds every change.
@@ -79,7 +79,7 @@
 		view:     catalog.Empty(),
 		digests:  newDigestTable(),
 		levels:   newLevelMemory(),
-		liveness: liveness.NewWatch(time.Now),
+		liveness: liveness.NewMonitor(time.Now),
 		metrics:  metrics.New(),
 	}
 	if err := n.sockets.open(node.Listen); err != nil {
--- a/internal/peering/datagram_test.go
+++ b/internal/peering/datagram_test.go
@@ -25,16 +25,16 @@
 	return &ratelimit.Grant{Held: true, Issued: ask.Needed, Validity: time.Second}
 }
 
-func listenDatagrams(t testing.TB, permits Permits) *Datagrams {
+func listenDatagrams(t testing.TB, permits Permits) *PermitSocket {
 	t.Helper()
-	d, err := ListenDatagrams("127.0.0.1:0", permits)
+	d, err := ListenPermitSocket("127.0.0.1:0", permits)
 	assert.NilError(t, err)
 	go d.Run()
 	t.Cleanup(func() { _ = d.Close() })
 	return d
 }
 
-func addressOf(d *Datagrams) string { return d.socket.LocalAddr().String() }
+func addressOf(d *PermitSocket) string { return d.socket.LocalAddr().String() }
 
 // TestGrantsComeToTheirAsks has many requests ask one holder at once.
 func TestGrantsComeToTheirAsks(t *testing.T) {
@@ -43,7 +43,7 @@
 	var asking sync.WaitGroup
 	for needed := range 200 {
 		asking.Go(func() {
-			grant, err := node.Ask(t.Context(), addressOf(holder), &ratelimit.Ask{Share: 3, Tenant: "acme", Needed: needed})
+			grant, err := node.Request(t.Context(), addressOf(holder), &ratelimit.Ask{Share: 3, Tenant: "acme", Needed: needed})
 			if err == nil {
 				assert.Equal(t, grant.Issued, needed)
 			}
@@ -58,7 +58,7 @@
 }
 
 // pendingAsks returns how many asks of a node wait for their grants.
-func pendingAsks(d *Datagrams) int {
+func pendingAsks(d *PermitSocket) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return len(d.pending)
@@ -71,13 +71,13 @@
 	silent, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = silent.Close() }()
-	_, err = node.Ask(t.Context(), silent.LocalAddr().String(), &ratelimit.Ask{})
+	_, err = node.Request(t.Context(), silent.LocalAddr().String(), &ratelimit.Ask{})
 	assert.ErrorIs(t, err, errNoGrant)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = node.Ask(ctx, silent.LocalAddr().String(), &ratelimit.Ask{})
+	_, err = node.Request(ctx, silent.LocalAddr().String(), &ratelimit.Ask{})
 	assert.ErrorIs(t, err, context.Canceled)
-	_, err = node.Ask(t.Context(), "nowhere", &ratelimit.Ask{})
+	_, err = node.Request(t.Context(), "nowhere", &ratelimit.Ask{})
 	assert.ErrorContains(t, err, "nowhere")
 	assert.Equal(t, pendingAsks(node), 0)
 }
@@ -93,7 +93,7 @@
 		_, err := stranger.Write(bad)
 		assert.NilError(t, err)
 	}
-	grant, err := node.Ask(t.Context(), addressOf(holder), &ratelimit.Ask{Needed: 2})
+	grant, err := node.Request(t.Context(), addressOf(holder), &ratelimit.Ask{Needed: 2})
 	assert.NilError(t, err)
 	assert.Equal(t, grant.Issued, 2)
 }
@@ -104,7 +104,7 @@
 	holder, node := listenDatagrams(b, &discarding{}), listenDatagrams(b, nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		_, err := node.Ask(b.Context(), addressOf(holder), &ratelimit.Ask{Share: 1, Tenant: "tenant", Needed: 1})
+		_, err := node.Request(b.Context(), addressOf(holder), &ratelimit.Ask{Share: 1, Tenant: "tenant", Needed: 1})
 		assert.NilError(b, err)
 	}
 }
--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -32,14 +32,14 @@
 	version atomic.Uint64
 
 	mutex   sync.Mutex
-	calls   map[string]map[string]Calls
+	calls   map[string]map[string]CallStats
 	reports map[reportKey]report
 	told    map[string]toldOfRoute
 }
 
-// Calls is what is known of the calls of one route that a request of another
+// CallStats is what is known of the calls of one route that a request of another
 // route makes.
-type Calls struct {
+type CallStats struct {
 	// Count is the most calls that one request was seen to make.
 	Count int
 	// Scarce tells that so many repetitions could hardly be paid for by this node.
@@ -61,9 +61,9 @@
 	// Calls is the number of calls that one request leads to, those further down
 	// included.
 	Calls int
-	// Scarce tells that these calls could hardly be paid for out of the retry budgets
+	// RetryBudgetLow tells that these calls could hardly be paid for out of the retry budgets
 	// if the request were repeated.
-	Scarce bool
+	RetryBudgetLow bool
 }
 
 // toldOfRoute is what homes told of a route.
@@ -78,15 +78,15 @@
 	return &Levels{
 		table:   shed.NewTable(shed.TableConfig{Expiry: expiry}),
 		now:     now,
-		calls:   make(map[string]map[string]Calls),
+		calls:   make(map[string]map[string]CallStats),
 		reports: make(map[reportKey]report),
 		told:    make(map[string]toldOfRoute),
 	}
 }
 
-// Learn notes that a request of the route makes calls of the other route, and how
+// RecordCalls notes that a request of the route makes calls of the other route, and how
 // many that one has made so far.
-func (l *Levels) Learn(route, called string, seen Calls) {
+func (l *Levels) RecordCalls(route, called string, seen CallStats) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	calls := l.calls[route]
@@ -94,18 +94,18 @@
 		if len(l.calls) >= maxRoutes {
 			return
 		}
-		calls = make(map[string]Calls)
+		calls = make(map[string]CallStats)
 		l.calls[route] = calls
 	}
 	known, found := calls[called]
 	if found || len(calls) < maxCalls {
-		calls[called] = Calls{Count: max(known.Count, seen.Count), Scarce: seen.Scarce}
+		calls[called] = CallStats{Count: max(known.Count, seen.Count), Scarce: seen.Scarce}
 	}
 }
 
-// Expected returns how many calls of the other route a request of the route makes,
+// ExpectedCalls returns how many calls of the other route a request of the route makes,
 // zero if that is not known.
-func (l *Levels) Expected(route, called string) int {
+func (l *Levels) ExpectedCalls(route, called string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.calls[route][called].Count
@@ -160,7 +160,7 @@
 	if level.Calls > 0 {
 		known.calls = level.Calls
 	}
-	if level.Scarce {
+	if level.RetryBudgetLow {
 		known.scarceAt = now
 	}
 	l.told[route] = known
@@ -174,9 +174,9 @@
 	return l.told[route].calls
 }
 
-// Scarce reports whether the calls of a repeated request of the route could
+// RetryBudgetLow reports whether the calls of a repeated request of the route could
 // hardly be paid for, as a home told lately.
-func (l *Levels) Scarce(route string) bool {
+func (l *Levels) RetryBudgetLow(route string) bool {
 	now := l.now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -192,9 +192,9 @@
 // refused; shed.None refuses nothing.
 func (l *Levels) Threshold(route string) uint16 { return l.table.Threshold(route, l.now()) }
 
-// Below returns what holds for the calls that the route's requests make: the
+// Downstream returns what holds for the calls that the route's requests make: the
 // lowest threshold, their number, and whether repetitions of any are scarce.
-func (l *Levels) Below(route string) Level {
+func (l *Levels) Downstream(route string) Level {
 	now := l.now()
 	level := Level{Threshold: shed.None}
 	l.mutex.Lock()
@@ -202,7 +202,7 @@
 	for name, calls := range l.calls[route] {
 		called = append(called, name)
 		level.Calls += calls.Count * (1 + l.told[name].calls)
-		level.Scarce = level.Scarce || calls.Scarce || l.scarce(name, now)
+		level.RetryBudgetLow = level.RetryBudgetLow || calls.Scarce || l.scarce(name, now)
 	}
 	l.mutex.Unlock()
 	for _, name := range called {
--- a/internal/registry/departing.go
+++ b/internal/registry/departing.go
@@ -143,10 +143,10 @@
 	rewriteSpacing = 2500 * time.Microsecond
 )
 
-// StoreRestored takes that the store came back from a copy. What this node wrote since the
+// HandleStoreRestored takes that the store came back from a copy. What this node wrote since the
 // copy was made is gone, and so is its lease: departures are written again at once, and its
 // record after them.
-func (r *Registrar) StoreRestored() {
+func (r *Registrar) HandleStoreRestored() {
 	place, _ := r.config.Place()
 	r.publisher.delay(time.Duration(place) * rewriteSpacing)
 	r.facts.restored()
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -52,9 +52,9 @@
 	return d
 }
 
-// Change takes changes of the store in order; keys without the prefix are passed
+// ApplyChanges takes changes of the store in order; keys without the prefix are passed
 // over.
-func (d *Directory) Change(entries []store.Entry, source string) {
+func (d *Directory) ApplyChanges(entries []store.Entry, source string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, entry := range entries {
--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -17,7 +17,7 @@
 func startDirectory(t *testing.T, source store.Store) *Directory {
 	t.Helper()
 	d := NewDirectory(homesPrefix, homeAddress, nil, time.Now)
-	keeper := &replica.Keeper{Copy: replica.NewCopy(time.Second, d.Change, time.Now), Store: source, Prefix: homesPrefix,
+	keeper := &replica.Keeper{Copy: replica.NewCopy(time.Second, d.ApplyChanges, time.Now), Store: source, Prefix: homesPrefix,
 		Place: func() (int, bool) { return 0, true }, Now: time.Now}
 	go keeper.Run(t.Context())
 	go d.Run(t.Context())
@@ -45,7 +45,7 @@
 	awaitHomes(t, d, func(homes []*Home) bool { return len(homes) == 0 })
 }
 
-func TestALapsedRecordIsOnlyAHint(t *testing.T) {
+func TestLapsedHomeIsKept(t *testing.T) {
 	ctx := context.Background()
 	target := memory.New(time.Now)
 	r := startRegistrar(t, target)
@@ -59,20 +59,20 @@
 	awaitHomes(t, d, func(homes []*Home) bool { return len(homes) == 1 && !homes[0].LapsedAt.IsZero() })
 }
 
-// TestALapsedRecordThatDoesNotComeBackIsGone has records disappear: one is
+// TestLapsedHomeIsRemovedAfterRetention has records disappear: one is
 // written anew and stays, one isn't and goes.
-func TestALapsedRecordThatDoesNotComeBackIsGone(t *testing.T) {
+func TestLapsedHomeIsRemovedAfterRetention(t *testing.T) {
 	now := time.Now()
 	d := NewDirectory(homesPrefix, homeAddress, nil, func() time.Time { return now })
 	record := func(address string, revision store.Revision) store.Entry {
 		return store.Entry{Key: homesPrefix + address, Revision: revision, Value: encode(Record{Instance: "i", Service: "s", Address: address, State: Ready})}
 	}
-	d.Change([]store.Entry{record("back", 1), record("gone", 2)}, "store")
-	d.Change([]store.Entry{{Key: homesPrefix + "back", Revision: 3, Deleted: true}, {Key: homesPrefix + "gone", Revision: 4, Deleted: true}}, "store")
+	d.ApplyChanges([]store.Entry{record("back", 1), record("gone", 2)}, "store")
+	d.ApplyChanges([]store.Entry{{Key: homesPrefix + "back", Revision: 3, Deleted: true}, {Key: homesPrefix + "gone", Revision: 4, Deleted: true}}, "store")
 	now = now.Add(2 * time.Second)
 	d.expire()
 	assert.Equal(t, len(d.Homes("s")), 2)
-	d.Change([]store.Entry{record("back", 5)}, "store")
+	d.ApplyChanges([]store.Entry{record("back", 5)}, "store")
 	now = now.Add(time.Second)
 	d.expire()
 	assert.Equal(t, len(d.Homes("s")), 1)
@@ -89,7 +89,7 @@
 		_, known := d.Place()
 		assert.Assert(t, !known)
 		for i, address := range addresses {
-			d.Change([]store.Entry{{Key: homesPrefix + address, Revision: store.Revision(i + 1), Value: encode(Record{Instance: "i", Service: "s", Address: address, State: Ready})}}, "store")
+			d.ApplyChanges([]store.Entry{{Key: homesPrefix + address, Revision: store.Revision(i + 1), Value: encode(Record{Instance: "i", Service: "s", Address: address, State: Ready})}}, "store")
 		}
 		place, known := d.Place()
 		assert.Assert(t, known && place >= 0 && place < len(addresses), "place %d", place)
@@ -113,7 +113,7 @@
 	return c.Store.Watch(ctx, prefix, after, handler)
 }
 
-func TestADeletionIsNoticedByAbsence(t *testing.T) {
+func TestDeletionDuringWatchGapIsDetected(t *testing.T) {
 	ctx := context.Background()
 	held := memory.New(time.Now)
 	key := homesPrefix + homeAddress
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -27,7 +27,7 @@
 // started is a heartbeat of one start.
 func started(id string, born int64, sequence uint64) Heartbeat {
 	beat := ready(id, sequence)
-	beat.Born = born
+	beat.StartMillis = born
 	return beat
 }
 
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestATargetStartsAgainUnderItsID tells of targets that never got work again.
+// TestTargetRestartsWithSameID tells of targets that never got work again.
 //
 // What users saw: a target crashed and started again under its id; one heartbeat of before,
 // which said that it leaves and had been held up, was acknowledged, and the new target got
@@ -51,7 +51,7 @@
 // Cause: all that is known of a target was kept under its id, which two starts share.
 // Evidence: the departure lay in the store under the id alone, and the sequence number of the
 // late heartbeat, 5001, was above all of the new start.
-func TestATargetStartsAgainUnderItsID(t *testing.T) {
+func TestTargetRestartsWithSameID(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newRestoredFleet(t)
 		n := f.start(1)
@@ -97,9 +97,9 @@
 	unknown, elsewhere, absent := sound, sound, sound
 	unknown.State, elsewhere.Address, absent.State = 9, "10.9.9.9:1", Absent
 	d := NewDirectory(homesPrefix, homeAddress, nil, time.Now)
-	d.Change([]store.Entry{{Key: homesPrefix + homeAddress, Value: encode(sound), Revision: 1}}, "store")
+	d.ApplyChanges([]store.Entry{{Key: homesPrefix + homeAddress, Value: encode(sound), Revision: 1}}, "store")
 	for i, value := range [][]byte{nil, {0}, []byte("{}"), []byte("\xff\xfe"), encode("text"), encode([]int{1}), encode(unknown), encode(elsewhere), encode(absent)} {
-		d.Change([]store.Entry{
+		d.ApplyChanges([]store.Entry{
 			{Key: homesPrefix + homeAddress, Value: value, Revision: store.Revision(i + 2)},
 			{Key: fmt.Sprintf("%s10.0.0.%d:1", homesPrefix, i+2), Value: value, Revision: store.Revision(i + 2)},
 		}, "store")
@@ -123,11 +123,11 @@
 	})
 }
 
-// TestStartsUnderOneID plays seeded schedules of targets that crash, leave and start again
+// TestSimulatedRestartsWithSameID plays seeded schedules of targets that crash, leave and start again
 // under their id, of heartbeats that come up to 3 s late, of nodes that are killed and of a
 // store that comes back from copies: no start that left gets work after its acknowledgement,
 // and none that is there goes without for 3 s.
-func TestStartsUnderOneID(t *testing.T) {
+func TestSimulatedRestartsWithSameID(t *testing.T) {
 	for _, seed := range startsThatFailed {
 		virtualtime.Run(t, func(t *testing.T) { playStarts(t, seed) })
 	}
@@ -206,9 +206,9 @@
 
 func (s *startSchedule) send(beat Heartbeat) {
 	err := s.node.Heartbeat(context.Background(), beat)
-	s.target.heard = s.target.heard || (err == nil && beat.Born == s.target.born)
+	s.target.heard = s.target.heard || (err == nil && beat.StartMillis == s.target.born)
 	if err == nil && beat.Draining {
-		s.left[beat.Born] = true
+		s.left[beat.StartMillis] = true
 	}
 }
 
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -22,26 +22,26 @@
 // Heartbeat is what a target tells of itself.
 type Heartbeat struct {
 	ID string
-	// Born is when the target started, in Unix milliseconds of its clock; zero if it does
+	// StartMillis is when the target started, in Unix milliseconds of its clock; zero if it does
 	// not tell.
-	Born     int64
-	Service  string
-	Address  string
-	Slots    int
-	Draining bool
+	StartMillis int64
+	Service     string
+	Address     string
+	Slots       int
+	Draining    bool
 	// Warmup is how much longer the target is slow from its start.
 	Warmup time.Duration
 	// Sequence rises with each heartbeat of one target.
 	Sequence uint64
 }
 
-// Receiver takes heartbeats. A nil error acknowledges.
-type Receiver interface {
+// HeartbeatReceiver takes heartbeats. A nil error acknowledges.
+type HeartbeatReceiver interface {
 	Heartbeat(ctx context.Context, beat Heartbeat) error
 	// Depart takes a target's notice that it leaves. Born is zero if it does not tell.
 	Depart(ctx context.Context, id string, born int64) error
-	// Refused takes that a heartbeat was turned away, and why.
-	Refused(id string, reason RefusalReason)
+	// HeartbeatRefused takes that a heartbeat was turned away, and why.
+	HeartbeatRefused(id string, reason RefusalReason)
 }
 
 // RefusalReason is why a heartbeat is turned away. What is known of the target stays as it is.
@@ -53,11 +53,11 @@
 	RefusedState      RefusalReason = "unknown state"
 	RefusedService    RefusalReason = "unknown service"
 	RefusedSlots      RefusalReason = "no slots"
-	RefusedBorn       RefusalReason = "born is no moment"
+	RefusedStartTime  RefusalReason = "born is no moment"
 )
 
 // Incarnation returns which start of the target the heartbeat is of.
-func (b Heartbeat) Incarnation() Incarnation { return Incarnation{ID: b.ID, Born: b.Born} }
+func (b Heartbeat) Incarnation() Incarnation { return Incarnation{ID: b.ID, Born: b.StartMillis} }
 
 // State is how far a target's life has come. It only moves forward.
 type State uint8
--- a/internal/registry/registrar.go
+++ b/internal/registry/registrar.go
@@ -18,8 +18,8 @@
 	Process          uint32
 	HomesPrefix      string
 	DeparturesPrefix string
-	// OnTarget is told each new state of the target, in order.
-	OnTarget func(Target)
+	// OnTargetChange is told each new state of the target, in order.
+	OnTargetChange func(Target)
 	// OnRefused is told why a heartbeat was turned away; it may be nil.
 	OnRefused func(reason RefusalReason)
 	// FirstStart tells that there was no earlier process on any machine.
@@ -82,7 +82,7 @@
 	}
 	if config.Peers.Addresses == nil {
 		config.Peers.Addresses = func() []string { return nil }
-		config.Peers.Tell = func(context.Context, string, Departure) error { return nil }
+		config.Peers.Notify = func(context.Context, string, Departure) error { return nil }
 	}
 	r := &Registrar{config: config, log: log, now: now, departed: make(map[Incarnation]bool), replaced: make(map[Incarnation]bool),
 		newest: make(map[string]int64), leaving: make(map[string]leavingTarget), recoveredOnce: make(chan struct{})}
@@ -101,9 +101,9 @@
 	r.publisher.run(ctx)
 }
 
-// Change takes changes of the store: the node's own record may have disappeared
+// ApplyChanges takes changes of the store: the node's own record may have disappeared
 // with its lease, and departures may have been lost as the store came back from a copy.
-func (r *Registrar) Change(entries []store.Entry) {
+func (r *Registrar) ApplyChanges(entries []store.Entry) {
 	for _, entry := range entries {
 		if instance, departure := strings.CutPrefix(entry.Key, r.config.DeparturesPrefix); departure {
 			r.departureChanged(instance, entry)
@@ -129,9 +129,9 @@
 	r.publisher.noteTold(entry, &record, r.config.Process)
 }
 
-// Resumed has the node's lease looked at, as the machine was suspended: the timer for its
+// HandleResume has the node's lease looked at, as the machine was suspended: the timer for its
 // renewal stood still meanwhile.
-func (r *Registrar) Resumed() { r.publisher.signal() }
+func (r *Registrar) HandleResume() { r.publisher.signal() }
 
 // recover learns which targets said that they leave, and which one was beside
 // the node last. Until then no target is told as ready.
@@ -291,12 +291,12 @@
 			r.replaced[r.target.Incarnation()] = true
 		}
 		delete(r.replaced, start)
-		r.target = Target{ID: beat.ID, Born: beat.Born, Service: beat.Service, State: Ready}
+		r.target = Target{ID: beat.ID, Born: beat.StartMillis, Service: beat.Service, State: Ready}
 		r.learnStart(start)
 	}
 	r.returning = returningTarget{}
 	if beat.Draining {
-		r.leaving[beat.ID] = leavingTarget{born: beat.Born, since: r.now()}
+		r.leaving[beat.ID] = leavingTarget{born: beat.StartMillis, since: r.now()}
 		r.depart(start, Draining)
 		return
 	}
@@ -312,8 +312,8 @@
 	}
 }
 
-// Refused takes that a heartbeat was turned away.
-func (r *Registrar) Refused(id string, reason RefusalReason) {
+// HeartbeatRefused takes that a heartbeat was turned away.
+func (r *Registrar) HeartbeatRefused(id string, reason RefusalReason) {
 	r.log.Record(eventlog.Event{Kind: eventlog.HeartbeatRefused, Target: id, Reason: string(reason)})
 	if r.config.OnRefused != nil {
 		r.config.OnRefused(reason)
@@ -326,8 +326,8 @@
 	target := r.visible()
 	r.log.Record(eventlog.Event{Kind: eventlog.TargetChanged, Service: target.Service, Target: target.Incarnation().String(), Outcome: target.State.String(),
 		Version: target.Sequence, Count: target.Slots})
-	if r.config.OnTarget != nil {
-		r.config.OnTarget(target)
+	if r.config.OnTargetChange != nil {
+		r.config.OnTargetChange(target)
 	}
 	if target.State != Absent {
 		// That a leaving target is gone makes no difference to peers.
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -95,7 +95,7 @@
 	return beat
 }
 
-func TestAnAcknowledgedDrainBindsTheNextProcess(t *testing.T) {
+func TestAcknowledgedDrainSurvivesNodeRestart(t *testing.T) {
 	ctx := context.Background()
 	target := memory.New(time.Now)
 	first := startRegistrar(t, target)
@@ -136,10 +136,10 @@
 	}, poll.WithDelay(5*time.Millisecond))
 }
 
-// TestARestartedNodeKnowsItsTarget has a process take over from one that was
+// TestRestartedNodeAdoptsTarget has a process take over from one that was
 // killed: the target beside it runs on and must not be lost until its next
 // heartbeat.
-func TestARestartedNodeKnowsItsTarget(t *testing.T) {
+func TestRestartedNodeAdoptsTarget(t *testing.T) {
 	ctx := context.Background()
 	target := memory.New(time.Now)
 	first := startRegistrar(t, target)
@@ -211,7 +211,7 @@
 	assert.NilError(t, r.Heartbeat(context.Background(), draining("i-1", 3)))
 }
 
-func TestALostAnswerToADrainIsResolved(t *testing.T) {
+func TestDepartureWriteWithUnknownOutcomeIsRetried(t *testing.T) {
 	held := memory.New(time.Now)
 	target := &faultyStore{Store: held}
 	r := startRegistrar(t, target)
@@ -237,7 +237,7 @@
 	assert.Equal(t, r.Target().State, Gone, "states only move forward")
 }
 
-func TestALateHeartbeatOfAReplacedTargetChangesNothing(t *testing.T) {
+func TestDelayedHeartbeatOfReplacedTargetIsIgnored(t *testing.T) {
 	r := startRegistrar(t, memory.New(time.Now))
 	for _, beat := range []Heartbeat{ready("i-1", 5), ready("i-2", 1), ready("i-1", 6)} {
 		assert.NilError(t, r.Heartbeat(context.Background(), beat))
@@ -246,12 +246,12 @@
 	assert.Equal(t, r.Target().ID, "i-2")
 }
 
-// TestALateHeartbeatDoesNotEndItsSuccessor has a heartbeat arrive that a cut held up
+// TestDelayedHeartbeatDoesNotDisplaceSuccessor has a heartbeat arrive that a cut held up
 // since before its target crashed. A process that started meanwhile knows only the
 // successor at the same address and takes the late heartbeat for a newer target's.
 // What users saw was a target that was well and got no request for the rest of its
 // life, as it counted as replaced for good.
-func TestALateHeartbeatDoesNotEndItsSuccessor(t *testing.T) {
+func TestDelayedHeartbeatDoesNotDisplaceSuccessor(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRegistrar(RegistrarConfig{HomesPrefix: homesPrefix, FirstStart: true}, Stores{}, nil, func() time.Time { return now })
 	r.recoverFrom(nil)
@@ -321,9 +321,9 @@
 	assert.Equal(t, target.writes.Load(), int32(1))
 }
 
-// TestARecordThatDisappearedIsWrittenAnew has the record go with its lease while
+// TestRemovedRecordIsRewritten has the record go with its lease while
 // the node lives, as after an outage of the store.
-func TestARecordThatDisappearedIsWrittenAnew(t *testing.T) {
+func TestRemovedRecordIsRewritten(t *testing.T) {
 	target := memory.New(time.Now)
 	r := startRegistrar(t, target)
 	assert.NilError(t, r.Heartbeat(t.Context(), ready("i-1", 1)))
@@ -331,6 +331,6 @@
 	entry, err := target.Get(t.Context(), homesPrefix+homeAddress)
 	assert.NilError(t, err)
 	assert.NilError(t, target.RevokeLease(t.Context(), entry.Lease))
-	r.Change([]store.Entry{{Key: entry.Key, Revision: entry.Revision + 1, Deleted: true}})
+	r.ApplyChanges([]store.Entry{{Key: entry.Key, Revision: entry.Revision + 1, Deleted: true}})
 	awaitPublished(t, target, "i-1")
 }
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -54,7 +54,7 @@
 	if !living {
 		return errors.New("connection refused")
 	}
-	peer.(*restoredNode).HeardDeparture(departure)
+	peer.(*restoredNode).LearnDeparture(departure)
 	return nil
 }
 
@@ -81,17 +81,17 @@
 	var held *replica.Copy
 	n.Registrar = NewRegistrar(RegistrarConfig{
 		Zone: "z", Address: address, Process: f.started, HomesPrefix: homesPrefix, DeparturesPrefix: departuresPrefix,
-		Epoch: epochs.Current, Place: n.directory.Place, Peers: Peers{Addresses: f.addresses, Tell: f.tell},
+		Epoch: epochs.Current, Place: n.directory.Place, Peers: Peers{Addresses: f.addresses, Notify: f.tell},
 		Records: func(ctx context.Context) ([]store.Entry, error) {
 			err := held.AwaitProved(ctx, begun)
 			return held.Entries(), err
 		},
 	}, Stores{Record: target, Departure: target}, nil, time.Now)
 	held = replica.NewCopy(time.Second, func(entries []store.Entry, source string) {
-		n.directory.Change(entries, source)
-		n.Change(entries)
+		n.directory.ApplyChanges(entries, source)
+		n.ApplyChanges(entries)
 	}, time.Now)
-	epochs.OnChange(func(epoch.Change) { n.StoreRestored() })
+	epochs.OnChange(func(epoch.Change) { n.HandleStoreRestored() })
 	keeper := &replica.Keeper{Copy: held, Store: target, Place: func() (int, bool) { return 0, true }, Gather: watchGather, Now: time.Now}
 	f.living.Store(address, n)
 	go keeper.Run(ctx)
@@ -132,9 +132,9 @@
 	time.Sleep(time.Minute)
 }
 
-// TestALostDepartureIsWrittenAgain has the store lose an acknowledged departure. The node that
+// TestLostDepartureIsRewritten has the store lose an acknowledged departure. The node that
 // acknowledged it writes it again, or the next one if that node is gone.
-func TestALostDepartureIsWrittenAgain(t *testing.T) {
+func TestLostDepartureIsRewritten(t *testing.T) {
 	for _, dies := range []bool{false, true} {
 		virtualtime.Run(t, func(t *testing.T) {
 			f := newRestoredFleet(t)
@@ -170,7 +170,7 @@
 	}
 }
 
-// TestADepartureOutlastsItsNodeAndTheStore tells of a target that got work after it had left.
+// TestDepartureSurvivesNodeKillAndStoreRestore tells of a target that got work after it had left.
 //
 // What was seen: a soak (seed 1208, 15 s, 6 nodes) killed a node right after it had acknowledged
 // that its target leaves, and 0.12 s later the store went away and came back from a copy without
@@ -178,7 +178,7 @@
 // Cause: a departure was known to the store and to one node alone until others heard of it from
 // the store, up to a second later. Evidence: no other node has a line of it in its log before
 // the target's end.
-func TestADepartureOutlastsItsNodeAndTheStore(t *testing.T) {
+func TestDepartureSurvivesNodeKillAndStoreRestore(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newRestoredFleet(t)
 		nodes := f.startHomes()
@@ -199,12 +199,12 @@
 	})
 }
 
-// TestAStartedNodeIsToldOfALostDeparture has all nodes know a departure that the store loses, and
+// TestRestartedNodeLearnsLostDepartureFromPeers has all nodes know a departure that the store loses, and
 // the node beside the target start again right after the store's return, before anybody writes
 // the departure again. Of four plays of the soak's seed 1208 two had the target run 5 and 6
 // requests 2.0 to 2.4 s after its acknowledged leave, as the others told the node only when
 // they were to write the departure, after 1.2 s.
-func TestAStartedNodeIsToldOfALostDeparture(t *testing.T) {
+func TestRestartedNodeLearnsLostDepartureFromPeers(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newRestoredFleet(t)
 		nodes := f.startHomes()
@@ -244,9 +244,9 @@
 	})
 }
 
-// TestHomesOutlastARestoredStore has two nodes join in the seconds that the store loses: nobody
+// TestHomesSurviveStoreRestore has two nodes join in the seconds that the store loses: nobody
 // forgets them, and a process that starts later knows them.
-func TestHomesOutlastARestoredStore(t *testing.T) {
+func TestHomesSurviveStoreRestore(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newRestoredFleet(t)
 		nodes := []*restoredNode{f.start(1)}
@@ -273,9 +273,9 @@
 	})
 }
 
-// TestALeaseOfAnEarlierEpochIsNeitherRenewedNorEnded has the store give out the number of a
+// TestLeaseOfEarlierEpochIsNeitherRenewedNorRevoked has the store give out the number of a
 // node's lease to somebody else.
-func TestALeaseOfAnEarlierEpochIsNeitherRenewedNorEnded(t *testing.T) {
+func TestLeaseOfEarlierEpochIsNeitherRenewedNorRevoked(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newRestoredFleet(t)
 		copied := f.held.Backup()
@@ -302,9 +302,9 @@
 	})
 }
 
-// TestAStaleWriteIsWrittenOver has a write of before the store's return be carried out late:
+// TestStaleWriteIsOverwritten has a write of before the store's return be carried out late:
 // its condition named a number that the store gave out again.
-func TestAStaleWriteIsWrittenOver(t *testing.T) {
+func TestStaleWriteIsOverwritten(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newRestoredFleet(t)
 		n, peer := f.start(1), f.start(2)
--- a/internal/registry/witness.go
+++ b/internal/registry/witness.go
@@ -25,8 +25,8 @@
 type Peers struct {
 	// Addresses returns those of all nodes; the own one may be among them.
 	Addresses func() []string
-	// Tell tells the node at an address of a departure.
-	Tell func(ctx context.Context, address string, departure Departure) error
+	// Notify tells the node at an address of a departure.
+	Notify func(ctx context.Context, address string, departure Departure) error
 }
 
 // awaitWitnesses tells peers of a departure and returns once enough of them know it, or none
@@ -70,7 +70,7 @@
 func (r *Registrar) tell(ctx context.Context, address string, departure Departure) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), witnessTimeout)
 	defer cancel()
-	return r.config.Peers.Tell(ctx, address, departure)
+	return r.config.Peers.Notify(ctx, address, departure)
 }
 
 // passOn tells the node beside a target that left of that.
@@ -80,9 +80,9 @@
 	}
 }
 
-// HeardDeparture takes a departure that a peer told: of a target beside that peer, or of one
+// LearnDeparture takes a departure that a peer told: of a target beside that peer, or of one
 // beside this node, which was acknowledged by an earlier process here.
-func (r *Registrar) HeardDeparture(departure Departure) {
+func (r *Registrar) LearnDeparture(departure Departure) {
 	if !r.facts.heard(departure) {
 		return
 	}
--- a/internal/replica/antientropy.go
+++ b/internal/replica/antientropy.go
@@ -129,9 +129,9 @@
 	return digests
 }
 
-// HeardCall handles the digests of a peer that called. The time they took to arrive is unknown,
+// HandleCallDigests handles the digests of a peer that called. The time they took to arrive is unknown,
 // so they prove nothing about earlier times.
-func (s *Spread) HeardCall(peer string, digests []Digest) {
+func (s *Spread) HandleCallDigests(peer string, digests []Digest) {
 	if peer == "" || peer == s.config.Address {
 		return
 	}
@@ -142,9 +142,9 @@
 	s.handleDigests(peer, digests, time.Time{})
 }
 
-// HeardReply handles the digests that a peer sent in reply to a message that was sent at
+// HandleReplyDigests handles the digests that a peer sent in reply to a message that was sent at
 // sentAt.
-func (s *Spread) HeardReply(peer string, digests []Digest, sentAt time.Time) {
+func (s *Spread) HandleReplyDigests(peer string, digests []Digest, sentAt time.Time) {
 	s.handleDigests(peer, digests, sentAt)
 }
 
@@ -163,15 +163,15 @@
 	}
 }
 
-// Answer returns the response to a peer's query, and handles the digests in the query.
-func (s *Spread) Answer(query *Query) *Answer {
+// AnswerQuery returns the response to a peer's query, and handles the digests in the query.
+func (s *Spread) AnswerQuery(query *Query) *Answer {
 	answer := &Answer{Deltas: make([]Delta, len(s.copies)), Synced: s.Synced()}
 	for i, c := range s.copies {
 		if i < len(query.Digests) {
 			answer.Deltas[i] = c.DeltaSince(query.Digests[i])
 		}
 	}
-	s.HeardCall(query.From, query.Digests)
+	s.HandleCallDigests(query.From, query.Digests)
 	return answer
 }
 
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -144,7 +144,7 @@
 	if peer == nil || f.find(query.From).process.Load() == nil {
 		return nil, errNoAnswer
 	}
-	answer := peer.spread.Answer(query)
+	answer := peer.spread.AnswerQuery(query)
 	f.sleepDelay()
 	return answer, nil
 }
@@ -182,11 +182,11 @@
 		digests := p.spread.Digests()
 		time.Sleep(peerLatency)
 		f.sleepDelay()
-		peer.spread.HeardCall(p.address, digests)
+		peer.spread.HandleCallDigests(p.address, digests)
 		digests = peer.spread.Digests()
 		f.sleepDelay()
 		time.Sleep(peerLatency)
-		p.spread.HeardReply(peer.address, digests, sentAt)
+		p.spread.HandleReplyDigests(peer.address, digests, sentAt)
 	}
 }
 
--- a/internal/retrybudget/allowance.go
+++ b/internal/retrybudget/allowance.go
@@ -11,24 +11,24 @@
 type AllowanceConfig struct {
 	// Ratio is the number of repetitions that each request of a span allows.
 	Ratio float64
-	// PresentShare is the part of Ratio that is due to the requests of the span itself,
+	// CurrentShare is the part of Ratio that is due to the requests of the span itself,
 	// between 0 and 1; the rest is due to those of the span before.
-	PresentShare float64
+	CurrentShare float64
 	// Reserve returns the number of repetitions in a span that need no requests. An
 	// allowance has none of them before it has lived for a whole span, so that restarts
 	// add nothing.
 	Reserve func() float64
 	// Window is the length of a span.
 	Window time.Duration
-	// Delay is how much later than it was sent a repetition may arrive.
-	Delay time.Duration
+	// MaxDelay is how much later than it was sent a repetition may arrive.
+	MaxDelay time.Duration
 }
 
 // Allowance bounds the repetitions that one node sends to one service. A
 // repetition is paid for when it is sent, so that in any span of Window
 //
-//	arriving repetitions <= Ratio x PresentShare x requests of the span
-//	                      + Ratio x (1 - PresentShare) x requests of the span before
+//	arriving repetitions <= Ratio x CurrentShare x requests of the span
+//	                      + Ratio x (1 - CurrentShare) x requests of the span before
 //	                      + Reserve.
 //
 // Each request and each repetition is counted by the node that sends it and by no
@@ -58,16 +58,16 @@
 // slotCounts are the requests and repetitions that were sent in one slot.
 type slotCounts struct{ requests, repetitions int }
 
-// Payment is a repetition that was paid for.
-type Payment struct{ slot int64 }
+// Charge is a repetition that was paid for.
+type Charge struct{ slot int64 }
 
 // NewAllowance returns an allowance without requests.
 func NewAllowance(config AllowanceConfig, now func() time.Time) *Allowance {
 	return &Allowance{config: config, now: now, born: now()}
 }
 
-// Request counts a request that is sent for the first time.
-func (a *Allowance) Request() {
+// CountRequest counts a request that is sent for the first time.
+func (a *Allowance) CountRequest() {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.turn()
@@ -77,18 +77,18 @@
 // Spend pays for a repetition and reports whether that was possible. The urgency
 // lies between 0 and 1: the lower it is, the more of what a span allows must be left
 // for others, so that what is scarce goes to the most urgent.
-func (a *Allowance) Spend(urgency float64) (Payment, bool) {
+func (a *Allowance) Spend(urgency float64) (Charge, bool) {
 	part := spendablePart(urgency)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.turn()
 	for s := range a.spans() {
 		if !s.fits(1, part) {
-			return Payment{}, false
+			return Charge{}, false
 		}
 	}
 	a.at(a.newest).repetitions++
-	return Payment{slot: a.newest}, true
+	return Charge{slot: a.newest}, true
 }
 
 // urgencyExponent shapes how much is left for more urgent repetitions: those of an
@@ -104,8 +104,8 @@
 	return 1 - math.Pow(1-min(max(urgency, 0), 1), urgencyExponent)
 }
 
-// Return takes back a repetition that was paid for and reached no target.
-func (a *Allowance) Return(payment Payment) {
+// Refund takes back a repetition that was paid for and reached no target.
+func (a *Allowance) Refund(payment Charge) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
 	a.turn()
@@ -130,9 +130,9 @@
 // not to count as scarce.
 const ampleUrgency = 0.5
 
-// Ample reports whether repetitions of middling urgency could be paid for now, and so
+// HasHeadroom reports whether repetitions of middling urgency could be paid for now, and so
 // many as far as a span allows so many at all.
-func (a *Allowance) Ample(repetitions int) bool {
+func (a *Allowance) HasHeadroom(repetitions int) bool {
 	part := spendablePart(ampleUrgency)
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
@@ -164,10 +164,10 @@
 // lesser of the two shares.
 func (a *Allowance) spans() iter.Seq[span] {
 	return func(yield func(span) bool) {
-		present := a.config.Ratio * a.config.PresentShare
-		before := a.config.Ratio * (1 - a.config.PresentShare)
+		present := a.config.Ratio * a.config.CurrentShare
+		before := a.config.Ratio * (1 - a.config.CurrentShare)
 		reserve := a.reserve()
-		delay := a.slotsOf(a.config.Delay)
+		delay := a.slotsOf(a.config.MaxDelay)
 		spent := a.sum(a.newest-delay+1, a.newest).repetitions
 		requests := 0
 		requestsBefore := a.sum(a.newest-slotsPerWindow+1, a.newest-1).requests
@@ -197,7 +197,7 @@
 
 // reserve returns the repetitions that need no requests.
 func (a *Allowance) reserve() float64 {
-	if a.now().Sub(a.born) <= a.config.Window+a.config.Delay {
+	if a.now().Sub(a.born) <= a.config.Window+a.config.MaxDelay {
 		return 0
 	}
 	return a.config.Reserve()
--- a/internal/retrybudget/allowance_test.go
+++ b/internal/retrybudget/allowance_test.go
@@ -16,7 +16,7 @@
 )
 
 func allowanceConfig(reserve float64) retrybudget.AllowanceConfig {
-	return retrybudget.AllowanceConfig{Ratio: 0.2, PresentShare: 0.5, Reserve: func() float64 { return reserve }, Window: testWindow, Delay: testDelay}
+	return retrybudget.AllowanceConfig{Ratio: 0.2, CurrentShare: 0.5, Reserve: func() float64 { return reserve }, Window: testWindow, MaxDelay: testDelay}
 }
 
 func newAllowance(reserve float64) (*retrybudget.Allowance, *clock) {
@@ -27,7 +27,7 @@
 // request sends requests that are spread evenly over the given time.
 func (c *clock) request(a *retrybudget.Allowance, count int, over time.Duration) {
 	for range count {
-		a.Request()
+		a.CountRequest()
 		c.time = c.time.Add(over / time.Duration(count))
 	}
 }
@@ -75,10 +75,10 @@
 	_, paid = a.Spend(1)
 	assert.Assert(t, !paid)
 	c.time = c.time.Add(time.Second)
-	a.Return(payment)
+	a.Refund(payment)
 	assert.Equal(t, spendAll(a, 1), 1)
 	c.time = c.time.Add(time.Hour)
-	a.Return(payment)
+	a.Refund(payment)
 	assert.Equal(t, spendAll(a, 1), 0, "what was paid long ago does not count any more")
 }
 
@@ -93,7 +93,7 @@
 	spentIn := func(requests int) int {
 		spent := 0
 		for range requests {
-			a.Request()
+			a.CountRequest()
 			if _, paid := a.Spend(1); paid {
 				spent++
 			}
@@ -115,16 +115,16 @@
 	c.request(a, 1100, time.Second)
 	const most = 110
 	assert.Assert(t, a.Balance() > most-3)
-	assert.Assert(t, a.Ample(4))
-	assert.Assert(t, a.Ample(1000), "more than a span allows is not asked for")
+	assert.Assert(t, a.HasHeadroom(4))
+	assert.Assert(t, a.HasHeadroom(1000), "more than a span allows is not asked for")
 	assert.Equal(t, spendAll(a, 0), 1, "the least urgent only while nothing is scarce")
 	little := 1 + spendAll(a, 0.1)
 	assert.Assert(t, little > most*30/100 && little < most*38/100, "%d", little)
-	assert.Assert(t, !a.Ample(1000))
-	assert.Assert(t, a.Ample(4))
+	assert.Assert(t, !a.HasHeadroom(1000))
+	assert.Assert(t, a.HasHeadroom(4))
 	much := little + spendAll(a, 0.5)
 	assert.Assert(t, much > most*90/100 && much < most*95/100, "%d", much)
-	assert.Assert(t, !a.Ample(1))
+	assert.Assert(t, !a.HasHeadroom(1))
 	rest := spendAll(a, 1)
 	assert.Assert(t, much+rest >= most-3, "%d", much+rest)
 	assert.Equal(t, spendAll(a, 1), 0)
@@ -139,7 +139,7 @@
 		for range rapid.IntRange(1, 400).Draw(r, "steps") {
 			c.time = c.time.Add(time.Duration(rapid.IntRange(0, 400).Draw(r, "pause")) * time.Millisecond)
 			for range rapid.IntRange(0, 20).Draw(r, "requests") {
-				a.Request()
+				a.CountRequest()
 				requests = append(requests, c.time)
 			}
 			for range rapid.IntRange(0, 20).Draw(r, "repetitions") {
--- a/internal/routetable/routetable_test.go
+++ b/internal/routetable/routetable_test.go
@@ -24,10 +24,10 @@
 
 func TestVersionsOnlyRise(t *testing.T) {
 	var holder Holder
-	assert.Assert(t, holder.Offer(configurationOf(5)))
-	assert.Assert(t, !holder.Offer(configurationOf(4)))
-	assert.Assert(t, !holder.Offer(configurationOf(5)))
-	assert.Assert(t, holder.Offer(configurationOf(6)))
+	assert.Assert(t, holder.Update(configurationOf(5)))
+	assert.Assert(t, !holder.Update(configurationOf(4)))
+	assert.Assert(t, !holder.Update(configurationOf(5)))
+	assert.Assert(t, holder.Update(configurationOf(6)))
 	assert.Equal(t, holder.Version(), Version(6))
 }
 
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -69,17 +69,17 @@
 // HasTenants reports whether requests to routes that are not public need a key.
 func (t *Table) HasTenants() bool { return len(t.tenants) > 0 }
 
-// HasLimits reports whether any tenant has a limit.
-func (t *Table) HasLimits() bool { return t.limited }
+// HasTenantLimits reports whether any tenant has a limit.
+func (t *Table) HasTenantLimits() bool { return t.limited }
 
 // Tenant returns a tenant by its name, nil if there is none.
 func (t *Table) Tenant(name string) *Tenant { return t.tenants[name] }
 
-// HolderOf returns the tenant that holds an API key, nil if none does.
-func (t *Table) HolderOf(key string) *Tenant { return t.holders[DigestKey(key)] }
+// TenantByKey returns the tenant that holds an API key, nil if none does.
+func (t *Table) TenantByKey(key string) *Tenant { return t.holders[DigestKey(key)] }
 
-// Withdrawn reports whether an API key was held by a tenant before.
-func (t *Table) Withdrawn(key string) bool { return t.withdrawn[DigestKey(key)] }
+// Revoked reports whether an API key was held by a tenant before.
+func (t *Table) Revoked(key string) bool { return t.withdrawn[DigestKey(key)] }
 
 // maxWithdrawn bounds the keys that are remembered after they were taken away.
 const maxWithdrawn = 4096
@@ -140,9 +140,9 @@
 	return 0
 }
 
-// Offer puts the configuration in force if it is newer than the one in force,
+// Update puts the configuration in force if it is newer than the one in force,
 // and reports whether it did.
-func (h *Holder) Offer(configuration *Configuration) bool {
+func (h *Holder) Update(configuration *Configuration) bool {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	if configuration.Version <= h.Version() {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -187,8 +187,8 @@
 
 // goesBefore reports whether the request goes before another of its level.
 func (r *Request) goesBefore(other Request) bool {
-	if r.Done != other.Done {
-		return r.Done > other.Done
+	if r.EarlierCalls != other.EarlierCalls {
+		return r.EarlierCalls > other.EarlierCalls
 	}
 	return r.Rank.MoreImportantThan(other.Rank)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -23,10 +23,10 @@
 type Request struct {
 	// Rank orders calls; its level decides the place in the queue.
 	Rank criticality.Rank
-	// Done is the number of calls that the request which makes this one has behind
+	// EarlierCalls is the number of calls that the request which makes this one has behind
 	// it. A queue by rank serves those first that have most, as they are nearest to
 	// being worth something and their work would be wasted.
-	Done int
+	EarlierCalls int
 	// Deadline is the absolute time at which the answer is worthless; zero means none.
 	Deadline time.Time
 	// ID names the request in logs; it decides nothing.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -285,7 +285,7 @@
 		b := newBench(t, 1, scheduler.Config{ByRank: true, MaxWait: time.Minute})
 		done := func(l criticality.Level, cohort uint8, calls int) scheduler.Request {
 			request := ranked(l, cohort)
-			request.Done = calls
+			request.EarlierCalls = calls
 			return request
 		}
 		calls := []*call{
--- a/internal/sidecar/copies.go
+++ b/internal/sidecar/copies.go
@@ -78,7 +78,7 @@
 // epochChanged takes that the store came back from a copy.
 func (n *Node) epochChanged(change epoch.Change) {
 	n.log.Record(eventlog.Event{Kind: eventlog.StoreRestored, Peer: change.Source, Previous: uint64(change.From), Version: uint64(change.To)})
-	n.registrar.StoreRestored()
+	n.registrar.HandleStoreRestored()
 	n.limits.keeper.StoreRestored()
 }
 
@@ -111,9 +111,9 @@
 		recordsFirst = firstStartDelay + rand.N(firstStartSpread)
 		configurationFirst = recordsFirst
 	}
-	c.keepConfiguration = &replica.Keeper{Copy: c.configuration, Store: n.gate.Wrap(n.store.For(purposeConfiguration).Waiting(configurationWait)), Prefix: platform.ConfigurationKey,
+	c.keepConfiguration = &replica.Keeper{Copy: c.configuration, Store: n.gate.Wrap(n.store.WithPurpose(purposeConfiguration).WithWatchWait(configurationWait)), Prefix: platform.ConfigurationKey,
 		Place: n.directory.Place, Gather: configurationGather, FirstDelay: configurationFirst, Now: clock.Now}
-	c.keepRecords = &replica.Keeper{Copy: c.records, Store: n.gate.Wrap(n.store.For(purposeRecords)), Prefix: platform.RecordsPrefix,
+	c.keepRecords = &replica.Keeper{Copy: c.records, Store: n.gate.Wrap(n.store.WithPurpose(purposeRecords)), Prefix: platform.RecordsPrefix,
 		Place: n.directory.Place, Gather: recordsGather, FirstDelay: recordsFirst, Now: clock.Now}
 	c.verify = &replica.Verifier{Keeper: c.keepConfiguration, After: verifyAfter, Needed: n.hasTenants}
 	c.spread = replica.NewSpread(replica.SpreadConfig{
@@ -131,8 +131,8 @@
 }
 
 func (n *Node) recordsChanged(entries []store.Entry, source string) {
-	n.directory.Change(entries, source)
-	n.registrar.Change(entries)
+	n.directory.ApplyChanges(entries, source)
+	n.registrar.ApplyChanges(entries)
 	n.suspects.Change(entries)
 	n.limits.keeper.Change(entries)
 }
@@ -153,12 +153,12 @@
 // not wait long, as the target takes no late acknowledgement.
 func (n *Node) registrarStores() registry.Stores {
 	return registry.Stores{
-		Record:    n.gate.Wrap(n.store.For(purposeOwnRecord)),
-		Departure: n.gate.WrapUrgent(n.store.For(purposeDeparture)),
+		Record:    n.gate.Wrap(n.store.WithPurpose(purposeOwnRecord)),
+		Departure: n.gate.WrapUrgent(n.store.WithPurpose(purposeDeparture)),
 	}
 }
 
-var _ peering.Spread = (*replica.Spread)(nil)
+var _ peering.AntiEntropy = (*replica.Spread)(nil)
 
 // gateLog logs when the store stops answering and when it answers again.
 type gateLog struct{ log *eventlog.Log }
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -101,10 +101,10 @@
 	}
 	n := &Node{policies: routepolicy.NewHolder(policies), sources: settings.Policies, settings: settings, routes: &routetable.Holder{},
 		started: clock.Now(), process: max(rand.Uint32(), 1)}
-	n.log = eventlog.New(eventlog.Config{RootOf: platform.RootOf}, settings.Name, output, time.Now)
+	n.log = eventlog.New(eventlog.Config{RootOf: platform.RootRequestID}, settings.Name, output, time.Now)
 	n.metrics = newMetrics(n.log)
 	n.provisionStore()
-	n.feed = configfeed.New(platform.ConfigurationKey, platform.Configuration, n.routes, n.log, clock.Now)
+	n.feed = configfeed.New(platform.ConfigurationKey, platform.ParseConfiguration, n.routes, n.log, clock.Now)
 	n.directory = registry.NewDirectory(platform.HomesPrefix, settings.advertised(), n.log, clock.Now)
 	n.provisionCopies()
 	n.provisionLimits()
@@ -118,7 +118,7 @@
 		MaxQueue:       settings.Queue.MaxLength,
 		MaxBuffered:    maxMessageBytes,
 		MaxConnections: n.maxConnections,
-		Below:          n.levels.Below,
+		Downstream:     n.levels.Downstream,
 		Quarantine:     n.suspects,
 		Observer:       n.metrics,
 	}, n.log, clock.Now)
@@ -128,12 +128,12 @@
 		Process:          n.process,
 		HomesPrefix:      platform.HomesPrefix,
 		DeparturesPrefix: platform.DeparturesPrefix,
-		OnTarget:         n.guard.SetTarget,
+		OnTargetChange:   n.guard.SetTarget,
 		OnRefused:        n.metrics.heartbeatRefused,
 		Records:          n.recall,
 		Epoch:            n.epochs.Current,
 		Place:            n.directory.Place,
-		Peers:            registry.Peers{Addresses: n.directory.Addresses, Tell: n.tellDeparture},
+		Peers:            registry.Peers{Addresses: n.directory.Addresses, Notify: n.tellDeparture},
 		FirstStart:       settings.FirstStart,
 	}, n.registrarStores(), n.log, clock.Now)
 	n.codec = peering.NewCodec(platform.Headers().Signature)
@@ -144,12 +144,12 @@
 		KeepAlive:   peerKeepAlive,
 		IdleTimeout: peerIdleTimeout,
 		MaxIdle:     peerMaxIdle,
-		From:        settings.advertised(),
+		Address:     settings.advertised(),
 		Codec:       n.codec,
 		OnResume:    n.noteResumed,
 		OnInterim:   func(address string) { n.forwarder.InterimReceived(address) },
 	})
-	n.peers.SetSpread(n.copies.spread)
+	n.peers.SetAntiEntropy(n.copies.spread)
 	n.forwarder = n.newForwarder()
 	n.provisionGauges()
 	clock.System.OnResume(n.resumed)
@@ -157,13 +157,13 @@
 }
 
 func (n *Node) tellDeparture(ctx context.Context, address string, departure registry.Departure) error {
-	return n.peers.TellDeparture(ctx, address, departure)
+	return n.peers.SendDeparture(ctx, address, departure)
 }
 
 // resumed notes that the machine was suspended.
 func (n *Node) resumed() {
 	n.log.Record(eventlog.Event{Kind: eventlog.MachineResumed, Age: clock.System.Suspended()})
-	n.registrar.Resumed()
+	n.registrar.HandleResume()
 }
 
 func (n *Node) newQuarantine() *quarantine.Quarantine {
@@ -172,14 +172,14 @@
 			Address: n.settings.advertised(),
 			Peers:   n.directory.Addresses,
 			Send: func(ctx context.Context, address string, notice *quarantine.Notice) error {
-				return n.peers.Notify(ctx, address, notice)
+				return n.peers.SendQuarantineNotice(ctx, address, notice)
 			},
 		},
-		Store:     n.gate.Wrap(n.store.For(purposeQuarantine)),
+		Store:     n.gate.Wrap(n.store.WithPurpose(purposeQuarantine)),
 		Prefix:    platform.QuarantinePrefix,
 		Epoch:     n.epochs.Current,
 		Place:     n.directory.Place,
-		OnVerdict: func(hash fingerprint.Fingerprint) { n.guard.Withdraw(hash) },
+		OnVerdict: func(hash fingerprint.Fingerprint) { n.guard.CancelQuarantined(hash) },
 		Log:       n.log,
 		Now:       clock.Now,
 	})
@@ -195,14 +195,14 @@
 		DefaultTimeout: defaultTimeout,
 		Retries: retrybudget.AllowanceConfig{
 			Ratio:        n.settings.Retries.BudgetRatio,
-			PresentShare: presentRetryShare,
+			CurrentShare: presentRetryShare,
 			Reserve:      n.retryReserve,
 			Window:       n.settings.Retries.window(),
-			Delay:        retryDelay,
+			MaxDelay:     retryDelay,
 		},
 		WaitShare:      n.settings.Queue.ObjectiveShare,
 		InnerWaitShare: n.settings.Queue.InnerObjectiveShare,
-		ParentOf:       platform.ParentOf,
+		ParentOf:       platform.ParentRequestID,
 	}, forward.Dependencies{
 		Routes:     n.routes,
 		Directory:  n.directory,
@@ -275,7 +275,7 @@
 func (n *Node) tasks() []func(context.Context) {
 	return []func(context.Context){
 		n.copies.keepConfiguration.Run, n.copies.keepRecords.Run, n.copies.spread.Run, n.copies.verify.Run,
-		n.settle, n.directory.Run, n.registrar.Run, n.guard.Watch, n.forwarder.Run, n.calls.run, n.suspects.Run, n.limits.keeper.Run,
+		n.settle, n.directory.Run, n.registrar.Run, n.guard.RunShedding, n.forwarder.Run, n.calls.run, n.suspects.Run, n.limits.keeper.Run,
 	}
 }
 
--- a/internal/sidecar/quarantine.go
+++ b/internal/sidecar/quarantine.go
@@ -34,5 +34,5 @@
 }
 
 func operatorStore(address string) store.Store {
-	return platform.NewStore(address, recordsWait, nil, epoch.NewTracker()).For(purposeOperator)
+	return platform.NewStore(address, recordsWait, nil, epoch.NewTracker()).WithPurpose(purposeOperator)
 }
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -34,7 +34,7 @@
 	started := clock.Now()
 	n.log.Record(eventlog.Event{Kind: eventlog.ProcessStopping})
 	n.stopping.Store(true)
-	n.guard.Stop()
+	n.guard.MarkStopping()
 	n.forwarder.Stop()
 	n.running.Go(n.releaseShards)
 	end := started.Add(n.settings.grace() - stopMargin)
@@ -72,7 +72,7 @@
 		n.guard.Close()
 		return false
 	}
-	n.guard.EndBy(end)
+	n.guard.SetStopDeadline(end)
 	return true
 }
 
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -16,7 +16,7 @@
 	keeper  *ratelimit.Keeper
 	limiter *ratelimit.Limiter
 	// datagrams is nil where asks come over connections alone.
-	datagrams *peering.Datagrams
+	datagrams *peering.PermitSocket
 }
 
 // provisionLimits makes the parts that hold tenants to their limits.
@@ -32,7 +32,7 @@
 		Epoch:      n.epochs.Current,
 
 		Prefix: platform.ShardsPrefix,
-		Store:  n.gate.Wrap(n.store.For(purposeShards)),
+		Store:  n.gate.Wrap(n.store.WithPurpose(purposeShards)),
 		Place:  n.directory.Place,
 		Nodes:  func() int { return len(n.directory.Addresses()) },
 		Needed: n.hasLimits,
@@ -50,12 +50,12 @@
 		return n.limits.issuer.Issue(ask), nil
 	}
 	if n.limits.datagrams != nil && holder.Datagrams != "" {
-		grant, err := n.limits.datagrams.Ask(ctx, holder.Datagrams, ask)
+		grant, err := n.limits.datagrams.Request(ctx, holder.Datagrams, ask)
 		if err == nil || ctx.Err() != nil {
 			return grant, err
 		}
 	}
-	return n.peers.AskPermits(ctx, holder.Address, ask)
+	return n.peers.RequestPermits(ctx, holder.Address, ask)
 }
 
 // listenForAsks takes asks as datagrams, if the settings say where.
@@ -63,7 +63,7 @@
 	if n.settings.Listen.Permits == "" {
 		return nil
 	}
-	datagrams, err := peering.ListenDatagrams(n.settings.Listen.Permits, n.limits.issuer)
+	datagrams, err := peering.ListenPermitSocket(n.settings.Listen.Permits, n.limits.issuer)
 	if err != nil {
 		return err
 	}
@@ -90,11 +90,11 @@
 // hasLimits reports whether any tenant has a limit.
 func (n *Node) hasLimits() bool {
 	table := n.routes.Current()
-	return table != nil && table.HasLimits()
+	return table != nil && table.HasTenantLimits()
 }
 
 // peerServices are what the node serves to its peers.
 func (n *Node) peerServices() peering.Services {
-	return peering.Services{Home: n.guard, Spread: n.copies.spread, Notices: n.suspects, Departures: n.registrar, Permits: n.limits.issuer,
+	return peering.Services{Home: n.guard, AntiEntropy: n.copies.spread, Quarantine: n.suspects, Departures: n.registrar, Permits: n.limits.issuer,
 		Codec: n.codec, MaxBytes: maxMessageBytes, Process: n.process}
 }
