--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -27,8 +27,8 @@
 	Missing
 	// Unknown means that no tenant holds the key of the request.
 	Unknown
-	// Unproved means that the request can't be decided: the configuration may be outdated.
-	Unproved
+	// Unverified means that the request can't be decided: the configuration may be outdated.
+	Unverified
 )
 
 var outcomeNames = [...]string{"allowed", "no API key", "unknown API key", "the API key can't be checked"}
@@ -152,5 +152,5 @@
 }
 
 func unverified(age time.Duration) Decision {
-	return Decision{Outcome: Unproved, Age: age, RetryAfter: minRetryDelay + rand.N(minRetryDelay)}
+	return Decision{Outcome: Unverified, Age: age, RetryAfter: minRetryDelay + rand.N(minRetryDelay)}
 }
--- a/internal/configfeed/feed.go
+++ b/internal/configfeed/feed.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Change handles changes of the store; source is the store or the peer that sent them.
-func (f *Feed) Change(entries []store.Entry, source string) {
+// ApplyChanges handles changes of the store; source is the store or the peer that sent them.
+func (f *Feed) ApplyChanges(entries []store.Entry, source string) {
 	for _, entry := range entries {
 		if entry.Key == f.key {
 			f.applyEntry(entry, source)
--- a/internal/configfeed/freshness.go
+++ b/internal/configfeed/freshness.go
@@ -30,8 +30,8 @@
 	verified time.Time
 }
 
-// NewProof returns the freshness of what the feed applies from a copy of the store.
-func NewProof(feed *Feed, verification Verification) *Freshness {
+// NewFreshness returns the freshness of what the feed applies from a copy of the store.
+func NewFreshness(feed *Feed, verification Verification) *Freshness {
 	return &Freshness{feed: feed, verification: verification}
 }
 
--- a/internal/forward/tenant.go
+++ b/internal/forward/tenant.go
@@ -23,7 +23,7 @@
 		return nil
 	}
 	detail, reason := decision.Outcome.String(), problem.Unauthenticated
-	if decision.Outcome == apikey.Unproved {
+	if decision.Outcome == apikey.Unverified {
 		reason = problem.KeyUnproved
 	}
 	f.observer.Identified("", reason)
--- a/internal/quarantine/restore_test.go
+++ b/internal/quarantine/restore_test.go
@@ -39,7 +39,7 @@
 		Broadcast: BroadcastConfig{Address: fmt.Sprint(place), Peers: func() []string { return nil }, Send: func(context.Context, string, *Notice) error { return errors.New("no peer") }},
 	})
 	storeCopy := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.ApplyChanges(entries) }, time.Now)
-	keeper := &replica.Keeper{Copy: storeCopy, Store: slowStore{memoryStore}, Prefix: testPrefix, Place: func() (int, bool) { return 0, true }, Gather: 800 * time.Millisecond, Now: time.Now}
+	keeper := &replica.Syncer{Copy: storeCopy, Store: slowStore{memoryStore}, Prefix: testPrefix, Position: func() (int, bool) { return 0, true }, BatchDelay: 800 * time.Millisecond, Now: time.Now}
 	go keeper.Run(ctx)
 	go n.Run(ctx)
 	return n
--- a/internal/ratelimit/restore_test.go
+++ b/internal/ratelimit/restore_test.go
@@ -71,7 +71,7 @@
 		Prefix: "shards/", Store: restored, Place: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
 	epochs.OnChange(func(epoch.Change) { n.HandleStoreRestored() })
 	storeCopy := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.ApplyChanges(entries) }, time.Now)
-	copyKeeper := &replica.Keeper{Copy: storeCopy, Store: restored, Prefix: "shards/", Place: func() (int, bool) { return 0, true }, Gather: 800 * time.Millisecond, Now: time.Now}
+	copyKeeper := &replica.Syncer{Copy: storeCopy, Store: restored, Prefix: "shards/", Position: func() (int, bool) { return 0, true }, BatchDelay: 800 * time.Millisecond, Now: time.Now}
 	go copyKeeper.Run(ctx)
 	go n.Run(ctx)
 	return n
--- a/internal/replica/antientropy.go
+++ b/internal/replica/antientropy.go
@@ -56,22 +56,22 @@
 	maxRecent = 16
 )
 
-// SpreadConfig describes the node and its peers.
-type SpreadConfig struct {
+// AntiEntropyConfig describes the node and its peers.
+type AntiEntropyConfig struct {
 	// Address is the node's own address, as peers reach it.
 	Address string
-	// Peers returns the addresses of nodes by their position (see Keeper.Place); the node's own
+	// Peers returns the addresses of nodes by their position (see Keeper.Position); the node's own
 	// may be among them.
 	Peers func() []string
-	// Ask sends a query to a peer.
-	Ask func(ctx context.Context, address string, query *Query) (*Answer, error)
-	// Heard is called with the address of every peer that called; it may be nil.
-	Heard func(peer string)
-	// Confirmed is called with the time at which a peer's copy was known to be current; it may
+	// SendQuery sends a query to a peer.
+	SendQuery func(ctx context.Context, address string, query *Query) (*Answer, error)
+	// OnCall is called with the address of every peer that called; it may be nil.
+	OnCall func(peer string)
+	// OnConfirmed is called with the time at which a peer's copy was known to be current; it may
 	// be nil.
-	Confirmed func(at time.Time)
-	// Epoch is called with the store epoch of a peer's copy; it may be nil.
-	Epoch func(epoch store.Epoch, peer string)
+	OnConfirmed func(at time.Time)
+	// OnEpoch is called with the store epoch of a peer's copy; it may be nil.
+	OnEpoch func(epoch store.Epoch, peer string)
 	// Overdue reports whether peers are likely to have newer information that the node should
 	// have received by now; it may be nil.
 	Overdue func() bool
@@ -81,10 +81,10 @@
 	Now        func() time.Time
 }
 
-// Spread synchronizes the copies of nodes by anti-entropy: nodes exchange digests of their
+// AntiEntropy synchronizes the copies of nodes by anti-entropy: nodes exchange digests of their
 // copies and fetch deltas. It is safe for concurrent use.
-type Spread struct {
-	config SpreadConfig
+type AntiEntropy struct {
+	config AntiEntropyConfig
 	copies []*Copy
 
 	// lastHeard is when a peer was last heard from, in nanoseconds since created.
@@ -99,9 +99,9 @@
 	nextRecent int
 }
 
-// NewSpread returns the anti-entropy of the copies, which all nodes hold in the same order.
-func NewSpread(config SpreadConfig, copies ...*Copy) *Spread {
-	s := &Spread{config: config, copies: copies, created: config.Now(), initialSync: newInitialSync()}
+// NewAntiEntropy returns the anti-entropy of the copies, which all nodes hold in the same order.
+func NewAntiEntropy(config AntiEntropyConfig, copies ...*Copy) *AntiEntropy {
+	s := &AntiEntropy{config: config, copies: copies, created: config.Now(), initialSync: newInitialSync()}
 	if config.FirstStart {
 		s.initialSync.finish()
 	}
@@ -111,17 +111,17 @@
 // Digests returns the digests of the node's copies, to be sent along with other messages. They
 // name the version of the document only if the store has lost it: otherwise the document is
 // among the copy's entries.
-func (s *Spread) Digests() []Digest {
+func (s *AntiEntropy) Digests() []Digest {
 	digests := s.fullDigests()
 	for i, c := range s.copies {
-		if c.document.StoredVersion() >= digests[i].Newest {
-			digests[i].Newest = 0
+		if c.document.StoredVersion() >= digests[i].DocumentVersion {
+			digests[i].DocumentVersion = 0
 		}
 	}
 	return digests
 }
 
-func (s *Spread) fullDigests() []Digest {
+func (s *AntiEntropy) fullDigests() []Digest {
 	digests := make([]Digest, len(s.copies))
 	for i, c := range s.copies {
 		digests[i] = c.Digest()
@@ -131,24 +131,24 @@
 
 // HandleCallDigests handles the digests of a peer that called. The time they took to arrive is unknown,
 // so they prove nothing about earlier times.
-func (s *Spread) HandleCallDigests(peer string, digests []Digest) {
+func (s *AntiEntropy) HandleCallDigests(peer string, digests []Digest) {
 	if peer == "" || peer == s.config.Address {
 		return
 	}
 	s.addRecent(peer)
-	if s.config.Heard != nil {
-		s.config.Heard(peer)
+	if s.config.OnCall != nil {
+		s.config.OnCall(peer)
 	}
 	s.handleDigests(peer, digests, time.Time{})
 }
 
 // HandleReplyDigests handles the digests that a peer sent in reply to a message that was sent at
 // sentAt.
-func (s *Spread) HandleReplyDigests(peer string, digests []Digest, sentAt time.Time) {
+func (s *AntiEntropy) HandleReplyDigests(peer string, digests []Digest, sentAt time.Time) {
 	s.handleDigests(peer, digests, sentAt)
 }
 
-func (s *Spread) handleDigests(peer string, digests []Digest, sentAt time.Time) {
+func (s *AntiEntropy) handleDigests(peer string, digests []Digest, sentAt time.Time) {
 	if len(digests) != len(s.copies) {
 		return
 	}
@@ -164,7 +164,7 @@
 }
 
 // AnswerQuery returns the response to a peer's query, and handles the digests in the query.
-func (s *Spread) AnswerQuery(query *Query) *Answer {
+func (s *AntiEntropy) AnswerQuery(query *Query) *Answer {
 	answer := &Answer{Deltas: make([]Delta, len(s.copies)), Synced: s.Synced()}
 	for i, c := range s.copies {
 		if i < len(query.Digests) {
@@ -177,7 +177,7 @@
 
 // Run queries random peers until the context ends: while copies are empty or close to stale,
 // and whenever no peer has been heard from for a while.
-func (s *Spread) Run(ctx context.Context) {
+func (s *AntiEntropy) Run(ctx context.Context) {
 	queries := make(chan struct{}, maxQueries)
 	for ctx.Err() == nil {
 		if s.sinceLastHeard() > queryAfter || s.nearlyStale() || s.overdue() || !s.Synced() {
@@ -189,7 +189,7 @@
 }
 
 // queryRandomPeer starts a query to a random peer unless too many are in progress.
-func (s *Spread) queryRandomPeer(ctx context.Context, queries chan struct{}) {
+func (s *AntiEntropy) queryRandomPeer(ctx context.Context, queries chan struct{}) {
 	peer := s.pickPeer()
 	if peer == "" {
 		return
@@ -206,7 +206,7 @@
 }
 
 // period returns the mean time until the next query.
-func (s *Spread) period() time.Duration {
+func (s *AntiEntropy) period() time.Duration {
 	switch {
 	case !s.initialized() || !s.Synced():
 		return uninitializedPeriod
@@ -218,7 +218,7 @@
 }
 
 // justStale reports whether a copy has been stale for less than staleDuration.
-func (s *Spread) justStale() bool {
+func (s *AntiEntropy) justStale() bool {
 	for _, c := range s.copies {
 		if age, known := c.Age(); known && age > c.staleAfter && age < c.staleAfter+staleDuration {
 			return true
@@ -227,9 +227,9 @@
 	return false
 }
 
-func (s *Spread) initialized() bool {
+func (s *AntiEntropy) initialized() bool {
 	for _, c := range s.copies {
-		if !c.Filled() {
+		if !c.Initialized() {
 			return false
 		}
 	}
@@ -237,12 +237,12 @@
 }
 
 // sinceLastHeard returns the time since a peer was last heard from.
-func (s *Spread) sinceLastHeard() time.Duration {
+func (s *AntiEntropy) sinceLastHeard() time.Duration {
 	return s.config.Now().Sub(s.created) - time.Duration(s.lastHeard.Load())
 }
 
 // nearlyStale reports whether a copy is empty or has reached half the age at which it is stale.
-func (s *Spread) nearlyStale() bool {
+func (s *AntiEntropy) nearlyStale() bool {
 	for _, c := range s.copies {
 		if age, known := c.Age(); !known || age > c.staleAfter/2 {
 			return true
@@ -251,9 +251,9 @@
 	return false
 }
 
-func (s *Spread) overdue() bool { return s.config.Overdue != nil && s.config.Overdue() }
+func (s *AntiEntropy) overdue() bool { return s.config.Overdue != nil && s.config.Overdue() }
 
-func (s *Spread) isBehind(digests []Digest) bool {
+func (s *AntiEntropy) isBehind(digests []Digest) bool {
 	for i, c := range s.copies {
 		if c.isBehind(digests[i]) {
 			return true
@@ -262,31 +262,31 @@
 	return false
 }
 
-func (s *Spread) reportConfirmed(digests []Digest) {
-	if s.config.Confirmed == nil {
+func (s *AntiEntropy) reportConfirmed(digests []Digest) {
+	if s.config.OnConfirmed == nil {
 		return
 	}
 	for _, digest := range digests {
 		if digest.Age >= 0 {
-			s.config.Confirmed(s.config.Now().Add(-digest.Age))
+			s.config.OnConfirmed(s.config.Now().Add(-digest.Age))
 		}
 	}
 }
 
 // reportEpochs reports the store epochs of a peer's copies. An empty copy has none.
-func (s *Spread) reportEpochs(digests []Digest, peer string) {
-	if s.config.Epoch == nil {
+func (s *AntiEntropy) reportEpochs(digests []Digest, peer string) {
+	if s.config.OnEpoch == nil {
 		return
 	}
 	for _, digest := range digests {
-		if digest.Through != 0 {
-			s.config.Epoch(digest.Through.Epoch(), peer)
+		if digest.Revision != 0 {
+			s.config.OnEpoch(digest.Revision.Epoch(), peer)
 		}
 	}
 }
 
 // fetch queries a peer that has something newer, unless a fetch is already in progress.
-func (s *Spread) fetch(peer string) {
+func (s *AntiEntropy) fetch(peer string) {
 	if !s.fetching.CompareAndSwap(false, true) {
 		return
 	}
@@ -297,11 +297,11 @@
 	}()
 }
 
-func (s *Spread) query(ctx context.Context, peer string) {
+func (s *AntiEntropy) query(ctx context.Context, peer string) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	sentAt := s.config.Now()
-	answer, err := s.config.Ask(ctx, peer, &Query{From: s.config.Address, Digests: s.fullDigests()})
+	answer, err := s.config.SendQuery(ctx, peer, &Query{From: s.config.Address, Digests: s.fullDigests()})
 	if err != nil || len(answer.Deltas) != len(s.copies) {
 		return
 	}
@@ -317,7 +317,7 @@
 }
 
 // countPeers returns the number of peers with a record, at least 1.
-func (s *Spread) countPeers() int {
+func (s *AntiEntropy) countPeers() int {
 	known := 0
 	for _, peer := range s.config.Peers() {
 		if peer != s.config.Address {
@@ -329,7 +329,7 @@
 
 // pickPeer returns a random peer, out of those with a record and those that called recently.
 // Every other time, a node whose copies are still empty picks a watcher of the store.
-func (s *Spread) pickPeer() string {
+func (s *AntiEntropy) pickPeer() string {
 	s.mutex.Lock()
 	candidates := slices.Clone(s.recent[:])
 	s.mutex.Unlock()
@@ -345,7 +345,7 @@
 	return candidates[rand.IntN(len(candidates))]
 }
 
-func (s *Spread) addRecent(peer string) {
+func (s *AntiEntropy) addRecent(peer string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if slices.Contains(s.recent[:], peer) {
--- a/internal/replica/copy.go
+++ b/internal/replica/copy.go
@@ -77,15 +77,15 @@
 	return &Copy{now: now, onChange: onChange, staleAfter: staleAfter, document: noDocument{}, entries: make(map[string]store.Entry)}
 }
 
-// OnPassedOver sets a function that is called with entries of a list of the store that were
+// OnStaleEntry sets a function that is called with entries of a list of the store that were
 // skipped because the copy holds a higher revision. It must be set before the copy is used and
 // must not call the copy.
-func (c *Copy) OnPassedOver(onStaleEntry func(stale, current store.Entry)) {
+func (c *Copy) OnStaleEntry(onStaleEntry func(stale, current store.Entry)) {
 	c.onStaleEntry = onStaleEntry
 }
 
-// Filled reports whether the copy has ever been complete.
-func (c *Copy) Filled() bool {
+// Initialized reports whether the copy has ever been complete.
+func (c *Copy) Initialized() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.initialized
@@ -284,8 +284,8 @@
 	c.waiters = nil
 }
 
-// AwaitProved waits until the copy holds everything that the store held at the given time.
-func (c *Copy) AwaitProved(ctx context.Context, at time.Time) error {
+// AwaitCurrent waits until the copy holds everything that the store held at the given time.
+func (c *Copy) AwaitCurrent(ctx context.Context, at time.Time) error {
 	if err := c.await(ctx, func() bool { return c.initialized && c.currentAsOf.After(at) }); err != nil {
 		return err
 	}
--- a/internal/replica/copy_test.go
+++ b/internal/replica/copy_test.go
@@ -35,9 +35,9 @@
 	c := newRecordingCopy(time.Now)
 	c.applySnapshot(snapshotOf(9, store.Entry{Key: "a", Value: []byte("new"), Revision: 7}), time.Now())
 	c.applyEvents([]store.Entry{{Key: "a", Value: []byte("old"), Revision: 5}}, 9)
-	c.applyDelta(Delta{Digest: Digest{Through: 8}, Items: []Item{{Key: "a", Value: []byte("older"), Revision: 3}, {Key: "b", Value: []byte("x"), Revision: 8}}}, "peer", time.Now())
+	c.applyDelta(Delta{Digest: Digest{Revision: 8}, Items: []Item{{Key: "a", Value: []byte("older"), Revision: 3}, {Key: "b", Value: []byte("x"), Revision: 8}}}, "peer", time.Now())
 	assert.DeepEqual(t, c.changes, []string{"a=new from store", "b=x from peer"})
-	assert.Equal(t, c.Digest().Through, store.Revision(8))
+	assert.Equal(t, c.Digest().Revision, store.Revision(8))
 }
 
 // TestDeltaOfOlderCopyIsIgnored applies a full delta of an older revision, which must delete
@@ -45,9 +45,9 @@
 func TestDeltaOfOlderCopyIsIgnored(t *testing.T) {
 	c := newRecordingCopy(time.Now)
 	c.applySnapshot(snapshotOf(9, store.Entry{Key: "a", Value: []byte("1"), Revision: 9}), time.Now())
-	c.applyDelta(Delta{Digest: Digest{Through: 4}, Whole: true}, "peer", time.Now())
+	c.applyDelta(Delta{Digest: Digest{Revision: 4}, Full: true}, "peer", time.Now())
 	assert.Equal(t, len(c.Entries()), 1)
-	c.applyDelta(Delta{Digest: Digest{Through: 12}, Whole: true}, "peer", time.Now())
+	c.applyDelta(Delta{Digest: Digest{Revision: 12}, Full: true}, "peer", time.Now())
 	assert.Equal(t, len(c.Entries()), 0)
 }
 
@@ -55,13 +55,13 @@
 // rest.
 func TestEmptyCopyAcceptsOnlyFullDelta(t *testing.T) {
 	c := newRecordingCopy(time.Now)
-	c.applyDelta(Delta{Digest: Digest{Through: 4, Age: unknownAge}, Whole: true}, "peer", time.Now())
-	assert.Assert(t, !c.Filled(), "a delta of a copy that was never current must be ignored")
-	c.applyDelta(Delta{Digest: Digest{Through: 4}, Items: []Item{{Key: "a", Revision: 4}}}, "peer", time.Now())
-	assert.Assert(t, !c.Filled())
-	assert.Equal(t, c.Digest().Through, store.Revision(0))
-	c.applyDelta(Delta{Digest: Digest{Through: 4}, Whole: true, Items: []Item{{Key: "a", Revision: 4}}}, "peer", time.Now())
-	assert.Assert(t, c.Filled())
+	c.applyDelta(Delta{Digest: Digest{Revision: 4, Age: unknownAge}, Full: true}, "peer", time.Now())
+	assert.Assert(t, !c.Initialized(), "a delta of a copy that was never current must be ignored")
+	c.applyDelta(Delta{Digest: Digest{Revision: 4}, Items: []Item{{Key: "a", Revision: 4}}}, "peer", time.Now())
+	assert.Assert(t, !c.Initialized())
+	assert.Equal(t, c.Digest().Revision, store.Revision(0))
+	c.applyDelta(Delta{Digest: Digest{Revision: 4}, Full: true, Items: []Item{{Key: "a", Revision: 4}}}, "peer", time.Now())
+	assert.Assert(t, c.Initialized())
 }
 
 func TestDeltaHoldsMissingChanges(t *testing.T) {
@@ -69,15 +69,15 @@
 	full.applySnapshot(snapshotOf(9, store.Entry{Key: "a", Value: []byte("1"), Revision: 3}, store.Entry{Key: "b", Value: []byte("2"), Revision: 8}), time.Now())
 	full.applyEvents([]store.Entry{{Key: "a", Revision: 12, Deleted: true}}, 12)
 
-	delta := full.DeltaSince(Digest{Through: 8, Age: 0})
-	assert.Assert(t, !delta.Whole)
+	delta := full.DeltaSince(Digest{Revision: 8, Age: 0})
+	assert.Assert(t, !delta.Full)
 	assert.DeepEqual(t, delta.Items, []Item{{Key: "a", Revision: 12, Deleted: true}})
-	assert.Equal(t, len(full.DeltaSince(Digest{Through: 12}).Items), 0)
+	assert.Equal(t, len(full.DeltaSince(Digest{Revision: 12}).Items), 0)
 
 	other := newRecordingCopy(time.Now)
 	other.applyDelta(full.DeltaSince(other.Digest()), "peer", time.Now())
 	assert.DeepEqual(t, other.changes, []string{"b=2 from peer"})
-	assert.Equal(t, other.Digest().Through, store.Revision(12))
+	assert.Equal(t, other.Digest().Revision, store.Revision(12))
 }
 
 // TestPrunedTombstonesCauseFullDelta deletes more keys than a copy keeps tombstones for, while
@@ -99,7 +99,7 @@
 	full.mutex.Unlock()
 	assert.Assert(t, count <= maxTombstones, "%d", count)
 	delta := full.DeltaSince(other.Digest())
-	assert.Assert(t, delta.Whole)
+	assert.Assert(t, delta.Full)
 	other.applyDelta(delta, "peer", time.Now())
 	assert.Equal(t, len(other.Entries()), 0)
 }
@@ -109,7 +109,7 @@
 func TestChangeBetweenPagesIsNotSkipped(t *testing.T) {
 	c := newRecordingCopy(time.Now)
 	c.applySnapshot(snapshotOf(5, store.Entry{Key: "a", Revision: 4}, store.Entry{Key: "z", Revision: 8}), time.Now())
-	assert.Equal(t, c.Digest().Through, store.Revision(4), "changes between 4 and 8 may be missing")
+	assert.Equal(t, c.Digest().Revision, store.Revision(4), "changes between 4 and 8 may be missing")
 	cursor, initialized := c.watchCursor()
 	assert.Assert(t, initialized)
 	assert.Equal(t, cursor, store.Revision(5))
@@ -121,14 +121,14 @@
 	now := time.Now()
 	c := newRecordingCopy(func() time.Time { return now })
 	sentAt := now
-	c.applyDelta(Delta{Digest: Digest{Through: 4, Age: time.Second}, Whole: true}, "peer", sentAt)
-	assert.Assert(t, !c.currentAsOf.After(sentAt.Add(-time.Second-LongestWait)))
-	c.confirmByDigest(Digest{Through: 4, Age: 0}, time.Time{})
-	assert.Assert(t, !c.currentAsOf.After(sentAt.Add(-time.Second-LongestWait)), "the latency of a call is unknown")
+	c.applyDelta(Delta{Digest: Digest{Revision: 4, Age: time.Second}, Full: true}, "peer", sentAt)
+	assert.Assert(t, !c.currentAsOf.After(sentAt.Add(-time.Second-MaxWatchWait)))
+	c.confirmByDigest(Digest{Revision: 4, Age: 0}, time.Time{})
+	assert.Assert(t, !c.currentAsOf.After(sentAt.Add(-time.Second-MaxWatchWait)), "the latency of a call is unknown")
 	age, known := c.Age()
 	assert.Assert(t, known)
 	assert.Equal(t, age, time.Duration(0))
-	c.confirmByDigest(Digest{Through: 3, Age: 0}, now.Add(time.Hour))
+	c.confirmByDigest(Digest{Revision: 3, Age: 0}, now.Add(time.Hour))
 	assert.Assert(t, c.currentAsOf.Before(now), "a peer at another revision proves nothing")
 }
 
@@ -142,7 +142,7 @@
 	})
 	c := NewCopy(time.Second, func([]store.Entry, string) {}, machine.Now)
 	c.applySnapshot(store.Snapshot{Revision: 1}, machine.Now())
-	syncer := &Keeper{Copy: c, Place: func() (int, bool) { return watchers, true }, Now: machine.Now}
+	syncer := &Syncer{Copy: c, Position: func() (int, bool) { return watchers, true }, Now: machine.Now}
 	assert.Assert(t, syncer.wait() > 0)
 	suspended = 5 * time.Second
 	age, known := c.Age()
--- a/internal/replica/delta.go
+++ b/internal/replica/delta.go
@@ -9,17 +9,17 @@
 // Digest summarizes the state of a copy.
 type Digest struct {
 	_ struct{} `cbor:",toarray"`
-	// Through is a revision: all changes up to it are in the copy.
-	Through store.Revision
+	// Revision is a revision: all changes up to it are in the copy.
+	Revision store.Revision
 	// Age is the time since the copy was last known to hold everything in the store; negative
 	// if it never was.
 	Age time.Duration
 	// Verified is the time since the start of the latest read of the store, by any node, that
 	// found the copy complete; negative if there was none.
 	Verified time.Duration
-	// Newest is the newest document version that the sender holds, which the store may have
+	// DocumentVersion is the newest document version that the sender holds, which the store may have
 	// lost; zero for copies without a document.
-	Newest uint64
+	DocumentVersion uint64
 }
 
 // Item is an entry of the store as peers send it.
@@ -36,15 +36,15 @@
 type Delta struct {
 	_ struct{} `cbor:",toarray"`
 	Digest
-	// Whole tells that the delta holds all entries: keys that are not in it don't exist.
-	Whole bool
+	// Full tells that the delta holds all entries: keys that are not in it don't exist.
+	Full  bool
 	Items []Item
 	// Document is the newest document if it is not among the items, nil otherwise.
 	Document []byte
 }
 
 func (c *Copy) digest() Digest {
-	return Digest{Through: c.revision, Age: c.ageOf(c.confirmed), Verified: c.ageOf(c.verified), Newest: c.document.Version()}
+	return Digest{Revision: c.revision, Age: c.ageOf(c.confirmed), Verified: c.ageOf(c.verified), DocumentVersion: c.document.Version()}
 }
 
 // ageOf returns the time since the given one, unknownAge for the zero time.
@@ -60,15 +60,15 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delta := Delta{Digest: c.digest(), Document: c.documentFor(other)}
-	empty := other.Through == 0 && other.Age < 0
-	if !c.initialized || (other.Through >= c.revision && !empty) {
+	empty := other.Revision == 0 && other.Age < 0
+	if !c.initialized || (other.Revision >= c.revision && !empty) {
 		return delta
 	}
 	// Entries that the other copy has from an earlier epoch may never have existed in this one.
-	earlierEpoch := other.Through.Epoch() < c.revision.Epoch()
-	delta.Whole = empty || earlierEpoch || other.Through < c.prunedRevision
+	earlierEpoch := other.Revision.Epoch() < c.revision.Epoch()
+	delta.Full = empty || earlierEpoch || other.Revision < c.prunedRevision
 	for _, entry := range c.entries {
-		if (delta.Whole && !entry.Deleted) || (!delta.Whole && entry.Revision > other.Through) {
+		if (delta.Full && !entry.Deleted) || (!delta.Full && entry.Revision > other.Revision) {
 			delta.Items = append(delta.Items, Item{Key: entry.Key, Value: entry.Value, Revision: entry.Revision, Lease: entry.Lease, Deleted: entry.Deleted})
 		}
 	}
@@ -79,18 +79,18 @@
 func (c *Copy) isBehind(other Digest) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return other.Through > c.revision || (!c.initialized && other.Age >= 0) || c.needsDocument(other.Newest)
+	return other.Revision > c.revision || (!c.initialized && other.Age >= 0) || c.needsDocument(other.DocumentVersion)
 }
 
 // applyDelta applies the delta of a peer that was queried at sentAt.
 func (c *Copy) applyDelta(delta Delta, peer string, sentAt time.Time) {
 	c.applyDocument(delta, peer)
 	c.apply(peer, func() []store.Entry {
-		newEpoch := delta.Through.Epoch() > c.revision.Epoch()
-		if delta.Age < 0 || delta.Through < c.revision || (newEpoch && !delta.Whole) {
+		newEpoch := delta.Revision.Epoch() > c.revision.Epoch()
+		if delta.Age < 0 || delta.Revision < c.revision || (newEpoch && !delta.Full) {
 			return nil
 		}
-		c.enterEpoch(delta.Through.Epoch())
+		c.enterEpoch(delta.Revision.Epoch())
 		entries := make([]store.Entry, 0, len(delta.Items))
 		present := make(map[string]bool, len(delta.Items))
 		for _, item := range delta.Items {
@@ -98,12 +98,12 @@
 			entries = append(entries, store.Entry{Key: item.Key, Value: item.Value, Revision: item.Revision, Lease: item.Lease, Deleted: item.Deleted})
 		}
 		changes := c.merge(entries)
-		if delta.Whole {
-			changes = append(changes, c.deleteAbsent(present, delta.Through)...)
+		if delta.Full {
+			changes = append(changes, c.deleteAbsent(present, delta.Revision)...)
 		}
-		if delta.Whole || c.initialized {
+		if delta.Full || c.initialized {
 			c.initialized = true
-			c.revision = delta.Through
+			c.revision = delta.Revision
 			c.cursor = max(c.cursor, c.revision)
 			c.confirm(c.now().Add(-delta.Age), sentAt.Add(-delta.Age-confirmSlack))
 			c.markVerifiedByPeer(delta.Digest, sentAt)
@@ -118,7 +118,7 @@
 func (c *Copy) confirmByDigest(digest Digest, sentAt time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.initialized || digest.Age < 0 || digest.Through != c.revision {
+	if !c.initialized || digest.Age < 0 || digest.Revision != c.revision {
 		return
 	}
 	currentAsOf := time.Time{}
--- a/internal/replica/document.go
+++ b/internal/replica/document.go
@@ -33,9 +33,9 @@
 // Offer implements Document.
 func (noDocument) Offer([]byte, string) {}
 
-// SetDocuments sets the document that the copy exchanges with peers. It must be called before
+// SetDocument sets the document that the copy exchanges with peers. It must be called before
 // the copy is used.
-func (c *Copy) SetDocuments(document Document) { c.document = document }
+func (c *Copy) SetDocument(document Document) { c.document = document }
 
 // needsDocument reports whether a peer's version is newer and was not rejected before.
 func (c *Copy) needsDocument(version uint64) bool {
@@ -46,10 +46,10 @@
 // with the entries that it lacks.
 func (c *Copy) documentFor(other Digest) []byte {
 	version := c.document.Version()
-	if other.Newest >= version {
+	if other.DocumentVersion >= version {
 		return nil
 	}
-	if c.initialized && other.Through < c.revision && c.document.StoredVersion() == version {
+	if c.initialized && other.Revision < c.revision && c.document.StoredVersion() == version {
 		return nil
 	}
 	return c.document.Encoded()
@@ -64,7 +64,7 @@
 	c.document.Offer(delta.Document, peer)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if delta.Newest > c.document.Version() {
-		c.rejectedVersion = max(c.rejectedVersion, delta.Newest)
+	if delta.DocumentVersion > c.document.Version() {
+		c.rejectedVersion = max(c.rejectedVersion, delta.DocumentVersion)
 	}
 }
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -29,7 +29,7 @@
 	*node
 	store  *refusingStore
 	copy   *Copy
-	spread *Spread
+	spread *AntiEntropy
 	stop   context.CancelFunc
 	// config takes the values of the key "a" as configurations; nil if the fleet has none.
 	config  *configState
@@ -42,7 +42,7 @@
 	store        *fakeStore
 	nodes        []*node
 	initialDelay time.Duration
-	// verifyAfter is Verifier.After; there are no verifiers if it is zero.
+	// verifyAfter is Verifier.MaxAge; there are no verifiers if it is zero.
 	verifyAfter time.Duration
 	// withConfig has processes take the values of the key "a" as configurations; firstStart
 	// tells that the whole fleet starts for the first time.
@@ -102,19 +102,19 @@
 	onChange := func([]store.Entry, string) {}
 	if f.withConfig {
 		p.config = newConfigState(f.firstStart)
-		onChange = p.config.feed.Change
+		onChange = p.config.feed.ApplyChanges
 	}
 	p.copy = NewCopy(staleAfter, onChange, time.Now)
-	syncer := &Keeper{Copy: p.copy, Store: p.store, Prefix: "k", Now: time.Now, FirstDelay: f.initialDelay, Place: func() (int, bool) { return n.position, true }}
-	config := SpreadConfig{Address: n.address, Now: time.Now, Peers: f.peers, Ask: f.sendQuery, FirstStart: f.firstStart}
+	syncer := &Syncer{Copy: p.copy, Store: p.store, Prefix: "k", Now: time.Now, InitialDelay: f.initialDelay, Position: func() (int, bool) { return n.position, true }}
+	config := AntiEntropyConfig{Address: n.address, Now: time.Now, Peers: f.peers, SendQuery: f.sendQuery, FirstStart: f.firstStart}
 	var verifier *Verifier
 	if f.verifyAfter > 0 {
 		delayed := *syncer
 		delayed.Store = &delayedStore{Store: p.store, sleepDelay: f.sleepDelay}
-		verifier = &Verifier{Keeper: &delayed, After: f.verifyAfter, Needed: func() bool { return true }}
+		verifier = &Verifier{Syncer: &delayed, MaxAge: f.verifyAfter, Needed: func() bool { return true }}
 		config.Overdue = verifier.Overdue
 	}
-	p.spread = NewSpread(config, p.copy)
+	p.spread = NewAntiEntropy(config, p.copy)
 	if f.withConfig {
 		p.config.attach(ctx, p)
 	}
--- a/internal/replica/initialsync.go
+++ b/internal/replica/initialsync.go
@@ -66,11 +66,11 @@
 
 // Synced reports whether the process has received the state of a peer that was up before it, or
 // has given up waiting for one.
-func (s *Spread) Synced() bool { return s.initialSync.isFinished() }
+func (s *AntiEntropy) Synced() bool { return s.initialSync.isFinished() }
 
-// AwaitSettled waits until the initial sync has finished or the context ends. It gives up after
+// AwaitSynced waits until the initial sync has finished or the context ends. It gives up after
 // initialSyncTimeout if no synced peer answers.
-func (s *Spread) AwaitSettled(ctx context.Context) {
+func (s *AntiEntropy) AwaitSynced(ctx context.Context) {
 	timer := time.NewTimer(initialSyncTimeout)
 	defer timer.Stop()
 	select {
--- a/internal/replica/restore_test.go
+++ b/internal/replica/restore_test.go
@@ -57,10 +57,10 @@
 
 // attach connects the configuration to the copy of a process.
 func (c *configState) attach(ctx context.Context, p *process) {
-	c.freshness = configfeed.NewProof(c.feed, p.copy)
-	p.copy.SetDocuments(c.feed)
+	c.freshness = configfeed.NewFreshness(c.feed, p.copy)
+	p.copy.SetDocument(c.feed)
 	go func() {
-		p.spread.AwaitSettled(ctx)
+		p.spread.AwaitSynced(ctx)
 		c.feed.Release()
 	}()
 }
@@ -388,13 +388,13 @@
 	c.applySnapshot(snapshotOf(later, store.Entry{Key: "a", Value: []byte("old"), Revision: store.NewRevision(1, 30)}), time.Now())
 	assert.DeepEqual(t, c.changes[2:], []string{"a=old from store", "b= from store"})
 	// A copy of an earlier epoch is not newer, and receives a full delta.
-	assert.Assert(t, !c.isBehind(Digest{Through: 900, Age: 0}))
-	assert.Assert(t, c.DeltaSince(old).Whole)
+	assert.Assert(t, !c.isBehind(Digest{Revision: 900, Age: 0}))
+	assert.Assert(t, c.DeltaSince(old).Full)
 	other := newRecordingCopy(time.Now)
 	other.applySnapshot(snapshotOf(90, store.Entry{Key: "c", Value: []byte("never there"), Revision: 90}), time.Now())
 	other.applyDelta(c.DeltaSince(other.Digest()), "peer", time.Now())
 	assert.DeepEqual(t, other.changes[1:], []string{"a=old from peer", "c= from peer"})
-	assert.Equal(t, other.Digest().Through, c.Digest().Through)
+	assert.Equal(t, other.Digest().Revision, c.Digest().Revision)
 	// Delayed events and lists of an earlier epoch are dropped.
 	c.applyEvents([]store.Entry{{Key: "a", Value: []byte("late"), Revision: 51}}, 51)
 	c.applySnapshot(snapshotOf(60, store.Entry{Key: "a", Value: []byte("late"), Revision: 60}), time.Now())
--- a/internal/replica/syncer.go
+++ b/internal/replica/syncer.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// LongestWait is the longest time that one call of a watch may block in the store.
-	LongestWait = 4 * time.Second
+	// MaxWatchWait is the longest time that one call of a watch may block in the store.
+	MaxWatchWait = 4 * time.Second
 	// confirmSlack is by how much a process that was paused may have reported too late a time
 	// for which its copy was current: the store answered its watch at some time during the
 	// wait.
-	confirmSlack = LongestWait + 200*time.Millisecond
+	confirmSlack = MaxWatchWait + 200*time.Millisecond
 	// watchers is the number of nodes that watch the store. The answers to their watches come
 	// at different times, so that the fleet hears from the store several times within
-	// LongestWait.
+	// MaxWatchWait.
 	watchers = 4
 	// Nodes whose copies are stale read from the store one after the other: the first one
 	// informs the others.
@@ -32,24 +32,24 @@
 	minSleep = 20 * time.Millisecond
 )
 
-// Keeper keeps a copy current from the store where peers don't.
-type Keeper struct {
+// Syncer keeps a copy current from the store where peers don't.
+type Syncer struct {
 	Copy   *Copy
 	Store  store.Store
 	Prefix string
-	// Place returns the node's position in the order of nodes that determines who watches,
+	// Position returns the node's position in the order of nodes that determines who watches,
 	// which is the same on all nodes with the same view of the fleet; false if it is not known.
-	Place func() (int, bool)
-	// Gather is how long a watch pauses after events, so that several changes cost one call.
-	Gather time.Duration
-	// FirstDelay is how long a node that is not a watcher waits for peers before its first read
+	Position func() (int, bool)
+	// BatchDelay is how long a watch pauses after events, so that several changes cost one call.
+	BatchDelay time.Duration
+	// InitialDelay is how long a node that is not a watcher waits for peers before its first read
 	// from the store.
-	FirstDelay time.Duration
-	Now        func() time.Time
+	InitialDelay time.Duration
+	Now          func() time.Time
 }
 
 // Run keeps the copy current until the context ends.
-func (s *Keeper) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	s.awaitPeers(ctx)
 	for ctx.Err() == nil {
 		if wait := s.wait(); wait > 0 {
@@ -62,36 +62,36 @@
 	}
 }
 
-// awaitPeers waits until a peer has filled the copy, the node is a watcher, or FirstDelay is
+// awaitPeers waits until a peer has filled the copy, the node is a watcher, or InitialDelay is
 // over.
-func (s *Keeper) awaitPeers(ctx context.Context) {
-	deadline := s.Now().Add(s.FirstDelay)
-	for ctx.Err() == nil && s.Now().Before(deadline) && !s.Copy.Filled() && !s.Watches() {
+func (s *Syncer) awaitPeers(ctx context.Context) {
+	deadline := s.Now().Add(s.InitialDelay)
+	for ctx.Err() == nil && s.Now().Before(deadline) && !s.Copy.Initialized() && !s.IsWatcher() {
 		pause.For(ctx, minSleep)
 	}
 }
 
-// Watches reports whether the node is one of those that watch the store.
-func (s *Keeper) Watches() bool {
-	position, known := s.Place()
+// IsWatcher reports whether the node is one of those that watch the store.
+func (s *Syncer) IsWatcher() bool {
+	position, known := s.Position()
 	return known && position < watchers
 }
 
 // wait returns the time until the next read from the store, at most zero if it is due now.
-func (s *Keeper) wait() time.Duration {
+func (s *Syncer) wait() time.Duration {
 	age, known := s.Copy.Age()
-	if !known || s.Watches() {
+	if !known || s.IsWatcher() {
 		return 0
 	}
 	delay := rand.N(maxPositionDelay)
-	if position, known := s.Place(); known {
+	if position, known := s.Position(); known {
 		delay = min(time.Duration(position)*positionDelay, maxPositionDelay) + rand.N(delayJitter)
 	}
 	return s.Copy.staleAfter + delay - age
 }
 
 // refresh reads new changes from the store, and keeps watching if the node is a watcher.
-func (s *Keeper) refresh(ctx context.Context) error {
+func (s *Syncer) refresh(ctx context.Context) error {
 	cursor, initialized := s.Copy.watchCursor()
 	if !initialized {
 		return s.list(ctx)
@@ -103,7 +103,7 @@
 	return err
 }
 
-func (s *Keeper) list(ctx context.Context) error {
+func (s *Syncer) list(ctx context.Context) error {
 	sentAt := s.Now()
 	snapshot, err := s.Store.List(ctx, s.Prefix)
 	if err != nil {
@@ -114,19 +114,19 @@
 }
 
 // watch returns nil once the node is no longer a watcher.
-func (s *Keeper) watch(ctx context.Context, cursor store.Revision) error {
+func (s *Syncer) watch(ctx context.Context, cursor store.Revision) error {
 	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	answered := false
 	err := s.Store.Watch(watchCtx, s.Prefix, cursor, func(events []store.Entry, progress store.Revision) {
 		answered = true
 		s.Copy.applyEvents(events, progress)
-		if !s.Watches() {
+		if !s.IsWatcher() {
 			stop()
 			return
 		}
 		if len(events) > 0 {
-			pause.For(watchCtx, s.Gather)
+			pause.For(watchCtx, s.BatchDelay)
 		}
 	})
 	if answered && watchCtx.Err() != nil {
--- a/internal/replica/verifier.go
+++ b/internal/replica/verifier.go
@@ -30,9 +30,9 @@
 // no node has done so for a while. A watch verifies nothing, as a blocked one misses changes in
 // history that the store compacts.
 type Verifier struct {
-	Keeper *Keeper
-	// After is the age from which the copy is verified again.
-	After time.Duration
+	Syncer *Syncer
+	// MaxAge is the age from which the copy is verified again.
+	MaxAge time.Duration
 	// Needed reports whether anything depends on the verification now.
 	Needed func() bool
 }
@@ -53,10 +53,10 @@
 // wait returns the time until the next read is due.
 func (v *Verifier) wait(delay time.Duration) time.Duration {
 	if !v.Needed() {
-		return v.After
+		return v.MaxAge
 	}
-	verified := v.Keeper.Copy.VerifiedAt()
-	return v.After + delay - v.Keeper.Now().Sub(verified)
+	verified := v.Syncer.Copy.VerifiedAt()
+	return v.MaxAge + delay - v.Syncer.Now().Sub(verified)
 }
 
 // Overdue reports whether the verification has recently become so old that most peers are
@@ -65,14 +65,14 @@
 	if !v.Needed() {
 		return false
 	}
-	age := v.Keeper.Now().Sub(v.Keeper.Copy.VerifiedAt()) - v.After - overdueAfter
+	age := v.Syncer.Now().Sub(v.Syncer.Copy.VerifiedAt()) - v.MaxAge - overdueAfter
 	return age > 0 && age < staleDuration
 }
 
 // positionDelay returns by how much later than the first node this one verifies.
 func (v *Verifier) positionDelay() time.Duration {
 	delay := maxVerifyPositionDelay
-	if position, known := v.Keeper.Place(); known {
+	if position, known := v.Syncer.Position(); known {
 		delay = min(time.Duration(position)*verifyPositionDelay, maxVerifyPositionDelay)
 	}
 	return delay + rand.N(verifyJitter)
@@ -81,7 +81,7 @@
 func (v *Verifier) verify(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, verifyTimeout)
 	defer cancel()
-	if err := v.Keeper.list(ctx); err != nil {
+	if err := v.Syncer.list(ctx); err != nil {
 		pause.For(ctx, failurePause/2+rand.N(failurePause))
 	}
 }
--- a/internal/replica/verifier_test.go
+++ b/internal/replica/verifier_test.go
@@ -62,14 +62,14 @@
 	readAt := time.Now()
 	c.applySnapshot(snapshotOf(3, store.Entry{Key: "a", Value: []byte("1"), Revision: 3}), readAt)
 	sentAt := readAt.Add(10 * time.Second)
-	c.confirmByDigest(Digest{Through: 4, Age: 0, Verified: 0}, sentAt)
-	c.confirmByDigest(Digest{Through: 2, Age: 0, Verified: 0}, sentAt)
-	c.confirmByDigest(Digest{Through: 3, Age: 0, Verified: 0}, time.Time{})
-	c.confirmByDigest(Digest{Through: 3, Age: 0, Verified: unknownAge}, sentAt)
+	c.confirmByDigest(Digest{Revision: 4, Age: 0, Verified: 0}, sentAt)
+	c.confirmByDigest(Digest{Revision: 2, Age: 0, Verified: 0}, sentAt)
+	c.confirmByDigest(Digest{Revision: 3, Age: 0, Verified: 0}, time.Time{})
+	c.confirmByDigest(Digest{Revision: 3, Age: 0, Verified: unknownAge}, sentAt)
 	assert.Equal(t, c.VerifiedAt(), readAt)
-	c.confirmByDigest(Digest{Through: 3, Age: 0, Verified: 4 * time.Second}, sentAt)
+	c.confirmByDigest(Digest{Revision: 3, Age: 0, Verified: 4 * time.Second}, sentAt)
 	assert.Equal(t, c.VerifiedAt(), readAt.Add(6*time.Second))
-	c.applyDelta(Delta{Digest: Digest{Through: 7, Age: 0, Verified: time.Second}, Items: []Item{{Key: "a", Revision: 7}}}, "peer", sentAt)
+	c.applyDelta(Delta{Digest: Digest{Revision: 7, Age: 0, Verified: time.Second}, Items: []Item{{Key: "a", Revision: 7}}}, "peer", sentAt)
 	assert.Equal(t, c.VerifiedAt(), readAt.Add(9*time.Second))
 }
 
@@ -79,7 +79,7 @@
 	var c *Copy
 	var seen []time.Time
 	c = NewCopy(staleAfter, func([]store.Entry, string) {
-		c.confirmByDigest(Digest{Through: 9, Age: 0, Verified: 0}, time.Now().Add(time.Hour))
+		c.confirmByDigest(Digest{Revision: 9, Age: 0, Verified: 0}, time.Now().Add(time.Hour))
 		seen = append(seen, c.VerifiedAt())
 	}, time.Now)
 	c.applySnapshot(snapshotOf(9, store.Entry{Key: "a", Revision: 9}), time.Now())
--- a/internal/store/reachability/circuitbreaker.go
+++ b/internal/store/reachability/circuitbreaker.go
@@ -34,8 +34,8 @@
 	StoreRegained(outage time.Duration)
 }
 
-// Gate is a circuit breaker for calls to the store. It is safe for concurrent use.
-type Gate struct {
+// CircuitBreaker is a circuit breaker for calls to the store. It is safe for concurrent use.
+type CircuitBreaker struct {
 	now        func() time.Time
 	maxBackoff func() time.Duration
 	observer   Observer
@@ -51,14 +51,14 @@
 	changed chan struct{}
 }
 
-// NewGate returns a closed circuit breaker. The observer may be nil. maxBackoff bounds the
+// NewCircuitBreaker returns a closed circuit breaker. The observer may be nil. maxBackoff bounds the
 // backoff between probes.
-func NewGate(maxBackoff func() time.Duration, observer Observer, now func() time.Time) *Gate {
-	return &Gate{now: now, maxBackoff: maxBackoff, observer: observer, changed: make(chan struct{})}
+func NewCircuitBreaker(maxBackoff func() time.Duration, observer Observer, now func() time.Time) *CircuitBreaker {
+	return &CircuitBreaker{now: now, maxBackoff: maxBackoff, observer: observer, changed: make(chan struct{})}
 }
 
 // Reachable reports whether the circuit is closed.
-func (b *Gate) Reachable() bool {
+func (b *CircuitBreaker) Reachable() bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	return b.openSince.IsZero()
@@ -66,7 +66,7 @@
 
 // Hint tells that the store answered another process at the given time. If that is after the
 // last failure, the next probe is made soon.
-func (b *Gate) Hint(answered time.Time) {
+func (b *CircuitBreaker) Hint(answered time.Time) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.openSince.IsZero() || !answered.After(b.lastFailure) {
@@ -80,7 +80,7 @@
 }
 
 // acquire waits until a call may be made, and reports whether that call is a probe.
-func (b *Gate) acquire(ctx context.Context, urgent bool) (bool, error) {
+func (b *CircuitBreaker) acquire(ctx context.Context, urgent bool) (bool, error) {
 	for {
 		wait, probe, changed := b.tryAcquire(urgent)
 		if wait <= 0 {
@@ -103,7 +103,7 @@
 
 // tryAcquire returns how long to wait before the next attempt, zero if the call may be made,
 // and whether the call is a probe.
-func (b *Gate) tryAcquire(urgent bool) (time.Duration, bool, <-chan struct{}) {
+func (b *CircuitBreaker) tryAcquire(urgent bool) (time.Duration, bool, <-chan struct{}) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if b.openSince.IsZero() {
@@ -124,7 +124,7 @@
 }
 
 // release records the result of a call that acquire admitted.
-func (b *Gate) release(probe bool, err error) {
+func (b *CircuitBreaker) release(probe bool, err error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if probe {
@@ -142,7 +142,7 @@
 	b.openCircuit(probe, err)
 }
 
-func (b *Gate) closeCircuit() {
+func (b *CircuitBreaker) closeCircuit() {
 	if b.openSince.IsZero() {
 		return
 	}
@@ -153,7 +153,7 @@
 	b.wakeWaiters()
 }
 
-func (b *Gate) openCircuit(probe bool, err error) {
+func (b *CircuitBreaker) openCircuit(probe bool, err error) {
 	now := b.now()
 	first := b.openSince.IsZero()
 	if !first && !probe {
@@ -177,7 +177,7 @@
 	b.wakeWaiters()
 }
 
-func (b *Gate) wakeWaiters() {
+func (b *CircuitBreaker) wakeWaiters() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
--- a/internal/store/reachability/circuitbreaker_test.go
+++ b/internal/store/reachability/circuitbreaker_test.go
@@ -54,8 +54,8 @@
 
 const testMaxBackoff = 2 * time.Second
 
-func newTestBreaker(observer Observer) *Gate {
-	return NewGate(func() time.Duration { return testMaxBackoff }, observer, time.Now)
+func newTestBreaker(observer Observer) *CircuitBreaker {
+	return NewCircuitBreaker(func() time.Duration { return testMaxBackoff }, observer, time.Now)
 }
 
 // keepCalling has callers use the store until the context ends.
--- a/internal/store/reachability/store.go
+++ b/internal/store/reachability/store.go
@@ -10,7 +10,7 @@
 // Store makes calls to a store through the circuit breaker. Its watches end with the first
 // failure, like those of every store.
 type Store struct {
-	breaker *Gate
+	breaker *CircuitBreaker
 	inner   store.Store
 	urgent  bool
 }
@@ -18,11 +18,11 @@
 var _ store.Store = (*Store)(nil)
 
 // Wrap returns the store behind the circuit breaker.
-func (b *Gate) Wrap(inner store.Store) *Store { return &Store{breaker: b, inner: inner} }
+func (b *CircuitBreaker) Wrap(inner store.Store) *Store { return &Store{breaker: b, inner: inner} }
 
 // WrapUrgent returns the store behind the circuit breaker for calls that must not wait long:
 // during an outage they probe the store more often.
-func (b *Gate) WrapUrgent(inner store.Store) *Store {
+func (b *CircuitBreaker) WrapUrgent(inner store.Store) *Store {
 	return &Store{breaker: b, inner: inner, urgent: true}
 }
 
