--- a/internal/sidecar/doc_test.go
+++ b/internal/sidecar/doc_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestThePageListsEverySetting compares the keys of the page with those of the
-// settings, in order.
-func TestThePageListsEverySetting(t *testing.T) {
+// TestEverySettingIsDocumented checks that docs/SIDECAR-SETTINGS.md lists all keys of the
+// settings in order.
+func TestEverySettingIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/SIDECAR-SETTINGS.md")
 	assert.NilError(t, err)
 	var documented []string
--- a/internal/sidecar/gauges.go
+++ b/internal/sidecar/gauges.go
@@ -6,7 +6,7 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// provisionGauges registers what metrics read at the moment they are asked for.
+// provisionGauges registers the gauges whose values are read at each scrape.
 func (n *Node) provisionGauges() {
 	gauges := []struct {
 		name, help string
@@ -14,20 +14,20 @@
 	}{
 		{"configuration_version", "Version of the configuration in force.", func() float64 { return float64(n.routes.Version()) }},
 		{"configuration_age_seconds", "Time since the configuration came into force here.", func() float64 { return n.feed.Age().Seconds() }},
-		{"store_reachable", "Whether the store answered the last time, 1 or 0.", func() float64 { return truth(n.gate.Reachable()) }},
+		{"store_reachable", "Whether the store answered the last time, 1 or 0.", func() float64 { return boolValue(n.storeGate.Reachable()) }},
 		{"store_epoch", "Epoch of the store, which rises each time that it comes back from a copy.", func() float64 { return float64(n.epochs.Current()) }},
 		{"store_restores", "Times that the store came back from a copy since the process started.", func() float64 { return float64(n.epochs.Changes()) }},
-		{"configuration_copy_revision", "Revision up to which the copy of the configuration is complete.", func() float64 { return revisionOf(n.copies.configuration) }},
-		{"records_copy_revision", "Revision up to which the copy of the records is complete.", func() float64 { return revisionOf(n.copies.records) }},
-		{"configuration_copy_age_seconds", "Time since the copy of the configuration was known to be current.", func() float64 { return ageOf(n.copies.configuration) }},
-		{"records_copy_age_seconds", "Time since the copy of the records was known to be current.", func() float64 { return ageOf(n.copies.records) }},
-		{"store_watched", "Whether the node is one of those that watch the store, 1 or 0.", func() float64 { return truth(n.copies.keepRecords.Watches()) }},
-		{"configuration_verified_age_seconds", "Time since a read of the store began by which the configuration is known to be current; API keys rest on it.", func() float64 { return verifiedAgeOf(n.copies.configuration) }},
+		{"configuration_copy_revision", "Revision up to which the copy of the configuration is complete.", func() float64 { return revisionOf(n.replicas.configuration) }},
+		{"records_copy_revision", "Revision up to which the copy of the records is complete.", func() float64 { return revisionOf(n.replicas.records) }},
+		{"configuration_copy_age_seconds", "Time since the copy of the configuration was known to be current.", func() float64 { return ageSeconds(n.replicas.configuration) }},
+		{"records_copy_age_seconds", "Time since the copy of the records was known to be current.", func() float64 { return ageSeconds(n.replicas.records) }},
+		{"store_watched", "Whether the node is one of those that watch the store, 1 or 0.", func() float64 { return boolValue(n.replicas.recordsKeeper.Watches()) }},
+		{"configuration_verified_age_seconds", "Time since a read of the store began by which the configuration is known to be current; API keys rest on it.", func() float64 { return verifiedAgeSeconds(n.replicas.configuration) }},
 		{"limit_shards_held", "Shards of tenants' limits that the node holds.", func() float64 { return float64(n.limits.keeper.Held()) }},
 		{"homes_known", "Homes with a ready target that the node knows.", func() float64 { return float64(n.directory.Count()) }},
 		{"homes_suspected", "Homes that are passed over.", func() float64 { return float64(n.forwarder.Suspected()) }},
-		{"requests_quarantined", "Requests that are refused as targets crash under them.", func() float64 { return float64(n.suspects.Quarantined()) }},
-		{"quarantine_unplaced", "Verdicts that were not taken because there were too many.", func() float64 { return float64(n.suspects.Unplaced()) }},
+		{"requests_quarantined", "Requests that are refused as targets crash under them.", func() float64 { return float64(n.quarantine.Quarantined()) }},
+		{"quarantine_unplaced", "Verdicts that were not taken because there were too many.", func() float64 { return float64(n.quarantine.Unplaced()) }},
 		{"requests_in_flight", "Requests that wait for their answer.", func() float64 { return float64(n.forwarder.InFlight()) }},
 		{"retry_budget_left", "Repetitions left to the service with the fewest.", n.retryBudgetLeft},
 		{"target_in_flight", "Calls at the target beside the node.", func() float64 { return float64(n.guard.Load("").InFlight) }},
@@ -40,34 +40,34 @@
 	}
 }
 
-func revisionOf(held *replica.Copy) float64 { return float64(held.Digest().Through.Number()) }
+func revisionOf(c *replica.Copy) float64 { return float64(c.Digest().Through.Number()) }
 
-// ageOf is negative for a copy that was never current.
-func ageOf(held *replica.Copy) float64 {
-	age, known := held.Age()
+// ageSeconds returns -1 for a replica that was never current.
+func ageSeconds(c *replica.Copy) float64 {
+	age, known := c.Age()
 	if !known {
 		return -1
 	}
 	return age.Seconds()
 }
 
-// verifiedAgeOf is negative for a copy that was never verified.
-func verifiedAgeOf(held *replica.Copy) float64 {
-	verified := held.VerifiedAt()
+// verifiedAgeSeconds returns -1 for a replica that was never verified.
+func verifiedAgeSeconds(c *replica.Copy) float64 {
+	verified := c.VerifiedAt()
 	if verified.IsZero() {
 		return -1
 	}
 	return clock.Since(verified).Seconds()
 }
 
-func truth(holds bool) float64 {
-	if holds {
+func boolValue(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
-// retryBudgetLeft is nothing before the first request.
+// retryBudgetLeft returns the smallest retry budget of any service, 0 before the first request.
 func (n *Node) retryBudgetLeft() float64 {
 	left, known := n.forwarder.RetryBudgetLeft()
 	if !known {
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -21,33 +21,33 @@
 
 const (
 	namespace = "lugspur"
-	// maxRoutes bounds the routes that metrics tell apart; all others are counted
-	// under otherRoute.
-	maxRoutes  = 64
-	otherRoute = "other"
+	// maxRouteLabels bounds the number of route labels; further routes are counted under
+	// otherRoute.
+	maxRouteLabels = 64
+	otherRoute     = "other"
 )
 
-// buckets are the upper bounds of histograms, in seconds.
-var buckets = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5}
+// durationBuckets are the upper bounds of histogram buckets, in seconds.
+var durationBuckets = []float64{.005, .01, .025, .05, .1, .25, .5, 1, 2.5, 5}
 
-// metrics counts what becomes of requests and of calls to the target beside the
-// node. It implements forward.Observer and guard.Observer.
+// metrics counts requests and calls to the local target by outcome. It implements
+// forward.Observer and guard.Observer.
 type metrics struct {
-	registry *prometheus.Registry
-	requests *prometheus.CounterVec
-	duration *prometheus.HistogramVec
-	calls    *prometheus.CounterVec
-	sent     *prometheus.CounterVec
-	refused  *prometheus.CounterVec
-	waited   *prometheus.HistogramVec
-	ran      *prometheus.HistogramVec
-	stalled  prometheus.Counter
+	registry          *prometheus.Registry
+	requests          *prometheus.CounterVec
+	duration          *prometheus.HistogramVec
+	calls             *prometheus.CounterVec
+	budgetEvents      *prometheus.CounterVec
+	heartbeatRefusals *prometheus.CounterVec
+	queueTime         *prometheus.HistogramVec
+	targetTime        *prometheus.HistogramVec
+	stallTime         prometheus.Counter
 
 	tenants *tenantCounter
 
-	// endings holds the series of each ending that was seen. Routes are bounded, and
-	// statuses and reasons few.
-	endings sync.Map
+	// series caches the requestSeries of each requestLabels value. Its size is bounded, as
+	// there are at most maxRouteLabels routes and few statuses and reasons.
+	series sync.Map
 
 	mutex  sync.Mutex
 	routes map[string]bool
@@ -65,36 +65,36 @@
 			Namespace: namespace,
 			Name:      "request_duration_seconds",
 			Help:      "Time from a request's arrival to its end, by route and whether a target answered.",
-			Buckets:   buckets,
+			Buckets:   durationBuckets,
 		}, []string{"route", "answered"}),
 		calls: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace,
 			Name:      "calls_total",
 			Help:      "Calls to the target beside the node, by outcome and reason.",
 		}, []string{"outcome", "reason"}),
-		sent: prometheus.NewCounterVec(prometheus.CounterOpts{
+		budgetEvents: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace,
 			Name:      "retry_budget_events_total",
 			Help:      "Requests sent from here by service: first, repeated or unpaid (no budget left), and why they were to be repeated.",
 		}, []string{"service", "kind", "cause"}),
-		refused: prometheus.NewCounterVec(prometheus.CounterOpts{
+		heartbeatRefusals: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Namespace: namespace,
 			Name:      "heartbeats_refused_total",
 			Help:      "Heartbeats that were turned away, by reason.",
 		}, []string{"reason"}),
-		waited: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		queueTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace,
 			Name:      "call_queue_seconds",
 			Help:      "Time that calls waited for room at the target, by outcome.",
-			Buckets:   buckets,
+			Buckets:   durationBuckets,
 		}, []string{"outcome"}),
-		ran: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		targetTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: namespace,
 			Name:      "call_target_seconds",
 			Help:      "Time that calls spent at the target, by outcome.",
-			Buckets:   buckets,
+			Buckets:   durationBuckets,
 		}, []string{"outcome"}),
-		stalled: prometheus.NewCounter(prometheus.CounterOpts{
+		stallTime: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace,
 			Name:      "process_stalled_seconds_total",
 			Help:      "Time for which the process stood still, without the first 0.15 s of each time.",
@@ -102,76 +102,78 @@
 		tenants: newTenantCounter(),
 		routes:  make(map[string]bool),
 	}
-	m.registry.MustRegister(m.tenants.requests, m.requests, m.duration, m.calls, m.sent, m.refused, m.waited, m.ran, m.stalled, &eventCollector{log: log})
+	m.registry.MustRegister(m.tenants.requests, m.requests, m.duration, m.calls, m.budgetEvents, m.heartbeatRefusals, m.queueTime, m.targetTime, m.stallTime, &eventCollector{log: log})
 	return m
 }
 
-// Finished counts a request that ended.
+// Finished counts a finished request.
 func (m *metrics) Finished(route string, status int, reason string, duration time.Duration) {
-	series := m.seriesOf(ending{m.bounded(route), status, reason})
+	series := m.seriesOf(requestLabels{m.routeLabel(route), status, reason})
 	series.count.Inc()
 	series.duration.Observe(duration.Seconds())
 }
 
-// ending is how requests of a route ended.
-type ending struct {
+// requestLabels are the label values of a finished request.
+type requestLabels struct {
 	route  string
 	status int
 	reason string
 }
 
-// endingSeries are the series that count an ending. Finding them by their labels takes
-// longer than counting.
-type endingSeries struct {
+// requestSeries are the series that count requests with the same labels. They are cached, as
+// a lookup by label values takes longer than the count itself.
+type requestSeries struct {
 	count    prometheus.Counter
 	duration prometheus.Observer
 }
 
-func (m *metrics) seriesOf(e ending) endingSeries {
-	if known, found := m.endings.Load(e); found {
-		return known.(endingSeries)
+func (m *metrics) seriesOf(labels requestLabels) requestSeries {
+	if cached, found := m.series.Load(labels); found {
+		return cached.(requestSeries)
 	}
-	series := endingSeries{
-		count:    m.requests.WithLabelValues(e.route, strconv.Itoa(e.status), e.reason),
-		duration: m.duration.WithLabelValues(e.route, strconv.FormatBool(e.reason == "")),
+	series := requestSeries{
+		count:    m.requests.WithLabelValues(labels.route, strconv.Itoa(labels.status), labels.reason),
+		duration: m.duration.WithLabelValues(labels.route, strconv.FormatBool(labels.reason == "")),
 	}
-	m.endings.Store(e, series)
+	m.series.Store(labels, series)
 	return series
 }
 
-// Identified counts what was decided by the API key and the limit of a tenant.
+// Identified counts the result of the API key check and of the tenant's rate limit.
 func (m *metrics) Identified(tenant string, reason problem.Reason) { m.tenants.count(tenant, reason) }
 
-// BudgetCounted counts what the retry budget of a service counted.
+// BudgetCounted counts an event of a service's retry budget.
 func (m *metrics) BudgetCounted(service string, kind forward.BudgetEvent, cause peering.Reason) {
-	m.sent.WithLabelValues(service, kind.String(), string(cause)).Inc()
+	m.budgetEvents.WithLabelValues(service, kind.String(), string(cause)).Inc()
 }
 
-// Stalled counts the time for which the process stood still.
-func (m *metrics) Stalled(duration time.Duration) { m.stalled.Add(duration.Seconds()) }
+// Stalled adds the duration of a process stall.
+func (m *metrics) Stalled(duration time.Duration) { m.stallTime.Add(duration.Seconds()) }
 
-// heartbeatRefused counts a heartbeat that was turned away.
-func (m *metrics) heartbeatRefused(reason registry.RefusalReason) {
-	m.refused.WithLabelValues(string(reason)).Inc()
+// countRefusedHeartbeat counts a refused heartbeat.
+func (m *metrics) countRefusedHeartbeat(reason registry.RefusalReason) {
+	m.heartbeatRefusals.WithLabelValues(string(reason)).Inc()
 }
 
-// Ended counts a call to the target that ended.
-func (m *metrics) Ended(outcome peering.Outcome, reason peering.Reason, waited, ran time.Duration) {
+// Ended counts a finished call to the target.
+func (m *metrics) Ended(outcome peering.Outcome, reason peering.Reason, queueTime, targetTime time.Duration) {
 	name := outcome.String()
 	m.calls.WithLabelValues(name, string(reason)).Inc()
-	m.waited.WithLabelValues(name).Observe(waited.Seconds())
-	if ran > 0 {
-		m.ran.WithLabelValues(name).Observe(ran.Seconds())
+	m.queueTime.WithLabelValues(name).Observe(queueTime.Seconds())
+	if targetTime > 0 {
+		m.targetTime.WithLabelValues(name).Observe(targetTime.Seconds())
 	}
 }
 
-func (m *metrics) bounded(route string) string {
+// routeLabel returns the label for the route: its name, or otherRoute once there are
+// maxRouteLabels others.
+func (m *metrics) routeLabel(route string) string {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.routes[route] {
 		return route
 	}
-	if len(m.routes) >= maxRoutes {
+	if len(m.routes) >= maxRouteLabels {
 		return otherRoute
 	}
 	m.routes[route] = true
@@ -188,64 +190,65 @@
 	return mux
 }
 
-// decisive are the metrics that tell why requests fail. They come first on the page.
-var decisive = []string{
+// failureMetrics are the metrics that show why requests fail. They come first on the page.
+var failureMetrics = []string{
 	namespace + "_retry_budget_events_total", namespace + "_retry_budget_left",
 	namespace + "_requests_total", namespace + "_calls_total", namespace + "_process_stalled_seconds_total",
 }
 
-// serve writes the page: first what is decisive, then the other metrics, then
-// histograms, which take up most of it. A collector that keeps no more than the
-// first kilobytes of a page then keeps what tells why requests fail.
+// serve writes the metrics page: failureMetrics first, then other metrics, then histograms,
+// which take up most of the page. A collector that truncates the page after the first
+// kilobytes thus still gets the metrics that show why requests fail.
 func (m *metrics) serve(w http.ResponseWriter, r *http.Request) {
 	families, err := m.registry.Gather()
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	slices.SortStableFunc(families, func(a, b *dto.MetricFamily) int { return cmp.Compare(placeOf(a), placeOf(b)) })
+	slices.SortStableFunc(families, func(a, b *dto.MetricFamily) int { return cmp.Compare(pageOrder(a), pageOrder(b)) })
 	format := expfmt.NegotiateAccept(r.Header, expfmt.DefaultAcceptedFormats()...)
 	w.Header().Set("Content-Type", string(format))
 	encoder := expfmt.NewEncoder(w, format)
 	for _, family := range families {
 		if encoder.Encode(family) != nil {
-			// The collector is gone.
+			// The collector closed the connection.
 			return
 		}
 	}
 }
 
-// placeOf returns where on the page a metric stands.
-func placeOf(family *dto.MetricFamily) int {
-	if place := slices.Index(decisive, family.GetName()); place >= 0 {
-		return place
+// pageOrder returns the sort key of a metric on the page.
+func pageOrder(family *dto.MetricFamily) int {
+	if index := slices.Index(failureMetrics, family.GetName()); index >= 0 {
+		return index
 	}
 	if family.GetType() == dto.MetricType_HISTOGRAM {
-		return len(decisive) + 1
+		return len(failureMetrics) + 1
 	}
-	return len(decisive)
+	return len(failureMetrics)
 }
 
-// eventCollector tells the counts of events by their kinds.
+// eventCollector exports the number of log events by kind. It implements
+// prometheus.Collector.
 type eventCollector struct {
 	log *eventlog.Log
 }
 
 var (
-	eventsDescription = prometheus.NewDesc(namespace+"_events_total", "Events by kind, written to the log or not.", []string{"kind"}, nil)
-	lostDescription   = prometheus.NewDesc(namespace+"_events_lost_total", "Events that were left out of the log.", nil, nil)
+	eventsDescription     = prometheus.NewDesc(namespace+"_events_total", "Events by kind, written to the log or not.", []string{"kind"}, nil)
+	eventsLostDescription = prometheus.NewDesc(namespace+"_events_lost_total", "Events that were left out of the log.", nil, nil)
 )
 
-// Describe tells the metrics.
+// Describe implements prometheus.Collector.
 func (c *eventCollector) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- eventsDescription
-	descriptions <- lostDescription
+	descriptions <- eventsLostDescription
 }
 
-// Collect tells the values.
+// Collect implements prometheus.Collector.
 func (c *eventCollector) Collect(values chan<- prometheus.Metric) {
 	c.log.Counts(func(kind eventlog.Kind, count uint64) {
 		values <- prometheus.MustNewConstMetric(eventsDescription, prometheus.CounterValue, float64(count), kind.String())
 	})
-	values <- prometheus.MustNewConstMetric(lostDescription, prometheus.CounterValue, float64(c.log.Lost()))
+	values <- prometheus.MustNewConstMetric(eventsLostDescription, prometheus.CounterValue, float64(c.log.Lost()))
 }
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -28,23 +28,23 @@
 
 func newTestNode(t *testing.T) *Node {
 	t.Helper()
-	settings, err := Parse([]byte(fill(t)))
+	settings, err := Parse([]byte(renderTemplate(t)))
 	assert.NilError(t, err)
 	node, err := New(settings, io.Discard)
 	assert.NilError(t, err)
 	return node
 }
 
-// TestThePageListsEveryMetric compares the metrics that a node serves with the
-// page.
-func TestThePageListsEveryMetric(t *testing.T) {
+// TestEveryMetricIsDocumented checks that docs/METRICS.md lists exactly the metrics that a
+// node serves.
+func TestEveryMetricIsDocumented(t *testing.T) {
 	n := newTestNode(t)
 	n.metrics.Identified("tenant", "")
 	n.metrics.Finished("r", 200, "", time.Second)
 	n.metrics.Ended(peering.Answered, "", time.Millisecond, time.Second)
-	n.metrics.heartbeatRefused(registry.RefusedSlots)
+	n.metrics.countRefusedHeartbeat(registry.RefusedSlots)
 	n.metrics.BudgetCounted("s", forward.FirstSent, "")
-	n.calls.Called(purposeRecords, "list", "done")
+	n.storeCalls.Called(purposeRecords, "list", "done")
 	var served []string
 	for _, match := range metricLine.FindAllStringSubmatch(scrape(n), -1) {
 		served = append(served, match[1])
@@ -76,21 +76,21 @@
 	} {
 		assert.Assert(t, strings.Contains(text, line+"\n"), "%s in\n%s", line, text)
 	}
-	assert.Assert(t, !strings.Contains(text, `call_target_seconds_count{outcome="refused"}`), "a refused call was not at the target")
+	assert.Assert(t, !strings.Contains(text, `call_target_seconds_count{outcome="refused"}`), "a refused call must not count as time at the target")
 }
 
-// TestStoreCallsAddUp has calls to the store counted in the metrics and told in
-// the log, each once.
-func TestStoreCallsAddUp(t *testing.T) {
+// TestStoreCallsAreCountedOnce checks that each store call is counted once in the metrics
+// and reported in one log event.
+func TestStoreCallsAreCountedOnce(t *testing.T) {
 	n := newTestNode(t)
 	for range 3 {
-		n.calls.Called(purposeRecords, "watch", "done")
+		n.storeCalls.Called(purposeRecords, "watch", "done")
 	}
-	n.calls.Called(purposeOwnRecord, "compare and swap", "conflict")
-	n.calls.record()
-	n.calls.Called(purposeRecords, "watch", "done")
-	n.calls.record()
-	n.calls.record()
+	n.storeCalls.Called(purposeOwnRecord, "compare and swap", "conflict")
+	n.storeCalls.recordEvent()
+	n.storeCalls.Called(purposeRecords, "watch", "done")
+	n.storeCalls.recordEvent()
+	n.storeCalls.recordEvent()
 	text := scrape(n)
 	for _, line := range []string{
 		`lugspur_store_calls_total{call="watch",outcome="done",purpose="records"} 4`,
@@ -101,19 +101,19 @@
 	}
 }
 
-func TestRoutesBeyondTheBoundAreCountedTogether(t *testing.T) {
+func TestRouteLabelsAreBounded(t *testing.T) {
 	n := newTestNode(t)
-	for i := range 3 * maxRoutes {
+	for i := range 3 * maxRouteLabels {
 		n.metrics.Finished(strings.Repeat("r", i+1), 200, "", time.Second)
 	}
-	assert.Equal(t, strings.Count(scrape(n), "lugspur_requests_total{"), maxRoutes+1)
+	assert.Equal(t, strings.Count(scrape(n), "lugspur_requests_total{"), maxRouteLabels+1)
 }
 
-// TestThePageBeginsWithWhatTellsWhyRequestsFail has a node that serves many routes.
-// A collection of pages ended after their first 4 KB, in the first histograms; the
-// retry budget stood behind them and could not be read.
-func TestThePageBeginsWithWhatTellsWhyRequestsFail(t *testing.T) {
-	const collected = 4 << 10
+// TestMetricsPageBeginsWithFailureMetrics checks that the first 4 KB of the page contain the
+// metrics that show why requests fail, also with many routes. A collector once truncated
+// pages at 4 KB, within the first histograms, and lost the retry budget metrics after them.
+func TestMetricsPageBeginsWithFailureMetrics(t *testing.T) {
+	const truncatedBytes = 4 << 10
 	n := newTestNode(t)
 	for i := range 8 {
 		route := "route-" + strconv.Itoa(i)
@@ -126,7 +126,7 @@
 		n.metrics.BudgetCounted(service, forward.RetrySent, peering.TargetFull)
 		n.metrics.BudgetCounted(service, forward.RetryDenied, peering.TargetFull)
 	}
-	begin := scrape(n)[:collected]
+	start := scrape(n)[:truncatedBytes]
 	for _, line := range []string{
 		`lugspur_retry_budget_events_total{cause="target-full",kind="repeated",service="d"} 1`,
 		`lugspur_retry_budget_events_total{cause="",kind="first",service="a"} 1`,
@@ -134,6 +134,6 @@
 		`lugspur_requests_total{reason="overloaded",route="route-7",status="503"} 1`,
 		`lugspur_calls_total{outcome="answered",reason=""} 1`,
 	} {
-		assert.Assert(t, strings.Contains(begin, line+"\n"), line)
+		assert.Assert(t, strings.Contains(start, line+"\n"), line)
 	}
 }
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -32,84 +32,86 @@
 )
 
 const (
-	// maxMessageBytes bounds a request or an answer, in bytes.
+	// maxMessageBytes is the maximum size of a request or response.
 	maxMessageBytes = 80 << 20
-	// maxHeaderBytes bounds the header of a request, in bytes.
+	// maxHeaderBytes is the maximum size of a request header.
 	maxHeaderBytes = 32 << 10
-	// headerTimeout and idleTimeout bound connections of callers.
+	// Timeouts of callers' connections.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 75 * time.Second
-	// defaultTimeout bounds a request whose caller and route say nothing.
+	// defaultTimeout applies to requests for which neither the caller nor the route sets one.
 	defaultTimeout = 10 * time.Second
-	// Bounds of the exchanges with peers.
+	// Settings of connections to peers.
 	peerDialTimeout = 400 * time.Millisecond
 	peerUserTimeout = time.Second
 	peerKeepAlive   = time.Second
 	peerIdleTimeout = 30 * time.Second
 	peerMaxIdle     = 32
-	// presentRetryShare is the part of the retry budget that is due to the requests of
-	// the present span; the rest is due to those of the span before. It guards against a
-	// budget that falls with the traffic: where requests fail, fewer calls follow, and
-	// that is when repetitions are needed. Virtual time, traffic that falls to 0.6: 0.78
-	// of what is allowed can be used, 0.59 with 0.9 at once and 0.05 saved up.
-	presentRetryShare = 0.5
-	// retryDelay is how much later than it was sent a repetition may arrive: the time
-	// that calls may wait for room at a target.
-	retryDelay = 500 * time.Millisecond
-	// maxRetryReserve is the number of repetitions that a node saves up without
-	// traffic, as one is the least that is of use.
+	// currentRetryShare is the share of the retry budget that the requests of the current
+	// window earn; those of the window before earn the rest. Failing requests make fewer
+	// further calls, so a budget from the current window alone would shrink with the traffic
+	// just when retries are needed. In virtual time, with traffic that falls to 0.6, 0.78 of
+	// the permitted retries can be used; a token bucket that earned 0.9 of the ratio at once
+	// and saved up 0.05 permitted 0.59.
+	currentRetryShare = 0.5
+	// maxRetryDelay is the longest time from sending a retry to its arrival at the target:
+	// the time that calls may wait in the target's queue.
+	maxRetryDelay = 500 * time.Millisecond
+	// maxRetryReserve is the number of retries that a node may send without having counted
+	// any requests. One is the smallest useful number.
 	maxRetryReserve = 1.0
 )
 
-// Node is a node beside a target.
+// Node is the sidecar of one target.
 type Node struct {
 	settings Settings
 	log      *eventlog.Log
 	metrics  *metrics
 	started  time.Time
-	// process tells this process from earlier ones at the address; it is not zero.
-	process   uint32
-	store     *platform.Store
-	calls     *storeCalls
-	gate      *reachability.Gate
-	epochs    *epoch.Tracker
-	copies    copies
-	routes    *routetable.Holder
-	feed      *configfeed.Feed
-	directory *registry.Directory
-	registrar *registry.Registrar
-	guard     *guard.Guard
-	peers     *peering.Client
-	codec     *peering.Codec
-	policies  *routepolicy.Holder
-	// sources are the policies in force as written, owned by Reload.
-	sources   routepolicy.Sources
-	levels    *pressure.Levels
-	suspects  *quarantine.Quarantine
-	limits    limits
-	forwarder *forward.Forwarder
-	servers   []*server
-	stopping  atomic.Bool
-	running   sync.WaitGroup
+	// process distinguishes this process from earlier ones at the same address. It is not
+	// zero.
+	process    uint32
+	store      *platform.Store
+	storeCalls *storeCalls
+	storeGate  *reachability.Gate
+	epochs     *epoch.Tracker
+	replicas   replicas
+	routes     *routetable.Holder
+	feed       *configfeed.Feed
+	directory  *registry.Directory
+	registrar  *registry.Registrar
+	guard      *guard.Guard
+	peers      *peering.Client
+	codec      *peering.Codec
+	policies   *routepolicy.Holder
+	// policySources are the sources of the active policies. Only Reload accesses them.
+	policySources routepolicy.Sources
+	pressure      *pressure.Levels
+	quarantine    *quarantine.Quarantine
+	limits        tenantLimits
+	forwarder     *forward.Forwarder
+	servers       []*server
+	stopping      atomic.Bool
+	running       sync.WaitGroup
 }
 
-// New provisions a node. Nothing is sent or listened to before Run.
+// New creates a node. It sends nothing and does not listen before Run.
 func New(settings Settings, output io.Writer) (*Node, error) {
 	policies, err := routepolicy.Compile(settings.Policies)
 	if err != nil {
 		return nil, oops.In("sidecar").With("step", "compile policies").Wrapf(err, "compile policies")
 	}
-	n := &Node{policies: routepolicy.NewHolder(policies), sources: settings.Policies, settings: settings, routes: &routetable.Holder{},
+	n := &Node{policies: routepolicy.NewHolder(policies), policySources: settings.Policies, settings: settings, routes: &routetable.Holder{},
 		started: clock.Now(), process: max(rand.Uint32(), 1)}
 	n.log = eventlog.New(eventlog.Config{RootOf: platform.RootOf}, settings.Name, output, time.Now)
 	n.metrics = newMetrics(n.log)
 	n.provisionStore()
 	n.feed = configfeed.New(platform.ConfigurationKey, platform.Configuration, n.routes, n.log, clock.Now)
 	n.directory = registry.NewDirectory(platform.HomesPrefix, settings.advertised(), n.log, clock.Now)
-	n.provisionCopies()
+	n.provisionReplicas()
 	n.provisionLimits()
-	n.levels = pressure.New(clock.Now)
-	n.suspects = n.newQuarantine()
+	n.pressure = pressure.New(clock.Now)
+	n.quarantine = n.newQuarantine()
 	n.guard = guard.New(guard.Config{
 		Service:        settings.Service,
 		Address:        settings.Target,
@@ -118,8 +120,8 @@
 		MaxQueue:       settings.Queue.MaxLength,
 		MaxBuffered:    maxMessageBytes,
 		MaxConnections: n.maxConnections,
-		Downstream:     n.levels.Downstream,
-		Quarantine:     n.suspects,
+		Downstream:     n.pressure.Downstream,
+		Quarantine:     n.quarantine,
 		Observer:       n.metrics,
 	}, n.log, clock.Now)
 	n.registrar = registry.NewRegistrar(registry.RegistrarConfig{
@@ -129,11 +131,11 @@
 		HomesPrefix:      platform.HomesPrefix,
 		DeparturesPrefix: platform.DeparturesPrefix,
 		OnTargetChange:   n.guard.SetTarget,
-		OnRefused:        n.metrics.heartbeatRefused,
-		Records:          n.recall,
+		OnRefused:        n.metrics.countRefusedHeartbeat,
+		Records:          n.awaitRecords,
 		Epoch:            n.epochs.Current,
 		Place:            n.directory.Place,
-		Peers:            registry.Peers{Addresses: n.directory.Addresses, Notify: n.tellDeparture},
+		Peers:            registry.Peers{Addresses: n.directory.Addresses, Notify: n.sendDeparture},
 		FirstStart:       settings.FirstStart,
 	}, n.registrarStores(), n.log, clock.Now)
 	n.codec = peering.NewCodec(platform.Headers().Signature)
@@ -146,22 +148,22 @@
 		MaxIdle:     peerMaxIdle,
 		From:        settings.advertised(),
 		Codec:       n.codec,
-		OnResume:    n.noteResumed,
+		OnResume:    n.logResumedCall,
 		OnInterim:   func(address string) { n.forwarder.InterimReceived(address) },
 	})
-	n.peers.SetSpread(n.copies.spread)
+	n.peers.SetSpread(n.replicas.antiEntropy)
 	n.forwarder = n.newForwarder()
 	n.provisionGauges()
-	clock.System.OnResume(n.resumed)
+	clock.System.OnResume(n.handleResume)
 	return n, nil
 }
 
-func (n *Node) tellDeparture(ctx context.Context, address string, departure registry.Departure) error {
+func (n *Node) sendDeparture(ctx context.Context, address string, departure registry.Departure) error {
 	return n.peers.TellDeparture(ctx, address, departure)
 }
 
-// resumed notes that the machine was suspended.
-func (n *Node) resumed() {
+// handleResume handles the machine's resumption after it was suspended.
+func (n *Node) handleResume() {
 	n.log.Record(eventlog.Event{Kind: eventlog.MachineResumed, Age: clock.System.Suspended()})
 	n.registrar.HandleResume()
 }
@@ -175,7 +177,7 @@
 				return n.peers.Notify(ctx, address, notice)
 			},
 		},
-		Store:     n.gate.Wrap(n.store.For(purposeQuarantine)),
+		Store:     n.storeGate.Wrap(n.store.For(purposeQuarantine)),
 		Prefix:    platform.QuarantinePrefix,
 		Epoch:     n.epochs.Current,
 		Place:     n.directory.Place,
@@ -195,10 +197,10 @@
 		DefaultTimeout: defaultTimeout,
 		Retries: retrybudget.AllowanceConfig{
 			Ratio:        n.settings.Retries.BudgetRatio,
-			CurrentShare: presentRetryShare,
+			CurrentShare: currentRetryShare,
 			Reserve:      n.retryReserve,
 			Window:       n.settings.Retries.window(),
-			MaxDelay:     retryDelay,
+			MaxDelay:     maxRetryDelay,
 		},
 		WaitShare:      n.settings.Queue.ObjectiveShare,
 		InnerWaitShare: n.settings.Queue.InnerObjectiveShare,
@@ -208,9 +210,9 @@
 		Directory:  n.directory,
 		Local:      n.guard,
 		Policies:   n.policies,
-		Levels:     n.levels,
-		Quarantine: n.suspects,
-		Keys:       apikey.NewChecker(n.routes, configfeed.NewProof(n.feed, n.copies.configuration), n.settings.Tenants.revoke()),
+		Levels:     n.pressure,
+		Quarantine: n.quarantine,
+		Keys:       apikey.NewChecker(n.routes, configfeed.NewProof(n.feed, n.replicas.configuration), n.settings.Tenants.revocationTime()),
 		Limits:     n.limits.limiter,
 		Peers:      n.peers,
 		Observer:   n.metrics,
@@ -219,18 +221,19 @@
 	})
 }
 
-func (n *Node) noteResumed(call *peering.Call, address string, after time.Duration) {
+// logResumedCall logs that a call to a home was resumed over a new connection.
+func (n *Node) logResumedCall(call *peering.Call, address string, after time.Duration) {
 	n.log.Record(eventlog.Event{Kind: eventlog.CallResumed, Request: call.RequestID, Route: call.Route, Service: call.Service, Peer: address, Duration: after})
 }
 
-// retryReserve returns the node's part of the repetitions that all nodes together
-// may make beyond the ratio.
+// retryReserve returns the node's share of the retries that all nodes together may send
+// beyond the budget ratio.
 func (n *Node) retryReserve() float64 {
 	nodes := max(len(n.directory.Addresses()), 1)
 	return min(n.settings.Retries.Slack/float64(nodes), maxRetryReserve)
 }
 
-// maxConnections returns the bound on connections of the target's service.
+// maxConnections returns the connection limit of the target's service, 0 if it is unknown.
 func (n *Node) maxConnections() int {
 	table := n.routes.Current()
 	if table == nil {
@@ -243,58 +246,59 @@
 	return service.MaxConnections
 }
 
-// ready reports whether the node takes work.
+// ready reports whether the node accepts requests.
 func (n *Node) ready() bool {
-	return !n.stopping.Load() && n.routes.Current() != nil && n.copies.records.Filled()
+	return !n.stopping.Load() && n.routes.Current() != nil && n.replicas.records.Filled()
 }
 
-// Run serves until the context ends and then stops in order.
+// Run serves until the context ends and then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	background, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	logged := make(chan struct{})
+	logDone := make(chan struct{})
 	go func() {
 		n.log.Run(background)
-		close(logged)
+		close(logDone)
 	}()
 	if err := n.listen(); err != nil {
 		return err
 	}
 	n.log.Record(eventlog.Event{Kind: eventlog.ProcessStarted, Service: n.settings.Service, Target: n.settings.Target, Outcome: version.Current().Version})
-	for _, run := range n.tasks() {
+	for _, run := range n.backgroundTasks() {
 		n.running.Go(func() { run(background) })
 	}
 	<-ctx.Done()
 	n.stop()
 	cancel()
-	<-logged
+	<-logDone
 	return nil
 }
 
-// tasks are what runs in the background while the node serves.
-func (n *Node) tasks() []func(context.Context) {
+// backgroundTasks returns the functions that run in the background while the node serves.
+func (n *Node) backgroundTasks() []func(context.Context) {
 	return []func(context.Context){
-		n.copies.keepConfiguration.Run, n.copies.keepRecords.Run, n.copies.spread.Run, n.copies.verify.Run,
-		n.settle, n.directory.Run, n.registrar.Run, n.guard.RunShedding, n.forwarder.Run, n.calls.run, n.suspects.Run, n.limits.keeper.Run,
+		n.replicas.configurationKeeper.Run, n.replicas.recordsKeeper.Run, n.replicas.antiEntropy.Run, n.replicas.verifier.Run,
+		n.releaseConfiguration, n.directory.Run, n.registrar.Run, n.guard.RunShedding, n.forwarder.Run, n.storeCalls.run, n.quarantine.Run, n.limits.keeper.Run,
 	}
 }
 
-// knowsService reports whether the configuration in force names a service. Without one any
-// may be named.
-func (n *Node) knowsService(name string) bool {
+// acceptsService reports whether targets may register for a service: the active
+// configuration must contain it. Without a configuration, any service is accepted.
+func (n *Node) acceptsService(name string) bool {
 	table := n.routes.Current()
 	return table == nil || table.Service(name) != nil
 }
 
-// settle puts the store's configuration in force once peers had time to tell a newer one.
-func (n *Node) settle(ctx context.Context) {
-	n.copies.spread.AwaitSettled(ctx)
+// releaseConfiguration activates the configuration from the store once peers have had time to
+// send a newer one.
+func (n *Node) releaseConfiguration(ctx context.Context) {
+	n.replicas.antiEntropy.AwaitSettled(ctx)
 	n.feed.Release()
 }
 
-// listen opens all listeners and serves them.
+// listen opens all listeners and starts their servers.
 func (n *Node) listen() error {
-	if err := n.listenForAsks(); err != nil {
+	if err := n.listenForPermitRequests(); err != nil {
 		return err
 	}
 	listeners := []struct {
@@ -304,7 +308,7 @@
 		{n.settings.Listen.Calls, n.forwarder},
 		{n.settings.Listen.Peers, peering.Handler(n.peerServices())},
 		{n.settings.Listen.Ready, platform.ReadyHandler(n.ready)},
-		{n.settings.Listen.Heartbeats, platform.HeartbeatHandler(n.registrar, n.knowsService)},
+		{n.settings.Listen.Heartbeats, platform.HeartbeatHandler(n.registrar, n.acceptsService)},
 		{n.settings.Listen.Metrics, n.metrics.handler()},
 	}
 	for _, l := range listeners {
--- a/internal/sidecar/quarantine.go
+++ b/internal/sidecar/quarantine.go
@@ -12,10 +12,10 @@
 	"github.com/lugspur/lugspur/platform"
 )
 
-// purposeOperator is that of calls by the command line.
+// purposeOperator is the purpose of store calls from the command line.
 const purposeOperator store.Purpose = "operator"
 
-// ListQuarantined returns the requests that are quarantined by the store at the address.
+// ListQuarantined returns the quarantined requests in the store at the address.
 func ListQuarantined(ctx context.Context, address string) ([]quarantine.Listed, error) {
 	listed, err := quarantine.List(ctx, operatorStore(address), platform.QuarantinePrefix)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return listed, nil
 }
 
-// LiftQuarantine ends the verdict on a request.
+// LiftQuarantine removes a request from quarantine.
 func LiftQuarantine(ctx context.Context, address string, hash fingerprint.Fingerprint) error {
 	err := quarantine.Lift(ctx, operatorStore(address), platform.QuarantinePrefix, hash)
 	if err != nil {
@@ -34,5 +34,5 @@
 }
 
 func operatorStore(address string) store.Store {
-	return platform.NewStore(address, recordsWait, nil, epoch.NewTracker()).For(purposeOperator)
+	return platform.NewStore(address, recordsWatchTimeout, nil, epoch.NewTracker()).For(purposeOperator)
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -11,38 +11,38 @@
 	"github.com/lugspur/lugspur/internal/routepolicy"
 )
 
-// settingsPoll is how often the settings file is looked at, as it may also change
+// settingsPollInterval is the time between checks of the settings file, which may also change
 // without a signal.
-const settingsPoll = 5 * time.Second
+const settingsPollInterval = 5 * time.Second
 
-// Reload reads the settings again at each SIGHUP and whenever the file has
-// changed, until the context ends. Policies are in force at once; the rest takes
-// a restart, which the log says.
+// Reload reloads the settings on each SIGHUP and whenever the file has changed, until the
+// context ends. New policies take effect immediately. Other changes require a restart and are
+// only logged.
 func (n *Node) Reload(ctx context.Context, path string) {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	defer signal.Stop(signals)
-	ticker := time.NewTicker(settingsPoll)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	seen := modified(path)
+	lastSeen := modTime(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-signals:
-			seen = modified(path)
+			lastSeen = modTime(path)
 			n.reload(path)
 		case <-ticker.C:
-			if now := modified(path); !now.Equal(seen) {
-				seen = now
+			if current := modTime(path); !current.Equal(lastSeen) {
+				lastSeen = current
 				n.reload(path)
 			}
 		}
 	}
 }
 
-// modified returns when the file was changed last, zero if that is not known.
-func modified(path string) time.Time {
+// modTime returns the file's modification time, zero if it cannot be read.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -50,8 +50,8 @@
 	return info.ModTime()
 }
 
-// reload reads the settings and brings into force what can change while the node
-// runs. It is called by one goroutine.
+// reload reads the settings and applies those that can change while the node runs. It must
+// only be called by one goroutine.
 func (n *Node) reload(path string) {
 	next, err := Load(path)
 	if err != nil {
@@ -61,20 +61,21 @@
 	n.log.Record(eventlog.Event{Kind: eventlog.SettingsReloaded, Outcome: n.apply(next)})
 }
 
-// apply takes what can change and returns what became of the rest.
+// apply applies new policies and returns the outcome to log, which also says whether other
+// settings differ.
 func (n *Node) apply(next Settings) string {
 	outcome := "unchanged"
-	if next.Policies != n.sources {
-		// Load has compiled them before.
+	if next.Policies != n.policySources {
+		// Load has already checked that they compile.
 		if set, err := routepolicy.Compile(next.Policies); err == nil {
 			n.policies.Put(set)
-			n.sources = next.Policies
+			n.policySources = next.Policies
 			outcome = "policies in force"
 		}
 	}
-	fixed := n.settings
-	fixed.Policies = next.Policies
-	if next != fixed {
+	unchanged := n.settings
+	unchanged.Policies = next.Policies
+	if next != unchanged {
 		outcome = "changed: in force after a restart"
 	}
 	return outcome
--- a/internal/sidecar/server.go
+++ b/internal/sidecar/server.go
@@ -15,59 +15,60 @@
 )
 
 const (
-	// firstRequestWait is how long a server that ends waits for the first requests on
-	// connections that were made lately. http.Server.Shutdown closes a connection whose
-	// request it has read but not begun: of 100 callers that connected right before the end
-	// the last one or two got no answer.
-	firstRequestWait = 150 * time.Millisecond
-	firstRequestPoll = 5 * time.Millisecond
-	// lastAnswers is how long a server that ends waits at least for requests that it serves:
-	// those of the last moment are refused at once.
-	lastAnswers = 100 * time.Millisecond
+	// firstRequestTimeout is how long a server waits during shutdown for the first requests
+	// on new connections. http.Server.Shutdown closes a connection whose request it has read
+	// but not started to handle: of 100 callers that connected right before the shutdown, the
+	// last one or two got no response.
+	firstRequestTimeout      = 150 * time.Millisecond
+	firstRequestPollInterval = 5 * time.Millisecond
+	// minShutdownTimeout is the shortest time that a shutdown waits for requests in flight.
+	// It is enough for requests that arrive after the deadline, which are refused at once.
+	minShutdownTimeout = 100 * time.Millisecond
 )
 
-// server is one of the node's HTTP servers with its listener.
+// server is an HTTP server of the node with its listener.
 type server struct {
-	http   *http.Server
-	socket *drainlistener.Listener
-	// accepted is closed once the listener is closed and nothing waits to be accepted.
-	accepted chan struct{}
-	fresh    freshConnections
+	http     *http.Server
+	listener *drainlistener.Listener
+	// acceptDone is closed once the listener is closed and its accept queue is empty.
+	acceptDone chan struct{}
+	tracker    connectionTracker
 }
 
-// newServer listens at an address and serves nothing yet.
+// newServer starts to listen at an address. No connection is accepted before start.
 func newServer(address string, handler http.Handler) (*server, error) {
-	socket, err := drainlistener.Listen(address)
+	listener, err := drainlistener.Listen(address)
 	if err != nil {
 		return nil, oops.In("sidecar").With("step", "listen").With("peer", address).Wrapf(err, "listen at %s", address)
 	}
-	s := &server{socket: socket, accepted: make(chan struct{})}
+	s := &server{listener: listener, acceptDone: make(chan struct{})}
 	s.http = &http.Server{
-		Handler:           s.fresh.handler(handler),
+		Handler:           s.tracker.handler(handler),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		ConnContext:       s.fresh.made,
-		ConnState:         s.fresh.changed,
+		ConnContext:       s.tracker.track,
+		ConnState:         s.tracker.stateChanged,
 	}
 	return s, nil
 }
 
-// start serves in the background.
+// start accepts and serves connections in the background.
 func (s *server) start() {
 	go func() {
-		defer close(s.accepted)
-		_ = s.http.Serve(s.socket)
+		defer close(s.acceptDone)
+		_ = s.http.Serve(s.listener)
 	}()
 }
 
-// shutDown accepts what waits, closes the listener and idle connections, and waits for
-// requests that are served until the deadline, or a moment longer where that has passed.
+// shutDown accepts the connections in the accept queue, closes the listener and idle
+// connections, and waits for requests in flight until the deadline, but at least for
+// minShutdownTimeout.
 func (s *server) shutDown(deadline time.Time) {
-	s.socket.StopAccepting()
-	<-s.accepted
-	s.fresh.await(firstRequestWait)
-	end := clock.Now().Add(lastAnswers)
+	s.listener.StopAccepting()
+	<-s.acceptDone
+	s.tracker.await(firstRequestTimeout)
+	end := clock.Now().Add(minShutdownTimeout)
 	if deadline.After(end) {
 		end = deadline
 	}
@@ -76,52 +77,53 @@
 	_ = s.http.Shutdown(ctx)
 }
 
-// freshConnections are those on which no request has come yet.
-type freshConnections struct {
-	count atomic.Int64
-	all   sync.Map // of net.Conn to *freshConnection
+// connectionTracker counts the open connections on which no request has arrived yet.
+type connectionTracker struct {
+	unused      atomic.Int64
+	connections sync.Map // of net.Conn to *trackedConnection
 }
 
-// freshConnection tells whether a connection still counts as fresh.
-type freshConnection struct{ used atomic.Bool }
+// trackedConnection records whether a request has arrived on a connection.
+type trackedConnection struct{ used atomic.Bool }
 
-type freshKey struct{}
+// connectionKey is the context key of a request's *trackedConnection.
+type connectionKey struct{}
 
-func (f *freshConnections) made(ctx context.Context, connection net.Conn) context.Context {
-	fresh := &freshConnection{}
-	f.all.Store(connection, fresh)
-	f.count.Add(1)
-	return context.WithValue(ctx, freshKey{}, fresh)
+func (t *connectionTracker) track(ctx context.Context, connection net.Conn) context.Context {
+	tracked := &trackedConnection{}
+	t.connections.Store(connection, tracked)
+	t.unused.Add(1)
+	return context.WithValue(ctx, connectionKey{}, tracked)
 }
 
-func (f *freshConnections) changed(connection net.Conn, state http.ConnState) {
+func (t *connectionTracker) stateChanged(connection net.Conn, state http.ConnState) {
 	if state != http.StateClosed && state != http.StateHijacked {
 		return
 	}
-	if fresh, known := f.all.LoadAndDelete(connection); known {
-		f.use(fresh.(*freshConnection))
+	if tracked, known := t.connections.LoadAndDelete(connection); known {
+		t.markUsed(tracked.(*trackedConnection))
 	}
 }
 
-// handler notes the first request of a connection.
-func (f *freshConnections) handler(next http.Handler) http.Handler {
+// handler returns a handler that marks the connection of each request as used.
+func (t *connectionTracker) handler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if fresh, known := r.Context().Value(freshKey{}).(*freshConnection); known {
-			f.use(fresh)
+		if tracked, known := r.Context().Value(connectionKey{}).(*trackedConnection); known {
+			t.markUsed(tracked)
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (f *freshConnections) use(fresh *freshConnection) {
-	if !fresh.used.Load() && fresh.used.CompareAndSwap(false, true) {
-		f.count.Add(-1)
+func (t *connectionTracker) markUsed(tracked *trackedConnection) {
+	if !tracked.used.Load() && tracked.used.CompareAndSwap(false, true) {
+		t.unused.Add(-1)
 	}
 }
 
-// await returns once no connection is fresh, or after a while.
-func (f *freshConnections) await(patience time.Duration) {
-	for end := time.Now().Add(patience); f.count.Load() > 0 && time.Now().Before(end); {
-		time.Sleep(firstRequestPoll)
+// await waits until a request has arrived on every connection, or until the timeout.
+func (t *connectionTracker) await(timeout time.Duration) {
+	for end := time.Now().Add(timeout); t.unused.Load() > 0 && time.Now().Before(end); {
+		time.Sleep(firstRequestPollInterval)
 	}
 }
--- a/internal/sidecar/settings.go
+++ b/internal/sidecar/settings.go
@@ -1,5 +1,5 @@
-// Package sidecar runs a node beside one target on the platform: it provisions
-// the parts, serves until told to stop, and stops without cutting a request.
+// Package sidecar runs the sidecar node of one target on the platform. It creates the node's
+// components, serves until it is asked to stop, and shuts down without interrupting requests.
 package sidecar
 
 import (
@@ -16,64 +16,62 @@
 	"github.com/lugspur/lugspur/internal/routepolicy"
 )
 
-// Settings are the settings of a node beside a target. Keys that are not known
-// are ignored.
+// Settings are the settings of a sidecar node. Unknown keys are ignored.
 type Settings struct {
-	// Name and Zone are the node's.
+	// Name and Zone are the name and the zone of the node.
 	Name string `toml:"name"`
 	Zone string `toml:"zone"`
-	// Service is that of the target beside the node, and Target its address.
+	// Service is the service of the local target, and Target its address.
 	Service string `toml:"service"`
 	Target  string `toml:"target"`
 	// Store is the address of the metadata store.
 	Store string `toml:"store"`
-	// FirstStart tells that the whole system starts for the first time, so that
-	// nothing was acknowledged before.
+	// FirstStart is set on the first start of the whole system, when no earlier process
+	// can have acknowledged anything.
 	FirstStart bool           `toml:"first-start"`
 	Listen     Listen         `toml:"listen"`
 	Stop       StopSettings   `toml:"stop"`
 	Retries    RetrySettings  `toml:"retries"`
 	Queue      QueueSettings  `toml:"queue"`
 	Tenants    TenantSettings `toml:"tenants"`
-	// Policies decide on requests, one for each kind of route.
+	// Policies decide about requests, one for each kind of route.
 	Policies routepolicy.Sources `toml:"policies"`
 }
 
-// Listen holds the addresses that the node listens at.
+// Listen holds the addresses on which the node listens.
 type Listen struct {
-	// Calls takes requests of the clients and the target on the machine.
+	// Calls is for requests of clients and the target on the same machine.
 	Calls string `toml:"calls"`
-	// Peers takes calls of other nodes.
+	// Peers is for calls of other nodes.
 	Peers string `toml:"peers"`
-	// Advertised is where other nodes find Peers, if that is not the address
-	// itself; empty means that it is.
+	// Advertised is the address at which other nodes reach Peers; empty means that they use
+	// Peers itself.
 	Advertised string `toml:"advertised"`
-	// Ready answers whether the node takes work.
+	// Ready is for readiness checks.
 	Ready string `toml:"ready"`
-	// Heartbeats takes those of the target.
+	// Heartbeats is for heartbeats of the target.
 	Heartbeats string `toml:"heartbeats"`
-	// Permits takes asks for permits of tenants' limits as datagrams; empty means that they
-	// come to Peers.
+	// Permits is for datagrams that request permits of tenants' rate limits; empty means that
+	// these requests arrive at Peers.
 	Permits string `toml:"permits"`
-	// Metrics serves metrics; empty means that none are served.
+	// Metrics is for metrics scrapes; empty means that no metrics are served.
 	Metrics string `toml:"metrics"`
 }
 
-// StopSettings bound a planned stop.
+// StopSettings limit a planned stop.
 type StopSettings struct {
-	// GraceSeconds is the time from the signal to stop until the process is killed.
+	// GraceSeconds is the time from the stop signal until the process is killed.
 	GraceSeconds float64 `toml:"grace-seconds"`
 }
 
-// RetrySettings bound the repetitions of requests that may have run.
+// RetrySettings limit the retries of requests that may have run.
 type RetrySettings struct {
-	// BudgetRatio is the part of a service's requests that all nodes together may
-	// repeat.
+	// BudgetRatio is the share of a service's requests that all nodes together may retry.
 	BudgetRatio float64 `toml:"budget-ratio"`
-	// WindowSeconds is the span over which that holds.
+	// WindowSeconds is the length of the window in which the ratio holds.
 	WindowSeconds float64 `toml:"window-seconds"`
-	// Slack is the number of repetitions that all nodes together may make beyond
-	// that in one span.
+	// Slack is the number of retries that all nodes together may send beyond the ratio in
+	// one window.
 	Slack float64 `toml:"slack"`
 }
 
@@ -81,31 +79,32 @@
 	return time.Duration(s.WindowSeconds * float64(time.Second))
 }
 
-// QueueSettings bound the queue in front of the target.
+// QueueSettings limit the queue in front of the target.
 type QueueSettings struct {
-	// MaxLength is the number of calls that may wait.
+	// MaxLength is the maximum number of queued calls.
 	MaxLength int `toml:"max-length"`
-	// ObjectiveShare is the part of a route's objective for which a call may wait.
+	// ObjectiveShare is the share of a route's latency objective that a call may wait.
 	ObjectiveShare float64 `toml:"objective-share"`
-	// InnerObjectiveShare is the same for a call that a running request makes.
+	// InnerObjectiveShare is the same for calls made by running requests.
 	InnerObjectiveShare float64 `toml:"inner-objective-share"`
-	// SlotShare is the part of the target's slots that is used.
+	// SlotShare is the share of the target's slots that is used.
 	SlotShare float64 `toml:"slot-share"`
 }
 
-// TenantSettings bound what keys and limits of tenants may do.
+// TenantSettings bound how long revoked API keys work and how far tenants may exceed their
+// rate limits.
 type TenantSettings struct {
-	// RevokeSeconds is the time after which an API key that was taken away must not work
-	// at any node; 0 is no bound: a key works as long as the node's configuration holds it.
+	// RevokeSeconds is the time after which a revoked API key must not work at any node; 0
+	// means no bound: a key works as long as the node's configuration contains it.
 	RevokeSeconds float64 `toml:"revoke-seconds"`
-	// WindowSeconds, Overshoot and Slack say what may run for a tenant within a window:
-	// its limit times 1 + Overshoot, and Slack requests more.
+	// WindowSeconds, Overshoot and Slack bound the requests of a tenant that may run within a
+	// window: its limit times 1 + Overshoot, plus Slack.
 	WindowSeconds float64 `toml:"window-seconds"`
 	Overshoot     float64 `toml:"overshoot"`
 	Slack         float64 `toml:"slack"`
 }
 
-func (s *TenantSettings) revoke() time.Duration {
+func (s *TenantSettings) revocationTime() time.Duration {
 	return time.Duration(s.RevokeSeconds * float64(time.Second))
 }
 
@@ -116,20 +115,20 @@
 
 // Defaults of settings.
 const (
-	DefaultGraceSeconds   = 6.0
-	DefaultBudgetRatio    = 0.2
-	DefaultRetryWindow    = 10.0
-	DefaultRetrySlack     = 50.0
-	DefaultQueueLength    = 256
-	DefaultObjectiveShare = 0.2
-	DefaultInnerShare     = 0.6
-	DefaultSlotShare      = 0.95
-	DefaultLimitWindow    = 5.0
-	DefaultLimitOvershoot = 0.1
-	DefaultLimitSlack     = 20.0
+	DefaultGraceSeconds        = 6.0
+	DefaultBudgetRatio         = 0.2
+	DefaultRetryWindow         = 10.0
+	DefaultRetrySlack          = 50.0
+	DefaultQueueLength         = 256
+	DefaultObjectiveShare      = 0.2
+	DefaultInnerObjectiveShare = 0.6
+	DefaultSlotShare           = 0.95
+	DefaultLimitWindow         = 5.0
+	DefaultLimitOvershoot      = 0.1
+	DefaultLimitSlack          = 20.0
 )
 
-// Load reads and checks settings. The error names every fault.
+// Load reads and validates a settings file. The error lists all invalid settings.
 func Load(path string) (Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -142,81 +141,81 @@
 	return settings, nil
 }
 
-// Parse reads and checks settings.
+// Parse parses and validates settings.
 func Parse(content []byte) (Settings, error) {
 	settings := Settings{
 		Stop:    StopSettings{GraceSeconds: DefaultGraceSeconds},
 		Retries: RetrySettings{BudgetRatio: DefaultBudgetRatio, WindowSeconds: DefaultRetryWindow, Slack: DefaultRetrySlack},
 		Queue: QueueSettings{MaxLength: DefaultQueueLength, ObjectiveShare: DefaultObjectiveShare,
-			InnerObjectiveShare: DefaultInnerShare, SlotShare: DefaultSlotShare},
+			InnerObjectiveShare: DefaultInnerObjectiveShare, SlotShare: DefaultSlotShare},
 		Tenants: TenantSettings{WindowSeconds: DefaultLimitWindow, Overshoot: DefaultLimitOvershoot, Slack: DefaultLimitSlack},
 	}
 	if err := toml.Unmarshal(content, &settings); err != nil {
 		return Settings{}, fmt.Errorf("parse: %w", err)
 	}
-	return settings, settings.Check()
+	return settings, settings.Validate()
 }
 
-// Check reports every fault of the settings, nil if there is none.
-func (s *Settings) Check() error {
+// Validate returns an error that lists all invalid settings, nil if there are none.
+func (s *Settings) Validate() error {
 	return errors.Join(
-		required("name", s.Name),
-		required("zone", s.Zone),
-		required("service", s.Service),
-		address("target", s.Target),
-		address("store", s.Store),
-		address("listen.calls", s.Listen.Calls),
-		address("listen.peers", s.Listen.Peers),
-		optionalAddress("listen.advertised", s.Listen.Advertised),
-		address("listen.ready", s.Listen.Ready),
-		address("listen.heartbeats", s.Listen.Heartbeats),
-		optionalAddress("listen.permits", s.Listen.Permits),
-		optionalAddress("listen.metrics", s.Listen.Metrics),
-		between("stop.grace-seconds", s.Stop.GraceSeconds, 0.5, 600),
-		between("retries.budget-ratio", s.Retries.BudgetRatio, 0, 1),
-		between("retries.window-seconds", s.Retries.WindowSeconds, 0.1, 3600),
-		between("retries.slack", s.Retries.Slack, 0, 1e6),
-		between("queue.max-length", float64(s.Queue.MaxLength), 1, 1<<16),
-		between("queue.objective-share", s.Queue.ObjectiveShare, 0.001, 1),
-		between("queue.inner-objective-share", s.Queue.InnerObjectiveShare, 0.001, 10),
-		between("queue.slot-share", s.Queue.SlotShare, 0.01, 1),
-		between("tenants.revoke-seconds", s.Tenants.RevokeSeconds, 0, 3600),
-		between("tenants.window-seconds", s.Tenants.WindowSeconds, 0.1, 3600),
-		between("tenants.overshoot", s.Tenants.Overshoot, 0, 10),
-		between("tenants.slack", s.Tenants.Slack, 0, 1e6),
-		compiles(s.Policies),
+		checkRequired("name", s.Name),
+		checkRequired("zone", s.Zone),
+		checkRequired("service", s.Service),
+		checkAddress("target", s.Target),
+		checkAddress("store", s.Store),
+		checkAddress("listen.calls", s.Listen.Calls),
+		checkAddress("listen.peers", s.Listen.Peers),
+		checkOptionalAddress("listen.advertised", s.Listen.Advertised),
+		checkAddress("listen.ready", s.Listen.Ready),
+		checkAddress("listen.heartbeats", s.Listen.Heartbeats),
+		checkOptionalAddress("listen.permits", s.Listen.Permits),
+		checkOptionalAddress("listen.metrics", s.Listen.Metrics),
+		checkRange("stop.grace-seconds", s.Stop.GraceSeconds, 0.5, 600),
+		checkRange("retries.budget-ratio", s.Retries.BudgetRatio, 0, 1),
+		checkRange("retries.window-seconds", s.Retries.WindowSeconds, 0.1, 3600),
+		checkRange("retries.slack", s.Retries.Slack, 0, 1e6),
+		checkRange("queue.max-length", float64(s.Queue.MaxLength), 1, 1<<16),
+		checkRange("queue.objective-share", s.Queue.ObjectiveShare, 0.001, 1),
+		checkRange("queue.inner-objective-share", s.Queue.InnerObjectiveShare, 0.001, 10),
+		checkRange("queue.slot-share", s.Queue.SlotShare, 0.01, 1),
+		checkRange("tenants.revoke-seconds", s.Tenants.RevokeSeconds, 0, 3600),
+		checkRange("tenants.window-seconds", s.Tenants.WindowSeconds, 0.1, 3600),
+		checkRange("tenants.overshoot", s.Tenants.Overshoot, 0, 10),
+		checkRange("tenants.slack", s.Tenants.Slack, 0, 1e6),
+		checkPolicies(s.Policies),
 	)
 }
 
-func required(key, value string) error {
+func checkRequired(key, value string) error {
 	if value == "" {
 		return fmt.Errorf("%s is missing", key)
 	}
 	return nil
 }
 
-func address(key, value string) error {
+func checkAddress(key, value string) error {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		return fmt.Errorf("%s must be an IP address with a port, not %q", key, value)
 	}
 	return nil
 }
 
-func optionalAddress(key, value string) error {
+func checkOptionalAddress(key, value string) error {
 	if value == "" {
 		return nil
 	}
-	return address(key, value)
+	return checkAddress(key, value)
 }
 
-func between(key string, value, least, most float64) error {
-	if !(value >= least && value <= most) {
-		return fmt.Errorf("%s must lie between %g and %g, not %g", key, least, most, value)
+func checkRange(key string, value, lowest, highest float64) error {
+	if !(value >= lowest && value <= highest) {
+		return fmt.Errorf("%s must lie between %g and %g, not %g", key, lowest, highest, value)
 	}
 	return nil
 }
 
-func compiles(sources routepolicy.Sources) error {
+func checkPolicies(sources routepolicy.Sources) error {
 	_, err := routepolicy.Compile(sources)
 	return err
 }
@@ -229,7 +228,7 @@
 	return s.Listen.Peers
 }
 
-// grace returns the time that a planned stop may take.
+// grace returns the maximum duration of a planned stop.
 func (s *Settings) grace() time.Duration {
 	return time.Duration(s.Stop.GraceSeconds * float64(time.Second))
 }
--- a/internal/sidecar/settings_test.go
+++ b/internal/sidecar/settings_test.go
@@ -11,32 +11,31 @@
 	"gotest.tools/v3/assert"
 )
 
-// fields are the platform's settings that the template takes, with the values
-// that it fills in.
-var fields = map[string]string{
+// templateValues are the values of the template's placeholders, which the platform fills in.
+var templateValues = map[string]string{
 	"node": "sidecar-a-1", "zone": "a", "service": "s", "app-addr": "10.0.0.1:8301", "platform.address": "10.0.0.2:8309",
 	"listen.outbound": "10.0.0.1:8304", "listen.inbound": "10.0.0.1:8300", "listen.ready": "10.0.0.1:8302",
 	"listen.control": "10.0.0.1:8306", "ip": "10.0.0.1", "ephemeral-ports.0": "7620", "bounds.grace-s": "6", "bounds.retry-budget-ratio": "0.2", "bounds.budget-window-s": "10", "bounds.budget-slack": "57",
 	"bounds.revoke-s": "5", "bounds.quota-window-s": "6", "bounds.quota-overshoot": "0.2", "bounds.quota-slack": "21",
 }
 
-var gap = regexp.MustCompile(`\{\{([a-z0-9.-]+)(\|json)?\}\}`)
+var placeholder = regexp.MustCompile(`\{\{([a-z0-9.-]+)(\|json)?\}\}`)
 
-// sections are the parts of the template that stand only where a field is given: at the
-// system's first start, and where there are bounds on tenants.
+// sections are the parts of the template that are only rendered if a field is given: on the
+// system's first start, and if there are bounds for tenants.
 var sections = map[string]*regexp.Regexp{
 	"bootstrap":             regexp.MustCompile(`(?s)\{\{#bootstrap\}\}(.*?)\{\{/bootstrap\}\}`),
 	"bounds.strict-revoke":  regexp.MustCompile(`(?s)\{\{#bounds.strict-revoke\}\}(.*?)\{\{/bounds.strict-revoke\}\}`),
 	"bounds.quota-window-s": regexp.MustCompile(`(?s)\{\{#bounds.quota-window-s\}\}(.*?)\{\{/bounds.quota-window-s\}\}`),
 }
 
-func fill(t *testing.T) string {
+func renderTemplate(t *testing.T) string {
 	t.Helper()
-	return fillWith(t)
+	return renderTemplateWith(t)
 }
 
-// fillWith fills the template in with the given sections.
-func fillWith(t *testing.T, given ...string) string {
+// renderTemplateWith renders the deployed template with the given sections.
+func renderTemplateWith(t *testing.T, enabled ...string) string {
 	t.Helper()
 	content, err := os.ReadFile("../../deploy/node.toml.tmpl")
 	assert.NilError(t, err)
@@ -44,15 +43,15 @@
 	for name, section := range sections {
 		assert.Assert(t, section.MatchString(template), "the template has no section %s", name)
 		replacement := ""
-		if slices.Contains(given, name) {
+		if slices.Contains(enabled, name) {
 			replacement = "$1"
 		}
 		template = section.ReplaceAllString(template, replacement)
 	}
-	return gap.ReplaceAllStringFunc(template, func(text string) string {
-		parts := gap.FindStringSubmatch(text)
-		value, known := fields[parts[1]]
-		assert.Assert(t, known, "the template takes %s", parts[1])
+	return placeholder.ReplaceAllStringFunc(template, func(text string) string {
+		parts := placeholder.FindStringSubmatch(text)
+		value, known := templateValues[parts[1]]
+		assert.Assert(t, known, "the template has an unknown placeholder %s", parts[1])
 		if parts[2] != "" && !strings.HasPrefix(parts[1], "bounds.") {
 			return `"` + value + `"`
 		}
@@ -60,8 +59,8 @@
 	})
 }
 
-func TestTheDeployedTemplateGivesGoodSettings(t *testing.T) {
-	settings, err := Parse([]byte(fill(t)))
+func TestDeployTemplateYieldsValidSettings(t *testing.T) {
+	settings, err := Parse([]byte(renderTemplate(t)))
 	assert.NilError(t, err)
 	assert.Equal(t, settings.Listen, Listen{Calls: "10.0.0.1:8304", Peers: "10.0.0.1:8300", Ready: "10.0.0.1:8302", Heartbeats: "10.0.0.1:8306", Permits: "10.0.0.1:7620", Metrics: "10.0.0.1:9464"})
 	assert.Equal(t, settings.grace(), 6*time.Second)
@@ -69,13 +68,13 @@
 	assert.Equal(t, settings.Queue.MaxLength, DefaultQueueLength)
 	assert.Assert(t, !settings.FirstStart)
 	assert.Equal(t, settings.Tenants, TenantSettings{WindowSeconds: DefaultLimitWindow, Overshoot: DefaultLimitOvershoot, Slack: DefaultLimitSlack})
-	settings, err = Parse([]byte(fillWith(t, "bootstrap", "bounds.strict-revoke", "bounds.quota-window-s")))
+	settings, err = Parse([]byte(renderTemplateWith(t, "bootstrap", "bounds.strict-revoke", "bounds.quota-window-s")))
 	assert.NilError(t, err)
 	assert.Assert(t, settings.FirstStart)
 	assert.Equal(t, settings.Tenants, TenantSettings{RevokeSeconds: 5, WindowSeconds: 6, Overshoot: 0.2, Slack: 21})
 }
 
-func TestEveryFaultIsNamed(t *testing.T) {
+func TestParseReportsEveryError(t *testing.T) {
 	_, err := Parse([]byte("name = \"n\"\nservice = \"s\"\ntarget = \"host:80\"\n[queue]\nslot-share = 2.0\n[listen]\nmetrics = \"x\"\n"))
 	for _, key := range []string{"zone", "target", "store", "listen.calls", "listen.metrics", "queue.slot-share"} {
 		assert.ErrorContains(t, err, key)
@@ -85,6 +84,6 @@
 }
 
 func TestUnknownKeysAreIgnored(t *testing.T) {
-	_, err := Parse([]byte("something-new = [1, 2]\n" + fill(t) + "\n[something]\nelse = true\n"))
+	_, err := Parse([]byte("something-new = [1, 2]\n" + renderTemplate(t) + "\n[something]\nelse = true\n"))
 	assert.NilError(t, err)
 }
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	// announce is how long the node serves on so that those who ask whether it is
-	// ready have noticed that it is not.
-	announce = 2500 * time.Millisecond
-	// admitFor is how long the node still admits calls to its target, for the case
-	// that no other home of the service is left.
-	admitFor = 2200 * time.Millisecond
-	// quiet is how long no request may have come before the node ends early.
-	quiet = 400 * time.Millisecond
-	// stopMargin is left between the end of the stop and the end of the grace time.
-	stopMargin = 300 * time.Millisecond
-	stopPoll   = 50 * time.Millisecond
+	// announcePeriod is how long the node keeps serving so that readiness checks have noticed
+	// that it is no longer ready.
+	announcePeriod = 2500 * time.Millisecond
+	// admissionPeriod is how long the node still admits calls to its target, in case the
+	// service has no other home.
+	admissionPeriod = 2200 * time.Millisecond
+	// quietPeriod is how long no request must have arrived before the node exits early.
+	quietPeriod = 400 * time.Millisecond
+	// stopMargin is the time between the end of the stop and the end of the grace time.
+	stopMargin       = 300 * time.Millisecond
+	stopPollInterval = 50 * time.Millisecond
 )
 
-// stop ends the node without cutting a request: it tells peers to prefer other
-// homes and callers to close their connections, serves what still comes, refuses
-// calls to its target after a while, and ends once nothing is in flight or the
-// grace time is over. While the store is away it serves on as long as it can. Its
-// record stays in the store until its lease ends: peers are told by the first refusal, and
-// one that starts again at the address writes a new one, so that a removal would
-// only wake every node once more.
+// stop shuts the node down without interrupting requests. It asks peers to prefer other homes
+// and callers to close their connections, serves requests that still arrive, refuses calls to
+// its target after the admission period, and returns once nothing is in flight or the grace
+// time is over. While the store is unreachable, the node serves as long as it can. Its record
+// stays in the store until the lease expires: removing it would only wake every node once
+// more, as peers learn of the stop from the first refusal and a node that restarts at the
+// address writes a new record.
 func (n *Node) stop() {
 	started := clock.Now()
 	n.log.Record(eventlog.Event{Kind: eventlog.ProcessStopping})
@@ -38,37 +38,36 @@
 	n.forwarder.Stop()
 	n.running.Go(n.releaseShards)
 	end := started.Add(n.settings.grace() - stopMargin)
-	admission := started.Add(min(admitFor, n.settings.grace()/2))
+	admission := started.Add(min(admissionPeriod, n.settings.grace()/2))
 	for clock.Now().Before(admission) {
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
-	servesOn := n.endAdmission(end)
-	for clock.Now().Before(end) && (servesOn || !n.idle(started)) {
-		if servesOn && n.gate.Reachable() && n.forwarder.OtherHomesServe() {
-			servesOn = n.endAdmission(end)
+	keepServing := n.stopAdmission(end)
+	for clock.Now().Before(end) && (keepServing || !n.idle(started)) {
+		if keepServing && n.storeGate.Reachable() && n.forwarder.OtherHomesServe() {
+			keepServing = n.stopAdmission(end)
 		}
-		time.Sleep(stopPoll)
+		time.Sleep(stopPollInterval)
 	}
 	n.shutDown(end)
-	n.calls.record()
+	n.storeCalls.recordEvent()
 	n.log.Record(eventlog.Event{Kind: eventlog.ProcessStopped, Count: n.inFlight()})
 }
 
-// releaseShards gives up the node's shards of tenants' limits.
+// releaseShards releases the shards of tenants' rate limits that the node holds.
 func (n *Node) releaseShards() {
-	ctx, cancel := context.WithTimeout(context.Background(), admitFor)
+	ctx, cancel := context.WithTimeout(context.Background(), admissionPeriod)
 	defer cancel()
 	n.limits.keeper.Stop(ctx)
 }
 
-// endAdmission refuses requests that may not end in time, and further calls to the
-// target. While the store is away it still admits those calls that are sure to end
-// in time, and reports that the node is to serve on until its end: the process that
-// comes next can't serve the target before the store tells it what was
-// acknowledged.
-func (n *Node) endAdmission(end time.Time) (servesOn bool) {
+// stopAdmission refuses requests that may not end in time, and all further calls to the
+// target. While the store is unreachable, it still admits calls that will end in time and
+// returns true, so that the node keeps serving until the end of the grace time: its successor
+// cannot serve the target before it has read from the store what was acknowledged.
+func (n *Node) stopAdmission(end time.Time) (keepServing bool) {
 	n.forwarder.SetShutdownDeadline(end)
-	if n.gate.Reachable() {
+	if n.storeGate.Reachable() {
 		n.guard.Close()
 		return false
 	}
@@ -76,8 +75,8 @@
 	return true
 }
 
-// shutDown closes listeners and idle connections and waits for requests that came
-// at the last moment, so that none is read and left without an answer.
+// shutDown closes listeners and idle connections and waits for requests that have just
+// arrived, so that no request that was read stays unanswered.
 func (n *Node) shutDown(deadline time.Time) {
 	var closing sync.WaitGroup
 	for _, server := range n.servers {
@@ -88,8 +87,8 @@
 
 func (n *Node) inFlight() int { return int(n.forwarder.InFlight() + n.guard.InFlight()) }
 
-// idle reports whether the node may end: its stop was noticed, and nothing came
-// for a while or is in flight.
+// idle reports whether the node may exit: the announce period is over, nothing is in flight,
+// and no request has arrived for the quiet period.
 func (n *Node) idle(stopStarted time.Time) bool {
-	return clock.Since(stopStarted) >= announce && n.inFlight() == 0 && n.forwarder.IdleTime() >= quiet
+	return clock.Since(stopStarted) >= announcePeriod && n.inFlight() == 0 && n.forwarder.IdleTime() >= quietPeriod
 }
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -15,8 +15,8 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// TestANodeServesOnWhileTheStoreIsAway has a node stop while its store answers and
-// while it does not: in the second case it still admits calls that end in time.
+// TestANodeServesOnWhileTheStoreIsAway checks that a stopping node still admits calls that
+// end in time if the store is unreachable, and refuses all calls if the store is reachable.
 func TestANodeServesOnWhileTheStoreIsAway(t *testing.T) {
 	settings := Settings{Name: "n", Zone: "z", Service: "s", Target: "127.0.0.1:1", Store: "127.0.0.1:1", Retries: RetrySettings{WindowSeconds: 10}}
 	n, err := New(settings, io.Discard)
@@ -27,57 +27,57 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	_, err = n.gate.Wrap(awayStore{}).Get(ctx, "key")
+	_, err = n.storeGate.Wrap(unavailableStore{}).Get(ctx, "key")
 	assert.Assert(t, err != nil)
-	assert.Assert(t, n.endAdmission(end), "the store is away")
+	assert.Assert(t, n.stopAdmission(end), "the store is unreachable")
 	assert.Assert(t, call() != peering.Stopping)
-	present, err := New(settings, io.Discard)
+	reachable, err := New(settings, io.Discard)
 	assert.NilError(t, err)
-	n = present
-	assert.Assert(t, !n.endAdmission(end))
+	n = reachable
+	assert.Assert(t, !n.stopAdmission(end))
 	assert.Equal(t, call(), peering.Stopping)
 }
 
-// awayStore is a store that does not answer.
-type awayStore struct{ store.Store }
+// unavailableStore is a store whose reads fail with store.ErrUnavailable.
+type unavailableStore struct{ store.Store }
 
-func (awayStore) Get(context.Context, string) (store.Entry, error) {
+func (unavailableStore) Get(context.Context, string) (store.Entry, error) {
 	return store.Entry{}, store.ErrUnavailable
 }
 
-// TestARequestAtTheLastMomentIsAnswered has the node end while a request that has
-// just come is worked on.
+// TestARequestAtTheLastMomentIsAnswered checks that a shutdown waits for a request that is
+// being handled, and that the listener is closed afterwards.
 func TestARequestAtTheLastMomentIsAnswered(t *testing.T) {
-	come := make(chan struct{})
+	received := make(chan struct{})
 	slow, err := newServer("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		close(come)
+		close(received)
 		time.Sleep(200 * time.Millisecond)
 		_, _ = io.WriteString(w, "whole")
 	}))
 	assert.NilError(t, err)
 	slow.start()
 	n := &Node{servers: []*server{slow}}
-	ended := make(chan struct{})
+	shutDown := make(chan struct{})
 	go func() {
-		<-come
+		<-received
 		n.shutDown(time.Now().Add(20 * time.Second))
-		close(ended)
+		close(shutDown)
 	}()
-	response, err := http.Get("http://" + slow.socket.Addr().String())
+	response, err := http.Get("http://" + slow.listener.Addr().String())
 	assert.NilError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "whole")
-	<-ended
-	_, err = net.Dial("tcp", slow.socket.Addr().String())
-	assert.Assert(t, err != nil, "nothing is taken any more")
+	<-shutDown
+	_, err = net.Dial("tcp", slow.listener.Addr().String())
+	assert.Assert(t, err != nil, "the listener must be closed")
 }
 
-// TestWaitingConnectionsAreAnsweredAtTheEnd has callers connect and send their requests before
-// the node accepts any of them, and the node end. A listener that closes resets what waits to
-// be accepted: of 32,000 connections beside listeners that closed, one caller got a reset after
-// it had sent its request, and could not know whether it had run.
+// TestWaitingConnectionsAreAnsweredAtTheEnd checks that a shutdown serves the connections in
+// the accept queue. Closing a listener normally resets them: of 32,000 connections to closing
+// listeners, one caller got a reset after it had sent its request and could not know whether
+// the request had run.
 func TestWaitingConnectionsAreAnsweredAtTheEnd(t *testing.T) {
 	const callers = 100
 	quick, err := newServer("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -86,7 +86,7 @@
 	assert.NilError(t, err)
 	connections := make([]net.Conn, callers)
 	for i := range connections {
-		connections[i], err = net.Dial("tcp", quick.socket.Addr().String())
+		connections[i], err = net.Dial("tcp", quick.listener.Addr().String())
 		assert.NilError(t, err)
 		defer func() { _ = connections[i].Close() }()
 		_, err = io.WriteString(connections[i], "GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
--- a/internal/sidecar/storecalls.go
+++ b/internal/sidecar/storecalls.go
@@ -14,61 +14,61 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// storeCallsPeriod is the time between two log lines of calls to the store.
-const storeCallsPeriod = 10 * time.Second
+// storeCallsLogInterval is the time between log events with the counts of store calls.
+const storeCallsLogInterval = 10 * time.Second
 
-// storeCall is a kind of call to the store.
-type storeCall struct {
+// storeCallKey identifies the counter of a store call.
+type storeCallKey struct {
 	purpose       store.Purpose
 	call, outcome string
 }
 
-// storeCalls counts the calls to the store, for metrics and the log. It
-// implements platform.Observer and prometheus.Collector.
+// storeCalls counts calls to the store for metrics and the log. It implements
+// platform.Observer and prometheus.Collector.
 type storeCalls struct {
 	log *eventlog.Log
 
 	mutex  sync.Mutex
-	total  map[storeCall]int
-	logged map[storeCall]int
+	totals map[storeCallKey]int
+	logged map[storeCallKey]int
 }
 
 func newStoreCalls(log *eventlog.Log) *storeCalls {
-	return &storeCalls{log: log, total: make(map[storeCall]int), logged: make(map[storeCall]int)}
+	return &storeCalls{log: log, totals: make(map[storeCallKey]int), logged: make(map[storeCallKey]int)}
 }
 
 // Called implements platform.Observer.
 func (c *storeCalls) Called(purpose store.Purpose, call, outcome string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.total[storeCall{purpose, call, outcome}]++
+	c.totals[storeCallKey{purpose, call, outcome}]++
 }
 
-// run logs the calls from time to time until the context ends.
+// run logs the counts periodically until the context ends.
 func (c *storeCalls) run(ctx context.Context) {
-	ticker := time.NewTicker(storeCallsPeriod)
+	ticker := time.NewTicker(storeCallsLogInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.record()
+			c.recordEvent()
 		}
 	}
 }
 
-// record logs the calls since it did so last.
-func (c *storeCalls) record() {
+// recordEvent logs the calls since the last event; it logs nothing if there are none.
+func (c *storeCalls) recordEvent() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	sum := 0
 	var parts []string
-	for kind, total := range c.total {
-		if count := total - c.logged[kind]; count > 0 {
-			c.logged[kind] = total
+	for key, total := range c.totals {
+		if count := total - c.logged[key]; count > 0 {
+			c.logged[key] = total
 			sum += count
-			parts = append(parts, fmt.Sprintf("%s/%s/%s=%d", kind.purpose, strings.ReplaceAll(kind.call, " ", "-"), kind.outcome, count))
+			parts = append(parts, fmt.Sprintf("%s/%s/%s=%d", key.purpose, strings.ReplaceAll(key.call, " ", "-"), key.outcome, count))
 		}
 	}
 	if sum == 0 {
@@ -89,7 +89,7 @@
 func (c *storeCalls) Collect(values chan<- prometheus.Metric) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	for kind, total := range c.total {
-		values <- prometheus.MustNewConstMetric(storeCallsDescription, prometheus.CounterValue, float64(total), string(kind.purpose), kind.call, kind.outcome)
+	for key, total := range c.totals {
+		values <- prometheus.MustNewConstMetric(storeCallsDescription, prometheus.CounterValue, float64(total), string(key.purpose), key.call, key.outcome)
 	}
 }
--- a/internal/sidecar/tenantmetrics.go
+++ b/internal/sidecar/tenantmetrics.go
@@ -9,23 +9,24 @@
 )
 
 const (
-	// namedTenants bounds the tenants that metrics tell apart; all others are counted
-	// under otherTenant. With the three outcomes that is at most 63 lines of a page.
-	namedTenants = 20
-	otherTenant  = "other"
-	// namedFrom is the number of requests from which a tenant is told by name, so that
-	// the busiest are.
-	namedFrom = 100
+	// maxTenantLabels bounds the number of tenant labels; further tenants are counted under
+	// otherTenant. With three outcomes, these are at most 63 lines of the metrics page.
+	maxTenantLabels = 20
+	otherTenant     = "other"
+	// tenantLabelThreshold is the number of requests after which a tenant gets its own
+	// label, so that labels go to the busiest tenants.
+	tenantLabelThreshold = 100
 )
 
-// tenantCounter counts the requests of tenants by outcome. It is safe for concurrent use.
+// tenantCounter counts requests by tenant and outcome. It is safe for concurrent use.
 type tenantCounter struct {
 	requests *prometheus.CounterVec
 
-	mutex sync.Mutex
-	named map[string]bool
-	// pending counts the requests of tenants that have no name yet, while there is room.
-	pending map[string]int
+	mutex   sync.Mutex
+	labeled map[string]bool
+	// unlabeled counts the requests of tenants without their own label, as long as labels are
+	// left.
+	unlabeled map[string]int
 }
 
 func newTenantCounter() *tenantCounter {
@@ -35,39 +36,40 @@
 			Name:      "tenant_requests_total",
 			Help:      "Requests by tenant and why they were refused by API key or limit, admitted if they were not.",
 		}, []string{"tenant", "outcome"}),
-		named:   make(map[string]bool),
-		pending: make(map[string]int),
+		labeled:   make(map[string]bool),
+		unlabeled: make(map[string]int),
 	}
 }
 
-// count counts a request. The tenant is empty where the API key was refused.
+// count counts a request. The tenant is empty if the API key was refused.
 func (c *tenantCounter) count(tenant string, reason problem.Reason) {
 	outcome := string(reason)
 	if outcome == "" {
 		outcome = "admitted"
 	}
-	c.requests.WithLabelValues(c.nameOf(tenant), outcome).Inc()
+	c.requests.WithLabelValues(c.labelOf(tenant), outcome).Inc()
 }
 
-func (c *tenantCounter) nameOf(tenant string) string {
+// labelOf counts a request of a tenant and returns the tenant's label.
+func (c *tenantCounter) labelOf(tenant string) string {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if tenant == "" || c.named[tenant] {
+	if tenant == "" || c.labeled[tenant] {
 		return tenant
 	}
-	if len(c.named) >= namedTenants {
+	if len(c.labeled) >= maxTenantLabels {
 		return otherTenant
 	}
-	if len(c.pending) >= maxPending {
-		clear(c.pending)
+	if len(c.unlabeled) >= maxUnlabeledTenants {
+		clear(c.unlabeled)
 	}
-	c.pending[tenant]++
-	if c.pending[tenant] < namedFrom {
+	c.unlabeled[tenant]++
+	if c.unlabeled[tenant] < tenantLabelThreshold {
 		return otherTenant
 	}
-	c.named[tenant] = true
+	c.labeled[tenant] = true
 	return tenant
 }
 
-// maxPending bounds the tenants that are counted before they have a name.
-const maxPending = 1024
+// maxUnlabeledTenants bounds the size of tenantCounter.unlabeled.
+const maxUnlabeledTenants = 1024
--- a/internal/sidecar/tenantmetrics_test.go
+++ b/internal/sidecar/tenantmetrics_test.go
@@ -11,11 +11,11 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-// TestTheBusiestTenantsAreToldByName counts requests of far more tenants than a page may
-// tell apart.
-func TestTheBusiestTenantsAreToldByName(t *testing.T) {
+// TestBusiestTenantsGetLabels checks that with far more tenants than labels, the busiest ones
+// get the labels and all others are counted together.
+func TestBusiestTenantsGetLabels(t *testing.T) {
 	c := newTenantCounter()
-	for range 3 * namedFrom {
+	for range 3 * tenantLabelThreshold {
 		c.count("busy", "")
 	}
 	for tenant := range 5000 {
@@ -23,22 +23,22 @@
 			c.count(fmt.Sprint("small-", tenant), problem.LimitReached)
 		}
 	}
-	for tenant := range 2 * namedTenants {
-		for range 2 * namedFrom {
+	for tenant := range 2 * maxTenantLabels {
+		for range 2 * tenantLabelThreshold {
 			c.count(fmt.Sprint("large-", tenant), "")
 		}
 	}
 	c.count("", problem.Unauthenticated)
-	assert.Equal(t, valueOf(t, c, "busy", "admitted"), 2.0*namedFrom+1)
-	assert.Equal(t, valueOf(t, c, "", "unauthenticated"), 1.0)
-	assert.Equal(t, valueOf(t, c, otherTenant, "limit-reached"), 10000.0)
+	assert.Equal(t, counterValue(t, c, "busy", "admitted"), 2.0*tenantLabelThreshold+1)
+	assert.Equal(t, counterValue(t, c, "", "unauthenticated"), 1.0)
+	assert.Equal(t, counterValue(t, c, otherTenant, "limit-reached"), 10000.0)
 	lines := make(chan prometheus.Metric, 1000)
 	c.requests.Collect(lines)
-	// Named tenants, others by two outcomes, and keys that were refused.
-	assert.Equal(t, len(lines), namedTenants+3)
+	// One series for each labeled tenant, two for other tenants, and one for refused API keys.
+	assert.Equal(t, len(lines), maxTenantLabels+3)
 }
 
-func valueOf(t *testing.T, c *tenantCounter, tenant, outcome string) float64 {
+func counterValue(t *testing.T, c *tenantCounter, tenant, outcome string) float64 {
 	t.Helper()
 	var line dto.Metric
 	assert.NilError(t, c.requests.WithLabelValues(tenant, outcome).Write(&line))
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -10,16 +10,16 @@
 	"github.com/lugspur/lugspur/platform"
 )
 
-// limits are what holds tenants to their limits.
-type limits struct {
+// tenantLimits holds the components that enforce tenants' rate limits.
+type tenantLimits struct {
 	issuer  *ratelimit.Issuer
 	keeper  *ratelimit.Keeper
 	limiter *ratelimit.Limiter
-	// datagrams is nil where asks come over connections alone.
-	datagrams *peering.Datagrams
+	// permitSocket is nil if permits are only requested over connections.
+	permitSocket *peering.Datagrams
 }
 
-// provisionLimits makes the parts that hold tenants to their limits.
+// provisionLimits creates the components that enforce tenants' rate limits.
 func (n *Node) provisionLimits() {
 	n.limits.issuer = ratelimit.NewIssuer(n.settings.Tenants.bounds(), n.tenant, clock.Now)
 	n.limits.keeper = ratelimit.NewKeeper(ratelimit.KeeperConfig{
@@ -32,47 +32,48 @@
 		Epoch:      n.epochs.Current,
 
 		Prefix: platform.ShardsPrefix,
-		Store:  n.gate.Wrap(n.store.For(purposeShards)),
+		Store:  n.storeGate.Wrap(n.store.For(purposeShards)),
 		Place:  n.directory.Place,
 		Nodes:  func() int { return len(n.directory.Addresses()) },
-		Needed: n.hasLimits,
+		Needed: n.hasTenantLimits,
 		Issuer: n.limits.issuer,
 		Log:    n.log,
 		Now:    clock.Now,
 	})
-	n.limits.limiter = ratelimit.NewLimiter(n.limits.keeper, n.askPermits, clock.Now)
+	n.limits.limiter = ratelimit.NewLimiter(n.limits.keeper, n.requestPermits, clock.Now)
 }
 
-// askPermits asks a holder, which may be the node itself. Where a datagram or its answer is
-// lost the holder is asked over a connection.
-func (n *Node) askPermits(ctx context.Context, holder ratelimit.Holder, ask *ratelimit.Ask) (*ratelimit.Grant, error) {
+// requestPermits requests permits from the holder of a shard, which may be the node itself. If
+// a datagram or its response is lost, the request is sent over a connection.
+func (n *Node) requestPermits(ctx context.Context, holder ratelimit.Holder, request *ratelimit.Ask) (*ratelimit.Grant, error) {
 	if holder.Address == n.settings.advertised() {
-		return n.limits.issuer.Issue(ask), nil
+		return n.limits.issuer.Issue(request), nil
 	}
-	if n.limits.datagrams != nil && holder.Datagrams != "" {
-		grant, err := n.limits.datagrams.Ask(ctx, holder.Datagrams, ask)
+	if n.limits.permitSocket != nil && holder.Datagrams != "" {
+		grant, err := n.limits.permitSocket.Ask(ctx, holder.Datagrams, request)
 		if err == nil || ctx.Err() != nil {
 			return grant, err
 		}
 	}
-	return n.peers.AskPermits(ctx, holder.Address, ask)
+	return n.peers.AskPermits(ctx, holder.Address, request)
 }
 
-// listenForAsks takes asks as datagrams, if the settings say where.
-func (n *Node) listenForAsks() error {
+// listenForPermitRequests serves permit requests sent as datagrams, if the settings give an
+// address for them.
+func (n *Node) listenForPermitRequests() error {
 	if n.settings.Listen.Permits == "" {
 		return nil
 	}
-	datagrams, err := peering.ListenDatagrams(n.settings.Listen.Permits, n.limits.issuer)
+	socket, err := peering.ListenDatagrams(n.settings.Listen.Permits, n.limits.issuer)
 	if err != nil {
 		return err
 	}
-	n.limits.datagrams = datagrams
-	go datagrams.Run()
+	n.limits.permitSocket = socket
+	go socket.Run()
 	return nil
 }
 
-// tenant returns a tenant of the configuration in force, nil if there is none.
+// tenant returns a tenant of the active configuration, nil if it is unknown.
 func (n *Node) tenant(name string) *routetable.Tenant {
 	table := n.routes.Current()
 	if table == nil {
@@ -81,20 +82,20 @@
 	return table.Tenant(name)
 }
 
-// hasTenants reports whether requests need keys.
+// hasTenants reports whether requests need an API key.
 func (n *Node) hasTenants() bool {
 	table := n.routes.Current()
 	return table != nil && table.HasTenants()
 }
 
-// hasLimits reports whether any tenant has a limit.
-func (n *Node) hasLimits() bool {
+// hasTenantLimits reports whether any tenant has a rate limit.
+func (n *Node) hasTenantLimits() bool {
 	table := n.routes.Current()
 	return table != nil && table.HasTenantLimits()
 }
 
-// peerServices are what the node serves to its peers.
+// peerServices returns the services that the node offers to its peers.
 func (n *Node) peerServices() peering.Services {
-	return peering.Services{Home: n.guard, Spread: n.copies.spread, Notices: n.suspects, Departures: n.registrar, Permits: n.limits.issuer,
+	return peering.Services{Home: n.guard, Spread: n.replicas.antiEntropy, Notices: n.quarantine, Departures: n.registrar, Permits: n.limits.issuer,
 		Codec: n.codec, MaxBytes: maxMessageBytes, Process: n.process}
 }
