--- a/internal/eventlog/event.go
+++ b/internal/eventlog/event.go
@@ -1,16 +1,17 @@
-// Package eventlog writes one JSON line for each decision that touches a
-// request or changes what the process believes. Recording an event never
-// blocks: events wait in a bounded buffer, and what is left out is counted.
+// Package eventlog writes a structured log with one JSON line for each decision about a
+// request and each change of the process's state or of its view of other processes.
+// Recording an event never blocks: events are buffered in a bounded queue, and dropped events
+// are counted.
 //
-// Under load the log keeps whole requests instead of events at random. Which ones
-// follows from the hash of a request's id alone, so that all nodes keep the same:
-// one that keeps fewer keeps a part of what the others keep. Failures are thinned
-// later than refusals, and these later than successes.
+// Under load, the log samples whole requests instead of single events. The hash of the request
+// id alone selects them, so that all nodes keep the same requests: a node that keeps fewer
+// keeps a subset of what the others keep. Successes are dropped first, then refusals, then
+// failures.
 package eventlog
 
 import "time"
 
-// Kind names what was decided.
+// Kind is the kind of an event.
 type Kind uint8
 
 // The kinds of events.
@@ -62,14 +63,15 @@
 	kindCount
 )
 
-// class is how early a kind of event is left out under load.
+// class is a sampling class. Each class has its own limit of events per second.
 type class uint8
 
 const (
-	// belief events tell what the process believes of others and of itself.
-	belief class = iota
-	// failure events tell of requests that failed, and of refused calls of requests
-	// that were admitted.
+	// stateChange events report changes of the process's state and of its view of other
+	// processes.
+	stateChange class = iota
+	// failure events report failed requests, and refused calls of requests that were
+	// admitted.
 	failure
 	refusal
 	success
@@ -77,80 +79,80 @@
 )
 
 type kindInfo struct {
-	name  string
-	class class
-	about string
+	name        string
+	class       class
+	description string
 }
 
 var kinds = [kindCount]kindInfo{
-	ProcessStarted:        {"process-started", belief, "the process serves; version is its build"},
-	ProcessStopping:       {"process-stopping", belief, "a planned stop began"},
-	ProcessStopped:        {"process-stopped", belief, "the process ends; count is the requests still in flight"},
-	MachineResumed:        {"machine-resumed", belief, "the machine was suspended; age is for how long in all since the process started"},
-	ProcessStalled:        {"process-stalled", belief, "the process stood still for duration, as it got no processor, waited for memory or was stopped; count is the requests that waited for their answers"},
-	SettingsReloaded:      {"settings-reloaded", belief, "the settings were read again; reason says what became of them"},
-	DependencyLost:        {"dependency-lost", belief, "peer stopped answering; reason is its first error"},
-	DependencyRegained:    {"dependency-regained", belief, "peer answers again; age is how long it did not"},
-	StoreRestored:         {"store-restored", belief, "the store came back from a copy of an earlier state; version is its epoch, previous the one before, peer who told"},
-	EntryPassedOver:       {"entry-passed-over", belief, "a list of the store told the entry that peer names with revision version, and the copy goes on with revision previous, which it takes to be newer"},
-	RecordRewritten:       {"record-rewritten", belief, "what the node had written, or knew of target, was lost as the store came back from a copy and is written again; outcome says what became of it"},
-	DepartureHeard:        {"departure-heard", belief, "a peer told that target, beside the node at peer, leaves, before the store did"},
-	DepartureUntold:       {"departure-untold", belief, "the node at peer, beside target that left, could not be told of that; reason says why"},
-	ConfigurationTaken:    {"configuration-taken", belief, "version is in force from now on; previous was before; peer is where it came from"},
-	ConfigurationRejected: {"configuration-rejected", belief, "a configuration from peer was not taken; reason says why"},
-	TargetChanged:         {"target-changed", belief, "the target beside the node is now in state outcome, or takes connections no longer (unreachable) or again (reachable); version is its heartbeat's sequence number"},
-	TargetEnded:           {"target-ended", belief, "the target ended without having said that it leaves; count is the calls that broke off at it, reason how that shows"},
-	RequestQuarantined:    {"request-quarantined", belief, "requests with the fingerprint are refused from now on, as count targets in a row crashed under them; reason says who told, wait when a trial run is due"},
-	QuarantineTrial:       {"quarantine-trial", belief, "this node makes a trial run of the quarantined request, the count-th of all nodes"},
-	QuarantineLifted:      {"quarantine-lifted", belief, "requests with the fingerprint are no longer refused; reason says why"},
-	QuarantineRefused:     {"quarantine-refused", refusal, "the request was refused because count targets in a row crashed under its fingerprint; wait is when to come back, peer the home that said so if it was not known here"},
-	RecordRejected:        {"record-rejected", belief, "the entry of the store that peer names could not be read; reason says why"},
-	HeartbeatRefused:      {"heartbeat-refused", belief, "a heartbeat got no acknowledgement; reason says why"},
-	HomeChanged:           {"home-changed", belief, "the record of the home at peer is now outcome; version is the record's revision, reason who told it"},
-	HomeSuspected:         {"home-suspected", belief, "the home at peer is passed over; reason says why"},
-	HomeTrusted:           {"home-trusted", belief, "the home at peer is used again; age is how long it was passed over"},
-	LeaseGranted:          {"lease-granted", belief, "a lease was granted; version is its number"},
-	LeaseLost:             {"lease-lost", belief, "the lease ended without this node's doing; version is its number"},
-	KeyRefused:            {"key-refused", refusal, "the request's API key was turned away, or could not be checked; age is that of the verification of the configuration, version the configuration's, wait when to come back"},
-	LimitRefused:          {"limit-refused", refusal, "the tenant that outcome names has no permit for the request, or no holder could be asked (reason); count is how many holders were asked, wait when to come back"},
-	ShardChanged:          {"shard-changed", belief, "this node holds (outcome held) or no longer holds (lost) the shard of tenants' limits that count numbers; reason says why"},
-	PolicyFailed:          {"policy-failed", belief, "the route's policy could not be evaluated; its safe result holds"},
-	LimitChanged:          {"limit-changed", belief, "count is the new concurrency limit of the target"},
-	AdmissionChanged:      {"admission-changed", belief, "count is the shed threshold as a share of all ranks, in percent; reason is the queueing delay that moved it"},
-	RequestAnswered:       {"request-answered", success, "a target's answer went back to the caller"},
-	RequestRefused:        {"request-refused", refusal, "the request was refused without having run; wait is when to come back"},
+	ProcessStarted:        {"process-started", stateChange, "the process has started to serve; outcome is its build version"},
+	ProcessStopping:       {"process-stopping", stateChange, "a planned stop began"},
+	ProcessStopped:        {"process-stopped", stateChange, "the process exits; count is the number of requests and calls still in flight"},
+	MachineResumed:        {"machine-resumed", stateChange, "the machine was suspended and has resumed; age is the total time suspended since the process started"},
+	ProcessStalled:        {"process-stalled", stateChange, "the process did not run for duration, because it got no CPU time, waited for memory or was stopped; count is the number of requests in flight"},
+	SettingsReloaded:      {"settings-reloaded", stateChange, "the settings were reloaded; outcome says what was applied, reason why the previous settings were kept"},
+	DependencyLost:        {"dependency-lost", stateChange, "peer stopped responding; reason is the first error"},
+	DependencyRegained:    {"dependency-regained", stateChange, "peer responds again; age is how long it did not"},
+	StoreRestored:         {"store-restored", stateChange, "the store was restored from a backup; version is its new epoch, previous the one before, peer the source of the information"},
+	EntryPassedOver:       {"entry-passed-over", stateChange, "the store listed the entry whose key is peer with the older revision version; the replica keeps revision previous, which it considers newer"},
+	RecordRewritten:       {"record-rewritten", stateChange, "a record of the node, or its knowledge about target, was lost when the store was restored from a backup, and is written again; outcome is the result"},
+	DepartureHeard:        {"departure-heard", stateChange, "a peer reported, before the store did, that target, the local target of the node at peer, is leaving"},
+	DepartureUntold:       {"departure-untold", stateChange, "the node at peer could not be notified that its local target, target, has left; reason is the error"},
+	ConfigurationTaken:    {"configuration-taken", stateChange, "configuration version became active; previous is the version before, peer the source"},
+	ConfigurationRejected: {"configuration-rejected", stateChange, "a configuration from peer was rejected; reason says why"},
+	TargetChanged:         {"target-changed", stateChange, "the local target is now in state outcome, or stopped accepting connections (unreachable) or accepts them again (reachable); version is the sequence number of its heartbeat"},
+	TargetEnded:           {"target-ended", stateChange, "the local target terminated without announcing that it leaves; count is the number of calls that it interrupted, reason the evidence"},
+	RequestQuarantined:    {"request-quarantined", stateChange, "requests with the fingerprint are refused from now on, because count targets in a row crashed while running them; reason is the source of the information, wait the time until a trial run"},
+	QuarantineTrial:       {"quarantine-trial", stateChange, "this node makes a trial run of the quarantined request; count is the number of trial runs at all nodes so far"},
+	QuarantineLifted:      {"quarantine-lifted", stateChange, "requests with the fingerprint are no longer refused; reason says why"},
+	QuarantineRefused:     {"quarantine-refused", refusal, "the request was refused because count targets in a row crashed while running requests with its fingerprint; wait is the retry delay, peer the home that refused it if this node did not know of the quarantine"},
+	RecordRejected:        {"record-rejected", stateChange, "the store entry whose key is peer could not be read; reason says why"},
+	HeartbeatRefused:      {"heartbeat-refused", stateChange, "a heartbeat was not acknowledged; reason says why"},
+	HomeChanged:           {"home-changed", stateChange, "the record of the home at peer is now in state outcome; version is the revision of the record, reason the source of the information"},
+	HomeSuspected:         {"home-suspected", stateChange, "the home at peer is suspected of having failed and gets no requests; reason says why"},
+	HomeTrusted:           {"home-trusted", stateChange, "the home at peer gets requests again; age is how long it was suspected"},
+	LeaseGranted:          {"lease-granted", stateChange, "a lease was granted; version is its number"},
+	LeaseLost:             {"lease-lost", stateChange, "the lease ended without an action of this node; version is its number"},
+	KeyRefused:            {"key-refused", refusal, "the request's API key was refused or could not be checked; age is the time since the configuration was verified, version the configuration version, wait the retry delay"},
+	LimitRefused:          {"limit-refused", refusal, "the tenant named by outcome got no permit for the request, or no holder could be asked (reason); count is the number of holders asked, wait the retry delay"},
+	ShardChanged:          {"shard-changed", stateChange, "this node acquired (outcome held) or lost (outcome lost) the shard count of tenants' rate limits; reason says why"},
+	PolicyFailed:          {"policy-failed", stateChange, "the route's policy could not be evaluated; its fallback result applies"},
+	LimitChanged:          {"limit-changed", stateChange, "count is the new concurrency limit of the local target"},
+	AdmissionChanged:      {"admission-changed", stateChange, "count is the shed threshold as a percentage of all ranks; reason is the queueing delay that caused the change"},
+	RequestAnswered:       {"request-answered", success, "a response of a target was returned to the caller"},
+	RequestRefused:        {"request-refused", refusal, "the request was refused without having run; wait is the retry delay"},
 	RequestFailed:         {"request-failed", failure, "the request failed and may have run"},
-	RequestRetried:        {"request-retried", refusal, "the request goes to another home; reason is why the one before did not do"},
-	RequestAbandoned:      {"request-abandoned", refusal, "the caller left before the answer"},
-	CallRefused:           {"call-refused", refusal, "the home beside the target refused a call; count is the queue's length"},
-	CallFailed:            {"call-failed", failure, "the exchange with the target brought no usable answer; fingerprint is that of a call that broke off"},
-	CallResumed:           {"call-resumed", failure, "the connection to the home at peer went silent; the call goes on over a new one"},
-	StoreCalls:            {"store-calls", belief, "count calls to the store since the line before; outcome lists them by purpose, call and outcome"},
-	EventsLost:            {"events-lost", belief, "count events were left out of the log since the line before; outcome tells how many of each kind"},
+	RequestRetried:        {"request-retried", refusal, "the request is sent to another home; reason says why the previous home did not serve it"},
+	RequestAbandoned:      {"request-abandoned", refusal, "the caller disconnected before the response"},
+	CallRefused:           {"call-refused", refusal, "the local home refused a call; count is the queue length"},
+	CallFailed:            {"call-failed", failure, "the call to the target yielded no usable response; fingerprint is set if the call was interrupted"},
+	CallResumed:           {"call-resumed", failure, "the connection to the home at peer became silent; the call was resumed over a new connection"},
+	StoreCalls:            {"store-calls", stateChange, "count calls to the store since the previous event; outcome lists them by purpose, call and outcome"},
+	EventsLost:            {"events-lost", stateChange, "count events were dropped from the log since the previous event; outcome is the number of each kind"},
 }
 
-// String returns the name that log lines and metrics carry.
+// String returns the name of the kind in log lines and metrics.
 func (k Kind) String() string { return kinds[k].name }
 
-// Event is one decision with the inputs that led to it. Zero fields are left
-// out of the line.
+// Event is a decision or state change with its inputs. Zero fields are omitted from the log
+// line.
 type Event struct {
 	Kind Kind
-	// Request is the id of the request that the event touches.
+	// Request is the id of the request that the event is about.
 	Request string
-	// Route, Service and Target name what was decided about; Peer is the other
-	// side.
+	// Route, Service and Target are the subjects of the decision. Peer is the other process
+	// involved, or the key of a store entry.
 	Route, Service, Target, Peer string
-	// Fingerprint tells what the request asks for, the same in each try.
+	// Fingerprint identifies the content of a request. It is the same for all attempts.
 	Fingerprint string
-	// Reason is the input that decided, Outcome the result.
+	// Reason is the decisive input, Outcome the result.
 	Reason, Outcome string
 	Status          int
 	Attempt         int
 	Count           int
-	// Version and Previous number configurations, records, leases, heartbeats.
+	// Version and Previous are the numbers of configurations, records, leases or heartbeats.
 	Version, Previous uint64
-	// Age is how old the deciding input was, Wait a delay told or served,
-	// Duration the time since the request arrived.
+	// Age is the age of the decisive input, Wait a retry delay, and Duration the time that
+	// the subject of the event took, such as the time since a request arrived.
 	Age, Wait, Duration time.Duration
 }
--- a/internal/eventlog/log.go
+++ b/internal/eventlog/log.go
@@ -21,19 +21,19 @@
 	DefaultFailurePerSecond = 50
 )
 
-// Config sets a Log. A zero field takes its default.
+// Config configures a Log. Zero fields have the default value.
 type Config struct {
-	// Buffer is the number of events that may wait for the writer.
+	// Buffer is the capacity of the event queue in front of the writer.
 	Buffer int
-	// SuccessPerSecond, RefusalPerSecond and FailurePerSecond bound the lines of
-	// each class. Changes of belief have the bound of failures for themselves.
+	// SuccessPerSecond, RefusalPerSecond and FailurePerSecond limit the events of each
+	// class. State changes have a separate limit of FailurePerSecond.
 	SuccessPerSecond, RefusalPerSecond, FailurePerSecond int
-	// RootOf returns the id of the request that the one with the given id belongs to;
-	// nil means that each stands for itself.
+	// RootOf returns the id of the root request to which the request with the given id
+	// belongs; nil means that each request is its own root.
 	RootOf func(id string) string
 }
 
-// record is an event with the time of the decision.
+// record is an event with its time.
 type record struct {
 	at    time.Time
 	event Event
@@ -53,7 +53,7 @@
 	now      func() time.Time
 }
 
-// New returns a log that writes to out, each line with the node's name.
+// New returns a log that writes to out. Each line contains the node's name.
 func New(config Config, node string, out io.Writer, now func() time.Time) *Log {
 	buffered := bufio.NewWriterSize(out, writeBufferBytes)
 	logger := &logrus.Logger{Out: buffered, Formatter: &logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano}, Level: logrus.InfoLevel, Hooks: logrus.LevelHooks{}}
@@ -70,11 +70,11 @@
 	l.samplers[success].perSecond = positiveOr(config.SuccessPerSecond, DefaultSuccessPerSecond)
 	l.samplers[refusal].perSecond = positiveOr(config.RefusalPerSecond, DefaultRefusalPerSecond)
 	l.samplers[failure].perSecond = positiveOr(config.FailurePerSecond, DefaultFailurePerSecond)
-	l.samplers[belief].perSecond = positiveOr(config.FailurePerSecond, DefaultFailurePerSecond)
+	l.samplers[stateChange].perSecond = positiveOr(config.FailurePerSecond, DefaultFailurePerSecond)
 	return l
 }
 
-// writeBufferBytes is how much is gathered for one write.
+// writeBufferBytes is the size of the write buffer.
 const writeBufferBytes = 8 << 10
 
 func positiveOr(value, fallback int) int {
@@ -84,7 +84,7 @@
 	return fallback
 }
 
-// Record notes an event. It never blocks.
+// Record records an event. It never blocks.
 func (l *Log) Record(event Event) {
 	if l == nil {
 		return
@@ -92,7 +92,7 @@
 	l.counts[event.Kind].Add(1)
 	now := l.now()
 	root := l.rootOf(event.Request)
-	if !l.samplers[event.classUnder(root)].allow(now.Unix(), root) {
+	if !l.samplers[event.classFor(root)].allow(now.Unix(), root) {
 		l.lost[event.Kind].Add(1)
 		return
 	}
@@ -103,12 +103,12 @@
 	}
 }
 
-// classUnder returns the class of an event that touches a request which belongs to
-// the given one.
-func (e *Event) classUnder(root string) class {
+// classFor returns the sampling class of an event whose request belongs to the given root
+// request.
+func (e *Event) classFor(root string) class {
 	answeredFailure := e.Kind == RequestAnswered && e.Status >= http.StatusInternalServerError
-	refusedWithin := (e.Kind == RequestRefused || e.Kind == CallRefused) && e.Request != root
-	if answeredFailure || refusedWithin {
+	refusedNested := (e.Kind == RequestRefused || e.Kind == CallRefused) && e.Request != root
+	if answeredFailure || refusedNested {
 		return failure
 	}
 	return kinds[e.Kind].class
@@ -121,7 +121,7 @@
 	}
 }
 
-// Lost returns the number of events that were not written.
+// Lost returns the number of events that were dropped.
 func (l *Log) Lost() uint64 {
 	total := uint64(0)
 	for kind := range l.lost {
@@ -130,9 +130,9 @@
 	return total
 }
 
-// Run writes events until the context ends, and then those that wait.
+// Run writes events until the context ends, then the queued ones, and returns.
 func (l *Log) Run(ctx context.Context) {
-	told := toldLoss{}
+	reported := lossReport{}
 	for {
 		select {
 		case r := <-l.events:
@@ -144,13 +144,13 @@
 		if len(l.events) > 0 {
 			continue
 		}
-		told = l.tellLost(told)
+		reported = l.reportLost(reported)
 		_ = l.out.Flush()
 	}
 }
 
-// drain writes what waits and ends; a blocked output is left behind with the
-// process.
+// drain writes the queued events. If the output blocks, drain blocks until the process is
+// killed.
 func (l *Log) drain() {
 	for {
 		select {
@@ -163,33 +163,34 @@
 	}
 }
 
-// toldLoss is the number of lost events of each kind told last, and when.
-type toldLoss struct {
+// lossReport holds the numbers of lost events by kind at the time of the last report.
+type lossReport struct {
 	lost [kindCount]uint64
 	at   time.Time
 }
 
-// tellLossEvery bounds the lines that tell of lost events.
-const tellLossEvery = time.Second
+// lossReportInterval is the shortest time between two events-lost lines.
+const lossReportInterval = time.Second
 
-// tellLost writes how many events were lost since those told before.
-func (l *Log) tellLost(told toldLoss) toldLoss {
+// reportLost writes an event with the number of events lost since the previous report, and
+// returns the new report. It writes nothing if none were lost or the interval has not passed.
+func (l *Log) reportLost(previous lossReport) lossReport {
 	now := l.now()
-	if now.Sub(told.at) < tellLossEvery {
-		return told
+	if now.Sub(previous.at) < lossReportInterval {
+		return previous
 	}
-	next := toldLoss{at: now}
+	next := lossReport{at: now}
 	total := 0
 	var parts []string
 	for kind := range kindCount {
 		next.lost[kind] = l.lost[kind].Load()
-		if more := next.lost[kind] - told.lost[kind]; more > 0 {
+		if more := next.lost[kind] - previous.lost[kind]; more > 0 {
 			total += int(more)
 			parts = append(parts, fmt.Sprintf("%s %d", kind, more))
 		}
 	}
 	if total == 0 {
-		return told
+		return previous
 	}
 	l.write(record{at: now, event: Event{Kind: EventsLost, Count: total, Outcome: strings.Join(parts, ", ")}})
 	return next
@@ -200,7 +201,7 @@
 	l.entry.WithTime(r.at).WithFields(fieldsOf(&r.event)).Info(r.event.Kind.String())
 }
 
-// fieldsOf returns the event's fields that are not zero.
+// fieldsOf returns the non-zero fields of the event.
 func fieldsOf(e *Event) logrus.Fields {
 	fields := make(logrus.Fields, 8)
 	text := func(name, value string) {
--- a/internal/eventlog/log_test.go
+++ b/internal/eventlog/log_test.go
@@ -21,9 +21,9 @@
 		log.Record(Event{Kind: kind, Request: "r1", Route: "route", Service: "s", Target: "t", Peer: "p", Reason: "why",
 			Outcome: "done", Status: 503, Attempt: 2, Count: 3, Version: 7, Previous: 6,
 			Age: time.Second, Wait: 2 * time.Second, Duration: 3 * time.Second})
-		ended, cancel := context.WithCancel(context.Background())
+		canceled, cancel := context.WithCancel(context.Background())
 		cancel()
-		log.Run(ended)
+		log.Run(canceled)
 		var line map[string]any
 		assert.NilError(t, json.Unmarshal(out.Bytes(), &line), "%s", kind)
 		assert.Equal(t, line["msg"], kind.String())
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestABlockedOutputBlocksNobody(t *testing.T) {
+func TestRecordDoesNotBlockOnOutput(t *testing.T) {
 	reader, writer := io.Pipe()
 	defer reader.Close()
 	log := New(Config{Buffer: 8, FailurePerSecond: 1 << 19}, "node-1", writer, time.Now)
@@ -58,7 +58,7 @@
 	assert.Assert(t, log.Lost() > events/2, "lost %d", log.Lost())
 }
 
-func TestSuccessesAreThinnedBeforeFailures(t *testing.T) {
+func TestSuccessesAreDroppedBeforeFailures(t *testing.T) {
 	at := time.Unix(1000, 0)
 	log := New(Config{SuccessPerSecond: 1, FailurePerSecond: 20}, "node-1", io.Discard, func() time.Time { return at })
 	for range 10 {
@@ -69,11 +69,11 @@
 	assert.Equal(t, log.Lost(), uint64(9))
 }
 
-// TestWholeRequestsAreKeptUnderLoad records ten times as many events as the bound on
-// two nodes, each request's own one and one of a call that it made. After the first
-// seconds both nodes keep the same requests, and of a kept one every event.
-func TestWholeRequestsAreKeptUnderLoad(t *testing.T) {
-	const perSecond, seconds, settled = 40, 20, 5
+// TestSamplingKeepsWholeRequests records ten times as many events as the limit at two nodes:
+// for each request its own event and that of a call that it made. Once the sampling level has
+// settled, both nodes must keep the same requests, and all events of each.
+func TestSamplingKeepsWholeRequests(t *testing.T) {
+	const perSecond, seconds, settledAfter = 40, 20, 5
 	rootOf := func(id string) string {
 		root, _, _ := strings.Cut(id, ".")
 		return root
@@ -98,7 +98,7 @@
 			for len(log.events) > 0 {
 				event := (<-log.events).event
 				lines++
-				if second >= settled {
+				if second >= settledAfter {
 					kept[node][rootOf(event.Request)]++
 				}
 			}
@@ -106,23 +106,23 @@
 		at = at.Add(time.Second)
 	}
 	assert.Assert(t, lines <= 2*perSecond*seconds, "%d lines", lines)
-	assert.Assert(t, len(kept[0]) > perSecond/fewShare, "%d requests are kept", len(kept[0]))
+	assert.Assert(t, len(kept[0]) > perSecond/lowLoadDivisor, "%d requests kept", len(kept[0]))
 	assert.DeepEqual(t, kept[0], kept[1])
 	for request, events := range kept[0] {
-		assert.Equal(t, events, 2, "the events of %s", request)
+		assert.Equal(t, events, 2, "events of %s", request)
 	}
 	assert.Equal(t, logs[0].Lost()+uint64(lines/2), uint64(10*perSecond*seconds))
 }
 
-// TestWhatIsLeftOutIsToldByKind has more refusals than the bound.
-func TestWhatIsLeftOutIsToldByKind(t *testing.T) {
+// TestLostEventsAreReportedByKind records more refusals than the limit.
+func TestLostEventsAreReportedByKind(t *testing.T) {
 	var out bytes.Buffer
 	at := time.Unix(1000, 0)
 	log := New(Config{RefusalPerSecond: 1}, "node-1", &out, func() time.Time { return at })
 	for range 4 {
 		log.Record(Event{Kind: RequestRefused, Request: "a"})
 	}
-	log.tellLost(toldLoss{})
+	log.reportLost(lossReport{})
 	assert.NilError(t, log.out.Flush())
 	var line map[string]any
 	assert.NilError(t, json.Unmarshal(out.Bytes(), &line))
@@ -130,10 +130,10 @@
 	assert.Equal(t, line["outcome"], "request-refused 3")
 }
 
-func TestThePageListsEveryKind(t *testing.T) {
+func TestEveryKindIsDocumented(t *testing.T) {
 	page, err := os.ReadFile("../../docs/LOGS.md")
 	assert.NilError(t, err)
 	for _, kind := range kinds {
-		assert.Assert(t, strings.Contains(string(page), "| `"+kind.name+"` | "+kind.about+" |"), "%s is missing or differs", kind.name)
+		assert.Assert(t, strings.Contains(string(page), "| `"+kind.name+"` | "+kind.description+" |"), "%s is missing or differs", kind.name)
 	}
 }
