--- a/internal/explain/story_test.go
+++ b/internal/explain/timeline_test.go
@@ -19,54 +19,55 @@
 {"broken
 `
 
-func TestAStoryInOrder(t *testing.T) {
-	story := NewStory("a")
-	assert.NilError(t, story.Read(strings.NewReader(logs)))
+func TestTimelineIsInOrder(t *testing.T) {
+	timeline := NewTimeline("a")
+	assert.NilError(t, timeline.Read(strings.NewReader(logs)))
 	var out strings.Builder
-	assert.NilError(t, story.Print(&out))
-	told := strings.Split(strings.TrimSpace(out.String()), "\n")
-	assert.Equal(t, len(told), 4, out.String())
+	assert.NilError(t, timeline.Print(&out))
+	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
+	assert.Equal(t, len(lines), 4, out.String())
 	for i, part := range []string{"home-suspected", "request=a.x", "call-failed", "request-failed"} {
-		assert.Assert(t, strings.Contains(told[i], part), "line %d: %s", i, told[i])
+		assert.Assert(t, strings.Contains(lines[i], part), "line %d: %s", i, lines[i])
 	}
 }
 
-func TestAnUnknownRequest(t *testing.T) {
-	story := NewStory("none")
-	assert.NilError(t, story.Read(strings.NewReader(logs)))
+func TestUnknownRequest(t *testing.T) {
+	timeline := NewTimeline("none")
+	assert.NilError(t, timeline.Read(strings.NewReader(logs)))
 	var out strings.Builder
-	assert.ErrorIs(t, story.Print(&out), ErrNotFound)
+	assert.ErrorIs(t, timeline.Print(&out), ErrNotFound)
 }
 
-// TestRefusalsByKeyAndLimitAreExplained has a request refused by its key, and one by its
-// tenant's limit: the stories tell by what.
+// TestRefusalsByKeyAndLimitAreExplained checks that the timelines of a request refused because
+// of its API key and of one refused by its tenant's rate limit contain the cause.
 func TestRefusalsByKeyAndLimitAreExplained(t *testing.T) {
 	const refused = `
 {"msg":"key-refused","node":"node-a","request":"k","reason":"unknown API key","age_ms":420,"version":7,"time":"2026-01-01T00:00:02Z"}
 {"msg":"limit-refused","node":"node-a","request":"l","outcome":"acme","reason":"the tenant's limit is reached","count":2,"wait_ms":240,"time":"2026-01-01T00:00:02Z"}
 `
 	for request, parts := range map[string][]string{"k": {"age_ms=420", "version=7", `"unknown API key"`}, "l": {"outcome=acme", "count=2", "wait_ms=240"}} {
-		story := NewStory(request)
-		assert.NilError(t, story.Read(strings.NewReader(refused)))
+		timeline := NewTimeline(request)
+		assert.NilError(t, timeline.Read(strings.NewReader(refused)))
 		var out strings.Builder
-		assert.NilError(t, story.Print(&out))
+		assert.NilError(t, timeline.Print(&out))
 		for _, part := range parts {
 			assert.Assert(t, strings.Contains(out.String(), part), "%s in %s", part, out.String())
 		}
 	}
 }
 
-// TestAStallToldAfterTheAnswerBelongsToTheStory: a process that stood still may answer what
-// waited before it notices.
-func TestAStallToldAfterTheAnswerBelongsToTheStory(t *testing.T) {
+// TestTimelineIncludesStallLoggedAfterAnswer checks that a stall logged after the request's
+// last line is included: a stalled process may answer waiting requests before it detects the
+// stall.
+func TestTimelineIncludesStallLoggedAfterAnswer(t *testing.T) {
 	const stalled = `
 {"msg":"request-failed","node":"node-a","request":"a","status":504,"time":"2026-01-01T00:00:02Z","duration_ms":1200}
 {"msg":"process-stalled","node":"node-a","time":"2026-01-01T00:00:02.1Z","duration_ms":1000}
 {"msg":"process-stalled","node":"node-a","time":"2026-01-01T00:00:09Z","duration_ms":1000}
 `
-	story := NewStory("a")
-	assert.NilError(t, story.Read(strings.NewReader(stalled)))
+	timeline := NewTimeline("a")
+	assert.NilError(t, timeline.Read(strings.NewReader(stalled)))
 	var out strings.Builder
-	assert.NilError(t, story.Print(&out))
+	assert.NilError(t, timeline.Print(&out))
 	assert.Equal(t, strings.Count(out.String(), "process-stalled"), 1, out.String())
 }
--- a/internal/sidecarcommand/quarantine.go
+++ b/internal/sidecarcommand/quarantine.go
@@ -13,41 +13,41 @@
 	"github.com/lugspur/lugspur/internal/sidecar"
 )
 
-// storeTimeout bounds what a verb asks of the store.
+// storeTimeout is the timeout of a command's store calls.
 const storeTimeout = 5 * time.Second
 
-// quarantineVerb is the verb that lists the requests that are refused as targets crash
-// under them, and lifts a verdict.
-type quarantineVerb struct {
+// quarantineCommand lists the requests that are refused because targets crash while running
+// them, or removes one from quarantine.
+type quarantineCommand struct {
 	streams Streams
 	store   string
 	lift    string
 }
 
-// Name returns the verb's name.
-func (*quarantineVerb) Name() string { return "quarantine" }
+// Name returns the command's name.
+func (*quarantineCommand) Name() string { return "quarantine" }
 
-// Synopsis returns the verb's purpose in one line.
-func (*quarantineVerb) Synopsis() string {
-	return "list the requests that are refused as targets crash under them, or let one run again"
+// Synopsis returns the command's purpose in one line.
+func (*quarantineCommand) Synopsis() string {
+	return "list the requests that are refused because they crash targets, or let one run again"
 }
 
-// Usage returns the verb's usage, with an example.
-func (*quarantineVerb) Usage() string {
-	return "quarantine -store ADDRESS [-lift FINGERPRINT]\n  Without -lift, print what is quarantined, a line each. With it, end that verdict at all nodes.\n\n" +
+// Usage returns the command's usage, with an example.
+func (*quarantineCommand) Usage() string {
+	return "quarantine -store ADDRESS [-lift FINGERPRINT]\n  Without -lift, print the quarantined requests, one per line. With it, remove that request from quarantine at all nodes.\n\n" +
 		"Example:\n  lugspur-sidecar quarantine -store 10.200.1.7:8309\n\nFlags:\n"
 }
 
-// SetFlags adds the verb's flags.
-func (q *quarantineVerb) SetFlags(flags *flag.FlagSet) {
+// SetFlags adds the command's flags.
+func (q *quarantineCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&q.store, "store", "", "`ADDRESS` of the metadata store")
 	flags.StringVar(&q.lift, "lift", "", "`FINGERPRINT` of the request to let run again")
 }
 
-// Execute lists or lifts.
-func (q *quarantineVerb) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
+// Execute lists the quarantined requests or lifts a quarantine.
+func (q *quarantineCommand) Execute(ctx context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if flags.NArg() != 0 || q.store == "" {
-		return q.streams.misused("quarantine takes the store's address with -store and no arguments")
+		return q.streams.usageError("quarantine requires the address of the store (-store) and takes no arguments")
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -56,7 +56,7 @@
 	}
 	hash, err := fingerprint.Parse(q.lift)
 	if err != nil {
-		return q.streams.misused(err.Error())
+		return q.streams.usageError(err.Error())
 	}
 	if err := sidecar.LiftQuarantine(ctx, q.store, hash); err != nil {
 		return q.streams.fail(err)
@@ -65,7 +65,7 @@
 	return ExitOK
 }
 
-func (q *quarantineVerb) list(ctx context.Context) subcommands.ExitStatus {
+func (q *quarantineCommand) list(ctx context.Context) subcommands.ExitStatus {
 	listed, err := sidecar.ListQuarantined(ctx, q.store)
 	if err != nil {
 		return q.streams.fail(err)
