--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -84,7 +84,7 @@
 	peers      *peering.Client
 	codec      *peering.Codec
 	policies   *routepolicy.Holder
-	// policySources are the sources of the active policies. Only Reload accesses them.
+	// policySources are the sources of the active policies. After New, only Reload uses them.
 	policySources routepolicy.Sources
 	pressure      *pressure.Levels
 	quarantine    *quarantine.Quarantine
