--- a/internal/forward/budget_simulation_test.go
+++ b/internal/forward/budget_simulation_test.go
@@ -107,7 +107,7 @@
 // Call implements Peers: the call arrives at a target.
 func (s *budgetSimulation) Call(_ context.Context, _ string, call *peering.Call) (*peering.Reply, error) {
 	at := s.now.Add(time.Duration(s.random.Float64() * float64(s.delay)))
-	if call.Repeat || s.arrivedIDs[call.RequestID] {
+	if call.Retried || s.arrivedIDs[call.RequestID] {
 		s.retries[call.Route] = append(s.retries[call.Route], at)
 	}
 	s.arrivedIDs[call.RequestID] = true
@@ -116,7 +116,7 @@
 	case call.Route == "price" && s.random.Float64() < s.rejectedShare:
 		return &peering.Reply{Outcome: peering.Refused, Reason: peering.TargetFull, Load: load}, nil
 	case s.random.Float64() < s.lostShare:
-		return &peering.Reply{Outcome: peering.Failed, Reason: peering.Broken, Load: load}, nil
+		return &peering.Reply{Outcome: peering.Failed, Reason: peering.ExchangeBroken, Load: load}, nil
 	case call.Route == "card":
 		return s.runCard(call, load), nil
 	}
@@ -126,23 +126,23 @@
 // Ping implements Peers.
 func (s *budgetSimulation) Ping(context.Context, string) error { return nil }
 
-// Forget implements Peers.
-func (s *budgetSimulation) Forget(string) {}
+// CloseIdle implements Peers.
+func (s *budgetSimulation) CloseIdle(string) {}
 
 // runCard has a target make the calls of a request, one after another.
 func (s *budgetSimulation) runCard(call *peering.Call, load peering.Load) *peering.Reply {
 	// Only a few nodes are next to targets of the card service.
 	node := s.nodes[s.random.IntN(min(len(s.nodes), 3))]
-	node.local = &parentHome{running: guard.Running{Route: "card", Rank: criticality.RankOf(call.Rank), Repeat: call.Repeat}}
+	node.local = &parentHome{running: guard.Running{Route: "card", Rank: criticality.RankOf(call.Rank), Repeat: call.Retried}}
 	status := http.StatusOK
 	for range callsPerCard {
-		if !s.send(node, "price", call.Rank, call.Repeat, "card") {
+		if !s.send(node, "price", call.Rank, call.Retried, "card") {
 			status = http.StatusInternalServerError
 			break
 		}
 	}
 	below := node.levels.Downstream("card")
-	load.Calls, load.Scarce = below.Calls, below.Scarce
+	load.CallsPerRequest, load.RetryBudgetLow = below.Calls, below.RetryBudgetLow
 	return &peering.Reply{Outcome: peering.Answered, Status: status, Load: load}
 }
 
@@ -152,7 +152,7 @@
 	id := fmt.Sprint(s.nextID)
 	q := &request{id: id, service: route, arrived: s.now, deadline: s.now.Add(time.Second), rank: criticality.RankOf(rank),
 		route: &routetable.Route{Name: route, Kind: routetable.Repeatable, Attempts: 3, Services: []routetable.WeightedService{{Name: route, Weight: 1}}},
-		call:  &peering.Call{RequestID: id, Route: route, Rank: rank, Repeat: isRetry}}
+		call:  &peering.Call{RequestID: id, Route: route, Rank: rank, Retried: isRetry}}
 	if parentRoute != "" {
 		q.inner, q.parent, q.parentRoute = true, "parent", parentRoute
 		q.callNumber = node.local.CountCall("parent", route)
--- a/internal/forward/choose_benchmark_test.go
+++ b/internal/forward/choose_benchmark_test.go
@@ -22,7 +22,7 @@
 			route := &routetable.Route{Name: "read", Kind: routetable.Once}
 			now := time.Now()
 			for i, address := range addresses {
-				load := peering.Load{Limit: 10, InFlight: i % 10, Latency: time.Duration(i%7+1) * time.Millisecond, Errors: i % 3}
+				load := peering.Load{Limit: 10, InFlight: i % 10, Latency: time.Duration(i%7+1) * time.Millisecond, ErrorPercent: i % 3}
 				f.homes.state(address).recordLoad(route.Name, load, time.Millisecond, now)
 			}
 			q := &request{route: route, service: "s", deadline: now.Add(time.Hour)}
--- a/internal/forward/choose_test.go
+++ b/internal/forward/choose_test.go
@@ -107,7 +107,7 @@
 // TestHomeWithExcessErrorsIsAvoided has the target of one home answer with failures of
 // its own. Failures that all homes have in common must not count.
 func TestHomeWithExcessErrorsIsAvoided(t *testing.T) {
-	f := newFixture(t, answerWithLoad(peering.Load{Latency: time.Millisecond, Errors: 60}), answerWithLoad(peering.Load{Latency: 3 * time.Millisecond, Errors: 10}))
+	f := newFixture(t, answerWithLoad(peering.Load{Latency: time.Millisecond, ErrorPercent: 60}), answerWithLoad(peering.Load{Latency: 3 * time.Millisecond, ErrorPercent: 10}))
 	f.callBothHomes(t, "/once/x")
 	before := f.homes[0].count()
 	for range 20 {
@@ -115,7 +115,7 @@
 	}
 	assert.Equal(t, f.homes[0].count(), before)
 
-	equal := newFixture(t, answerWithLoad(peering.Load{Latency: time.Millisecond, Errors: 60}), answerWithLoad(peering.Load{Latency: 3 * time.Millisecond, Errors: 60}))
+	equal := newFixture(t, answerWithLoad(peering.Load{Latency: time.Millisecond, ErrorPercent: 60}), answerWithLoad(peering.Load{Latency: 3 * time.Millisecond, ErrorPercent: 60}))
 	equal.callBothHomes(t, "/once/x")
 	before = equal.homes[0].count()
 	for range 20 {
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -97,12 +97,12 @@
 // answerOwnFailure answers with an error that the target itself caused.
 func answerOwnFailure(ctx context.Context, call *peering.Call) *peering.Reply {
 	reply := answerError(ctx, call)
-	reply.OwnFailure = true
+	reply.TargetError = true
 	return reply
 }
 
 func failCall(context.Context, *peering.Call) *peering.Reply {
-	return &peering.Reply{Outcome: peering.Failed, Reason: peering.Broken, Load: peering.Load{Limit: 10, Threshold: shed.None}}
+	return &peering.Reply{Outcome: peering.Failed, Reason: peering.ExchangeBroken, Load: peering.Load{Limit: 10, Threshold: shed.None}}
 }
 
 type noopObserver struct{}
@@ -146,7 +146,7 @@
 	fixture := &fixture{levels: pressure.New(time.Now), quarantine: quarantine.New(quarantine.Config{Now: time.Now})}
 	for _, answer := range answers {
 		home := &fakeHome{answer: answer}
-		handler := peering.Handler(peering.Services{Home: home, Spread: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})
+		handler := peering.Handler(peering.Services{Home: home, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodGet {
 				fixture.pings.Add(1)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -63,7 +63,7 @@
 }
 
 func TestRefusalByAllHomesHasRetryAfter(t *testing.T) {
-	f := newFixture(t, refuseWith(peering.QueueFull), refuseWith(peering.Waited))
+	f := newFixture(t, refuseWith(peering.QueueFull), refuseWith(peering.QueueTimeout))
 	answer := f.do("GET", "/once/x", "a", "")
 	assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
 	assert.Equal(t, answer.Header().Get("Retry-After"), "0.300")
@@ -255,7 +255,7 @@
 	assert.Equal(t, f.do("GET", "/read/x", "running.b", "").Code, 200)
 	inner := f.homes[0].calls[1]
 	assert.Equal(t, inner.Rank, uint16(7), "a call has the rank of the request that made it")
-	assert.Assert(t, inner.Inner)
+	assert.Assert(t, inner.Nested)
 	assert.Equal(t, inner.MaxWait, 600*time.Millisecond)
 	assert.Equal(t, f.levels.Downstream("parent").Threshold, shed.None, "the threshold in the reply replaces the reported one")
 }
@@ -329,7 +329,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
-	server := &http.Server{Handler: peering.Handler(peering.Services{Home: &fakeHome{answer: answerOK}, Spread: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})}
+	server := &http.Server{Handler: peering.Handler(peering.Services{Home: &fakeHome{answer: answerOK}, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 }
--- a/internal/forward/receive.go
+++ b/internal/forward/receive.go
@@ -90,21 +90,21 @@
 	q.service = f.splitter.Choose(q.route)
 	f.recordInnerCall(q)
 	q.call = &peering.Call{
-		Service:   q.service,
-		RequestID: q.id,
-		Method:    r.Method,
-		URI:       requestURI(r),
-		Host:      r.Host,
-		Header:    r.Header,
-		Body:      body,
-		Caller:    f.config.Service,
-		Route:     q.route.Name,
-		Rank:      q.rank.Key(),
-		Once:      q.route.Kind != routetable.Repeatable,
-		Inner:     q.inner,
-		Done:      max(q.callNumber-1, 0),
-		Repeat:    parent.Repeat,
-		MaxWait:   f.maxWait(q),
+		Service:    q.service,
+		RequestID:  q.id,
+		Method:     r.Method,
+		URI:        requestURI(r),
+		Host:       r.Host,
+		Header:     r.Header,
+		Body:       body,
+		Caller:     f.config.Service,
+		Route:      q.route.Name,
+		Rank:       q.rank.Key(),
+		AtMostOnce: q.route.Kind != routetable.Repeatable,
+		Nested:     q.inner,
+		PriorCalls: max(q.callNumber-1, 0),
+		Retried:    parent.Repeat,
+		MaxWait:    f.maxWait(q),
 	}
 	return q, f.checkQuarantine(q)
 }
@@ -167,7 +167,7 @@
 		return
 	}
 	expected := max(f.levels.ExpectedCalls(q.parentRoute, q.route.Name), q.callNumber)
-	f.levels.RecordCalls(q.parentRoute, q.route.Name, pressure.CallStats{Count: q.callNumber, Scarce: !f.budget(q.service).HasHeadroom(expected)})
+	f.levels.RecordCalls(q.parentRoute, q.route.Name, pressure.CallStats{Count: q.callNumber, RetryBudgetLow: !f.budget(q.service).HasHeadroom(expected)})
 }
 
 // admit ranks a request that enters at this node, and refuses it if its policy does or if
--- a/internal/forward/repeat.go
+++ b/internal/forward/repeat.go
@@ -38,7 +38,7 @@
 
 // isRetry reports whether the next offer of the request is a retry, or the request is a
 // call of a retried request.
-func (q *request) isRetry() bool { return q.call.Repeat || q.arrivals > 0 }
+func (q *request) isRetry() bool { return q.call.Retried || q.arrivals > 0 }
 
 // retryCause returns why the next offer is a retry.
 func (q *request) retryCause() peering.Reason {
@@ -52,7 +52,7 @@
 // fewer calls are left to make after this one, because a request with many calls is
 // useless until the last of them has succeeded.
 func (f *Forwarder) urgency(q *request) float64 {
-	if q.call.Repeat {
+	if q.call.Retried {
 		// The retry of the whole request was charged with the expected number of its
 		// calls.
 		return 1
@@ -91,7 +91,7 @@
 // recordArrival records whether the last offer reached a target. A retry that did not is
 // returned to the budget.
 func (f *Forwarder) recordArrival(q *request, reply *peering.Reply) {
-	reached := reply.Reached()
+	reached := reply.MayHaveReachedTarget()
 	if q.isRetry() {
 		if reached {
 			f.observer.BudgetCounted(q.service, RetrySent, q.retryCause())
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -27,7 +27,7 @@
 // run offers the request to homes until one answers or none is left. A target's own
 // failure is the answer if no other target answers.
 func (f *Forwarder) run(ctx context.Context, q *request) (*peering.Reply, *problem.Problem) {
-	if !q.call.Repeat {
+	if !q.call.Retried {
 		f.budget(q.service).CountRequest()
 		f.observer.BudgetCounted(q.service, FirstSent, "")
 	}
@@ -103,7 +103,7 @@
 // mayOfferAgain reports whether a request that a home refused is offered to another one.
 func (f *Forwarder) mayOfferAgain(q *request, reply *peering.Reply) bool {
 	q.recordRetryAfter(reply.RetryAfter)
-	return q.offers <= f.maxRetries(q) && !(q.isSuspect() && reply.Reason == peering.Waited)
+	return q.offers <= f.maxRetries(q) && !(q.isSuspect() && reply.Reason == peering.QueueTimeout)
 }
 
 // nextChoice returns the home that the request is offered to next. Once no other is left,
@@ -140,7 +140,7 @@
 // route must allow retries and the answer must be a failure of the target's own. If a
 // call that the request made had failed, another target would fail as well.
 func (f *Forwarder) shouldRetryAnswer(q *request, reply *peering.Reply) bool {
-	return reply.OwnFailure && f.retryProblem(q, reply) == nil
+	return reply.TargetError && f.retryProblem(q, reply) == nil
 }
 
 // wouldMissDeadline reports whether a request that must not run twice would probably miss
@@ -168,7 +168,7 @@
 	case q.isolated():
 		// The next target is likely to crash as well.
 		detail = "targets crashed under the request"
-	case f.levels.Scarce(q.route.Name):
+	case f.levels.RetryBudgetLow(q.route.Name):
 		detail = "no retry budget left for the calls of the request"
 	default:
 		return nil
@@ -190,7 +190,7 @@
 		return f.problem(problem.TargetFailed, problem.ExecutedUnknown, "run", "no other home took the repetition")
 	}
 	reason := problem.Overloaded
-	if len(q.excluded) == 0 || q.lastReason.Final() {
+	if len(q.excluded) == 0 || q.lastReason.HomeUnavailable() {
 		reason = problem.NoTarget
 	}
 	delay := q.retryAfter
@@ -205,8 +205,8 @@
 	state := f.homes.state(home.Address)
 	call := *q.call
 	call.Header = q.call.Header.Clone()
-	call.Repeat = q.isRetry()
-	call.Offer = q.offers - 1
+	call.Retried = q.isRetry()
+	call.OfferIndex = q.offers - 1
 	call.Process = home.Process
 	call.Remaining = q.deadline.Sub(f.now())
 	if call.Remaining <= 0 {
@@ -245,9 +245,9 @@
 // the home, unless the deadline, the caller or an earlier suspicion ended the call.
 func (f *Forwarder) replyFromError(ctx, offerCtx context.Context, state *homeState, err error) *peering.Reply {
 	var failure *peering.Error
-	outcome, reason := peering.Failed, peering.Broken
+	outcome, reason := peering.Failed, peering.ExchangeBroken
 	if errors.As(err, &failure) && !failure.Sent {
-		outcome, reason = peering.Refused, peering.Unconnected
+		outcome, reason = peering.Refused, peering.ConnectFailed
 	}
 	switch {
 	case clock.Expired(ctx):
@@ -258,7 +258,7 @@
 		reason = peering.Suspected
 	default:
 		f.suspect(state, err.Error())
-		f.peers.Forget(state.address)
+		f.peers.CloseIdle(state.address)
 	}
 	return &peering.Reply{Outcome: outcome, Reason: reason}
 }
@@ -268,7 +268,7 @@
 func (f *Forwarder) recordReply(q *request, home *registry.Home, state *homeState, reply *peering.Reply) {
 	f.markReachable(state)
 	state.recordLoad(q.route.Name, reply.Load, f.homes.statsOf(q.route.Name).latency, f.now())
-	if reply.Outcome == peering.Refused && reply.Reason.Final() {
+	if reply.Outcome == peering.Refused && reply.Reason.HomeUnavailable() {
 		// A home that accepts nothing has no room for requests, so its shed thresholds no
 		// longer count.
 		state.markDeparted(home, f.now())
@@ -279,6 +279,6 @@
 		f.homes.recordAnswerSize(q.route.Name, len(reply.Body))
 	}
 	if reply.Load.Limit > 0 {
-		f.levels.Report(q.route.Name, home.Address, pressure.Level{Threshold: reply.Load.Threshold, Calls: reply.Load.Calls, Scarce: reply.Load.Scarce}, reply.Load.Limit)
+		f.levels.Report(q.route.Name, home.Address, pressure.Level{Threshold: reply.Load.Threshold, Calls: reply.Load.CallsPerRequest, RetryBudgetLow: reply.Load.RetryBudgetLow}, reply.Load.Limit)
 	}
 }
--- a/internal/forward/standing.go
+++ b/internal/forward/standing.go
@@ -108,8 +108,8 @@
 		stats.slowness = s.slowness
 	}
 	if now.Sub(s.loadAt) < maxAge {
-		stats.failures = float64(s.load.Failures) / percent
-		stats.errors = float64(s.load.Errors) / percent
+		stats.failures = float64(s.load.FailurePercent) / percent
+		stats.errors = float64(s.load.ErrorPercent) / percent
 	}
 	return stats
 }
--- a/internal/forward/tenant_test.go
+++ b/internal/forward/tenant_test.go
@@ -98,7 +98,7 @@
 	}{
 		{apikey.Decision{Outcome: apikey.Missing}, http.StatusUnauthorized, ""},
 		{apikey.Decision{Outcome: apikey.Unknown}, http.StatusUnauthorized, ""},
-		{apikey.Decision{Outcome: apikey.Unproved, RetryAfter: 700 * time.Millisecond}, http.StatusServiceUnavailable, "0.700"},
+		{apikey.Decision{Outcome: apikey.Unverified, RetryAfter: 700 * time.Millisecond}, http.StatusServiceUnavailable, "0.700"},
 	} {
 		f := newTenantFixture(t, &fixedKeys{decision: test.decision}, answerOK)
 		answer := f.doWithKey("/read/x", "1")
@@ -119,7 +119,7 @@
 		defer close(ended)
 		log.Run(ctx)
 	}()
-	for _, decision := range []apikey.Decision{{Tenant: &testTenant}, {Outcome: apikey.Unknown}, {Outcome: apikey.Unproved}} {
+	for _, decision := range []apikey.Decision{{Tenant: &testTenant}, {Outcome: apikey.Unknown}, {Outcome: apikey.Unverified}} {
 		f := newTenantFixture(t, &fixedKeys{decision: decision}, answerOK)
 		f.forwarder.log = log
 		answer := f.doWithKey("/read/x", "1")
@@ -176,7 +176,7 @@
 // TestRequestOverLimitHasNoSideEffects refuses a request by its tenant's limit: no home
 // must receive it, and it must add nothing to its service's retry budget.
 func TestRequestOverLimitHasNoSideEffects(t *testing.T) {
-	for outcome, status := range map[ratelimit.Outcome]int{ratelimit.Reached: http.StatusTooManyRequests, ratelimit.Unavailable: http.StatusServiceUnavailable} {
+	for outcome, status := range map[ratelimit.Outcome]int{ratelimit.LimitReached: http.StatusTooManyRequests, ratelimit.Unavailable: http.StatusServiceUnavailable} {
 		limits := &fixedLimits{decision: ratelimit.Decision{Outcome: outcome, RetryAfter: 400 * time.Millisecond}}
 		f := newLimitFixture(t, limits, answerOK)
 		before := f.forwarder.budget("s").Balance()
@@ -201,9 +201,9 @@
 	}{
 		"answered":                    {"1", []func(context.Context, *peering.Call) *peering.Reply{answerOK}, 1, 0},
 		"failed":                      {"1", []func(context.Context, *peering.Call) *peering.Reply{failCall, failCall}, 1, 0},
-		"refused":                     {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited)}, 1, 1},
-		"refused by one, then run":    {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited), answerOK}, 1, 0},
-		"a call of a running request": {"running.2", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.Waited)}, 0, 0},
+		"refused":                     {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout)}, 1, 1},
+		"refused by one, then run":    {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout), answerOK}, 1, 0},
+		"a call of a running request": {"running.2", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout)}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limits := &fixedLimits{}
--- a/internal/guard/crash_test.go
+++ b/internal/guard/crash_test.go
@@ -99,8 +99,8 @@
 }
 
 // standing returns the quarantine state of requests with the URI.
-func standing(g *Guard, uri string) quarantine.Standing {
-	return g.config.Quarantine.Standing(newCallTo("", uri).Fingerprint())
+func standing(g *Guard, uri string) quarantine.State {
+	return g.config.Quarantine.State(newCallTo("", uri).Fingerprint())
 }
 
 func TestCrashIsDistinguishedFromBrokenConnection(t *testing.T) {
@@ -123,7 +123,7 @@
 	t.Run("broken connection", func(t *testing.T) {
 		g := newTestGuard(rawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
 		reply := g.Run(context.Background(), newCallTo("a", "/a"))
-		assert.Equal(t, reply.Reason, peering.Broken)
+		assert.Equal(t, reply.Reason, peering.ExchangeBroken)
 		assert.Equal(t, reply.Crashes, 0)
 		assert.Assert(t, g.config.Quarantine.Empty())
 	})
@@ -134,7 +134,7 @@
 		crashing.awaitArrivals(t, 1)
 		g.SetTarget(newTarget(registry.Draining, 2))
 		crashing.crash()
-		assert.Equal(t, (<-replies).Reason, peering.Broken)
+		assert.Equal(t, (<-replies).Reason, peering.ExchangeBroken)
 		next := newTarget(registry.Ready, 2)
 		next.ID = "i-2"
 		g.SetTarget(next)
@@ -147,7 +147,7 @@
 // when the replacement registers.
 func TestReplacementTargetRevealsCrash(t *testing.T) {
 	g := newTestGuard(rawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
-	assert.Equal(t, g.Run(context.Background(), newCallTo("a", "/a")).Reason, peering.Broken)
+	assert.Equal(t, g.Run(context.Background(), newCallTo("a", "/a")).Reason, peering.ExchangeBroken)
 	next := newTarget(registry.Ready, 2)
 	next.ID = "i-2"
 	g.SetTarget(next)
@@ -156,7 +156,7 @@
 
 // addSuspect reports the given number of crashes for requests with the URI.
 func addSuspect(g *Guard, uri string, crashes int) {
-	g.config.Quarantine.Crashed("earlier-"+uri, []quarantine.OpenCall{{Fingerprint: newCallTo("", uri).Fingerprint(), Crashes: crashes}})
+	g.config.Quarantine.RecordCrash("earlier-"+uri, []quarantine.Call{{Fingerprint: newCallTo("", uri).Fingerprint(), Crashes: crashes}})
 }
 
 func TestQuarantinedCallDoesNotReachTarget(t *testing.T) {
@@ -233,7 +233,7 @@
 	target.awaitArrivals(t, 1)
 	waiting := newCallTo("2", "/a")
 	waiting.MaxWait = 20 * time.Millisecond
-	assert.Equal(t, g.Run(context.Background(), waiting).Reason, peering.Waited)
+	assert.Equal(t, g.Run(context.Background(), waiting).Reason, peering.QueueTimeout)
 	close(target.answer)
 	assert.Equal(t, (<-replies).Outcome, peering.Answered)
 }
--- a/internal/guard/ended_test.go
+++ b/internal/guard/ended_test.go
@@ -28,7 +28,7 @@
 	other := newCall("c")
 	other.URI = "/p/other"
 	for _, call := range []*peering.Call{newCall("a"), newCall("b"), other} {
-		assert.Equal(t, g.Run(context.Background(), call).Reason, peering.Broken)
+		assert.Equal(t, g.Run(context.Background(), call).Reason, peering.ExchangeBroken)
 	}
 	next := newTarget(registry.Ready, 2)
 	next.ID = "i-2"
--- a/internal/guard/exchange.go
+++ b/internal/guard/exchange.go
@@ -39,7 +39,7 @@
 	if err != nil {
 		permit.Release(limit.Sample{Outcome: limit.Failure})
 		reply := g.replyForError(ctx, call, err)
-		if reply.Reason == peering.Broken {
+		if reply.Reason == peering.ExchangeBroken {
 			openCall := screened.openCall(call)
 			if g.handleBrokenCall(ctx, i, openCall) {
 				reply.Reason = peering.TargetCrashed
@@ -49,7 +49,7 @@
 			}
 		}
 		i.stats.recordEnd(call.Route, reply, duration, ended)
-		if reply.Reason == peering.Unconnected {
+		if reply.Reason == peering.ConnectFailed {
 			g.recordReachability(i, false)
 		}
 		return reply
@@ -58,7 +58,7 @@
 	i.crashDetector.recordAnswer(ended)
 	g.recordReachability(i, true)
 	reply := g.replyForAnswer(answer)
-	reply.OwnFailure = isTargetFailure(reply) && !callFailed
+	reply.TargetError = isTargetFailure(reply) && !callFailed
 	if reply.Outcome == peering.Answered {
 		g.recordAnswered(screened, call, ended)
 	}
@@ -104,7 +104,7 @@
 		RequestURI: call.URI,
 		Header:     header,
 		Body:       call.Body,
-		Belongs: func(answerHeader http.Header) bool {
+		Matches: func(answerHeader http.Header) bool {
 			id := answerHeader.Get(names.RequestID)
 			return id == "" || id == call.RequestID
 		},
@@ -116,7 +116,7 @@
 func (g *Guard) replyForError(ctx context.Context, call *peering.Call, err error) *peering.Reply {
 	var failure *transport.Failure
 	sent := !errors.As(err, &failure) || failure.Sent
-	reason := peering.Broken
+	reason := peering.ExchangeBroken
 	switch {
 	case errors.Is(context.Cause(ctx), errQuarantined):
 		reason = peering.Quarantined
@@ -125,7 +125,7 @@
 	case ctx.Err() != nil:
 		reason = peering.CallerLeft
 	case !sent:
-		reason = peering.Unconnected
+		reason = peering.ConnectFailed
 	}
 	if ctx.Err() == nil {
 		g.log.Record(eventlog.Event{Kind: eventlog.CallFailed, Request: call.RequestID, Route: call.Route, Reason: err.Error()})
@@ -137,21 +137,21 @@
 }
 
 // replyForAnswer validates the target's answer and returns the reply for it.
-func (g *Guard) replyForAnswer(answer *transport.Answer) *peering.Reply {
+func (g *Guard) replyForAnswer(answer *transport.Response) *peering.Reply {
 	names := &g.config.Headers
 	switch {
 	case answer.Status == http.StatusMisdirectedRequest:
 		return refusedReply(peering.Misdirected)
 	case answer.Header.Get(names.NotExecuted) != "":
 		return refusedReply(peering.TargetFull)
-	case answer.Rest != nil:
-		return failedReply(peering.Spoilt)
+	case answer.Remainder != nil:
+		return failedReply(peering.InvalidResponse)
 	case answer.Header.Get(names.RequestID) == "":
-		return failedReply(peering.Spoilt)
+		return failedReply(peering.InvalidResponse)
 	case answer.Header.Get("Content-Encoding") != "":
-		return failedReply(peering.Spoilt)
+		return failedReply(peering.InvalidResponse)
 	case answer.Status < http.StatusMultipleChoices && answer.Header.Get(names.Signature) == "":
-		return failedReply(peering.Spoilt)
+		return failedReply(peering.InvalidResponse)
 	}
 	callheader.StripConnection(answer.Header)
 	answer.Header.Del(names.Load)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -56,15 +56,15 @@
 type Quarantine interface {
 	// Empty reports whether there are neither suspects nor quarantined requests.
 	Empty() bool
-	// Standing returns the quarantine state of a request.
-	Standing(hash fingerprint.Fingerprint) quarantine.Standing
-	// Crashed records a crash of the target with its suspects among the open calls.
-	Crashed(instance string, open []quarantine.OpenCall)
-	// Answered records that the target answered a request.
-	Answered(call quarantine.OpenCall)
+	// State returns the quarantine state of a request.
+	State(hash fingerprint.Fingerprint) quarantine.State
+	// RecordCrash records a crash of the target with its suspects among the open calls.
+	RecordCrash(instance string, open []quarantine.Call)
+	// RecordAnswer records that the target answered a request.
+	RecordAnswer(call quarantine.Call)
 	// ClaimTrial reports whether a quarantined request whose trial run is due may run
 	// on this node.
-	ClaimTrial(ctx context.Context, call quarantine.OpenCall) bool
+	ClaimTrial(ctx context.Context, call quarantine.Call) bool
 }
 
 // Observer receives the outcomes of calls, for metrics.
@@ -157,12 +157,12 @@
 		shedding:  shed.NewController(shedConfig),
 		scheduler: scheduler.New(scheduler.Config{MaxQueue: g.config.MaxQueue, MaxWait: g.config.MaxWait, ByRank: true}, limit, g.now),
 		pool: transport.NewPool(transport.Config{
-			Address:           g.config.Address,
-			MaxConnections:    g.config.MaxConnections(),
-			MaxBuffered:       g.config.MaxBuffered,
-			AcceptUndelimited: true,
-			UserTimeout:       targetUserTimeout,
-			KeepAlive:         targetKeepAlive,
+			Address:              g.config.Address,
+			MaxConnections:       g.config.MaxConnections(),
+			MaxBuffered:          g.config.MaxBuffered,
+			AcceptCloseDelimited: true,
+			UserTimeout:          targetUserTimeout,
+			KeepAlive:            targetKeepAlive,
 		}),
 	}
 }
@@ -212,16 +212,16 @@
 	stats := i.scheduler.Stats()
 	downstream := g.config.Downstream(route)
 	return peering.Load{
-		InFlight:  stats.InFlight,
-		Queued:    stats.Queued,
-		Limit:     stats.Limit,
-		Latency:   i.stats.latency(route, g.now()),
-		Threshold: min(i.shedding.Threshold(), downstream.Threshold),
-		Failures:  i.stats.failurePercent(),
-		Errors:    i.stats.errorPercent(),
-		Calls:     downstream.Calls,
-		Scarce:    downstream.Scarce,
-		Stopping:  g.stopping.Load(),
+		InFlight:        stats.InFlight,
+		Queued:          stats.Queued,
+		Limit:           stats.Limit,
+		Latency:         i.stats.latency(route, g.now()),
+		Threshold:       min(i.shedding.Threshold(), downstream.Threshold),
+		FailurePercent:  i.stats.failurePercent(),
+		ErrorPercent:    i.stats.errorPercent(),
+		CallsPerRequest: downstream.Calls,
+		RetryBudgetLow:  downstream.RetryBudgetLow,
+		Stopping:        g.stopping.Load(),
 	}
 }
 
@@ -253,7 +253,7 @@
 	}
 	event := eventlog.Event{Kind: kind, Request: call.RequestID, Route: call.Route, Service: call.Service, Reason: string(reply.Reason),
 		Count: reply.Load.Queued, Wait: reply.RetryAfter, Duration: g.now().Sub(started)}
-	if reply.Reason == peering.Broken || reply.Reason == peering.TargetCrashed || reply.Reason == peering.Quarantined {
+	if reply.Reason == peering.ExchangeBroken || reply.Reason == peering.TargetCrashed || reply.Reason == peering.Quarantined {
 		event.Fingerprint = call.Fingerprint().String()
 	}
 	g.log.Record(event)
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -109,10 +109,10 @@
 		{"own failure", "HTTP/1.1 500 Oops\r\nX-Id: a\r\nContent-Length: 0\r\n\r\n", peering.Answered, ""},
 		{"full", "HTTP/1.1 503 Full\r\nX-Id: a\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", peering.Refused, peering.TargetFull},
 		{"another target", "HTTP/1.1 421 Other\r\nX-Id: a\r\nX-Instance: i-2\r\nContent-Length: 0\r\n\r\n", peering.Refused, peering.Misdirected},
-		{"no signature", "HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.Spoilt},
-		{"no id", "HTTP/1.1 200 OK\r\nX-Signature: s\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.Spoilt},
-		{"encoded", "HTTP/1.1 200 OK\r\nX-Id: a\r\nX-Signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.Spoilt},
-		{"not HTTP", "hello\r\n\r\n", peering.Failed, peering.Broken},
+		{"no signature", "HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.InvalidResponse},
+		{"no id", "HTTP/1.1 200 OK\r\nX-Signature: s\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.InvalidResponse},
+		{"encoded", "HTTP/1.1 200 OK\r\nX-Id: a\r\nX-Signature: s\r\nContent-Encoding: gzip\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.InvalidResponse},
+		{"not HTTP", "hello\r\n\r\n", peering.Failed, peering.ExchangeBroken},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -234,10 +234,10 @@
 	assert.Equal(t, g.Run(context.Background(), other).Reason, peering.NoTarget)
 	reply := g.Run(context.Background(), newCall("a"))
 	assert.Equal(t, reply.Outcome, peering.Refused)
-	assert.Equal(t, reply.Reason, peering.Unconnected)
+	assert.Equal(t, reply.Reason, peering.ConnectFailed)
 	g.MarkStopping()
 	reply = g.Run(context.Background(), newCall("a"))
-	assert.Equal(t, reply.Reason, peering.Unconnected, "calls still go to the target, as this may be the last home")
+	assert.Equal(t, reply.Reason, peering.ConnectFailed, "calls still go to the target, as this may be the last home")
 	assert.Assert(t, reply.Load.Stopping)
 	g.Close()
 	assert.Equal(t, g.Run(context.Background(), newCall("b")).Reason, peering.Stopping)
--- a/internal/guard/queue.go
+++ b/internal/guard/queue.go
@@ -17,7 +17,7 @@
 	i.shedding.Observe(rank)
 	permit, err := i.scheduler.Acquire(ctx, scheduler.Request{
 		Rank:         rank,
-		EarlierCalls: call.Done,
+		EarlierCalls: call.PriorCalls,
 		Deadline:     deadline,
 		ID:           call.RequestID,
 		MaxWait:      call.MaxWait,
@@ -37,7 +37,7 @@
 	scheduler.QueueFull:  peering.QueueFull,
 	scheduler.Evicted:    peering.Evicted,
 	scheduler.Deadline:   peering.Late,
-	scheduler.Overloaded: peering.Waited,
+	scheduler.Overloaded: peering.QueueTimeout,
 	scheduler.Closed:     peering.TargetLeaving,
 }
 
--- a/internal/guard/reach_test.go
+++ b/internal/guard/reach_test.go
@@ -25,13 +25,13 @@
 	var offset atomic.Int64
 	g.now = func() time.Time { return time.Now().Add(time.Duration(offset.Load())) }
 	for range unreachableThreshold {
-		assert.Equal(t, g.Run(context.Background(), newCall("a")).Reason, peering.Unconnected)
+		assert.Equal(t, g.Run(context.Background(), newCall("a")).Reason, peering.ConnectFailed)
 	}
 	reply := g.Run(context.Background(), newCall("b"))
 	assert.Equal(t, reply.Reason, peering.NoTarget)
-	assert.Assert(t, reply.Reason.Final(), "peers choose other homes")
+	assert.Assert(t, reply.Reason.HomeUnavailable(), "peers choose other homes")
 	offset.Store(int64(unreachableBackoff))
-	assert.Equal(t, g.Run(context.Background(), newCall("c")).Reason, peering.Unconnected, "the target is retried")
+	assert.Equal(t, g.Run(context.Background(), newCall("c")).Reason, peering.ConnectFailed, "the target is retried")
 	assert.Equal(t, g.Run(context.Background(), newCall("d")).Reason, peering.NoTarget)
 }
 
--- a/internal/guard/record.go
+++ b/internal/guard/record.go
@@ -84,11 +84,11 @@
 // answer came, or if the target rejected it although its slots were not exceeded.
 func (s *targetStats) recordFailure(route string, reply *peering.Reply, duration time.Duration) {
 	if reply.Outcome == peering.Answered {
-		s.errorRate += (indicator(reply.OwnFailure) - s.errorRate) * rateWeight
+		s.errorRate += (indicator(reply.TargetError) - s.errorRate) * rateWeight
 	}
 	failed := false
 	switch {
-	case reply.Reason == peering.Broken, reply.Reason == peering.TargetCrashed, reply.Reason == peering.Spoilt, reply.Reason == peering.TargetFull:
+	case reply.Reason == peering.ExchangeBroken, reply.Reason == peering.TargetCrashed, reply.Reason == peering.InvalidResponse, reply.Reason == peering.TargetFull:
 		failed = true
 	case reply.Outcome == peering.Failed:
 		estimator := s.latencies[route]
--- a/internal/guard/record_test.go
+++ b/internal/guard/record_test.go
@@ -74,7 +74,7 @@
 func TestBrokenAnswersCountAsFailures(t *testing.T) {
 	var stats targetStats
 	for range 100 {
-		stats.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.Broken}, time.Millisecond, startTime)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.ExchangeBroken}, time.Millisecond, startTime)
 	}
 	assert.Assert(t, stats.failurePercent() > 90)
 	for range 100 {
@@ -86,7 +86,7 @@
 func TestTargetErrorsAreCountedSeparately(t *testing.T) {
 	var stats targetStats
 	for i := range 200 {
-		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered, Status: 500, OwnFailure: i%2 == 0}, time.Millisecond, startTime)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered, Status: 500, TargetError: i%2 == 0}, time.Millisecond, startTime)
 	}
 	assert.Assert(t, stats.errorPercent() > 30 && stats.errorPercent() < 70, "%d", stats.errorPercent())
 	assert.Equal(t, stats.failurePercent(), 0)
@@ -109,7 +109,7 @@
 	for range 200 {
 		stats.recordStart("r", now)
 		now = now.Add(time.Millisecond)
-		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered, Status: 500, OwnFailure: true}, time.Millisecond, now)
+		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered, Status: 500, TargetError: true}, time.Millisecond, now)
 	}
 	assert.Assert(t, stats.latency("r", now) >= 99*time.Millisecond, "%s", stats.latency("r", now))
 	assert.Assert(t, stats.errorPercent() > 90)
--- a/internal/guard/running.go
+++ b/internal/guard/running.go
@@ -84,7 +84,7 @@
 func (t *runningTable) begin(call *peering.Call, cancelExchange context.CancelCauseFunc) func(answered bool, now time.Time) (callFailed bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	request := &runningRequest{
-		Running:        Running{Route: call.Route, Rank: criticality.RankOf(call.Rank), Repeat: call.Repeat, Context: ctx},
+		Running:        Running{Route: call.Route, Rank: criticality.RankOf(call.Rank), Repeat: call.Retried, Context: ctx},
 		cancelContext:  cancel,
 		call:           call,
 		cancelExchange: cancelExchange,
--- a/internal/guard/turns.go
+++ b/internal/guard/turns.go
@@ -76,7 +76,7 @@
 		select {
 		case <-released:
 		case <-timer.C:
-			return nil, refusedReply(peering.Waited)
+			return nil, refusedReply(peering.QueueTimeout)
 		case <-ctx.Done():
 			return nil, refusedReply(peering.CallerLeft)
 		}
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -41,7 +41,7 @@
 
 // Reply is a target's complete answer, or the beginning of a large one.
 type Reply struct {
-	*transport.Answer
+	*transport.Response
 	// Load is the home's state when the answer came.
 	Load Load
 }
@@ -159,29 +159,29 @@
 	}
 	StripHop(answer.Header)
 	disownProblem(g.target, answer)
-	if answer.Rest != nil {
-		answer.Rest = &releasing{ReadCloser: answer.Rest, release: permit.Release}
+	if answer.Remainder != nil {
+		answer.Remainder = &releasing{ReadCloser: answer.Remainder, release: permit.Release}
 	} else {
 		permit.Release(limit.Sample{Outcome: limit.Success})
 	}
-	return &Reply{Answer: answer, Load: g.load(now())}, nil
+	return &Reply{Response: answer, Load: g.load(now())}, nil
 }
 
 // disownProblem corrects a problem document that a target passed on from
 // further down its chain. One that is too large to be looked at is replaced.
-func disownProblem(target *catalog.Target, answer *transport.Answer) {
+func disownProblem(target *catalog.Target, answer *transport.Response) {
 	if !isProblemType(answer.Header.Get("Content-Type")) {
 		return
 	}
-	if answer.Rest != nil {
+	if answer.Remainder != nil {
 		replacement := problem.New(problem.TargetFailed, problem.ExecutedUnknown, Step, target.Name, "the target's problem document is too large")
 		replacement.Status = answer.Status
 		answer.Close()
-		answer.Rest = nil
+		answer.Remainder = nil
 		answer.Body = replacement.Document()
 		return
 	}
-	if corrected, changed := problem.Disown(answer.Body); changed {
+	if corrected, changed := problem.MarkExecutionUnknown(answer.Body); changed {
 		answer.Body = corrected
 	}
 }
@@ -216,7 +216,7 @@
 
 // targetRefusal recognises the answer by which a target refuses a call that it
 // has not run, where the service's settings say how its targets do that.
-func targetRefusal(service *catalog.Service, target *catalog.Target, answer *transport.Answer) *problem.Problem {
+func targetRefusal(service *catalog.Service, target *catalog.Target, answer *transport.Response) *problem.Problem {
 	name := service.Spec.RefusalHeader
 	if name == "" || answer.Header.Get(name) == "" {
 		return nil
--- a/internal/home/peer.go
+++ b/internal/home/peer.go
@@ -161,13 +161,13 @@
 	return interpret(peer, load, answer)
 }
 
-func interpret(peer string, load Load, answer *transport.Answer) (*Reply, *problem.Problem) {
+func interpret(peer string, load Load, answer *transport.Response) (*Reply, *problem.Problem) {
 	result := answer.Header.Get(ResultHeader)
 	document := answer.Header.Get(ProblemHeader)
 	for _, name := range []string{ResultHeader, LoadHeader, ProblemHeader} {
 		answer.Header.Del(name)
 	}
-	reply := &Reply{Answer: answer, Load: load}
+	reply := &Reply{Response: answer, Load: load}
 	if result == resultAnswer {
 		return reply, nil
 	}
@@ -216,10 +216,10 @@
 	for name, values := range r.Header {
 		header[name] = values
 	}
-	if r.Rest == nil && !r.NoBody {
+	if r.Remainder == nil && !r.NoBody {
 		header.Set("Content-Length", strconv.Itoa(len(r.Body)))
 	}
-	if r.Rest != nil || len(r.Body) > bufferedByServer {
+	if r.Remainder != nil || len(r.Body) > bufferedByServer {
 		// A connection that can't have a deadline is bounded by the server's own.
 		control := http.NewResponseController(w)
 		_ = control.SetWriteDeadline(deadline)
@@ -227,11 +227,11 @@
 	}
 	w.WriteHeader(r.Status)
 	_, err := w.Write(r.Body)
-	if r.Rest == nil {
+	if r.Remainder == nil {
 		return
 	}
 	if err == nil {
-		_, err = io.Copy(w, r.Rest)
+		_, err = io.Copy(w, r.Remainder)
 	}
 	if err != nil {
 		panic(http.ErrAbortHandler)
--- a/internal/home/peer_test.go
+++ b/internal/home/peer_test.go
@@ -138,7 +138,7 @@
 	})
 	reply, failure := NewClient(maxBuffered).Run(t.Context(), peer, "a-1", newCall())
 	assert.Assert(t, failure == nil, "%v", failure)
-	_, err := io.Copy(io.Discard, reply.Rest)
+	_, err := io.Copy(io.Discard, reply.Remainder)
 	reply.Close()
 	assert.Assert(t, err != nil, "the answer looks complete")
 	eventually(t, "permit given back", func() bool { return m.InFlight() == 0 })
--- a/internal/peering/client.go
+++ b/internal/peering/client.go
@@ -35,8 +35,8 @@
 	IdleTimeout time.Duration
 	// MaxIdle bounds the idle connections to each peer.
 	MaxIdle int
-	// From is the node's own address, as peers reach it.
-	From string
+	// Address is the node's own address, as peers reach it.
+	Address string
 	// Codec is that of all nodes.
 	Codec *Codec
 	// OnInterim is told of each interim answer of the node at the address, a sign that it
@@ -50,7 +50,7 @@
 // Client exchanges messages with peers. It is safe for concurrent use.
 type Client struct {
 	config ClientConfig
-	spread Spread
+	spread AntiEntropy
 
 	mutex sync.Mutex
 	pools map[string]*transport.Pool
@@ -61,9 +61,9 @@
 	return &Client{config: config, pools: make(map[string]*transport.Pool)}
 }
 
-// SetSpread has calls and replies carry what nodes tell each other of their
+// SetAntiEntropy has calls and replies carry what nodes tell each other of their
 // copies of the store. It must be called before the first call.
-func (c *Client) SetSpread(spread Spread) { c.spread = spread }
+func (c *Client) SetAntiEntropy(spread AntiEntropy) { c.spread = spread }
 
 // Error is why a peer's reply did not come.
 type Error struct {
@@ -83,7 +83,7 @@
 // resumed over a new one. The error is an *Error.
 func (c *Client) Call(ctx context.Context, address string, call *Call) (*Reply, error) {
 	asked := clock.Now()
-	call.From = c.config.From
+	call.From = c.config.Address
 	if c.spread != nil {
 		call.Digests = c.spread.Digests()
 	}
@@ -96,7 +96,7 @@
 		return nil, unreadable(address, err)
 	}
 	if c.spread != nil {
-		c.spread.HeardReply(address, reply.Digests, asked)
+		c.spread.HandleReplyDigests(address, reply.Digests, asked)
 	}
 	return reply, nil
 }
@@ -105,7 +105,7 @@
 // connections go silent. Each time it waits twice as long: a home that is frozen is
 // silent as well. A home whose process is not known can't tell a resumption from a
 // call that an earlier process ran, so that there silence has no bound.
-func (c *Client) callResuming(ctx context.Context, address string, call *Call) (*transport.Answer, error) {
+func (c *Client) callResuming(ctx context.Context, address string, call *Call) (*transport.Response, error) {
 	began := clock.Now()
 	remaining := call.Remaining
 	exchange := &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: callPath}
@@ -124,7 +124,7 @@
 		}
 		// The home would take its end for the caller's, so that it stays open until then.
 		defer func() { _ = failure.Unanswered.Close() }()
-		c.Forget(address)
+		c.CloseIdle(address)
 		call.Resumed = true
 		if c.config.OnResume != nil {
 			c.config.OnResume(call, address, clock.Since(began))
@@ -158,8 +158,8 @@
 	return &answer, nil
 }
 
-// AskPermits asks the peer for permits of a tenant's limit.
-func (c *Client) AskPermits(ctx context.Context, address string, ask *ratelimit.Ask) (*ratelimit.Grant, error) {
+// RequestPermits asks the peer for permits of a tenant's limit.
+func (c *Client) RequestPermits(ctx context.Context, address string, ask *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	answered, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: permitPath, Body: encode(ask)})
 	if err != nil {
 		return nil, err
@@ -171,14 +171,14 @@
 	return &grant, nil
 }
 
-// Notify tells the peer of requests that crash targets.
-func (c *Client) Notify(ctx context.Context, address string, notice *quarantine.Notice) error {
+// SendQuarantineNotice tells the peer of requests that crash targets.
+func (c *Client) SendQuarantineNotice(ctx context.Context, address string, notice *quarantine.Notice) error {
 	_, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: noticePath, Body: encode(notice)})
 	return err
 }
 
-// TellDeparture tells the peer of a target that leaves.
-func (c *Client) TellDeparture(ctx context.Context, address string, departure registry.Departure) error {
+// SendDeparture tells the peer of a target that leaves.
+func (c *Client) SendDeparture(ctx context.Context, address string, departure registry.Departure) error {
 	_, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: departurePath, Body: encode(departure)})
 	return err
 }
@@ -199,14 +199,14 @@
 // names, and the address would be sent with each message.
 const peerHost = "p"
 
-func (c *Client) exchange(ctx context.Context, address string, call *transport.Call) (*transport.Answer, error) {
+func (c *Client) exchange(ctx context.Context, address string, call *transport.Call) (*transport.Response, error) {
 	answer, err := c.pool(address).Exchange(ctx, call)
 	if err != nil {
 		var failure *transport.Failure
 		sent := !errors.As(err, &failure) || failure.Sent
 		return nil, &Error{Sent: sent, cause: err}
 	}
-	if answer.Rest != nil {
+	if answer.Remainder != nil {
 		answer.Close()
 		return nil, &Error{Sent: true, cause: fmt.Errorf("message from %s is too large", address)}
 	}
@@ -216,8 +216,8 @@
 	return answer, nil
 }
 
-// Forget closes the idle connections to a peer, such as one that was silent.
-func (c *Client) Forget(address string) {
+// CloseIdle closes the idle connections to a peer, such as one that was silent.
+func (c *Client) CloseIdle(address string) {
 	c.mutex.Lock()
 	pool := c.pools[address]
 	delete(c.pools, address)
--- a/internal/peering/datagram.go
+++ b/internal/peering/datagram.go
@@ -40,8 +40,8 @@
 // errNoGrant means that a datagram or its answer was lost, or that the holder is silent.
 var errNoGrant = errors.New("no grant came")
 
-// Datagrams exchanges asks for permits and grants. It is safe for concurrent use.
-type Datagrams struct {
+// PermitSocket exchanges asks for permits and grants. It is safe for concurrent use.
+type PermitSocket struct {
 	socket  *net.UDPConn
 	permits Permits
 
@@ -50,8 +50,8 @@
 	pending map[uint32]chan *ratelimit.Grant
 }
 
-// ListenDatagrams opens a socket at the address and answers asks by the permits.
-func ListenDatagrams(address string, permits Permits) (*Datagrams, error) {
+// ListenPermitSocket opens a socket at the address and answers asks by the permits.
+func ListenPermitSocket(address string, permits Permits) (*PermitSocket, error) {
 	local, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, oops.In("peering").With("step", "listen for datagrams").With("peer", address).Wrap(err)
@@ -60,11 +60,11 @@
 	if err != nil {
 		return nil, oops.In("peering").With("step", "listen for datagrams").With("peer", address).Wrap(err)
 	}
-	return &Datagrams{socket: socket, permits: permits, pending: make(map[uint32]chan *ratelimit.Grant)}, nil
+	return &PermitSocket{socket: socket, permits: permits, pending: make(map[uint32]chan *ratelimit.Grant)}, nil
 }
 
 // Run serves until the socket is closed.
-func (d *Datagrams) Run() {
+func (d *PermitSocket) Run() {
 	buffer := make([]byte, maxDatagram)
 	for {
 		length, from, err := d.socket.ReadFromUDPAddrPort(buffer)
@@ -80,13 +80,13 @@
 }
 
 // Close closes the socket.
-func (d *Datagrams) Close() error { return d.socket.Close() }
+func (d *PermitSocket) Close() error { return d.socket.Close() }
 
-func (d *Datagrams) take(datagram []byte, from netip.AddrPort) {
+func (d *PermitSocket) take(datagram []byte, from netip.AddrPort) {
 	number, content := binary.BigEndian.Uint32(datagram[1:]), datagram[datagramHeader:]
 	switch datagram[0] {
 	case datagramAsk:
-		var ask ratelimit.Ask
+		var ask ratelimit.PermitRequest
 		if cbor.Unmarshal(content, &ask) != nil || !ask.Valid() {
 			return
 		}
@@ -104,7 +104,7 @@
 	return append(binary.BigEndian.AppendUint32([]byte{kind}, number), encode(message)...)
 }
 
-func (d *Datagrams) deliver(number uint32, grant *ratelimit.Grant) {
+func (d *PermitSocket) deliver(number uint32, grant *ratelimit.Grant) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if waiting := d.pending[number]; waiting != nil {
@@ -113,9 +113,9 @@
 	}
 }
 
-// Ask asks the node at the address for permits. A grant that doesn't come in time is an
+// Request asks the node at the address for permits. A grant that doesn't come in time is an
 // error; what it issued is lost.
-func (d *Datagrams) Ask(ctx context.Context, address string, ask *ratelimit.Ask) (*ratelimit.Grant, error) {
+func (d *PermitSocket) Request(ctx context.Context, address string, ask *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("ask %s for permits: %w", address, err)
@@ -138,7 +138,7 @@
 }
 
 // expect returns the number of a new ask and where its grant comes.
-func (d *Datagrams) expect() (uint32, <-chan *ratelimit.Grant) {
+func (d *PermitSocket) expect() (uint32, <-chan *ratelimit.Grant) {
 	granted := make(chan *ratelimit.Grant, 1)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -147,7 +147,7 @@
 	return d.number, granted
 }
 
-func (d *Datagrams) forget(number uint32) {
+func (d *PermitSocket) forget(number uint32) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	delete(d.pending, number)
--- a/internal/peering/datagram_test.go
+++ b/internal/peering/datagram_test.go
@@ -15,26 +15,26 @@
 // issuing issues what is needed and notes the asks.
 type issuing struct {
 	mutex sync.Mutex
-	asks  []ratelimit.Ask
+	asks  []ratelimit.PermitRequest
 }
 
-func (i *issuing) Issue(ask *ratelimit.Ask) *ratelimit.Grant {
+func (i *issuing) Issue(ask *ratelimit.PermitRequest) *ratelimit.Grant {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.asks = append(i.asks, *ask)
 	return &ratelimit.Grant{Held: true, Issued: ask.Needed, Validity: time.Second}
 }
 
-func listenDatagrams(t testing.TB, permits Permits) *Datagrams {
+func listenDatagrams(t testing.TB, permits Permits) *PermitSocket {
 	t.Helper()
-	d, err := ListenDatagrams("127.0.0.1:0", permits)
+	d, err := ListenPermitSocket("127.0.0.1:0", permits)
 	assert.NilError(t, err)
 	go d.Run()
 	t.Cleanup(func() { _ = d.Close() })
 	return d
 }
 
-func addressOf(d *Datagrams) string { return d.socket.LocalAddr().String() }
+func addressOf(d *PermitSocket) string { return d.socket.LocalAddr().String() }
 
 // TestGrantsComeToTheirAsks has many requests ask one holder at once.
 func TestGrantsComeToTheirAsks(t *testing.T) {
@@ -43,7 +43,7 @@
 	var asking sync.WaitGroup
 	for needed := range 200 {
 		asking.Go(func() {
-			grant, err := node.Ask(t.Context(), addressOf(holder), &ratelimit.Ask{Share: 3, Tenant: "acme", Needed: needed})
+			grant, err := node.Request(t.Context(), addressOf(holder), &ratelimit.PermitRequest{Share: 3, Tenant: "acme", Needed: needed})
 			if err == nil {
 				assert.Equal(t, grant.Issued, needed)
 			}
@@ -58,7 +58,7 @@
 }
 
 // pendingAsks returns how many asks of a node wait for their grants.
-func pendingAsks(d *Datagrams) int {
+func pendingAsks(d *PermitSocket) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return len(d.pending)
@@ -71,13 +71,13 @@
 	silent, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = silent.Close() }()
-	_, err = node.Ask(t.Context(), silent.LocalAddr().String(), &ratelimit.Ask{})
+	_, err = node.Request(t.Context(), silent.LocalAddr().String(), &ratelimit.PermitRequest{})
 	assert.ErrorIs(t, err, errNoGrant)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = node.Ask(ctx, silent.LocalAddr().String(), &ratelimit.Ask{})
+	_, err = node.Request(ctx, silent.LocalAddr().String(), &ratelimit.PermitRequest{})
 	assert.ErrorIs(t, err, context.Canceled)
-	_, err = node.Ask(t.Context(), "nowhere", &ratelimit.Ask{})
+	_, err = node.Request(t.Context(), "nowhere", &ratelimit.PermitRequest{})
 	assert.ErrorContains(t, err, "nowhere")
 	assert.Equal(t, pendingAsks(node), 0)
 }
@@ -89,11 +89,11 @@
 	assert.NilError(t, err)
 	defer func() { _ = stranger.Close() }()
 	for _, bad := range [][]byte{{}, {1}, {1, 0, 0, 0, 1}, {1, 0, 0, 0, 1, 0xff}, {2, 0, 0, 0, 1, 0xff}, {9, 0, 0, 0, 1, 0x80},
-		frame(datagramAsk, 1, &ratelimit.Ask{Share: ratelimit.Shares}), frame(datagramGrant, 7, &ratelimit.Grant{}), make([]byte, 4000)} {
+		frame(datagramAsk, 1, &ratelimit.PermitRequest{Share: ratelimit.Shares}), frame(datagramGrant, 7, &ratelimit.Grant{}), make([]byte, 4000)} {
 		_, err := stranger.Write(bad)
 		assert.NilError(t, err)
 	}
-	grant, err := node.Ask(t.Context(), addressOf(holder), &ratelimit.Ask{Needed: 2})
+	grant, err := node.Request(t.Context(), addressOf(holder), &ratelimit.PermitRequest{Needed: 2})
 	assert.NilError(t, err)
 	assert.Equal(t, grant.Issued, 2)
 }
@@ -104,7 +104,7 @@
 	holder, node := listenDatagrams(b, &discarding{}), listenDatagrams(b, nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		_, err := node.Ask(b.Context(), addressOf(holder), &ratelimit.Ask{Share: 1, Tenant: "tenant", Needed: 1})
+		_, err := node.Request(b.Context(), addressOf(holder), &ratelimit.PermitRequest{Share: 1, Tenant: "tenant", Needed: 1})
 		assert.NilError(b, err)
 	}
 }
@@ -112,6 +112,6 @@
 // discarding issues and notes nothing.
 type discarding struct{}
 
-func (*discarding) Issue(ask *ratelimit.Ask) *ratelimit.Grant {
+func (*discarding) Issue(ask *ratelimit.PermitRequest) *ratelimit.Grant {
 	return &ratelimit.Grant{Held: true, Issued: ask.Needed}
 }
--- a/internal/peering/exchanges.go
+++ b/internal/peering/exchanges.go
@@ -64,7 +64,7 @@
 // resumed before its first message came; ids alone prove nothing, as callers may use
 // them twice.
 func (t *exchangeTable) open(call *Call, cancel context.CancelFunc) (e *exchange, runs bool) {
-	key := offerKey{from: call.From, requestID: call.RequestID, offer: call.Offer}
+	key := offerKey{from: call.From, requestID: call.RequestID, offer: call.OfferIndex}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.purge()
@@ -76,7 +76,7 @@
 	if known != nil {
 		t.keptBytes -= len(known.content)
 	}
-	e = &exchange{key: key, done: make(chan struct{}), cancel: cancel, once: call.Once, resumed: call.Resumed}
+	e = &exchange{key: key, done: make(chan struct{}), cancel: cancel, once: call.AtMostOnce, resumed: call.Resumed}
 	t.exchanges[key] = e
 	return e, true
 }
--- a/internal/peering/message.go
+++ b/internal/peering/message.go
@@ -52,17 +52,17 @@
 	// MaxWait is how long the call may wait for room at the target; zero leaves
 	// it to the home.
 	MaxWait time.Duration
-	// Once tells that the request must not run twice.
-	Once bool
-	// Inner tells that a running request made the call.
-	Inner bool
-	// Repeat tells that the request, or one that led to it, went to a target before.
-	Repeat bool
-	// Done is the number of calls like this one that the request which makes it has
+	// AtMostOnce tells that the request must not run twice.
+	AtMostOnce bool
+	// Nested tells that a running request made the call.
+	Nested bool
+	// Retried tells that the request, or one that led to it, went to a target before.
+	Retried bool
+	// PriorCalls is the number of calls like this one that the request which makes it has
 	// behind it.
-	Done int
-	// Offer numbers the offers of a request by the node that it entered.
-	Offer int
+	PriorCalls int
+	// OfferIndex numbers the offers of a request by the node that it entered.
+	OfferIndex int
 	// Crashes is the number of targets in a row that crashed under the request, as far as
 	// the node that it entered knows.
 	Crashes int
@@ -83,16 +83,16 @@
 	return fingerprint.Of(fingerprint.Content{Method: c.Method, Host: c.Host, URI: c.URI, Body: c.Body})
 }
 
-// Spread is what nodes tell each other of their copies of the store beside calls.
-type Spread interface {
+// AntiEntropy is what nodes tell each other of their copies of the store beside calls.
+type AntiEntropy interface {
 	// Digests says how far the node's copies reach.
 	Digests() []replica.Digest
-	// HeardCall takes the digests of a peer that called.
-	HeardCall(peer string, digests []replica.Digest)
-	// HeardReply takes those on a reply to a call of the given moment.
-	HeardReply(peer string, digests []replica.Digest, asked time.Time)
-	// Answer answers a peer that asks for what its copies lack.
-	Answer(query *replica.Query) *replica.Answer
+	// HandleCallDigests takes the digests of a peer that called.
+	HandleCallDigests(peer string, digests []replica.Digest)
+	// HandleReplyDigests takes those on a reply to a call of the given moment.
+	HandleReplyDigests(peer string, digests []replica.Digest, asked time.Time)
+	// AnswerQuery answers a peer that asks for what its copies lack.
+	AnswerQuery(query *replica.Query) *replica.Answer
 }
 
 // Notices takes what peers tell of requests that crash targets.
@@ -107,7 +107,7 @@
 
 // Permits issues permits of tenants' limits.
 type Permits interface {
-	Issue(ask *ratelimit.Ask) *ratelimit.Grant
+	Issue(ask *ratelimit.PermitRequest) *ratelimit.Grant
 }
 
 // Outcome is what became of a call.
@@ -144,19 +144,19 @@
 	// Threshold is the rank from which on the home wants calls of the route to be
 	// refused where they begin.
 	Threshold uint16
-	// Failures is the part of the calls that brought no usable answer, in percent.
-	Failures int
+	// FailurePercent is the part of the calls that brought no usable answer, in percent.
+	FailurePercent int
 	// Stopping tells that the home is about to stop and that others do better.
 	Stopping bool
-	// Errors is the part of the answers in which the target says that it failed, in
+	// ErrorPercent is the part of the answers in which the target says that it failed, in
 	// percent, without those after a call that the request made had failed.
-	Errors int
-	// Calls is the number of calls that one request of the route leads to, those
+	ErrorPercent int
+	// CallsPerRequest is the number of calls that one request of the route leads to, those
 	// further down included.
-	Calls int
-	// Scarce tells that the calls of a repeated request could hardly be paid for out
+	CallsPerRequest int
+	// RetryBudgetLow tells that the calls of a repeated request could hardly be paid for out
 	// of the retry budgets.
-	Scarce bool
+	RetryBudgetLow bool
 }
 
 // Reply is a home's answer to a call.
@@ -173,9 +173,9 @@
 	// Crashes is the number of targets in a row that crashed under the request, with the
 	// one that did so now.
 	Crashes int
-	// OwnFailure tells that the answer says that the target failed, and that no call
+	// TargetError tells that the answer says that the target failed, and that no call
 	// that the request made had failed before.
-	OwnFailure bool
+	TargetError bool
 	// Digests say how far the home's copies of the store reach.
 	Digests []replica.Digest
 }
@@ -192,10 +192,10 @@
 	// Stopping: the home itself is about to stop.
 	Stopping Reason = "stopping"
 	// QueueFull, Evicted, Late and Waited: no room came in time.
-	QueueFull Reason = "queue-full"
-	Evicted   Reason = "evicted"
-	Late      Reason = "late"
-	Waited    Reason = "waited"
+	QueueFull    Reason = "queue-full"
+	Evicted      Reason = "evicted"
+	Late         Reason = "late"
+	QueueTimeout Reason = "waited"
 	// TargetFull: the target itself refused.
 	TargetFull Reason = "target-full"
 	// TargetFailed: the target answered that it failed, by no fault of another. No
@@ -206,16 +206,16 @@
 	ParentRepeated Reason = "parent-repeated"
 	// Misdirected: another target answers at the address.
 	Misdirected Reason = "misdirected"
-	// Unconnected: no connection to the target or to the home came about.
-	Unconnected Reason = "unconnected"
-	// Broken: the exchange with the target or the home broke off.
-	Broken Reason = "broken"
+	// ConnectFailed: no connection to the target or to the home came about.
+	ConnectFailed Reason = "unconnected"
+	// ExchangeBroken: the exchange with the target or the home broke off.
+	ExchangeBroken Reason = "broken"
 	// TargetCrashed: the target ended while it ran the call.
 	TargetCrashed Reason = "target-crashed"
 	// Quarantined: the request crashed too many targets.
 	Quarantined Reason = "quarantined"
-	// Spoilt: the target's answer was not one that may be passed on.
-	Spoilt Reason = "spoilt"
+	// InvalidResponse: the target's answer was not one that may be passed on.
+	InvalidResponse Reason = "spoilt"
 	// DeadlinePassed: the deadline came before the answer.
 	DeadlinePassed Reason = "deadline"
 	// CallerLeft: the caller left before the answer.
@@ -224,14 +224,14 @@
 	Suspected Reason = "suspected"
 )
 
-// Final reports whether the home has nothing for the service until it says
+// HomeUnavailable reports whether the home has nothing for the service until it says
 // otherwise.
-func (r Reason) Final() bool {
+func (r Reason) HomeUnavailable() bool {
 	return r == NoTarget || r == TargetLeaving || r == Stopping || r == Misdirected
 }
 
-// Reached reports whether a call with this reply reached a target, or may have.
-func (r *Reply) Reached() bool {
+// MayHaveReachedTarget reports whether a call with this reply reached a target, or may have.
+func (r *Reply) MayHaveReachedTarget() bool {
 	if r.Outcome == Refused {
 		return r.Reason == TargetFull || r.Reason == Misdirected
 	}
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -39,7 +39,7 @@
 )
 
 func digestsOf(through store.Revision) []replica.Digest {
-	return []replica.Digest{{Through: through, Age: time.Second}}
+	return []replica.Digest{{Revision: through, Age: time.Second}}
 }
 
 // fakeSpread notes what is heard of peers' copies.
@@ -57,19 +57,19 @@
 
 func (s *fakeSpread) Digests() []replica.Digest { return digestsOf(s.through) }
 
-func (s *fakeSpread) HeardCall(peer string, digests []replica.Digest) {
+func (s *fakeSpread) HandleCallDigests(peer string, digests []replica.Digest) {
 	s.peer = peer
 	s.calls <- digests
 }
 
-func (s *fakeSpread) HeardReply(peer string, digests []replica.Digest, asked time.Time) {
+func (s *fakeSpread) HandleReplyDigests(peer string, digests []replica.Digest, asked time.Time) {
 	s.peer, s.asked = peer, asked
 	s.replies <- digests
 }
 
-func (s *fakeSpread) Answer(query *replica.Query) *replica.Answer {
+func (s *fakeSpread) AnswerQuery(query *replica.Query) *replica.Answer {
 	items := []replica.Item{{Key: "k", Value: []byte("document"), Revision: 4, Lease: store.LeaseID{Number: 6}}, {Key: "gone", Revision: 5, Deleted: true}}
-	return &replica.Answer{Deltas: []replica.Delta{{Digest: query.Digests[0], Whole: true, Items: items}}}
+	return &replica.Answer{Deltas: []replica.Delta{{Digest: query.Digests[0], Full: true, Items: items}}}
 }
 
 var testCodec = NewCodec("X-Signature")
@@ -84,10 +84,10 @@
 func startPeer(t *testing.T) *peer {
 	t.Helper()
 	p := &peer{home: &echoHome{left: make(chan struct{})}, caller: newFakeSpread(3), spreads: newFakeSpread(5)}
-	server := httptest.NewServer(Handler(Services{Home: p.home, Spread: p.spreads, Codec: testCodec, MaxBytes: testBound, Process: testProcess}))
+	server := httptest.NewServer(Handler(Services{Home: p.home, AntiEntropy: p.spreads, Codec: testCodec, MaxBytes: testBound, Process: testProcess}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
-	p.client = NewClient(ClientConfig{MaxBuffered: testBound, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, From: ownAddress, Codec: testCodec})
-	p.client.SetSpread(p.caller)
+	p.client = NewClient(ClientConfig{MaxBuffered: testBound, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: ownAddress, Codec: testCodec})
+	p.client.SetAntiEntropy(p.caller)
 	p.address = strings.TrimPrefix(server.URL, "http://")
 	return p
 }
@@ -107,7 +107,7 @@
 		Load: Load{InFlight: 1, Limit: 3, Latency: time.Millisecond, Threshold: 7, Stopping: true}, Digests: digestsOf(5)})
 }
 
-func TestTheEndOfACallReachesTheHome(t *testing.T) {
+func TestCancellationReachesHome(t *testing.T) {
 	client, home, address := start(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
@@ -153,7 +153,7 @@
 	p := startPeer(t)
 	answer, err := p.client.Query(t.Context(), p.address, &replica.Query{From: ownAddress, Digests: digestsOf(7)})
 	assert.NilError(t, err)
-	assert.DeepEqual(t, answer, p.spreads.Answer(&replica.Query{Digests: digestsOf(7)}))
+	assert.DeepEqual(t, answer, p.spreads.AnswerQuery(&replica.Query{Digests: digestsOf(7)}))
 	assert.NilError(t, p.client.Ping(t.Context(), p.address))
 	_, err = p.client.Query(t.Context(), "127.0.0.1:1", &replica.Query{})
 	var failure *Error
@@ -164,9 +164,9 @@
 func copyOf(t *testing.T, source store.Store) *replica.Copy {
 	t.Helper()
 	held := replica.NewCopy(time.Second, func([]store.Entry, string) {}, time.Now)
-	keeper := &replica.Keeper{Copy: held, Store: source, Prefix: "k", Place: func() (int, bool) { return 0, true }, Now: time.Now}
+	keeper := &replica.Syncer{Copy: held, Store: source, Prefix: "k", Position: func() (int, bool) { return 0, true }, Now: time.Now}
 	go keeper.Run(t.Context())
-	await(t, "the copy is filled", held.Filled)
+	await(t, "the copy is filled", held.Initialized)
 	return held
 }
 
@@ -180,20 +180,20 @@
 	}, poll.WithDelay(5*time.Millisecond), poll.WithTimeout(20*time.Second))
 }
 
-// TestACallBringsWhatTheCallerLacks has a node call a peer that knows a newer
+// TestReplyDigestTriggersQuery has a node call a peer that knows a newer
 // document: the reply tells so, and the node fetches it.
-func TestACallBringsWhatTheCallerLacks(t *testing.T) {
+func TestReplyDigestTriggersQuery(t *testing.T) {
 	source := memory.New(time.Now)
 	_, err := source.CompareAndSwap(t.Context(), "k", 0, []byte("document"), store.NoLease)
 	assert.NilError(t, err)
-	server := httptest.NewServer(Handler(Services{Home: &echoHome{}, Spread: replica.NewSpread(replica.SpreadConfig{Address: "peer", Peers: noPeers, Now: time.Now}, copyOf(t, source)), Codec: testCodec, MaxBytes: testBound, Process: testProcess}))
+	server := httptest.NewServer(Handler(Services{Home: &echoHome{}, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Address: "peer", Peers: noPeers, Now: time.Now}, copyOf(t, source)), Codec: testCodec, MaxBytes: testBound, Process: testProcess}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	address := strings.TrimPrefix(server.URL, "http://")
 
 	taken := make(chan string, 1)
 	lacking := replica.NewCopy(time.Second, func(entries []store.Entry, from string) { taken <- string(entries[0].Value) + " from " + from }, time.Now)
-	client := NewClient(ClientConfig{MaxBuffered: testBound, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, From: ownAddress, Codec: testCodec})
-	client.SetSpread(replica.NewSpread(replica.SpreadConfig{Address: ownAddress, Peers: noPeers, Ask: client.Query, Now: time.Now}, lacking))
+	client := NewClient(ClientConfig{MaxBuffered: testBound, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: ownAddress, Codec: testCodec})
+	client.SetAntiEntropy(replica.NewAntiEntropy(replica.AntiEntropyConfig{Address: ownAddress, Peers: noPeers, SendQuery: client.Query, Now: time.Now}, lacking))
 	_, err = client.Call(t.Context(), address, &Call{URI: "/x"})
 	assert.NilError(t, err)
 	assert.Equal(t, <-taken, "document from "+address)
@@ -201,10 +201,10 @@
 
 func TestOnlyReasonsOfTheHomeItselfAreFinal(t *testing.T) {
 	for _, reason := range []Reason{NoTarget, TargetLeaving, Stopping, Misdirected} {
-		assert.Assert(t, reason.Final(), string(reason))
+		assert.Assert(t, reason.HomeUnavailable(), string(reason))
 	}
-	for _, reason := range []Reason{QueueFull, Evicted, Late, Waited, TargetFull, Unconnected, Broken, Spoilt, DeadlinePassed, CallerLeft, Suspected} {
-		assert.Assert(t, !reason.Final(), string(reason))
+	for _, reason := range []Reason{QueueFull, Evicted, Late, QueueTimeout, TargetFull, ConnectFailed, ExchangeBroken, InvalidResponse, DeadlinePassed, CallerLeft, Suspected} {
+		assert.Assert(t, !reason.HomeUnavailable(), string(reason))
 	}
 }
 
--- a/internal/peering/resume_test.go
+++ b/internal/peering/resume_test.go
@@ -119,10 +119,10 @@
 func newResumeFixture(t *testing.T, takes time.Duration) *resumeFixture {
 	t.Helper()
 	home := &slowHome{takes: takes, began: make(chan struct{}, 1)}
-	server := httptest.NewServer(Handler(Services{Home: home, Spread: newFakeSpread(1), Codec: testCodec, MaxBytes: testBound, Process: testProcess}))
+	server := httptest.NewServer(Handler(Services{Home: home, AntiEntropy: newFakeSpread(1), Codec: testCodec, MaxBytes: testBound, Process: testProcess}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	f := &resumeFixture{home: home, proxy: newSilencingProxy(t, strings.TrimPrefix(server.URL, "http://"))}
-	f.client = NewClient(ClientConfig{MaxBuffered: testBound, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, From: ownAddress, Codec: testCodec,
+	f.client = NewClient(ClientConfig{MaxBuffered: testBound, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: ownAddress, Codec: testCodec,
 		OnResume: func(*Call, string, time.Duration) { f.resumed.Add(1) }})
 	return f
 }
@@ -136,7 +136,7 @@
 	return f.client.Call(ctx, f.proxy.listener.Addr().String(), &Call{Service: "s", RequestID: id, Method: "POST", URI: "/x", Remaining: 5 * time.Second, Process: process})
 }
 
-// TestACallWhoseConnectionGoesSilentIsAnsweredFromTheOneRun tells of connections that
+// TestResumedCallRunsOnce tells of connections that
 // stayed open and carried nothing any more, while new ones worked.
 //
 // What users saw: a sixth of the requests of two seconds failed, commands with "may
@@ -147,7 +147,7 @@
 // connection only by bytes that the other machine did not acknowledge, and then could
 // not know whether the call had run. Evidence: the logs tell "read: connection timed
 // out" one second after the send, and no call at the home.
-func TestACallWhoseConnectionGoesSilentIsAnsweredFromTheOneRun(t *testing.T) {
+func TestResumedCallRunsOnce(t *testing.T) {
 	t.Run("while it runs", func(t *testing.T) {
 		f := newResumeFixture(t, 300*time.Millisecond)
 		go func() {
@@ -182,7 +182,7 @@
 	assert.Equal(t, f.home.runs.Load(), int64(1))
 }
 
-func TestAHomeSendsInterimAnswersWhileACallRuns(t *testing.T) {
+func TestHomeSendsInterimResponses(t *testing.T) {
 	f := newResumeFixture(t, 2*interimPeriod)
 	message := testCodec.encodeCall(&Call{Service: "s", RequestID: "a", Method: "POST", URI: "/x", Remaining: time.Minute, From: ownAddress})
 	interim := 0
@@ -200,9 +200,9 @@
 	assert.Assert(t, interim > 0)
 }
 
-// TestAnotherProcessDoesNotRunAResumedCall has the home restart between the message
+// TestRestartedHomeDoesNotRunResumedCall has the home restart between the message
 // and its resumption: the process before may have run the call.
-func TestAnotherProcessDoesNotRunAResumedCall(t *testing.T) {
+func TestRestartedHomeDoesNotRunResumedCall(t *testing.T) {
 	f := newResumeFixture(t, time.Minute)
 	go func() {
 		<-f.home.began
@@ -214,7 +214,7 @@
 	assert.Equal(t, f.home.runs.Load(), int64(1))
 }
 
-func TestACallerThatLeavesWithdrawsAResumedCall(t *testing.T) {
+func TestCancellationStopsResumedCall(t *testing.T) {
 	f := newResumeFixture(t, time.Minute)
 	go func() {
 		<-f.home.began
@@ -229,9 +229,9 @@
 	}
 }
 
-// TestAFirstMessageAfterItsResumptionDoesNotRun has a cut hold the first message
+// TestDelayedFirstMessageDoesNotRun has a cut hold the first message
 // back until the resumption has been answered, and long after.
-func TestAFirstMessageAfterItsResumptionDoesNotRun(t *testing.T) {
+func TestDelayedFirstMessageDoesNotRun(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newExchangeTable(func() time.Time { return now })
 	resumption := &Call{From: "a", RequestID: "x", Process: testProcess, Resumed: true}
@@ -241,20 +241,20 @@
 	now = now.Add(messageLifetime - time.Second)
 	_, runs = table.open(&Call{From: "a", RequestID: "x"}, func() {})
 	assert.Assert(t, !runs)
-	_, runs = table.open(&Call{From: "a", RequestID: "x", Offer: 1}, func() {})
+	_, runs = table.open(&Call{From: "a", RequestID: "x", OfferIndex: 1}, func() {})
 	assert.Assert(t, runs, "another offer of the request is another run")
 }
 
-// TestALateResumptionDoesNotRunAnEndedCallAgain has a resumption come long after the
+// TestLateResumptionDoesNotRerunCall has a resumption come long after the
 // run that it asks for has ended and its reply was dropped.
-func TestALateResumptionDoesNotRunAnEndedCallAgain(t *testing.T) {
+func TestLateResumptionDoesNotRerunCall(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newExchangeTable(func() time.Time { return now })
-	e, runs := table.open(&Call{From: "a", RequestID: "x", Once: true}, func() {})
+	e, runs := table.open(&Call{From: "a", RequestID: "x", AtMostOnce: true}, func() {})
 	assert.Assert(t, runs)
 	table.finish(e, []byte("reply"))
 	now = now.Add(messageLifetime - time.Second)
-	e, runs = table.open(&Call{From: "a", RequestID: "x", Once: true, Process: testProcess, Resumed: true}, func() {})
+	e, runs = table.open(&Call{From: "a", RequestID: "x", AtMostOnce: true, Process: testProcess, Resumed: true}, func() {})
 	assert.Assert(t, !runs)
 	assert.Assert(t, table.reply(e) == nil, "all that can be said is that it may have run")
 }
@@ -293,15 +293,15 @@
 	assert.Equal(t, len(table.exchanges), 1)
 }
 
-// TestEachCallerThatLeavesWithdrawsAResumedCall repeats what one in 24 runs of the test above
+// TestCancellationAlwaysStopsResumedCall repeats what one in 24 runs of the test above
 // showed beside busy processes: the caller's connection had ended, and the run went on.
 // Order of events: the end of the context wakes the exchange that waits for the reply
 // before it runs what was registered for its end; the exchange returns, and by returning
 // takes the registration back, which was what withdraws the run.
-func TestEachCallerThatLeavesWithdrawsAResumedCall(t *testing.T) {
+func TestCancellationAlwaysStopsResumedCall(t *testing.T) {
 	for range 3000 {
 		home := &slowHome{takes: time.Minute, began: make(chan struct{}, 1)}
-		s := &server{Services: Services{Home: home, Spread: newFakeSpread(1), Codec: testCodec, Process: testProcess}, exchanges: newExchangeTable(time.Now)}
+		s := &server{Services: Services{Home: home, AntiEntropy: newFakeSpread(1), Codec: testCodec, Process: testProcess}, exchanges: newExchangeTable(time.Now)}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -24,10 +24,10 @@
 
 // Services are what a node serves to its peers.
 type Services struct {
-	Home   Home
-	Spread Spread
-	// Notices, Departures and Permits may be nil.
-	Notices    Notices
+	Home        Home
+	AntiEntropy AntiEntropy
+	// Quarantine, Departures and Permits may be nil.
+	Quarantine Notices
 	Departures Departures
 	Permits    Permits
 	Codec      *Codec
@@ -50,7 +50,7 @@
 	mux.HandleFunc("GET "+pingPath, func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("POST "+callPath, s.serveCall)
 	mux.HandleFunc("POST "+queryPath, s.serveQuery)
-	if s.Notices != nil {
+	if s.Quarantine != nil {
 		mux.HandleFunc("POST "+noticePath, s.serveNotice)
 	}
 	if s.Departures != nil {
@@ -73,7 +73,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.Spread.HeardCall(call.From, call.Digests)
+	s.AntiEntropy.HandleCallDigests(call.From, call.Digests)
 	interim := startInterim(w)
 	reply, answered := s.answer(r.Context(), call)
 	interim.stop()
@@ -86,7 +86,7 @@
 func (s *server) answer(ctx context.Context, call *Call) (reply []byte, answered bool) {
 	if call.Resumed && call.Process != s.Process {
 		// The process that has the call may have run it.
-		return s.encode(&Reply{Outcome: Failed, Reason: Broken}), true
+		return s.encode(&Reply{Outcome: Failed, Reason: ExchangeBroken}), true
 	}
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	exchange, runs := s.exchanges.open(call, cancel)
@@ -109,13 +109,13 @@
 		return nil, false
 	}
 	if reply = s.exchanges.reply(exchange); reply == nil {
-		return s.encode(&Reply{Outcome: Failed, Reason: Broken}), true
+		return s.encode(&Reply{Outcome: Failed, Reason: ExchangeBroken}), true
 	}
 	return reply, true
 }
 
 func (s *server) encode(reply *Reply) []byte {
-	reply.Digests = s.Spread.Digests()
+	reply.Digests = s.AntiEntropy.Digests()
 	return s.Codec.encodeReply(reply)
 }
 
@@ -130,7 +130,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	write(w, encode(s.Spread.Answer(&query)))
+	write(w, encode(s.AntiEntropy.AnswerQuery(&query)))
 }
 
 func (s *server) serveNotice(w http.ResponseWriter, r *http.Request) {
@@ -144,7 +144,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	s.Notices.Heard(&notice)
+	s.Quarantine.Heard(&notice)
 	write(w, nil)
 }
 
@@ -169,7 +169,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	var ask ratelimit.Ask
+	var ask ratelimit.PermitRequest
 	if err := cbor.Unmarshal(content, &ask); err != nil || !ask.Valid() {
 		w.WriteHeader(http.StatusBadRequest)
 		return
--- a/internal/peering/wire.go
+++ b/internal/peering/wire.go
@@ -96,12 +96,12 @@
 	Limit    int   `cbor:"3,keyasint,omitempty"`
 	Latency  int64 `cbor:"4,keyasint,omitempty"`
 	// Shed is by how much the threshold lies below the one that sheds nothing.
-	Shed     uint16 `cbor:"5,keyasint,omitempty"`
-	Failures int    `cbor:"6,keyasint,omitempty"`
-	Stopping bool   `cbor:"8,keyasint,omitempty"`
-	Errors   int    `cbor:"9,keyasint,omitempty"`
-	Calls    int    `cbor:"10,keyasint,omitempty"`
-	Scarce   bool   `cbor:"11,keyasint,omitempty"`
+	Shed           uint16 `cbor:"5,keyasint,omitempty"`
+	Failures       int    `cbor:"6,keyasint,omitempty"`
+	Stopping       bool   `cbor:"8,keyasint,omitempty"`
+	Errors         int    `cbor:"9,keyasint,omitempty"`
+	Calls          int    `cbor:"10,keyasint,omitempty"`
+	RetryBudgetLow bool   `cbor:"11,keyasint,omitempty"`
 }
 
 // latencyUnit is the unit of latencies in messages.
@@ -111,8 +111,8 @@
 	return encode(&wireCall{
 		Service: call.Service, RequestID: wireID(call.RequestID), Method: methodCode(call.Method), URI: call.URI, Host: call.Host,
 		Header: c.shortHeader(call.Header), Body: call.Body, Remaining: call.Remaining.Milliseconds(), Caller: call.Caller, Route: call.Route,
-		Rank: call.Rank, MaxWait: call.MaxWait.Milliseconds(), Inner: call.Inner, Repeat: call.Repeat, Done: call.Done,
-		Offer: call.Offer, Once: call.Once, Crashes: call.Crashes, Resumes: resumedProcess(call), From: wireAddress(call.From), Digests: shortDigests(call.Digests), Epochs: epochsOf(call.Digests), Newest: newestOf(call.Digests),
+		Rank: call.Rank, MaxWait: call.MaxWait.Milliseconds(), Inner: call.Nested, Repeat: call.Retried, Done: call.PriorCalls,
+		Offer: call.OfferIndex, Once: call.AtMostOnce, Crashes: call.Crashes, Resumes: resumedProcess(call), From: wireAddress(call.From), Digests: shortDigests(call.Digests), Epochs: epochsOf(call.Digests), Newest: newestOf(call.Digests),
 	})
 }
 
@@ -134,8 +134,8 @@
 	}
 	return &Call{
 		Service: w.Service, RequestID: string(w.RequestID), Method: methodOf(w.Method), URI: w.URI, Host: w.Host, Header: header, Body: w.Body,
-		Remaining: millis(w.Remaining), Caller: w.Caller, Route: w.Route, Rank: w.Rank, MaxWait: millis(w.MaxWait), Inner: w.Inner,
-		Repeat: w.Repeat, Done: w.Done, Offer: w.Offer, Once: w.Once, Crashes: w.Crashes, Process: w.Resumes, Resumed: w.Resumes != 0, From: string(w.From), Digests: longDigests(w.Digests, w.Epochs, w.Newest),
+		Remaining: millis(w.Remaining), Caller: w.Caller, Route: w.Route, Rank: w.Rank, MaxWait: millis(w.MaxWait), Nested: w.Inner,
+		Retried: w.Repeat, PriorCalls: w.Done, OfferIndex: w.Offer, AtMostOnce: w.Once, Crashes: w.Crashes, Process: w.Resumes, Resumed: w.Resumes != 0, From: string(w.From), Digests: longDigests(w.Digests, w.Epochs, w.Newest),
 	}, nil
 }
 
@@ -143,11 +143,11 @@
 	load := &reply.Load
 	return encode(&wireReply{
 		Outcome: reply.Outcome, Reason: reply.Reason, Status: reply.Status, Header: c.shortHeader(reply.Header), Body: reply.Body,
-		RetryAfter: reply.RetryAfter.Milliseconds(), Crashes: reply.Crashes, OwnFailure: reply.OwnFailure, Digests: shortDigests(reply.Digests), Epochs: epochsOf(reply.Digests), Newest: newestOf(reply.Digests),
+		RetryAfter: reply.RetryAfter.Milliseconds(), Crashes: reply.Crashes, OwnFailure: reply.TargetError, Digests: shortDigests(reply.Digests), Epochs: epochsOf(reply.Digests), Newest: newestOf(reply.Digests),
 		Load: wireLoad{
 			InFlight: load.InFlight, Queued: load.Queued, Limit: load.Limit, Latency: int64(load.Latency / latencyUnit),
-			Shed: shed.None - min(load.Threshold, shed.None), Failures: load.Failures, Stopping: load.Stopping, Errors: load.Errors,
-			Calls: load.Calls, Scarce: load.Scarce,
+			Shed: shed.None - min(load.Threshold, shed.None), Failures: load.FailurePercent, Stopping: load.Stopping, Errors: load.ErrorPercent,
+			Calls: load.CallsPerRequest, RetryBudgetLow: load.RetryBudgetLow,
 		},
 	})
 }
@@ -164,11 +164,11 @@
 	load := &w.Load
 	return &Reply{
 		Outcome: w.Outcome, Reason: w.Reason, Status: w.Status, Header: header, Body: w.Body, RetryAfter: millis(w.RetryAfter),
-		Crashes: w.Crashes, OwnFailure: w.OwnFailure, Digests: longDigests(w.Digests, w.Epochs, w.Newest),
+		Crashes: w.Crashes, TargetError: w.OwnFailure, Digests: longDigests(w.Digests, w.Epochs, w.Newest),
 		Load: Load{
 			InFlight: load.InFlight, Queued: load.Queued, Limit: load.Limit, Latency: time.Duration(load.Latency) * latencyUnit,
-			Threshold: shed.None - min(load.Shed, shed.None), Failures: load.Failures, Stopping: load.Stopping, Errors: load.Errors,
-			Calls: load.Calls, Scarce: load.Scarce,
+			Threshold: shed.None - min(load.Shed, shed.None), FailurePercent: load.Failures, Stopping: load.Stopping, ErrorPercent: load.Errors,
+			CallsPerRequest: load.Calls, RetryBudgetLow: load.RetryBudgetLow,
 		},
 	}, nil
 }
--- a/internal/peering/wire_digest.go
+++ b/internal/peering/wire_digest.go
@@ -22,7 +22,7 @@
 func shortDigests(digests []replica.Digest) []wireDigest {
 	short := make([]wireDigest, len(digests))
 	for i, digest := range digests {
-		short[i] = wireDigest{Through: digest.Through.Number(), Age: shortAge(digest.Age), Verified: shortAge(digest.Verified)}
+		short[i] = wireDigest{Through: digest.Revision.Number(), Age: shortAge(digest.Age), Verified: shortAge(digest.Verified)}
 	}
 	return short
 }
@@ -31,9 +31,9 @@
 func newestOf(digests []replica.Digest) []uint64 {
 	var newest []uint64
 	for i, digest := range digests {
-		if digest.Newest != 0 {
+		if digest.DocumentVersion != 0 {
 			newest = append(newest, make([]uint64, i+1-len(newest))...)
-			newest[i] = digest.Newest
+			newest[i] = digest.DocumentVersion
 		}
 	}
 	return newest
@@ -44,7 +44,7 @@
 func epochsOf(digests []replica.Digest) []uint32 {
 	var epochs []uint32
 	for _, digest := range digests {
-		epochs = append(epochs, uint32(digest.Through.Epoch()))
+		epochs = append(epochs, uint32(digest.Revision.Epoch()))
 	}
 	distinct := slices.Compact(slices.Clone(epochs))
 	if len(distinct) > 1 {
@@ -67,9 +67,9 @@
 func longDigests(short []wireDigest, epochs []uint32, newest []uint64) []replica.Digest {
 	digests := make([]replica.Digest, len(short))
 	for i, digest := range short {
-		digests[i] = replica.Digest{Through: throughOf(digest, epochs, i), Age: longAge(digest.Age), Verified: longAge(digest.Verified)}
+		digests[i] = replica.Digest{Revision: throughOf(digest, epochs, i), Age: longAge(digest.Age), Verified: longAge(digest.Verified)}
 		if i < len(newest) {
-			digests[i].Newest = newest[i]
+			digests[i].DocumentVersion = newest[i]
 		}
 	}
 	return digests
--- a/internal/peering/wire_test.go
+++ b/internal/peering/wire_test.go
@@ -19,24 +19,24 @@
 func fullCall() *Call {
 	return &Call{Service: "prices", RequestID: "cbfed4665665238d.96c6f396bb9a3a42.bbf4b50146973c51.b6524dcef0b56046", Method: "POST", URI: "/list/7?x=%20y", Host: "prices.example",
 		Header: http.Header{"Content-Type": {"text/plain"}, "X-Custom": {"a", "b"}}, Body: []byte{0, 1, 2}, Remaining: 2345 * time.Millisecond, Caller: "cards",
-		Route: "price-list", Rank: 300, MaxWait: 180 * time.Millisecond, Inner: true, Repeat: true, Done: 3, Offer: 2, Once: true, Crashes: 2, Process: 9, Resumed: true, From: "10.1.0.34:8560",
-		Digests: []replica.Digest{{Through: 1234, Age: 45 * time.Millisecond}, {Through: 1250, Age: -1}}}
+		Route: "price-list", Rank: 300, MaxWait: 180 * time.Millisecond, Nested: true, Retried: true, PriorCalls: 3, OfferIndex: 2, AtMostOnce: true, Crashes: 2, Process: 9, Resumed: true, From: "10.1.0.34:8560",
+		Digests: []replica.Digest{{Revision: 1234, Age: 45 * time.Millisecond}, {Revision: 1250, Age: -1}}}
 }
 
 func fullReply() *Reply {
-	return &Reply{Outcome: Answered, Reason: Waited, Status: 200, Header: http.Header{"X-Signature": {"3e1b.07.5a2.600.0.c9f2a4d1"}, "Content-Type": {"text/plain"}}, Body: []byte("ok"),
-		RetryAfter: 150 * time.Millisecond, Crashes: 3, OwnFailure: true, Digests: fullCall().Digests,
-		Load: Load{InFlight: 12, Queued: 3, Limit: 19, Latency: 22340 * time.Microsecond, Threshold: 7, Failures: 4, Stopping: true, Errors: 5, Calls: 10, Scarce: true}}
+	return &Reply{Outcome: Answered, Reason: QueueTimeout, Status: 200, Header: http.Header{"X-Signature": {"3e1b.07.5a2.600.0.c9f2a4d1"}, "Content-Type": {"text/plain"}}, Body: []byte("ok"),
+		RetryAfter: 150 * time.Millisecond, Crashes: 3, TargetError: true, Digests: fullCall().Digests,
+		Load: Load{InFlight: 12, Queued: 3, Limit: 19, Latency: 22340 * time.Microsecond, Threshold: 7, FailurePercent: 4, Stopping: true, ErrorPercent: 5, CallsPerRequest: 10, RetryBudgetLow: true}}
 }
 
 // TestDigestsOfEveryEpochComeBack has copies of one epoch of the store and of several, and a
 // document that the store has lost.
 func TestDigestsOfEveryEpochComeBack(t *testing.T) {
 	for _, digests := range [][]replica.Digest{
-		{{Through: store.NewRevision(3, 1234)}, {Through: store.NewRevision(3, 1250)}},
-		{{Through: store.NewRevision(1, 1234), Newest: 80}, {Through: store.NewRevision(2, 1250)}},
-		{{Through: 1234}, {Through: store.NewRevision(store.MaxEpoch, 1250), Newest: 7}},
-		{{}, {Through: store.NewRevision(1, 5)}},
+		{{Revision: store.NewRevision(3, 1234)}, {Revision: store.NewRevision(3, 1250)}},
+		{{Revision: store.NewRevision(1, 1234), DocumentVersion: 80}, {Revision: store.NewRevision(2, 1250)}},
+		{{Revision: 1234}, {Revision: store.NewRevision(store.MaxEpoch, 1250), DocumentVersion: 7}},
+		{{}, {Revision: store.NewRevision(1, 5)}},
 	} {
 		call := fullCall()
 		call.Digests = digests
@@ -115,9 +115,9 @@
 		mostOfReply = 80
 	)
 	call := fullCall()
-	call.Method, call.Body, call.Header, call.Repeat = "GET", nil, nil, false
+	call.Method, call.Body, call.Header, call.Retried = "GET", nil, nil, false
 	reply := fullReply()
-	reply.Reason, reply.RetryAfter, reply.OwnFailure, reply.Body = "", 0, false, nil
+	reply.Reason, reply.RetryAfter, reply.TargetError, reply.Body = "", 0, false, nil
 	reply.Load = Load{InFlight: 12, Queued: 3, Limit: 19, Latency: 22340 * time.Microsecond, Threshold: shed.None}
 	callBytes, replyBytes := len(testCodec.encodeCall(call)), len(testCodec.encodeReply(reply))
 	t.Logf("call %d bytes, reply %d bytes", callBytes, replyBytes)
--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -43,9 +43,9 @@
 type CallStats struct {
 	// Count is the maximum number of calls observed for one request.
 	Count int
-	// Scarce is set if this node's retry budget hardly suffices to repeat that many
+	// RetryBudgetLow is set if this node's retry budget hardly suffices to repeat that many
 	// calls.
-	Scarce bool
+	RetryBudgetLow bool
 }
 
 type reportKey struct{ route, home string }
@@ -63,9 +63,9 @@
 	// Calls is the total number of downstream calls, direct and indirect, that one
 	// request causes.
 	Calls int
-	// Scarce is set if the retry budgets would hardly suffice for these calls if the
+	// RetryBudgetLow is set if the retry budgets would hardly suffice for these calls if the
 	// request were repeated.
-	Scarce bool
+	RetryBudgetLow bool
 }
 
 // callReport is the homes' report on the downstream calls of a route.
@@ -101,7 +101,7 @@
 	}
 	known, found := calls[called]
 	if found || len(calls) < maxCalledRoutes {
-		calls[called] = CallStats{Count: max(known.Count, observed.Count), Scarce: observed.Scarce}
+		calls[called] = CallStats{Count: max(known.Count, observed.Count), RetryBudgetLow: observed.RetryBudgetLow}
 	}
 }
 
@@ -162,7 +162,7 @@
 	if level.Calls > 0 {
 		known.count = level.Calls
 	}
-	if level.Scarce {
+	if level.RetryBudgetLow {
 		known.scarceAt = now
 	}
 	l.callReports[route] = known
@@ -176,16 +176,16 @@
 	return l.callReports[route].count
 }
 
-// Scarce reports whether a home recently reported that the retry budgets hardly
+// RetryBudgetLow reports whether a home recently reported that the retry budgets hardly
 // suffice for the downstream calls of a repeated request of the route.
-func (l *Levels) Scarce(route string) bool {
+func (l *Levels) RetryBudgetLow(route string) bool {
 	now := l.now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.retriesScarce(route, now)
+	return l.retryBudgetLow(route, now)
 }
 
-func (l *Levels) retriesScarce(route string, now time.Time) bool {
+func (l *Levels) retryBudgetLow(route string, now time.Time) bool {
 	at := l.callReports[route].scarceAt
 	return !at.IsZero() && now.Sub(at) < reportExpiry
 }
@@ -204,7 +204,7 @@
 	for name, calls := range l.calls[route] {
 		called = append(called, name)
 		level.Calls += calls.Count * (1 + l.callReports[name].count)
-		level.Scarce = level.Scarce || calls.Scarce || l.retriesScarce(name, now)
+		level.RetryBudgetLow = level.RetryBudgetLow || calls.RetryBudgetLow || l.retryBudgetLow(name, now)
 	}
 	l.mutex.Unlock()
 	for _, name := range called {
--- a/internal/sidecar/gauges.go
+++ b/internal/sidecar/gauges.go
@@ -21,9 +21,9 @@
 		{"records_copy_revision", "Revision up to which the copy of the records is complete.", func() float64 { return revisionOf(n.replicas.records) }},
 		{"configuration_copy_age_seconds", "Time since the copy of the configuration was known to be current.", func() float64 { return ageSeconds(n.replicas.configuration) }},
 		{"records_copy_age_seconds", "Time since the copy of the records was known to be current.", func() float64 { return ageSeconds(n.replicas.records) }},
-		{"store_watched", "Whether the node is one of those that watch the store, 1 or 0.", func() float64 { return boolValue(n.replicas.recordsKeeper.Watches()) }},
+		{"store_watched", "Whether the node is one of those that watch the store, 1 or 0.", func() float64 { return boolValue(n.replicas.recordsKeeper.IsWatcher()) }},
 		{"configuration_verified_age_seconds", "Time since a read of the store began by which the configuration is known to be current; API keys rest on it.", func() float64 { return verifiedAgeSeconds(n.replicas.configuration) }},
-		{"limit_shards_held", "Shards of tenants' limits that the node holds.", func() float64 { return float64(n.limits.keeper.Held()) }},
+		{"limit_shards_held", "Shards of tenants' limits that the node holds.", func() float64 { return float64(n.limits.keeper.HeldCount()) }},
 		{"homes_known", "Homes with a ready target that the node knows.", func() float64 { return float64(n.directory.Count()) }},
 		{"homes_suspected", "Homes that are passed over.", func() float64 { return float64(n.forwarder.Suspected()) }},
 		{"requests_quarantined", "Requests that are refused as targets crash under them.", func() float64 { return float64(n.quarantine.Quarantined()) }},
@@ -40,7 +40,7 @@
 	}
 }
 
-func revisionOf(c *replica.Copy) float64 { return float64(c.Digest().Through.Number()) }
+func revisionOf(c *replica.Copy) float64 { return float64(c.Digest().Revision.Number()) }
 
 // ageSeconds returns -1 for a replica that was never current.
 func ageSeconds(c *replica.Copy) float64 {
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -44,7 +44,7 @@
 	n.metrics.Ended(peering.Answered, "", time.Millisecond, time.Second)
 	n.metrics.countRefusedHeartbeat(registry.RefusedSlots)
 	n.metrics.BudgetCounted("s", forward.FirstSent, "")
-	n.storeCalls.Called(purposeRecords, "list", "done")
+	n.storeCalls.CallEnded(purposeRecords, "list", "done")
 	var served []string
 	for _, match := range metricLine.FindAllStringSubmatch(scrape(n), -1) {
 		served = append(served, match[1])
@@ -64,7 +64,7 @@
 
 func TestCallsAreCountedByOutcome(t *testing.T) {
 	n := newTestNode(t)
-	n.metrics.Ended(peering.Refused, peering.Waited, 180*time.Millisecond, 0)
+	n.metrics.Ended(peering.Refused, peering.QueueTimeout, 180*time.Millisecond, 0)
 	n.metrics.Ended(peering.Answered, "", time.Millisecond, 30*time.Millisecond)
 	text := scrape(n)
 	for _, line := range []string{
@@ -84,11 +84,11 @@
 func TestStoreCallsAreCountedOnce(t *testing.T) {
 	n := newTestNode(t)
 	for range 3 {
-		n.storeCalls.Called(purposeRecords, "watch", "done")
+		n.storeCalls.CallEnded(purposeRecords, "watch", "done")
 	}
-	n.storeCalls.Called(purposeOwnRecord, "compare and swap", "conflict")
+	n.storeCalls.CallEnded(purposeOwnRecord, "compare and swap", "conflict")
 	n.storeCalls.recordEvent()
-	n.storeCalls.Called(purposeRecords, "watch", "done")
+	n.storeCalls.CallEnded(purposeRecords, "watch", "done")
 	n.storeCalls.recordEvent()
 	n.storeCalls.recordEvent()
 	text := scrape(n)
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -73,7 +73,7 @@
 	process    uint32
 	store      *platform.Store
 	storeCalls *storeCalls
-	storeGate  *reachability.Gate
+	storeGate  *reachability.CircuitBreaker
 	epochs     *epoch.Tracker
 	replicas   replicas
 	routes     *routetable.Holder
@@ -103,10 +103,10 @@
 	}
 	n := &Node{policies: routepolicy.NewHolder(policies), policySources: settings.Policies, settings: settings, routes: &routetable.Holder{},
 		started: clock.Now(), process: max(rand.Uint32(), 1)}
-	n.log = eventlog.New(eventlog.Config{RootOf: platform.RootOf}, settings.Name, output, time.Now)
+	n.log = eventlog.New(eventlog.Config{RootOf: platform.RootRequestID}, settings.Name, output, time.Now)
 	n.metrics = newMetrics(n.log)
 	n.provisionStore()
-	n.feed = configfeed.New(platform.ConfigurationKey, platform.Configuration, n.routes, n.log, clock.Now)
+	n.feed = configfeed.New(platform.ConfigurationKey, platform.ParseConfiguration, n.routes, n.log, clock.Now)
 	n.directory = registry.NewDirectory(platform.HomesPrefix, settings.advertised(), n.log, clock.Now)
 	n.provisionReplicas()
 	n.provisionLimits()
@@ -146,12 +146,12 @@
 		KeepAlive:   peerKeepAlive,
 		IdleTimeout: peerIdleTimeout,
 		MaxIdle:     peerMaxIdle,
-		From:        settings.advertised(),
+		Address:     settings.advertised(),
 		Codec:       n.codec,
 		OnResume:    n.logResumedCall,
 		OnInterim:   func(address string) { n.forwarder.InterimReceived(address) },
 	})
-	n.peers.SetSpread(n.replicas.antiEntropy)
+	n.peers.SetAntiEntropy(n.replicas.antiEntropy)
 	n.forwarder = n.newForwarder()
 	n.provisionGauges()
 	clock.System.OnResume(n.handleResume)
@@ -159,7 +159,7 @@
 }
 
 func (n *Node) sendDeparture(ctx context.Context, address string, departure registry.Departure) error {
-	return n.peers.TellDeparture(ctx, address, departure)
+	return n.peers.SendDeparture(ctx, address, departure)
 }
 
 // handleResume handles the machine's resumption after it was suspended.
@@ -170,20 +170,20 @@
 
 func (n *Node) newQuarantine() *quarantine.Quarantine {
 	return quarantine.New(quarantine.Config{
-		Spread: quarantine.SpreadConfig{
+		Broadcast: quarantine.BroadcastConfig{
 			Address: n.settings.advertised(),
 			Peers:   n.directory.Addresses,
 			Send: func(ctx context.Context, address string, notice *quarantine.Notice) error {
-				return n.peers.Notify(ctx, address, notice)
+				return n.peers.SendQuarantineNotice(ctx, address, notice)
 			},
 		},
-		Store:     n.storeGate.Wrap(n.store.For(purposeQuarantine)),
-		Prefix:    platform.QuarantinePrefix,
-		Epoch:     n.epochs.Current,
-		Place:     n.directory.Place,
-		OnVerdict: func(hash fingerprint.Fingerprint) { n.guard.CancelQuarantined(hash) },
-		Log:       n.log,
-		Now:       clock.Now,
+		Store:        n.storeGate.Wrap(n.store.WithPurpose(purposeQuarantine)),
+		Prefix:       platform.QuarantinePrefix,
+		Epoch:        n.epochs.Current,
+		Place:        n.directory.Place,
+		OnQuarantine: func(hash fingerprint.Fingerprint) { n.guard.CancelQuarantined(hash) },
+		Log:          n.log,
+		Now:          clock.Now,
 	})
 }
 
@@ -204,7 +204,7 @@
 		},
 		WaitShare:      n.settings.Queue.ObjectiveShare,
 		InnerWaitShare: n.settings.Queue.InnerObjectiveShare,
-		ParentOf:       platform.ParentOf,
+		ParentOf:       platform.ParentRequestID,
 	}, forward.Dependencies{
 		Routes:     n.routes,
 		Directory:  n.directory,
@@ -212,7 +212,7 @@
 		Policies:   n.policies,
 		Levels:     n.pressure,
 		Quarantine: n.quarantine,
-		Keys:       apikey.NewChecker(n.routes, configfeed.NewProof(n.feed, n.replicas.configuration), n.settings.Tenants.revocationTime()),
+		Keys:       apikey.NewChecker(n.routes, configfeed.NewFreshness(n.feed, n.replicas.configuration), n.settings.Tenants.revocationTime()),
 		Limits:     n.limits.limiter,
 		Peers:      n.peers,
 		Observer:   n.metrics,
@@ -248,7 +248,7 @@
 
 // ready reports whether the node accepts requests.
 func (n *Node) ready() bool {
-	return !n.stopping.Load() && n.routes.Current() != nil && n.replicas.records.Filled()
+	return !n.stopping.Load() && n.routes.Current() != nil && n.replicas.records.Initialized()
 }
 
 // Run serves until the context ends and then shuts down gracefully.
@@ -292,7 +292,7 @@
 // releaseConfiguration activates the configuration from the store once peers have had time to
 // send a newer one.
 func (n *Node) releaseConfiguration(ctx context.Context) {
-	n.replicas.antiEntropy.AwaitSettled(ctx)
+	n.replicas.antiEntropy.AwaitSynced(ctx)
 	n.feed.Release()
 }
 
--- a/internal/sidecar/replicas.go
+++ b/internal/sidecar/replicas.go
@@ -43,7 +43,7 @@
 	// A watch call to the store waits at most this long. The store answers the watching
 	// nodes together more often than replicas become stale.
 	configurationWatchTimeout = 2 * time.Second
-	recordsWatchTimeout       = replica.LongestWait
+	recordsWatchTimeout       = replica.MaxWatchWait
 	// configurationReadDelay is how long a starting node waits for a peer to send the
 	// configuration before it reads it from the store.
 	configurationReadDelay = 400 * time.Millisecond
@@ -61,9 +61,9 @@
 // replicas holds the node's replicas of store data and the components that keep them current.
 type replicas struct {
 	configuration, records             *replica.Copy
-	configurationKeeper, recordsKeeper *replica.Keeper
+	configurationKeeper, recordsKeeper *replica.Syncer
 	verifier                           *replica.Verifier
-	antiEntropy                        *replica.Spread
+	antiEntropy                        *replica.AntiEntropy
 }
 
 // provisionStore creates the store client with its call counters and reachability gate.
@@ -73,14 +73,14 @@
 	n.epochs = epoch.NewTracker()
 	n.epochs.OnChange(n.handleEpochChange)
 	n.store = platform.NewStore(n.settings.Store, recordsWatchTimeout, n.storeCalls, n.epochs)
-	n.storeGate = reachability.NewGate(n.probePauseLimit, storeEventLogger{n.log}, clock.Now)
+	n.storeGate = reachability.NewCircuitBreaker(n.probePauseLimit, storeEventLogger{n.log}, clock.Now)
 }
 
 // handleEpochChange handles a restore of the store from a backup.
 func (n *Node) handleEpochChange(change epoch.Change) {
 	n.log.Record(eventlog.Event{Kind: eventlog.StoreRestored, Peer: change.Source, Previous: uint64(change.From), Version: uint64(change.To)})
 	n.registrar.HandleStoreRestored()
-	n.limits.keeper.StoreRestored()
+	n.limits.keeper.HandleStoreRestored()
 }
 
 // logStaleEntry logs that the store listed an older revision of an entry than the replica holds.
@@ -90,7 +90,7 @@
 
 // probePauseLimit returns the longest pause between probes of an unreachable store.
 func (n *Node) probePauseLimit() time.Duration {
-	if n.replicas.recordsKeeper.Watches() {
+	if n.replicas.recordsKeeper.IsWatcher() {
 		return watcherMaxProbePause
 	}
 	return maxProbePause
@@ -99,32 +99,32 @@
 // provisionReplicas creates the replicas of the configuration and of the records.
 func (n *Node) provisionReplicas() {
 	r := &n.replicas
-	r.configuration = replica.NewCopy(configurationStaleAfter, n.feed.Change, clock.Now)
-	r.configuration.SetDocuments(n.feed)
+	r.configuration = replica.NewCopy(configurationStaleAfter, n.feed.ApplyChanges, clock.Now)
+	r.configuration.SetDocument(n.feed)
 	if !n.settings.FirstStart {
 		n.feed.Hold()
 	}
 	r.records = replica.NewCopy(recordsStaleAfter, n.applyRecords, clock.Now)
-	r.configuration.OnPassedOver(n.logStaleEntry)
-	r.records.OnPassedOver(n.logStaleEntry)
+	r.configuration.OnStaleEntry(n.logStaleEntry)
+	r.records.OnStaleEntry(n.logStaleEntry)
 	configurationFirstDelay, recordsFirstDelay := configurationReadDelay, time.Duration(0)
 	if n.settings.FirstStart {
 		recordsFirstDelay = firstStartDelay + rand.N(firstStartJitter)
 		configurationFirstDelay = recordsFirstDelay
 	}
-	r.configurationKeeper = &replica.Keeper{Copy: r.configuration, Store: n.storeGate.Wrap(n.store.For(purposeConfiguration).Waiting(configurationWatchTimeout)), Prefix: platform.ConfigurationKey,
-		Place: n.directory.Place, Gather: configurationBatchDelay, FirstDelay: configurationFirstDelay, Now: clock.Now}
-	r.recordsKeeper = &replica.Keeper{Copy: r.records, Store: n.storeGate.Wrap(n.store.For(purposeRecords)), Prefix: platform.RecordsPrefix,
-		Place: n.directory.Place, Gather: recordsBatchDelay, FirstDelay: recordsFirstDelay, Now: clock.Now}
-	r.verifier = &replica.Verifier{Keeper: r.configurationKeeper, After: verifyAfter, Needed: n.hasTenants}
-	r.antiEntropy = replica.NewSpread(replica.SpreadConfig{
-		Address:   n.settings.advertised(),
-		Peers:     n.directory.Addresses,
-		Ask:       n.queryPeer,
-		Heard:     func(peer string) { n.forwarder.PeerAlive(peer) },
-		Confirmed: n.storeGate.Hint,
-		Overdue:   r.verifier.Overdue,
-		Epoch:     func(observed store.Epoch, peer string) { n.epochs.Observe(observed, peer) },
+	r.configurationKeeper = &replica.Syncer{Copy: r.configuration, Store: n.storeGate.Wrap(n.store.WithPurpose(purposeConfiguration).WithWatchWait(configurationWatchTimeout)), Prefix: platform.ConfigurationKey,
+		Position: n.directory.Place, BatchDelay: configurationBatchDelay, InitialDelay: configurationFirstDelay, Now: clock.Now}
+	r.recordsKeeper = &replica.Syncer{Copy: r.records, Store: n.storeGate.Wrap(n.store.WithPurpose(purposeRecords)), Prefix: platform.RecordsPrefix,
+		Position: n.directory.Place, BatchDelay: recordsBatchDelay, InitialDelay: recordsFirstDelay, Now: clock.Now}
+	r.verifier = &replica.Verifier{Syncer: r.configurationKeeper, MaxAge: verifyAfter, Needed: n.hasTenants}
+	r.antiEntropy = replica.NewAntiEntropy(replica.AntiEntropyConfig{
+		Address:     n.settings.advertised(),
+		Peers:       n.directory.Addresses,
+		SendQuery:   n.queryPeer,
+		OnCall:      func(peer string) { n.forwarder.PeerAlive(peer) },
+		OnConfirmed: n.storeGate.Hint,
+		Overdue:     r.verifier.Overdue,
+		OnEpoch:     func(observed store.Epoch, peer string) { n.epochs.Observe(observed, peer) },
 
 		FirstStart: n.settings.FirstStart,
 		Now:        clock.Now,
@@ -135,8 +135,8 @@
 func (n *Node) applyRecords(entries []store.Entry, source string) {
 	n.directory.ApplyChanges(entries, source)
 	n.registrar.ApplyChanges(entries)
-	n.quarantine.Change(entries)
-	n.limits.keeper.Change(entries)
+	n.quarantine.ApplyChanges(entries)
+	n.limits.keeper.ApplyChanges(entries)
 }
 
 func (n *Node) queryPeer(ctx context.Context, address string, query *replica.Query) (*replica.Answer, error) {
@@ -146,7 +146,7 @@
 // awaitRecords waits until the replica is known to hold all records that the store held when
 // the node started, and returns its entries.
 func (n *Node) awaitRecords(ctx context.Context) ([]store.Entry, error) {
-	if err := n.replicas.records.AwaitProved(ctx, n.started); err != nil {
+	if err := n.replicas.records.AwaitCurrent(ctx, n.started); err != nil {
 		return nil, err
 	}
 	return n.replicas.records.Entries(), nil
@@ -156,12 +156,12 @@
 // urgent, because the target does not accept a late acknowledgement.
 func (n *Node) registrarStores() registry.Stores {
 	return registry.Stores{
-		Record:    n.storeGate.Wrap(n.store.For(purposeOwnRecord)),
-		Departure: n.storeGate.WrapUrgent(n.store.For(purposeDeparture)),
+		Record:    n.storeGate.Wrap(n.store.WithPurpose(purposeOwnRecord)),
+		Departure: n.storeGate.WrapUrgent(n.store.WithPurpose(purposeDeparture)),
 	}
 }
 
-var _ peering.Spread = (*replica.Spread)(nil)
+var _ peering.AntiEntropy = (*replica.AntiEntropy)(nil)
 
 // storeEventLogger logs when the store becomes unreachable and reachable again.
 type storeEventLogger struct{ log *eventlog.Log }
--- a/internal/sidecar/storecalls.go
+++ b/internal/sidecar/storecalls.go
@@ -37,8 +37,8 @@
 	return &storeCalls{log: log, totals: make(map[storeCallKey]int), logged: make(map[storeCallKey]int)}
 }
 
-// Called implements platform.Observer.
-func (c *storeCalls) Called(purpose store.Purpose, call, outcome string) {
+// CallEnded implements platform.Observer.
+func (c *storeCalls) CallEnded(purpose store.Purpose, call, outcome string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.totals[storeCallKey{purpose, call, outcome}]++
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -13,49 +13,49 @@
 // tenantLimits holds the components that enforce tenants' rate limits.
 type tenantLimits struct {
 	issuer  *ratelimit.Issuer
-	keeper  *ratelimit.Keeper
+	keeper  *ratelimit.ShardManager
 	limiter *ratelimit.Limiter
 	// permitSocket is nil if permits are only requested over connections.
-	permitSocket *peering.Datagrams
+	permitSocket *peering.PermitSocket
 }
 
 // provisionLimits creates the components that enforce tenants' rate limits.
 func (n *Node) provisionLimits() {
 	n.limits.issuer = ratelimit.NewIssuer(n.settings.Tenants.bounds(), n.tenant, clock.Now)
-	n.limits.keeper = ratelimit.NewKeeper(ratelimit.KeeperConfig{
-		Address:   n.settings.advertised(),
-		Process:   n.process,
-		Datagrams: n.settings.Listen.Permits,
-		Started:   n.started,
+	n.limits.keeper = ratelimit.NewShardManager(ratelimit.ShardManagerConfig{
+		Address:         n.settings.advertised(),
+		Process:         n.process,
+		DatagramAddress: n.settings.Listen.Permits,
+		Started:         n.started,
 
 		FirstStart: n.settings.FirstStart,
 		Epoch:      n.epochs.Current,
 
-		Prefix: platform.ShardsPrefix,
-		Store:  n.storeGate.Wrap(n.store.For(purposeShards)),
-		Place:  n.directory.Place,
-		Nodes:  func() int { return len(n.directory.Addresses()) },
-		Needed: n.hasTenantLimits,
-		Issuer: n.limits.issuer,
-		Log:    n.log,
-		Now:    clock.Now,
+		Prefix:    platform.ShardsPrefix,
+		Store:     n.storeGate.Wrap(n.store.WithPurpose(purposeShards)),
+		Place:     n.directory.Place,
+		Nodes:     func() int { return len(n.directory.Addresses()) },
+		HasLimits: n.hasTenantLimits,
+		Issuer:    n.limits.issuer,
+		Log:       n.log,
+		Now:       clock.Now,
 	})
 	n.limits.limiter = ratelimit.NewLimiter(n.limits.keeper, n.requestPermits, clock.Now)
 }
 
 // requestPermits requests permits from the holder of a shard, which may be the node itself. If
 // a datagram or its response is lost, the request is sent over a connection.
-func (n *Node) requestPermits(ctx context.Context, holder ratelimit.Holder, request *ratelimit.Ask) (*ratelimit.Grant, error) {
+func (n *Node) requestPermits(ctx context.Context, holder ratelimit.Holder, request *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	if holder.Address == n.settings.advertised() {
 		return n.limits.issuer.Issue(request), nil
 	}
-	if n.limits.permitSocket != nil && holder.Datagrams != "" {
-		grant, err := n.limits.permitSocket.Ask(ctx, holder.Datagrams, request)
+	if n.limits.permitSocket != nil && holder.DatagramAddress != "" {
+		grant, err := n.limits.permitSocket.Request(ctx, holder.DatagramAddress, request)
 		if err == nil || ctx.Err() != nil {
 			return grant, err
 		}
 	}
-	return n.peers.AskPermits(ctx, holder.Address, request)
+	return n.peers.RequestPermits(ctx, holder.Address, request)
 }
 
 // listenForPermitRequests serves permit requests sent as datagrams, if the settings give an
@@ -64,7 +64,7 @@
 	if n.settings.Listen.Permits == "" {
 		return nil
 	}
-	socket, err := peering.ListenDatagrams(n.settings.Listen.Permits, n.limits.issuer)
+	socket, err := peering.ListenPermitSocket(n.settings.Listen.Permits, n.limits.issuer)
 	if err != nil {
 		return err
 	}
@@ -96,6 +96,6 @@
 
 // peerServices returns the services that the node offers to its peers.
 func (n *Node) peerServices() peering.Services {
-	return peering.Services{Home: n.guard, Spread: n.replicas.antiEntropy, Notices: n.quarantine, Departures: n.registrar, Permits: n.limits.issuer,
+	return peering.Services{Home: n.guard, AntiEntropy: n.replicas.antiEntropy, Quarantine: n.quarantine, Departures: n.registrar, Permits: n.limits.issuer,
 		Codec: n.codec, MaxBytes: maxMessageBytes, Process: n.process}
 }
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -68,10 +68,10 @@
 // arrived meanwhile is read: the other side was not silent.
 func (c *connection) read(buffer []byte) (int, error) {
 	n, err := c.socket.Read(buffer)
-	if n > 0 || c.readBy.IsZero() || !errors.Is(err, os.ErrDeadlineExceeded) || !clock.Late(time.Since(c.readBy)) {
+	if n > 0 || c.readBy.IsZero() || !errors.Is(err, os.ErrDeadlineExceeded) || !clock.IsStall(time.Since(c.readBy)) {
 		return n, err
 	}
-	if err := c.bound(time.Now().Add(clock.ReadyGrace)); err != nil {
+	if err := c.bound(time.Now().Add(clock.LateDeadlineGrace)); err != nil {
 		return 0, err
 	}
 	return c.socket.Read(buffer)
--- a/internal/transport/foreign_test.go
+++ b/internal/transport/foreign_test.go
@@ -13,7 +13,7 @@
 
 func owned(id string) *Call {
 	call := get()
-	call.Belongs = func(header http.Header) bool { return header.Get("X-Id") == id }
+	call.Matches = func(header http.Header) bool { return header.Get("X-Id") == id }
 	return call
 }
 
@@ -39,7 +39,7 @@
 	target := newRawTarget(t, writing("HTTP/1.1 200 OK\r\n\r\nwhole", false))
 	_, err := target.pool(t, nil).Exchange(context.Background(), get())
 	assert.ErrorIs(t, err, errNotDelimited)
-	accepting := target.pool(t, func(config *Config) { config.AcceptUndelimited = true })
+	accepting := target.pool(t, func(config *Config) { config.AcceptCloseDelimited = true })
 	answer, err := accepting.Exchange(context.Background(), get())
 	assert.NilError(t, err)
 	assert.Equal(t, string(answer.Body), "whole")
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -43,10 +43,10 @@
 	MaxBuffered int64
 	// MaxHeaderBytes bounds the header of an answer.
 	MaxHeaderBytes int64
-	// AcceptUndelimited takes an answer without a length or chunks as complete
+	// AcceptCloseDelimited takes an answer without a length or chunks as complete
 	// when its connection ends in order. Without it such an answer is a failure,
 	// because one that was cut off can look the same.
-	AcceptUndelimited bool
+	AcceptCloseDelimited bool
 	// UserTimeout bounds the time for which sent bytes may stay unacknowledged by
 	// the other side's machine; zero leaves it to the system.
 	UserTimeout time.Duration
@@ -100,10 +100,10 @@
 	RequestURI string
 	Header     http.Header
 	Body       []byte
-	// Belongs reports whether an answer with the header belongs to the call; nil
+	// Matches reports whether an answer with the header belongs to the call; nil
 	// means that each does. One that does not, such as a surplus answer to an
 	// earlier call, is passed over, and the next one is awaited.
-	Belongs func(http.Header) bool
+	Matches func(http.Header) bool
 	// Interim is told of each interim answer; it may be nil.
 	Interim func()
 	// Fresh has the call go over a new connection.
@@ -112,23 +112,23 @@
 	Silence time.Duration
 }
 
-// Answer is a target's answer. When Rest is nil the body is complete.
-type Answer struct {
+// Response is a target's answer. When Rest is nil the body is complete.
+type Response struct {
 	Status int
 	Header http.Header
 	Body   []byte
 	// NoBody tells that the answer has no body whatever its Content-Length says,
 	// as an answer to HEAD.
 	NoBody bool
-	// Rest is what follows Body of an answer larger than the buffer. The reader
+	// Remainder is what follows Body of an answer larger than the buffer. The reader
 	// returns io.EOF only after a complete answer. It must be closed.
-	Rest io.ReadCloser
+	Remainder io.ReadCloser
 }
 
 // Close releases the connection of an answer with a Rest.
-func (a *Answer) Close() {
-	if a.Rest != nil {
-		_ = a.Rest.Close()
+func (a *Response) Close() {
+	if a.Remainder != nil {
+		_ = a.Remainder.Close()
 	}
 }
 
@@ -159,7 +159,7 @@
 // Exchange sends the call and reads the answer. The context bounds both, and
 // its end closes the connection, which tells the target to stop. The error is
 // a *Failure.
-func (p *Pool) Exchange(ctx context.Context, call *Call) (*Answer, error) {
+func (p *Pool) Exchange(ctx context.Context, call *Call) (*Response, error) {
 	message := encode(p.config.Address, call)
 	defer message.free()
 	connection, failure := p.send(ctx, message.Bytes(), call.Fresh)
@@ -197,7 +197,7 @@
 }
 
 // receive reads the answer to a call that was sent.
-func (p *Pool) receive(ctx context.Context, c *connection, call *Call) (*Answer, *Failure) {
+func (p *Pool) receive(ctx context.Context, c *connection, call *Call) (*Response, *Failure) {
 	method := call.Method
 	silence := cmp.Or(call.Silence, p.config.Silence)
 	response, err := p.awaitOwn(c, call, silence)
@@ -210,14 +210,14 @@
 		p.discard(c)
 		return nil, p.failure("await answer", true, false, contextError(ctx, err))
 	}
-	answer := &Answer{Status: response.StatusCode, Header: response.Header}
+	answer := &Response{Status: response.StatusCode, Header: response.Header}
 	if method == http.MethodHead {
 		answer.NoBody = true
 		p.release(c, response)
 		return answer, nil
 	}
 	if !delimited(response) {
-		if !p.config.AcceptUndelimited {
+		if !p.config.AcceptCloseDelimited {
 			p.discard(c)
 			return nil, p.failure("read answer", true, true, errNotDelimited)
 		}
@@ -229,7 +229,7 @@
 		p.discard(c)
 		return nil, p.failure("read answer", true, true, contextError(ctx, err))
 	case int64(len(answer.Body)) > p.config.MaxBuffered:
-		answer.Rest = &rest{pool: p, connection: c, response: response}
+		answer.Remainder = &rest{pool: p, connection: c, response: response}
 	default:
 		p.release(c, response)
 	}
@@ -255,7 +255,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if call.Belongs == nil || call.Belongs(response.Header) {
+		if call.Matches == nil || call.Matches(response.Header) {
 			return response, nil
 		}
 		if response.Close || !delimited(response) {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -41,8 +41,8 @@
 				answer, err := pool.Exchange(t.Context(), get())
 				assert.NilError(t, err)
 				assert.Equal(t, string(answer.Body), c.body)
-				if answer.Rest != nil {
-					rest, err := io.ReadAll(answer.Rest)
+				if answer.Remainder != nil {
+					rest, err := io.ReadAll(answer.Remainder)
 					assert.NilError(t, err)
 					assert.Equal(t, len(rest), 0)
 					answer.Close()
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestLargeAnswers(t *testing.T) {
+func TestLargeResponses(t *testing.T) {
 	body := strings.Repeat("0123456789", 1000)
 	chunks := fmt.Sprintf("%x\r\n%s\r\n", len(body), body)
 	for name, c := range map[string]struct {
@@ -98,9 +98,9 @@
 			target := newRawTarget(t, writing(c.raw, false))
 			answer, err := target.pool(t, func(c *Config) { c.MaxBuffered = 100 }).Exchange(t.Context(), get())
 			assert.NilError(t, err)
-			assert.Assert(t, answer.Rest != nil)
+			assert.Assert(t, answer.Remainder != nil)
 			assert.Assert(t, len(answer.Body) <= 101, "%d bytes were held", len(answer.Body))
-			rest, err := io.ReadAll(answer.Rest)
+			rest, err := io.ReadAll(answer.Remainder)
 			answer.Close()
 			if !c.complete {
 				assert.Assert(t, err != nil, "the end of a cut answer looks like the end of a complete one")
@@ -129,7 +129,7 @@
 	for range 2 {
 		answer, err := pool.Exchange(t.Context(), call)
 		assert.NilError(t, err)
-		assert.Assert(t, answer.NoBody && answer.Rest == nil && len(answer.Body) == 0)
+		assert.Assert(t, answer.NoBody && answer.Remainder == nil && len(answer.Body) == 0)
 		assert.Equal(t, answer.Header.Get("Content-Length"), "5000000")
 	}
 	assert.Equal(t, target.seen()[1].connection, 0)
