--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -17,8 +17,8 @@
 	Prefix string
 	// Epoch returns the latest known store epoch; nil stands for the first one. Place returns
 	// the node's position in an order of all nodes, false if it has none; it may be nil.
-	Epoch func() store.Epoch
-	Place func() (int, bool)
+	Epoch    func() store.Epoch
+	Position func() (int, bool)
 	// OnQuarantine is called when a request is quarantined; it may be nil.
 	OnQuarantine func(hash fingerprint.Fingerprint)
 	Log          *eventlog.Log
--- a/internal/quarantine/restore_test.go
+++ b/internal/quarantine/restore_test.go
@@ -35,7 +35,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &restoredNode{stop: cancel}
 	n.Quarantine = New(Config{
-		Store: memoryStore, Prefix: testPrefix, Now: time.Now, Epoch: memoryStore.Epoch, Place: func() (int, bool) { return place, true },
+		Store: memoryStore, Prefix: testPrefix, Now: time.Now, Epoch: memoryStore.Epoch, Position: func() (int, bool) { return place, true },
 		Broadcast: BroadcastConfig{Address: fmt.Sprint(place), Peers: func() []string { return nil }, Send: func(context.Context, string, *Notice) error { return errors.New("no peer") }},
 	})
 	storeCopy := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.ApplyChanges(entries) }, time.Now)
--- a/internal/ratelimit/acquire.go
+++ b/internal/ratelimit/acquire.go
@@ -14,7 +14,7 @@
 // tenant has a limit.
 func (m *ShardManager) settled() bool {
 	now := m.config.Now()
-	if _, known := m.config.Place(); !known || !m.config.HasLimits() {
+	if _, known := m.config.Position(); !known || !m.config.HasLimits() {
 		m.eligibleAt = time.Time{}
 		return false
 	}
@@ -27,7 +27,7 @@
 // shouldAcquire reports whether the node is to acquire the shard: an earlier process at its
 // address holds it, or it has no holder and no candidate before the node has acquired it.
 func (m *ShardManager) shouldAcquire(number int, settled bool) bool {
-	place, _ := m.config.Place()
+	place, _ := m.config.Position()
 	heldCount := m.HeldCount()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/ratelimit/restore_test.go
+++ b/internal/ratelimit/restore_test.go
@@ -68,7 +68,7 @@
 	restored := &storetest.Restored{Store: c.store, Epochs: epochs, Refused: func() bool { return n.partitioned.Load() || c.storeDown.Load() }}
 	n.issuer = NewIssuer(testBounds, func(string) *routetable.Tenant { return testTenant }, time.Now)
 	n.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", place), Process: c.started, Started: time.Now(), FirstStart: first, Epoch: epochs.Current,
-		Prefix: "shards/", Store: restored, Place: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
+		Prefix: "shards/", Store: restored, Position: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
 	epochs.OnChange(func(epoch.Change) { n.HandleStoreRestored() })
 	storeCopy := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.ApplyChanges(entries) }, time.Now)
 	copyKeeper := &replica.Syncer{Copy: storeCopy, Store: restored, Prefix: "shards/", Position: func() (int, bool) { return 0, true }, BatchDelay: 800 * time.Millisecond, Now: time.Now}
--- a/internal/ratelimit/shard_manager.go
+++ b/internal/ratelimit/shard_manager.go
@@ -75,8 +75,8 @@
 	// Prefix is the prefix of the keys of shards.
 	Prefix string
 	Store  store.Store
-	// Place returns the node's position in an order of all nodes; false if it is not known.
-	Place func() (int, bool)
+	// Position returns the node's position in an order of all nodes; false if it is not known.
+	Position func() (int, bool)
 	// Nodes returns the number of known nodes; nil stands for the number of shards.
 	Nodes func() int
 	// HasLimits reports whether any tenant has a limit.
--- a/internal/ratelimit/shard_manager_test.go
+++ b/internal/ratelimit/shard_manager_test.go
@@ -66,7 +66,7 @@
 	n := &testNode{store: &unavailableStore{Store: c.store}, stop: cancel}
 	n.issuer = NewIssuer(testBounds, func(string) *routetable.Tenant { return testTenant }, time.Now)
 	n.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", place), Process: process, Started: time.Now(), FirstStart: process == 1, Prefix: "shards/", Store: n.store,
-		Place: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
+		Position: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
 	go n.Run(ctx)
 	go n.follow(ctx)
 	return n
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -81,7 +81,7 @@
 	var replicated *replica.Copy
 	n.Registrar = NewRegistrar(RegistrarConfig{
 		Zone: "z", Address: address, Process: f.processes, HomesPrefix: homesPrefix, DeparturesPrefix: departuresPrefix,
-		Epoch: epochs.Current, Place: n.directory.Place, Peers: Peers{Addresses: f.addresses, Notify: f.notify},
+		Epoch: epochs.Current, Position: n.directory.Place, Peers: Peers{Addresses: f.addresses, Notify: f.notify},
 		Records: func(ctx context.Context) ([]store.Entry, error) {
 			err := replicated.AwaitCurrent(ctx, startedAt)
 			return replicated.Entries(), err
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -134,7 +134,7 @@
 		OnRefused:        n.metrics.countRefusedHeartbeat,
 		Records:          n.awaitRecords,
 		Epoch:            n.epochs.Current,
-		Place:            n.directory.Place,
+		Position:         n.directory.Place,
 		Peers:            registry.Peers{Addresses: n.directory.Addresses, Notify: n.sendDeparture},
 		FirstStart:       settings.FirstStart,
 	}, n.registrarStores(), n.log, clock.Now)
@@ -180,7 +180,7 @@
 		Store:        n.storeGate.Wrap(n.store.WithPurpose(purposeQuarantine)),
 		Prefix:       platform.QuarantinePrefix,
 		Epoch:        n.epochs.Current,
-		Place:        n.directory.Place,
+		Position:     n.directory.Place,
 		OnQuarantine: func(hash fingerprint.Fingerprint) { n.guard.CancelQuarantined(hash) },
 		Log:          n.log,
 		Now:          clock.Now,
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -15,9 +15,9 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// TestANodeServesOnWhileTheStoreIsAway checks that a stopping node still admits calls that
+// TestStoppingNodeAdmitsCallsWhileStoreIsUnavailable checks that a stopping node still admits calls that
 // end in time if the store is unreachable, and refuses all calls if the store is reachable.
-func TestANodeServesOnWhileTheStoreIsAway(t *testing.T) {
+func TestStoppingNodeAdmitsCallsWhileStoreIsUnavailable(t *testing.T) {
 	settings := Settings{Name: "n", Zone: "z", Service: "s", Target: "127.0.0.1:1", Store: "127.0.0.1:1", Retries: RetrySettings{WindowSeconds: 10}}
 	n, err := New(settings, io.Discard)
 	assert.NilError(t, err)
@@ -45,9 +45,9 @@
 	return store.Entry{}, store.ErrUnavailable
 }
 
-// TestARequestAtTheLastMomentIsAnswered checks that a shutdown waits for a request that is
+// TestShutdownAnswersRequestInFlight checks that a shutdown waits for a request that is
 // being handled, and that the listener is closed afterwards.
-func TestARequestAtTheLastMomentIsAnswered(t *testing.T) {
+func TestShutdownAnswersRequestInFlight(t *testing.T) {
 	received := make(chan struct{})
 	slow, err := newServer("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(received)
@@ -74,11 +74,11 @@
 	assert.Assert(t, err != nil, "the listener must be closed")
 }
 
-// TestWaitingConnectionsAreAnsweredAtTheEnd checks that a shutdown serves the connections in
+// TestShutdownServesAcceptQueue checks that a shutdown serves the connections in
 // the accept queue. Closing a listener normally resets them: of 32,000 connections to closing
 // listeners, one caller got a reset after it had sent its request and could not know whether
 // the request had run.
-func TestWaitingConnectionsAreAnsweredAtTheEnd(t *testing.T) {
+func TestShutdownServesAcceptQueue(t *testing.T) {
 	const callers = 100
 	quick, err := newServer("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "whole")
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -33,7 +33,7 @@
 
 		Prefix:    platform.ShardsPrefix,
 		Store:     n.storeGate.Wrap(n.store.WithPurpose(purposeShards)),
-		Place:     n.directory.Place,
+		Position:  n.directory.Place,
 		Nodes:     func() int { return len(n.directory.Addresses()) },
 		HasLimits: n.hasTenantLimits,
 		Issuer:    n.limits.issuer,
