--- a/internal/membership/budget_test.go
+++ b/internal/membership/budget_test.go
@@ -7,16 +7,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// controlBytesPerSecond is what a node may send for control, in bytes.
-const controlBytesPerSecond = 4096
+// maxControlBytesPerSecond is the limit for all control traffic that a node sends.
+const maxControlBytesPerSecond = 4096
 
-// TestBytesStayWithinTheBudgetInAStorm checks that a node which has a thousand
-// changes to pass on, as after the loss of a region, still sends no more than a
-// node may for all control traffic.
-func TestBytesStayWithinTheBudgetInAStorm(t *testing.T) {
+// TestSendRateBoundedWithManyUpdates checks that a node with a thousand queued updates, as
+// after the loss of a region, stays within the limit for all control traffic.
+func TestSendRateBoundedWithManyUpdates(t *testing.T) {
 	s := newSimulation(37)
 	nodes := cluster(t, s, 20)
-	s.advance((introductionPeriods + 20) * DefaultPeriod)
+	s.advance((fullRecordPeriods + 20) * DefaultPeriod)
 	for _, node := range nodes {
 		assert.NilError(t, node.SetPayload(make([]byte, 100)))
 		for number := range 1000 {
@@ -27,13 +26,14 @@
 	const periods = 20
 	s.advance(periods * DefaultPeriod)
 	sent := float64(totalBytesSent(nodes)-before) / (float64(len(nodes)) * periods * DefaultPeriod.Seconds())
-	t.Logf("%.0f bytes a second and node", sent)
-	assert.Assert(t, nodes[0].Stats().QueuedUpdates > 100, "the storm has passed")
-	assert.Assert(t, sent <= controlBytesPerSecond, "%.0f bytes a second", sent)
+	t.Logf("%.0f bytes per second and node", sent)
+	assert.Assert(t, nodes[0].Stats().QueuedUpdates > 100, "the update queue is nearly empty, so the rate was not measured under load")
+	assert.Assert(t, sent <= maxControlBytesPerSecond, "%.0f bytes per second", sent)
 }
 
-// TestLargestRecordFitsTheSpace checks that no record blocks the queue.
-func TestLargestRecordFitsTheSpace(t *testing.T) {
+// TestLargestRecordFitsUpdateLimit checks that no record is too large for the update space of
+// a datagram, as it would block the queue.
+func TestLargestRecordFitsUpdateLimit(t *testing.T) {
 	text := func(length int) string { return string(make([]byte, length)) }
 	largest := Member{
 		Name: text(maxNameLength), Zone: text(maxZoneLength), Region: text(maxZoneLength),
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -9,100 +9,102 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Defaults of the protocol's settings.
+// Defaults of the protocol settings.
 const (
-	// DefaultPeriod is the time between two probes of a node.
+	// DefaultPeriod is the time between two probes by a node.
 	DefaultPeriod = 500 * time.Millisecond
-	// DefaultFanout is the number of extra peers that get the payload each period.
+	// DefaultFanout is the number of additional members that receive the payload in each
+	// period.
 	DefaultFanout = 2
-	// DefaultIndirectProbes is the number of members asked to probe for us.
+	// DefaultIndirectProbes is the number of members asked for an indirect probe.
 	DefaultIndirectProbes = 3
-	// DefaultSuspicionFactor times the decimal logarithm of the cluster's size is the
-	// time, in periods, a suspect has to refute.
+	// DefaultSuspicionFactor times the decimal logarithm of the cluster size is the time, in
+	// periods, that a suspect has to refute the suspicion.
 	DefaultSuspicionFactor = 4
-	// DefaultRetransmitFactor times the natural logarithm of the cluster's size is the
-	// number of times a node passes a change on.
+	// DefaultRetransmitFactor times the natural logarithm of the cluster size is the number of
+	// times a node sends an update.
 	DefaultRetransmitFactor = 3
-	// DefaultTombstoneLifetime is how long a dead or departed member is remembered.
+	// DefaultTombstoneLifetime is how long a dead or left member is kept in the list.
 	DefaultTombstoneLifetime = time.Hour
-	// DefaultExchangeInterval is the time between two comparisons of whole lists.
+	// DefaultExchangeInterval is the time between two periodic exchanges of full lists.
 	DefaultExchangeInterval = 30 * time.Second
-	// DefaultMaxMembers bounds the list, tombstones included.
+	// DefaultMaxMembers limits the list, including tombstones.
 	DefaultMaxMembers = 4096
-	// MaxPayload is the largest application payload in bytes.
+	// MaxPayload is the maximum size of the application payload in bytes.
 	MaxPayload = 300
 )
 
-// Limits in periods. The first two are below the shortest time in which others
-// can declare a member dead (one period and the suspicion of four), so that a
-// node loses its own confidence before another one takes its place.
+// Limits in periods. The first two are shorter than the shortest time after which other
+// members can declare a node dead (one period and a suspicion of four periods), so that a
+// node stops acting on its list before another node takes its place.
 const (
-	defaultPausePeriods     = 3
-	defaultIsolationPeriods = 3
-	joinPeriods             = 6
-	stepsPerPeriod          = 5
+	defaultPauseLimitPeriods     = 3
+	defaultIsolationLimitPeriods = 3
+	joinPeriods                  = 6
+	stepsPerPeriod               = 5
 )
 
-// Instant is one reading of both clocks. The monotonic one drives all timers;
-// the wall clock also moves while a machine is suspended.
+// Instant is one reading of both clocks. The monotonic clock drives all timers; the wall clock
+// also advances while the machine is suspended.
 type Instant struct {
 	Wall      time.Time
 	Monotonic time.Duration
 }
 
-// since returns the larger step of the two clocks, so that neither a suspended
-// machine nor a wall clock set back hides a pause.
+// since returns the larger difference of the two clocks, so that a pause is detected both when
+// the machine was suspended and when the wall clock was set back.
 func (i Instant) since(earlier Instant) time.Duration {
 	return max(i.Monotonic-earlier.Monotonic, i.Wall.Sub(earlier.Wall))
 }
 
-// Config holds the settings of a node's membership. Zero values mean the defaults.
+// Config holds the membership settings of a node. Zero values select the defaults.
 type Config struct {
-	// ClusterName must be the same on all nodes; datagrams of others are dropped.
+	// ClusterName must be the same on all nodes. Datagrams with another name are dropped.
 	ClusterName string
-	// Self describes this node. Incarnation and BootID are filled in when zero.
+	// Self describes this node. New sets Incarnation and BootID if they are zero.
 	Self Member
-	// Seeds are peer addresses to join through; our own is ignored.
+	// Seeds are the peer addresses to join through; the node's own address is ignored.
 	Seeds []string
 	// Period is the time between two probes.
 	Period time.Duration
-	// PauseLimit is the longest time between two steps that is not a pause.
+	// PauseLimit is the longest time between two steps that does not count as a pause.
 	PauseLimit time.Duration
-	// IsolationLimit is how long an acknowledgement proves that we are not isolated.
+	// IsolationLimit is how long an acknowledged ping proves that the node is not isolated,
+	// counted from the sending of the ping.
 	IsolationLimit time.Duration
-	// TombstoneLifetime is how long dead and departed members are remembered.
+	// TombstoneLifetime is how long dead and left members are kept in the list.
 	TombstoneLifetime time.Duration
-	// ExchangeInterval is the time between two comparisons of whole lists.
+	// ExchangeInterval is the time between two periodic exchanges of full lists.
 	ExchangeInterval time.Duration
-	// Fanout is the number of extra peers that get the payload each period.
+	// Fanout is the number of additional members that receive the payload in each period.
 	Fanout int
-	// IndirectProbes is the number of members asked to probe for us.
+	// IndirectProbes is the number of members asked for an indirect probe.
 	IndirectProbes int
-	// MaxMembers bounds the list, tombstones included.
+	// MaxMembers limits the list, including tombstones.
 	MaxMembers int
-	// Transport carries the datagrams. Membership does not close it.
+	// Transport sends and receives the datagrams. Membership does not close it.
 	Transport Transport
-	// Exchange fetches a peer's list; nil means that whole lists are not exchanged.
+	// Exchange fetches the list of a peer; nil disables the exchange of full lists.
 	Exchange ExchangeFunc
-	// OnPause is called by the driving goroutine when the process turns out to
-	// have been paused, before it acts on anything else. It must not block.
+	// OnPause is called by the driving goroutine when it detects that the process was paused,
+	// before it does anything else. It must not block.
 	OnPause func(pause time.Duration)
-	// OnPayload receives the payloads of other members, from the goroutine
-	// that delivers events. The slice is the receiver's.
+	// OnPayload receives the payloads of other members, called by the goroutine that delivers
+	// events. The receiver owns the slice.
 	OnPayload func(from Member, payload []byte)
-	// Logger takes state changes; nil means the standard logger.
+	// Logger receives state changes; nil selects the standard logger.
 	Logger *logrus.Entry
-	// Clock reads the time; nil means the system's clocks.
+	// Clock reads the time; nil selects the system clocks.
 	Clock func() Instant
-	// RandSeed makes the choices of peers repeatable; zero means a random seed.
+	// RandSeed makes the random choices of peers repeatable; zero selects a random seed.
 	RandSeed uint64
 }
 
-// withDefaults returns the settings with zero values replaced.
+// withDefaults returns the settings with zero values replaced by the defaults.
 func (c Config) withDefaults() Config {
 	c.Period = orDefault(c.Period, DefaultPeriod)
-	c.PauseLimit = orDefault(c.PauseLimit, defaultPausePeriods*c.Period)
-	c.IsolationLimit = orDefault(c.IsolationLimit, defaultIsolationPeriods*c.Period)
+	c.PauseLimit = orDefault(c.PauseLimit, defaultPauseLimitPeriods*c.Period)
+	c.IsolationLimit = orDefault(c.IsolationLimit, defaultIsolationLimitPeriods*c.Period)
 	c.TombstoneLifetime = orDefault(c.TombstoneLifetime, DefaultTombstoneLifetime)
 	c.ExchangeInterval = orDefault(c.ExchangeInterval, DefaultExchangeInterval)
 	c.Fanout = orDefault(c.Fanout, DefaultFanout)
@@ -120,16 +122,17 @@
 	return c
 }
 
-// orDefault returns the value, or the default when it is zero.
-func orDefault[T comparable](value, standard T) T {
+// orDefault returns the value, or the default if the value is zero.
+func orDefault[T comparable](value, defaultValue T) T {
 	var zero T
 	if value == zero {
-		return standard
+		return defaultValue
 	}
 	return value
 }
 
-// systemClock reads the wall clock and the time since its own creation.
+// systemClock returns a clock that reads the wall clock and the monotonic time since this
+// call.
 func systemClock() func() Instant {
 	start := time.Now()
 	return func() Instant {
@@ -139,29 +142,29 @@
 }
 
 var (
-	errNoTransport = errors.New("no transport")
-	errNegative    = errors.New("a duration or count is negative")
+	errNoTransport = errors.New("no transport is configured")
+	errNegative    = errors.New("a duration or count in the settings is negative")
 	errClusterName = errors.New("cluster name is too long or not printable")
 )
 
-// check returns the first fault of complete settings.
-func (c Config) check(now time.Time) error {
-	failed := oops.In("membership").With("step", "check settings", "peer", c.Self.PeerAddress)
+// validate returns the first error in settings to which the defaults have been applied.
+func (c Config) validate(now time.Time) error {
+	errorContext := oops.In("membership").With("step", "check settings", "peer", c.Self.PeerAddress)
 	if c.Transport == nil {
-		return failed.Wrap(errNoTransport)
+		return errorContext.Wrap(errNoTransport)
 	}
 	if !printable(c.ClusterName, maxNameLength) {
-		return failed.Wrap(errClusterName)
+		return errorContext.Wrap(errClusterName)
 	}
-	if err := c.Self.check(now); err != nil {
-		return failed.Wrap(err)
+	if err := c.Self.validate(now); err != nil {
+		return errorContext.Wrap(err)
 	}
 	if !c.Self.full() {
-		return failed.Wrap(errInvalidAddress)
+		return errorContext.Wrap(errInvalidAddress)
 	}
 	shortest := min(c.Period, c.PauseLimit, c.IsolationLimit, c.TombstoneLifetime, c.ExchangeInterval)
 	if shortest < 0 || min(c.Fanout, c.IndirectProbes, c.MaxMembers) < 0 {
-		return failed.Wrap(errNegative)
+		return errorContext.Wrap(errNegative)
 	}
 	return nil
 }
--- a/internal/membership/contacts.go
+++ b/internal/membership/contacts.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// contactPeriods is the time between two attempts to reach a seed or a hinted
-// address that is no member, while there are members.
-const contactPeriods = 20
+// contactIntervalPeriods is the number of periods between two attempts to reach a seed or
+// hinted address that is not a member, while there are members.
+const contactIntervalPeriods = 20
 
-// eagerPeriods is how long after its start a node tries each period to reach a seed that is
-// no member, though it knows members: nodes that start together would otherwise form an
-// island around each seed.
-const eagerPeriods = 12
+// startupContactPeriods is for how many periods after its start a node tries to reach a seed
+// that is not a member in every period, even if it has members. Without it, nodes that start
+// together would form a separate cluster around each seed.
+const startupContactPeriods = 12
 
-// contacts are addresses at which members may be found.
+// contacts holds the addresses at which members may be found.
 type contacts struct {
 	own   string
 	seeds []string
@@ -22,32 +22,32 @@
 }
 
 func newContacts(seeds []string, own string) contacts {
-	made := contacts{own: own}
-	made.seeds = made.usable(seeds)
-	return made
+	created := contacts{own: own}
+	created.seeds = created.filterValid(seeds)
+	return created
 }
 
-// usable returns the valid addresses other than our own.
-func (c *contacts) usable(addresses []string) []string {
-	var kept []string
+// filterValid returns the valid addresses other than the node's own.
+func (c *contacts) filterValid(addresses []string) []string {
+	var valid []string
 	for _, address := range addresses {
 		if address != c.own && validAddress(address) {
-			kept = append(kept, address)
+			valid = append(valid, address)
 		}
 	}
-	return kept
+	return valid
 }
 
-// setHints replaces the hinted addresses, up to a limit.
+// setHints replaces the hinted addresses, up to the limit.
 func (c *contacts) setHints(addresses []string, limit int) {
-	c.hints = c.usable(addresses[:min(limit, len(addresses))])
+	c.hints = c.filterValid(addresses[:min(limit, len(addresses))])
 }
 
-// none reports whether there is no address to try.
-func (c *contacts) none() bool { return len(c.seeds)+len(c.hints) == 0 }
+// empty reports whether there are no addresses to contact.
+func (c *contacts) empty() bool { return len(c.seeds)+len(c.hints) == 0 }
 
-// draw returns a random address that is not among the known ones.
-func (c *contacts) draw(random *rand.Rand, known map[string]struct{}) (string, bool) {
+// pickUnknown returns a random address that is not in the known set.
+func (c *contacts) pickUnknown(random *rand.Rand, known map[string]struct{}) (string, bool) {
 	isKnown := func(address string) bool {
 		_, found := known[address]
 		return found
@@ -59,14 +59,14 @@
 	return candidates[random.IntN(len(candidates))], true
 }
 
-// contact tries to reach a seed or hint: every period while the node knows
-// nobody or has just started, seldom otherwise.
-func (m *Membership) contact() {
-	eager := m.periods <= eagerPeriods || m.table.present.size() == 0
-	if m.contacts.none() || !eager && m.periods%contactPeriods != 0 {
+// pingContact pings a seed or hinted address that is not a member: in every period while the
+// node has no other members or has just started, otherwise every contactIntervalPeriods.
+func (m *Membership) pingContact() {
+	everyPeriod := m.periods <= startupContactPeriods || m.table.present.size() == 0
+	if m.contacts.empty() || !everyPeriod && m.periods%contactIntervalPeriods != 0 {
 		return
 	}
-	address, found := m.contacts.draw(m.random, m.table.addresses())
+	address, found := m.contacts.pickUnknown(m.random, m.table.addresses())
 	if found {
 		m.pingAddress(address)
 	}
--- a/internal/membership/events.go
+++ b/internal/membership/events.go
@@ -2,29 +2,29 @@
 
 import "sync"
 
-// maxDeliveries bounds the events and payloads that wait for delivery.
+// maxDeliveries limits the queue of undelivered events and payloads.
 const maxDeliveries = 8192
 
-// EventKind says what happened to a member.
+// EventKind is the kind of a change of a member.
 type EventKind uint8
 
 // The kinds of events.
 const (
-	// EventJoined: a member was found, or one that was gone is back.
+	// EventJoined: a member was added, or a dead or left member is present again.
 	EventJoined EventKind = iota + 1
-	// EventRestarted: a member runs anew; what it held in memory is lost.
+	// EventRestarted: a member was restarted and lost its in-memory state.
 	EventRestarted
-	// EventSuspected: a member failed a probe.
+	// EventSuspected: a member became a suspect, as it did not answer a probe.
 	EventSuspected
-	// EventRecovered: a member has refuted a suspicion.
+	// EventRecovered: a member refuted a suspicion.
 	EventRecovered
-	// EventLeaving: a member has announced that it will stop.
+	// EventLeaving: a member announced that it will stop.
 	EventLeaving
-	// EventDied: a member did not refute a suspicion in time.
+	// EventDied: a member was declared dead, as it did not refute a suspicion in time.
 	EventDied
-	// EventLeft: a member has stopped as announced.
+	// EventLeft: a member stopped after it announced that.
 	EventLeft
-	// EventResync: events were lost; the receiver should read Members anew.
+	// EventResync: events were dropped; the receiver should read Members again.
 	EventResync
 )
 
@@ -32,7 +32,7 @@
 	"", "joined", "restarted", "suspected", "recovered", "leaving", "died", "left", "resync",
 }
 
-// String returns the name of the kind as logs show it.
+// String returns the name of the kind for logs.
 func (k EventKind) String() string {
 	if int(k) >= len(eventNames) {
 		return "invalid"
@@ -40,24 +40,24 @@
 	return eventNames[k]
 }
 
-// Event is a change of a member as this node sees it.
+// Event is a change of a member in this node's list.
 type Event struct {
 	Kind   EventKind
 	Member Member
 }
 
-// delivery is an event or, if the payload is not nil, a payload.
+// delivery is an event, or a payload if payload is not nil.
 type delivery struct {
 	event   Event
 	payload []byte
 }
 
-// deliveryQueue holds what receivers have not seen yet, in order.
+// deliveryQueue holds the deliveries that the receivers have not processed yet, in order.
 type deliveryQueue struct {
-	mutex     sync.Mutex
-	pending   []delivery
-	lost      bool
-	receivers []func(Event)
+	mutex      sync.Mutex
+	pending    []delivery
+	eventsLost bool
+	receivers  []func(Event)
 }
 
 func (q *deliveryQueue) subscribe(receive func(Event)) {
@@ -66,8 +66,8 @@
 	q.receivers = append(q.receivers, receive)
 }
 
-// push adds a delivery. When the queue is full the delivery is dropped; a lost
-// event is made known by EventResync, a lost payload comes again by itself.
+// push adds a delivery, or drops it if the queue is full. A dropped event causes an
+// EventResync; a dropped payload needs none, because members send their payload repeatedly.
 func (q *deliveryQueue) push(added delivery) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -76,7 +76,7 @@
 		return
 	}
 	if added.payload == nil {
-		q.lost = true
+		q.eventsLost = true
 	}
 }
 
@@ -86,23 +86,23 @@
 	return len(q.pending) == 0
 }
 
-// drain takes all deliveries and the current receivers.
+// drain removes all deliveries and returns them with the current receivers.
 func (q *deliveryQueue) drain() ([]delivery, []func(Event)) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	drained := q.pending
-	if q.lost {
+	if q.eventsLost {
 		drained = append(drained, delivery{event: Event{Kind: EventResync}})
 	}
-	q.pending, q.lost = nil, false
+	q.pending, q.eventsLost = nil, false
 	return drained, q.receivers[:len(q.receivers):len(q.receivers)]
 }
 
-// DeliverEvents hands waiting events and payloads to their receivers. Run calls
-// it; who drives Step directly calls it too, from one goroutine only.
+// DeliverEvents passes queued events and payloads to their receivers. Run calls it. A caller
+// that drives Step directly must call it as well, from one goroutine only.
 func (m *Membership) DeliverEvents() {
-	drained, receivers := m.events.drain()
-	for _, next := range drained {
+	deliveries, receivers := m.events.drain()
+	for _, next := range deliveries {
 		if next.payload != nil {
 			m.config.OnPayload(next.event.Member, next.payload)
 			continue
@@ -113,34 +113,34 @@
 	}
 }
 
-// deliverPayload queues the payload of a member.
+// deliverPayload queues a payload of a member for delivery.
 func (m *Membership) deliverPayload(from Member, payload []byte) {
 	if m.config.OnPayload != nil {
 		m.events.push(delivery{event: Event{Member: from}, payload: payload})
 	}
 }
 
-// note logs an event and queues it.
-func (m *Membership) note(kind EventKind, member Member) {
+// emit logs an event and queues it for delivery.
+func (m *Membership) emit(kind EventKind, member Member) {
 	m.events.push(delivery{event: Event{Kind: kind, Member: member}})
 	m.logger.WithField("member", member.Name).WithField("zone", member.Zone).
 		WithField("incarnation", member.Incarnation).Info("member " + kind.String())
 }
 
-// noteChange notes the event that a change of a known member amounts to.
-func (m *Membership) noteChange(previous State, member Member, restarted bool) {
+// emitChange emits the event for a change of a known member, if there is one.
+func (m *Membership) emitChange(previous State, member Member, restarted bool) {
 	switch {
 	case previous.Gone() && !member.State.Gone():
-		m.note(EventJoined, member)
+		m.emit(EventJoined, member)
 	case restarted && !member.State.Gone():
-		m.note(EventRestarted, member)
+		m.emit(EventRestarted, member)
 	case previous == member.State:
 	default:
-		m.note(eventOf(member.State), member)
+		m.emit(eventForState(member.State), member)
 	}
 }
 
-// eventOf returns the event of entering a state from another present one.
-func eventOf(state State) EventKind {
+// eventForState returns the event for a member that was not gone and enters the state.
+func eventForState(state State) EventKind {
 	return [stateCount]EventKind{EventRecovered, EventSuspected, EventLeaving, EventDied, EventLeft}[state]
 }
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -11,38 +11,38 @@
 	"github.com/samber/oops"
 )
 
-// ExchangePath is where a node serves its list to peers.
+// ExchangePath is the HTTP path at which a node serves its member list.
 const ExchangePath = "/peer/members"
 
 // Limits of an exchange.
 const (
-	// exchangeTimeout bounds one exchange.
+	// exchangeTimeout limits the duration of one exchange.
 	exchangeTimeout = 5 * time.Second
-	// maxListBytes bounds the encoded list.
+	// maxListBytes limits the size of an encoded list.
 	maxListBytes = 2 << 20
 	contentType  = "application/cbor"
 )
 
-// listDecoder reads whole lists, which have more elements than datagrams.
+// listDecoder decodes full lists, which have more elements than datagrams.
 var listDecoder = mustDecoder(DefaultMaxMembers + 1)
 
-// ExchangeFunc fetches the list of the peer at an address, or nil when the
-// peer's digest is the given one. It returns the bytes received.
+// ExchangeFunc fetches the list of the peer at an address, or nil if the digest of the peer's
+// list equals the given one. It also returns the number of bytes received.
 type ExchangeFunc func(ctx context.Context, address string, digest uint64) ([]Member, int, error)
 
-// memberList is the body of an exchange.
+// memberList is the body of a response that carries a list.
 type memberList struct {
 	Cluster string   `cbor:"1,keyasint,omitempty"`
 	Members []Member `cbor:"2,keyasint"`
 }
 
 var (
-	errOtherCluster = errors.New("the peer is of another cluster")
+	errOtherCluster = errors.New("the peer belongs to another cluster")
 	errStatus       = errors.New("unexpected HTTP status")
 )
 
-// Handler serves the node's list as CBOR. A request whose If-None-Match names
-// the current digest gets 304 without a body.
+// Handler serves the node's list as CBOR. It answers 304 without a body if the If-None-Match
+// header of the request equals the entity tag of the current digest.
 func (m *Membership) Handler() http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		if request.Method != http.MethodGet {
@@ -70,34 +70,34 @@
 	writer.Header().Set("Content-Type", contentType)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if _, err := writer.Write(body); err != nil {
-		m.logger.WithError(err).Debug("member list could not be sent")
+		m.logger.WithError(err).Debug("failed to send the member list")
 	}
 }
 
-// digestTag is the entity tag of a list.
+// digestTag returns the entity tag of a list with the digest.
 func digestTag(digest uint64) string { return strconv.Quote(strconv.FormatUint(digest, 16)) }
 
-// HTTPExchange returns an ExchangeFunc that asks the Handler of a peer. The
-// cluster must be that of Config.ClusterName.
+// HTTPExchange returns an ExchangeFunc that sends requests to the Handler of a peer. The
+// cluster must equal Config.ClusterName.
 func HTTPExchange(client *http.Client, cluster string) ExchangeFunc {
 	return func(ctx context.Context, address string, digest uint64) ([]Member, int, error) {
-		failed := oops.In("membership").With("step", "exchange member lists", "peer", address)
+		errorContext := oops.In("membership").With("step", "exchange member lists", "peer", address)
 		request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+ExchangePath, nil)
 		if err != nil {
-			return nil, 0, failed.Wrap(err)
+			return nil, 0, errorContext.Wrap(err)
 		}
 		request.Header.Set("If-None-Match", digestTag(digest))
 		response, err := client.Do(request)
 		if err != nil {
-			return nil, 0, failed.Wrap(err)
+			return nil, 0, errorContext.Wrap(err)
 		}
 		defer response.Body.Close()
 		members, size, err := readList(response, cluster)
-		return members, size, failed.Wrap(err)
+		return members, size, errorContext.Wrap(err)
 	}
 }
 
-// readList reads the answer of a peer within the limits.
+// readList reads a peer's response within the size limits.
 func readList(response *http.Response, cluster string) ([]Member, int, error) {
 	if response.StatusCode == http.StatusNotModified {
 		return nil, 0, nil
@@ -122,14 +122,14 @@
 	return list.Members, len(body), nil
 }
 
-// fetch makes one exchange.
-func (m *Membership) fetch(ctx context.Context, address string, digest uint64) {
+// exchangeWith fetches the list of a peer and merges it.
+func (m *Membership) exchangeWith(ctx context.Context, address string, digest uint64) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	members, size, err := m.config.Exchange(ctx, address, digest)
 	m.countExchange(size, err)
 	if err != nil {
-		m.logger.WithError(err).WithField("peer", address).Info("member lists could not be exchanged")
+		m.logger.WithError(err).WithField("peer", address).Info("failed to fetch the member list of a peer")
 		return
 	}
 	m.Merge(members)
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// State is what is believed of a member. At the same incarnation a higher state
+// State is the state of a member in a node's list. At the same incarnation a higher state
 // overrides a lower one.
 type State uint8
 
@@ -15,13 +15,13 @@
 const (
 	// Alive members answer probes.
 	Alive State = iota
-	// Suspect members failed a probe and have not refuted it yet.
+	// Suspect members did not answer a probe and have not refuted the suspicion yet.
 	Suspect
 	// Leaving members still answer but have announced that they will stop.
 	Leaving
 	// Dead members did not refute a suspicion in time.
 	Dead
-	// Left members have stopped as announced.
+	// Left members have stopped after they announced it.
 	Left
 )
 
@@ -29,7 +29,7 @@
 
 var stateNames = [stateCount]string{"alive", "suspect", "leaving", "dead", "left"}
 
-// String returns the name of the state as logs and status pages show it.
+// String returns the name of the state for logs and status pages.
 func (s State) String() string {
 	if !s.valid() {
 		return "invalid"
@@ -39,57 +39,55 @@
 
 func (s State) valid() bool { return s < stateCount }
 
-// Gone reports whether the member takes no part any more: it is dead or left.
+// Gone reports whether the member no longer takes part, that is, whether it is dead or left.
 func (s State) Gone() bool { return s >= Dead }
 
-// Live reports whether the member may be given work: it is alive or merely
+// Live reports whether the member may be assigned work, that is, whether it is alive or
 // suspected.
 func (s State) Live() bool { return s == Alive || s == Suspect }
 
-// Limits on the strings of a member, in bytes. With them every datagram has
-// room for the sender, the payload and at least one update.
+// Length limits of a member's strings in bytes. They leave room in every datagram for the
+// sender, the payload and at least one update.
 const (
 	maxNameLength    = 64
 	maxZoneLength    = 32
 	maxAddressLength = 64
 )
 
-// maxIncarnationLead is how far ahead of the local clock an incarnation may be;
-// it bounds what a forged or mistaken record can do.
+// maxIncarnationLead is how far an incarnation may be ahead of the local clock. It limits the
+// effect of a forged or erroneous record.
 const maxIncarnationLead = 24 * time.Hour
 
-// Member is a node of the cluster. Its fields travel in every record of the
-// protocol under integer keys.
+// Member is a record of a node of the cluster. It is encoded with integer keys.
 type Member struct {
-	// Name is unique in the cluster and stays the same over restarts.
+	// Name is unique in the cluster and does not change on a restart.
 	Name string `cbor:"1,keyasint"`
-	// Zone and Region say where the node runs.
+	// Zone and Region are the location of the node.
 	Zone   string `cbor:"2,keyasint,omitempty"`
 	Region string `cbor:"3,keyasint,omitempty"`
-	// PeerAddress is the node-to-node address, IP:port, the same port number
-	// for TCP and UDP.
+	// PeerAddress is the node-to-node address, IP:port. TCP and UDP use the same port number.
 	PeerAddress string `cbor:"4,keyasint,omitempty"`
 	// MeshAddress is the address for calls between services, IP:port.
 	MeshAddress string `cbor:"5,keyasint,omitempty"`
-	// Incarnation starts as the boot time in nanoseconds since 1970 and is
-	// raised by the member itself to refute what is said of it.
+	// Incarnation is initially the start time in nanoseconds since 1970. Only the member
+	// itself raises it, to refute a record about itself.
 	Incarnation uint64 `cbor:"6,keyasint"`
-	// BootID differs between two runs of the same member.
+	// BootID identifies one run of the member's process.
 	BootID uint64 `cbor:"7,keyasint"`
-	// State is the sender's belief.
+	// State is the state of the member in the sender's list.
 	State State `cbor:"8,keyasint,omitempty"`
 }
 
-// compact returns the member without what does not change while it runs. A
-// receiver that knows the run fills the rest in.
+// compact returns the record without the fields that do not change during a run. A receiver
+// that has a full record of the same run adds them.
 func (m Member) compact() Member {
 	return Member{Name: m.Name, Incarnation: m.Incarnation, BootID: m.BootID, State: m.State}
 }
 
-// full reports whether the record says where the member runs.
+// full reports whether the record includes the addresses.
 func (m Member) full() bool { return m.PeerAddress != "" }
 
-// supersedes reports whether the record overrides an older belief.
+// supersedes reports whether the record overrides a known one.
 func (m Member) supersedes(known Member) bool {
 	if m.Incarnation != known.Incarnation {
 		return m.Incarnation > known.Incarnation
@@ -97,8 +95,8 @@
 	return m.State > known.State
 }
 
-// check returns an error if a record from outside must not enter the list.
-func (m Member) check(now time.Time) error {
+// validate returns an error if a received record must not be added to the list.
+func (m Member) validate(now time.Time) error {
 	latest := uint64(now.Add(maxIncarnationLead).UnixNano())
 	switch {
 	case !printable(m.Name, maxNameLength) || m.Name == "":
@@ -117,7 +115,7 @@
 	return nil
 }
 
-// Causes of a rejected record or setting.
+// Errors of invalid records and settings.
 var (
 	errInvalidName        = errors.New("name is empty, too long or not printable")
 	errInvalidZone        = errors.New("zone or region is too long or not printable")
@@ -126,14 +124,14 @@
 	errInvalidAddress     = errors.New("address is not IP:port")
 )
 
-// printable reports whether the text fits and holds no control characters,
-// which would disturb logs and terminals.
+// printable reports whether the text is within the limit and contains no control characters,
+// which would corrupt logs and terminal output.
 func printable(text string, limit int) bool {
 	if len(text) > limit || !utf8.ValidString(text) {
 		return false
 	}
-	for _, symbol := range text {
-		if symbol < ' ' || symbol == 0x7f {
+	for _, char := range text {
+		if char < ' ' || char == 0x7f {
 			return false
 		}
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -10,20 +10,20 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Membership is a node's list of members and the protocol that keeps it.
+// Membership is a node's member list and the protocol that maintains it.
 type Membership struct {
 	config Config
 	logger *logrus.Entry
-	guard  guard
+	guard  isolationGuard
 	events deliveryQueue
-	// payload is what every datagram carries for the application.
+	// payload is the application data in every datagram.
 	payload atomic.Pointer[[]byte]
-	// picture is the current view, nil after a change until the next reader.
-	picture atomic.Pointer[view]
-	// digest is that of the list, nil after a change until it is asked for.
+	// cachedView is the current view; nil after a change until the next read.
+	cachedView atomic.Pointer[view]
+	// digest is the digest of the list; nil after a change until the next use.
 	digest  *uint64
 	closing chan struct{}
-	// wake asks the goroutine that delivers events to look at the queue.
+	// wake signals the delivery goroutine that the event queue is not empty.
 	wake      chan struct{}
 	closeOnce sync.Once
 
@@ -44,8 +44,8 @@
 	stats      Stats
 }
 
-// New returns a membership that knows only itself. It sends nothing before Run
-// or Step is called.
+// New returns a membership that lists only the node itself. It sends nothing until Run or Step
+// is called.
 func New(config Config) (*Membership, error) {
 	config = config.withDefaults()
 	now := config.Clock()
@@ -57,7 +57,7 @@
 		config.Self.BootID = random.Uint64()
 	}
 	config.Self.State = Alive
-	if err := config.check(now.Wall); err != nil {
+	if err := config.validate(now.Wall); err != nil {
 		return nil, err
 	}
 	m := &Membership{
@@ -74,9 +74,9 @@
 		relays:   map[uint64]relay{},
 		sequence: uint64(random.Uint32()),
 	}
-	m.prober.queued = map[string]struct{}{}
+	m.prober.recheckQueued = map[string]struct{}{}
 	m.contacts = newContacts(config.Seeds, config.Self.PeerAddress)
-	m.exchange.agreed(config.Period)
+	m.exchange.recordMatch(config.Period)
 	m.nextPeriod = now.Monotonic + time.Duration(random.Int64N(int64(config.Period)))
 	m.updates.add(m.self, true)
 	m.guard.reset()
@@ -90,13 +90,13 @@
 	return m.self
 }
 
-// Members returns all known members by name, the node itself and tombstones
-// included. The slice is shared and must not be changed.
+// Members returns all members by name, including the node itself and tombstones. The slice is
+// shared and must not be modified.
 func (m *Membership) Members() []Member { return m.view().all }
 
-// Live returns the members that may be given work, the node itself included
-// unless it is leaving, by name. An empty zone means all zones. The slice is
-// shared and must not be changed.
+// Live returns the members that may be assigned work, by name. It includes the node itself
+// unless it is leaving. An empty zone selects all zones. The slice is shared and must not be
+// modified.
 func (m *Membership) Live(zone string) []Member {
 	if zone == "" {
 		return m.view().live
@@ -104,15 +104,14 @@
 	return m.view().liveByZone[zone]
 }
 
-// Snapshot returns what Members returns, as the list to be exchanged.
+// Snapshot returns the same slice as Members, for an exchange of lists.
 func (m *Membership) Snapshot() []Member { return m.view().all }
 
-// Digest returns a hash of all members that are not gone; nodes with the same
-// digest have nothing to exchange.
+// Digest returns a hash of all members that are not dead or left. Nodes with equal digests
+// have nothing to exchange.
 func (m *Membership) Digest() uint64 { return m.view().digest }
 
-// SetPayload sets the bytes that every datagram carries from now on, at most
-// MaxPayload.
+// SetPayload sets the application data for all later datagrams, at most MaxPayload bytes.
 func (m *Membership) SetPayload(payload []byte) error {
 	if len(payload) > MaxPayload {
 		return errPayloadSize
@@ -122,41 +121,41 @@
 	return nil
 }
 
-// Hint adds addresses from a lagging list of machines. They are only contacted,
-// never believed to be members.
-func (m *Membership) Hint(addresses []string) {
+// SetHints sets the addresses of a machine list that may be out of date. The node contacts
+// them, but does not add them as members before they answer.
+func (m *Membership) SetHints(addresses []string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.contacts.setHints(addresses, m.config.MaxMembers)
 }
 
-// Subscribe adds a receiver of events. All receivers are called in order from
-// one goroutine and should return quickly.
+// Subscribe adds an event receiver. All receivers are called in order from one goroutine and
+// should return quickly.
 func (m *Membership) Subscribe(receive func(Event)) { m.events.subscribe(receive) }
 
-// view returns the current picture, building it if something has changed.
+// view returns the current view and builds it if the list has changed.
 func (m *Membership) view() *view {
-	if current := m.picture.Load(); current != nil {
+	if current := m.cachedView.Load(); current != nil {
 		return current
 	}
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	if current := m.picture.Load(); current != nil {
+	if current := m.cachedView.Load(); current != nil {
 		return current
 	}
 	built := buildView(m.self, m.table.entries, m.currentDigest())
-	m.picture.Store(built)
+	m.cachedView.Store(built)
 	return built
 }
 
-// changed drops what is derived from the list.
-func (m *Membership) changed() {
-	m.picture.Store(nil)
+// invalidateView drops the cached view and digest.
+func (m *Membership) invalidateView() {
+	m.cachedView.Store(nil)
 	m.digest = nil
 }
 
-// currentDigest returns the digest of the list. It is told with each datagram, and costs
-// less than the whole picture.
+// currentDigest returns the digest of the list. Every datagram carries it, so it is computed
+// without building the view, which costs more.
 func (m *Membership) currentDigest() uint64 {
 	if m.digest == nil {
 		digest := m.table.digest(m.self)
@@ -165,15 +164,15 @@
 	return *m.digest
 }
 
-// suspicionTime returns how long a suspect has to refute.
+// suspicionTime returns how long a suspect has to refute the suspicion.
 func (m *Membership) suspicionTime() time.Duration {
 	scale := math.Max(1, math.Log10(float64(m.table.present.size()+1)))
 	return time.Duration(DefaultSuspicionFactor * scale * float64(m.config.Period))
 }
 
-// retransmitLimit returns how often a change is passed on. Sent to random
-// members, a change misses one with a probability of e to the minus this limit,
-// and with more where receivers are dead.
+// retransmitLimit returns how many times a node sends an update. Updates go to random members:
+// a member misses one with probability e to the power of minus this limit, and with a higher
+// probability if some receivers are dead.
 func (m *Membership) retransmitLimit() int {
 	scale := math.Max(1, math.Log(float64(m.table.present.size()+1)))
 	return int(math.Ceil(DefaultRetransmitFactor * scale))
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -7,13 +7,13 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// MaxDatagram is the largest datagram in bytes, below any common path MTU.
+// MaxDatagram is the maximum size of a datagram in bytes, below any common path MTU.
 const MaxDatagram = 1200
 
-// Limits of the decoder and of the space for updates in a datagram.
+// Limits of the decoder and of the updates in a datagram.
 const (
 	maxUpdates = 64
-	// maxQueuedUpdates leaves room for those that a message is about.
+	// maxQueuedUpdates leaves room for the records that a message itself contains.
 	maxQueuedUpdates = maxUpdates - 4
 	maxUpdateBytes   = 320
 	maxNesting       = 4
@@ -21,43 +21,45 @@
 	updatesOverhead  = 4
 )
 
-// kind is the purpose of a datagram.
+// kind is the type of a datagram.
 type kind uint8
 
 const (
-	// kindPing asks for an acknowledgement with the same sequence number.
+	// kindPing requests an acknowledgement with the same sequence number.
 	kindPing kind = iota + 1
-	// kindAck answers a ping.
+	// kindAck acknowledges a ping.
 	kindAck
 	// kindPingRequest asks the receiver to probe the target.
 	kindPingRequest
-	// kindReceipt tells the requester that its ping request has arrived.
-	kindReceipt
-	// kindRelayedAck tells the requester that the target has answered.
+	// kindPingRequestAck acknowledges the receipt of a ping request.
+	kindPingRequestAck
+	// kindRelayedAck reports to the sender of a ping request that the target has answered.
 	kindRelayedAck
-	// kindGossip carries updates and the payload and wants no answer.
+	// kindGossip carries updates and the payload and requires no answer.
 	kindGossip
 	kindEnd
 )
 
-// message is a datagram. Unknown keys are ignored, so that nodes of two
-// versions can run side by side.
+// message is a datagram. Decoders ignore unknown keys, so that nodes of two versions can run
+// in one cluster.
 type message struct {
 	Kind     kind   `cbor:"1,keyasint"`
 	Cluster  string `cbor:"2,keyasint,omitempty"`
 	Sequence uint64 `cbor:"3,keyasint,omitempty"`
 	Sender   Member `cbor:"4,keyasint"`
-	// Target names the member that a ping request is about.
+	// Target is the name of the member to probe for a ping request, or of the member that
+	// answered for a relayed acknowledgement.
 	Target string `cbor:"5,keyasint,omitempty"`
-	// Introduce asks the receiver for its full record.
-	Introduce bool     `cbor:"6,keyasint,omitempty"`
-	Payload   []byte   `cbor:"7,keyasint,omitempty"`
-	Updates   []Member `cbor:"8,keyasint,omitempty"`
-	// Digest is that of the sender's list. Zero, as from an earlier version, tells nothing.
+	// RequestRecord asks the receiver to send its full record.
+	RequestRecord bool     `cbor:"6,keyasint,omitempty"`
+	Payload       []byte   `cbor:"7,keyasint,omitempty"`
+	Updates       []Member `cbor:"8,keyasint,omitempty"`
+	// Digest is the digest of the sender's list. Earlier versions do not send it; zero means
+	// unknown.
 	Digest uint64 `cbor:"9,keyasint,omitempty"`
 }
 
-// Causes of a rejected datagram.
+// Errors of rejected datagrams and payloads.
 var (
 	errTooLarge    = errors.New("datagram is too large")
 	errUnknownKind = errors.New("unknown kind of datagram")
@@ -93,8 +95,8 @@
 	return mode
 }
 
-// decodeMessage reads a datagram and checks everything that does not depend on
-// the receiver's state.
+// decodeMessage decodes a datagram and validates everything that does not depend on the
+// receiver's state.
 func decodeMessage(datagram []byte, now time.Time) (message, error) {
 	var decoded message
 	if len(datagram) > MaxDatagram {
@@ -103,13 +105,13 @@
 	if err := decoder.Unmarshal(datagram, &decoded); err != nil {
 		return message{}, err
 	}
-	if err := decoded.check(now); err != nil {
+	if err := decoded.validate(now); err != nil {
 		return message{}, err
 	}
 	return decoded, nil
 }
 
-func (m message) check(now time.Time) error {
+func (m message) validate(now time.Time) error {
 	if m.Kind == 0 || m.Kind >= kindEnd {
 		return errUnknownKind
 	}
@@ -119,18 +121,18 @@
 	if !printable(m.Target, maxNameLength) {
 		return errInvalidName
 	}
-	if err := m.Sender.check(now); err != nil {
+	if err := m.Sender.validate(now); err != nil {
 		return err
 	}
 	for _, update := range m.Updates {
-		if err := update.check(now); err != nil {
+		if err := update.validate(now); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// encodedSize returns the bytes that a record takes in a datagram.
+// encodedSize returns the size of an encoded record in bytes.
 func encodedSize(record Member) int {
 	encoded, err := encoder.Marshal(record)
 	if err != nil {
--- a/internal/membership/message_test.go
+++ b/internal/membership/message_test.go
@@ -19,11 +19,11 @@
 	}
 }
 
-func TestRecordsAreChecked(t *testing.T) {
+func TestValidateMember(t *testing.T) {
 	tests := []struct {
-		name   string
-		change func(*Member)
-		want   error
+		name    string
+		modify  func(*Member)
+		wantErr error
 	}{
 		{"valid", func(*Member) {}, nil},
 		{"compact", func(m *Member) { *m = m.compact() }, nil},
@@ -40,21 +40,21 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			record := exampleMember(1)
-			test.change(&record)
+			test.modify(&record)
 			encoded, err := encoder.Marshal(message{Kind: kindGossip, Sender: exampleMember(2), Updates: []Member{record}})
 			assert.NilError(t, err)
 			_, err = decodeMessage(encoded, epoch)
-			assert.ErrorIs(t, err, test.want)
+			assert.ErrorIs(t, err, test.wantErr)
 		})
 	}
 }
 
-func TestDatagramsAreChecked(t *testing.T) {
+func TestDecodeMessageRejectsInvalid(t *testing.T) {
 	valid := message{Kind: kindPing, Sender: exampleMember(1)}
-	change := func(adjust func(*message)) []byte {
-		changed := valid
-		adjust(&changed)
-		encoded, err := encoder.Marshal(changed)
+	encodeModified := func(modify func(*message)) []byte {
+		modified := valid
+		modify(&modified)
+		encoded, err := encoder.Marshal(modified)
 		assert.NilError(t, err)
 		return encoded
 	}
@@ -62,12 +62,12 @@
 	tests := map[string][]byte{
 		"empty":        {},
 		"too large":    make([]byte, MaxDatagram+1),
-		"kind":         change(func(m *message) { m.Kind = kindEnd }),
-		"payload":      change(func(m *message) { m.Payload = make([]byte, MaxPayload+1) }),
-		"updates":      change(func(m *message) { m.Updates = slices.Repeat([]Member{{Name: "x", Incarnation: 1}}, maxUpdates+1) }),
-		"trailing":     append(change(func(*message) {}), 0),
+		"kind":         encodeModified(func(m *message) { m.Kind = kindEnd }),
+		"payload":      encodeModified(func(m *message) { m.Payload = make([]byte, MaxPayload+1) }),
+		"updates":      encodeModified(func(m *message) { m.Updates = slices.Repeat([]Member{{Name: "x", Incarnation: 1}}, maxUpdates+1) }),
+		"trailing":     append(encodeModified(func(*message) {}), 0),
 		"indefinite":   indefinite,
-		"other target": change(func(m *message) { m.Target = "\x00" }),
+		"other target": encodeModified(func(m *message) { m.Target = "\x00" }),
 	}
 	for name, datagram := range tests {
 		_, err := decodeMessage(datagram, epoch)
@@ -75,7 +75,7 @@
 	}
 }
 
-// TestUnknownKeysAreIgnored lets nodes of a later version be understood.
+// TestUnknownKeysAreIgnored checks that messages of later versions can be decoded.
 func TestUnknownKeysAreIgnored(t *testing.T) {
 	encoded, err := cbor.Marshal(map[int]any{1: 1, 4: exampleMember(1), 99: "later"})
 	assert.NilError(t, err)
@@ -85,8 +85,8 @@
 }
 
 func TestLargestDatagramFits(t *testing.T) {
-	s := newSimulation(1) // its Send panics beyond MaxDatagram
-	s.tamper = func(config *Config) {
+	s := newSimulation(1) // its Send panics if a datagram exceeds MaxDatagram
+	s.configure = func(config *Config) {
 		config.ClusterName = strings.Repeat("c", maxNameLength)
 		config.Self.Zone = strings.Repeat("z", maxZoneLength)
 		config.Self.Region = strings.Repeat("r", maxZoneLength)
@@ -96,13 +96,13 @@
 		assert.NilError(t, node.SetPayload(make([]byte, MaxPayload)))
 	}
 	s.start(40, 0)
-	_, agreed := s.until(time.Minute, s.agreed)
+	_, agreed := s.advanceUntil(time.Minute, s.converged)
 	assert.Assert(t, agreed)
 }
 
-func TestForgedMembersCannotGrowMemory(t *testing.T) {
+func TestForgedMembersBounded(t *testing.T) {
 	s := newSimulation(2)
-	s.tamper = func(config *Config) { config.MaxMembers = 50 }
+	s.configure = func(config *Config) { config.MaxMembers = 50 }
 	node := s.start(0, 0)
 	for number := range 2000 {
 		encoded, err := encoder.Marshal(message{Kind: kindPing, Cluster: "test", Sender: exampleMember(number + 10)})
@@ -114,7 +114,7 @@
 	assert.Equal(t, node.Stats().MembersRefused, uint64(1950))
 }
 
-func TestEitherClockShowsAPause(t *testing.T) {
+func TestInstantSinceUsesLargerStep(t *testing.T) {
 	start := Instant{Wall: epoch, Monotonic: time.Minute}
 	suspended := Instant{Wall: epoch.Add(time.Hour), Monotonic: time.Minute}
 	setBack := Instant{Wall: epoch.Add(-time.Hour), Monotonic: time.Minute + 3*time.Second}
@@ -122,25 +122,25 @@
 	assert.Equal(t, setBack.since(start), 3*time.Second)
 }
 
-func TestUpdatesAreSentABoundedNumberOfTimes(t *testing.T) {
+func TestUpdateRetransmitLimit(t *testing.T) {
 	queue := newUpdateQueue()
 	queue.add(exampleMember(1), true)
 	queue.add(exampleMember(2), false)
-	assert.Equal(t, queue.take(MaxDatagram, 3, "node-2")[0].Name, "node-1", "the receiver is not told about itself")
-	assert.Equal(t, queue.take(40, 3, "")[0].Name, "node-2", "the least sent goes first")
+	assert.Equal(t, queue.nextBatch(MaxDatagram, 3, "node-2")[0].Name, "node-1", "the receiver's own record was not excluded")
+	assert.Equal(t, queue.nextBatch(40, 3, "")[0].Name, "node-2", "the update sent least often was not first")
 	sent := map[string]int{}
 	for queue.len() > 0 {
-		for _, record := range queue.take(MaxDatagram, 3, "") {
+		for _, record := range queue.nextBatch(MaxDatagram, 3, "") {
 			sent[record.Name]++
 		}
 	}
 	assert.DeepEqual(t, sent, map[string]int{"node-1": 2, "node-2": 2})
 	queue.add(exampleMember(1), true)
 	queue.add(exampleMember(1), false)
-	assert.Assert(t, queue.take(MaxDatagram, 1, "")[0].full(), "the addresses were lost with the older change")
+	assert.Assert(t, queue.nextBatch(MaxDatagram, 1, "")[0].full(), "the addresses of the older update were lost")
 }
 
-func TestFullEventQueueAsksForResync(t *testing.T) {
+func TestFullEventQueueEmitsResync(t *testing.T) {
 	var queue deliveryQueue
 	for range maxDeliveries + 5 {
 		queue.push(delivery{event: Event{Kind: EventJoined}})
@@ -172,11 +172,11 @@
 		}
 		encoded, err := encoder.Marshal(decoded)
 		assert.NilError(t, err)
-		again, err := decodeMessage(encoded, epoch)
+		redecoded, err := decodeMessage(encoded, epoch)
 		if len(encoded) <= MaxDatagram {
 			assert.NilError(t, err)
-			assert.Equal(t, again.Sender, decoded.Sender)
-			assert.Equal(t, len(again.Updates), len(decoded.Updates))
+			assert.Equal(t, redecoded.Sender, decoded.Sender)
+			assert.Equal(t, len(redecoded.Updates), len(decoded.Updates))
 		}
 	})
 }
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -5,71 +5,74 @@
 	"time"
 )
 
-// Fractions and counts of the probing schedule.
+// Parameters of the probe schedule.
 const (
-	// indirectAfter is the share of a period after which others are asked.
+	// indirectNumerator / indirectDenominator is the fraction of a period without an answer
+	// after which other members are asked to probe the target.
 	indirectNumerator, indirectDenominator = 2, 5
-	// rechecksPerPeriod bounds the probes of members in doubt.
+	// rechecksPerPeriod limits the queued rechecks that are sent in each period.
 	rechecksPerPeriod = 2
-	// deadProbePeriods is the time between two probes of dead members.
+	// deadProbePeriods is the number of periods between two probes of dead members.
 	deadProbePeriods = 4
-	// maxRelays bounds the probes that are made for others at once.
+	// maxRelays limits the concurrent probes on behalf of other members.
 	maxRelays = 1024
 )
 
 // probe is a ping that has not been acknowledged yet.
 type probe struct {
 	sequence uint64
-	// target is empty for the ping of a bare address.
+	// target is empty if only the address is known, not the member.
 	target string
-	// expected is whether a missing answer makes the target a suspect.
-	expected   bool
-	sentAt     time.Duration
-	indirectAt time.Duration
-	indirect   bool
+	// suspectOnTimeout is whether the target becomes a suspect if no answer arrives in time.
+	suspectOnTimeout bool
+	sentAt           time.Duration
+	indirectAt       time.Duration
+	indirect         bool
 }
 
-// prober holds the probes under way and the order of the next ones.
+// prober holds the probes in progress and the order of the next ones.
 type prober struct {
 	probes []*probe
-	// order is the rest of the current round over all members.
-	order []string
-	// rechecks are members in doubt, probed ahead of the round.
-	rechecks []string
-	queued   map[string]struct{}
+	// round is the remaining members of the current round, which probes each member once.
+	round []string
+	// rechecks is the queue of members whose state is in doubt; they are probed in addition to
+	// the round.
+	rechecks      []string
+	recheckQueued map[string]struct{}
 }
 
-// relay is a probe that is made for another member.
+// relay is a probe on behalf of another member.
 type relay struct {
-	requester string
-	name      string
-	sequence  uint64
-	target    string
-	expires   time.Duration
+	requesterAddress  string
+	requesterName     string
+	requesterSequence uint64
+	target            string
+	expires           time.Duration
 }
 
-// enqueue puts a member among those to be probed soon.
+// enqueue queues a member for a recheck unless it is queued already.
 func (p *prober) enqueue(name string) {
-	if _, queued := p.queued[name]; queued {
+	if _, queued := p.recheckQueued[name]; queued {
 		return
 	}
-	p.queued[name] = struct{}{}
+	p.recheckQueued[name] = struct{}{}
 	p.rechecks = append(p.rechecks, name)
 }
 
-// dequeue takes the next member to be probed soon.
+// dequeue removes and returns the next member to recheck.
 func (p *prober) dequeue() (string, bool) {
 	if len(p.rechecks) == 0 {
 		return "", false
 	}
 	name := p.rechecks[0]
 	p.rechecks = p.rechecks[1:]
-	delete(p.queued, name)
+	delete(p.recheckQueued, name)
 	return name, true
 }
 
-// take removes and returns the probe that an acknowledgement belongs to.
-func (p *prober) take(sequence uint64, name string) *probe {
+// complete removes and returns the probe with the sequence number and target of an
+// acknowledgement, or returns nil if there is none.
+func (p *prober) complete(sequence uint64, name string) *probe {
 	index := slices.IndexFunc(p.probes, func(pending *probe) bool {
 		return pending.sequence == sequence && (pending.target == "" || pending.target == name)
 	})
@@ -81,19 +84,19 @@
 	return found
 }
 
-// insertRandomly adds a new member to the current round.
+// insertRandomly inserts a member at a random position of the current round.
 func (m *Membership) insertRandomly(name string) {
-	position := m.random.IntN(len(m.prober.order) + 1)
-	m.prober.order = slices.Insert(m.prober.order, position, name)
+	position := m.random.IntN(len(m.prober.round) + 1)
+	m.prober.round = slices.Insert(m.prober.round, position, name)
 }
 
 // probeNext pings the next member of the round.
 func (m *Membership) probeNext() {
 	for range 2 {
-		for len(m.prober.order) > 0 {
-			last := len(m.prober.order) - 1
-			name := m.prober.order[last]
-			m.prober.order = m.prober.order[:last]
+		for len(m.prober.round) > 0 {
+			last := len(m.prober.round) - 1
+			name := m.prober.round[last]
+			m.prober.round = m.prober.round[:last]
 			if known, found := m.table.entries[name]; found && !known.State.Gone() {
 				m.ping(known.Member)
 				return
@@ -103,16 +106,16 @@
 	}
 }
 
-// startRound shuffles all present members into a new round.
+// startRound starts a new round with all members that are not gone, in random order.
 func (m *Membership) startRound() {
 	for _, member := range m.table.present.entries {
-		m.prober.order = append(m.prober.order, member.Name)
+		m.prober.round = append(m.prober.round, member.Name)
 	}
-	order := m.prober.order
+	order := m.prober.round
 	m.random.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 }
 
-// recheck pings members in doubt.
+// recheck pings queued members whose state is in doubt.
 func (m *Membership) recheck() {
 	for range rechecksPerPeriod {
 		name, found := m.prober.dequeue()
@@ -125,7 +128,7 @@
 	}
 }
 
-// probeDead pings a dead member, so that a healed cut is noticed.
+// probeDead pings a random dead member, so that the end of a network partition is detected.
 func (m *Membership) probeDead() {
 	dead := m.table.dead
 	if dead.size() > 0 {
@@ -133,29 +136,29 @@
 	}
 }
 
-// ping probes a member. Dead ones are not expected to answer.
+// ping probes a member. A missing answer from a member that is gone has no effect.
 func (m *Membership) ping(member Member) {
 	m.stats.ProbesSent++
 	started := m.startProbe(member.Name, !member.State.Gone())
 	m.send(toMember(member), message{Kind: kindPing, Sequence: started.sequence})
 }
 
-// pingAddress probes an address whose member is not known.
+// pingAddress probes an address whose member is unknown.
 func (m *Membership) pingAddress(address string) {
 	m.stats.ContactsSent++
 	started := m.startProbe("", false)
-	m.send(destination{address: address}, message{Kind: kindPing, Sequence: started.sequence, Introduce: true})
+	m.send(destination{address: address}, message{Kind: kindPing, Sequence: started.sequence, RequestRecord: true})
 }
 
 func (m *Membership) startProbe(target string, expected bool) *probe {
 	m.sequence++
-	started := &probe{sequence: m.sequence, target: target, expected: expected, sentAt: m.now.Monotonic}
+	started := &probe{sequence: m.sequence, target: target, suspectOnTimeout: expected, sentAt: m.now.Monotonic}
 	m.prober.probes = append(m.prober.probes, started)
 	return started
 }
 
-// checkProbes asks others about members that have not answered and gives up on
-// probes that are a period old.
+// checkProbes starts indirect probes of members that have not answered and ends probes that
+// are a period old.
 func (m *Membership) checkProbes() {
 	var pending, failed []*probe
 	for _, candidate := range m.prober.probes {
@@ -170,14 +173,14 @@
 		}
 	}
 	m.prober.probes = pending
-	for _, lost := range failed {
-		m.probeFailed(lost)
+	for _, timedOut := range failed {
+		m.probeFailed(timedOut)
 	}
 }
 
-// probeIndirectly asks some members, of other zones first, to probe the target.
+// probeIndirectly asks some members, preferably of other zones, to probe the target.
 func (m *Membership) probeIndirectly(pending *probe) {
-	if pending.indirect || !pending.expected {
+	if pending.indirect || !pending.suspectOnTimeout {
 		return
 	}
 	pending.indirect = true
@@ -192,7 +195,7 @@
 	}
 }
 
-// helpers draws the members that probe for us.
+// helpers selects the members that are asked for an indirect probe.
 func (m *Membership) helpers(target string) []Member {
 	count := m.config.IndirectProbes
 	present := m.table.present
@@ -205,27 +208,28 @@
 	return append(drawn, more...)
 }
 
-// probeFailed suspects the target of a probe that nobody got an answer to.
-func (m *Membership) probeFailed(lost *probe) {
-	known, found := m.table.entries[lost.target]
-	if !lost.expected || !found || known.State.Gone() {
+// probeFailed marks the target of an unanswered probe as a suspect, or as left if it was
+// leaving.
+func (m *Membership) probeFailed(failed *probe) {
+	known, found := m.table.entries[failed.target]
+	if !failed.suspectOnTimeout || !found || known.State.Gone() {
 		return
 	}
 	m.stats.ProbesFailed++
 	if known.State == Leaving {
-		m.believe(known, Left)
+		m.changeState(known, Left)
 		return
 	}
 	if known.State == Alive {
-		m.believe(known, Suspect)
+		m.changeState(known, Suspect)
 	}
 	m.prober.enqueue(known.Name)
 }
 
-// dropExpiredRelays forgets probes made for others that were not answered.
+// dropExpiredRelays removes unanswered probes on behalf of other members.
 func (m *Membership) dropExpiredRelays() {
-	for sequence, made := range m.relays {
-		if made.expires <= m.now.Monotonic {
+	for sequence, relayed := range m.relays {
+		if relayed.expires <= m.now.Monotonic {
 			delete(m.relays, sequence)
 		}
 	}
--- a/internal/membership/protocol_test.go
+++ b/internal/membership/protocol_test.go
@@ -9,20 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// detectionLimit is the time in which every node must know of a crash: the
-// probe, the suspicion and the spread, at up to 100 nodes.
+// detectionLimit is the time within which every node must have detected a crash: the probe,
+// the suspicion and the propagation, with up to 100 nodes.
 const detectionLimit = 24 * DefaultPeriod
 
-// healLimit is the time in which a healed cut must be forgotten.
+// healLimit is the time within which lists must converge after a network partition has ended.
 const healLimit = 90 * time.Second
 
-// TestNoSuspicionWithoutLoss: in a network that loses nothing, nodes that start shortly after
-// each other must know each other after a minute, and suspect nobody. Eleven nodes with a
-// pause of 2.8 s after the fifth did not. They formed two islands, {0,1,4,7..10} and
-// {2,3,5,6}, which one contact joined after 10 s; by then no change was queued anywhere, and
-// two nodes that both missed each other compared lists every 30 s with one random peer that
-// knew no more: 5 and 10 were strangers for 63 s, while nobody was suspected. What spreads
-// and what is compared is told at TestNodesThatStartTogetherAgree.
+// TestNoSuspicionWithoutLoss checks that on a network without loss, nodes that start shortly
+// after each other converge within a minute and suspect no member.
+//
+// Eleven nodes with a pause of 2.8 s after the fifth did not. They formed two separate
+// clusters, {0,1,4,7..10} and {2,3,5,6}, which one contact joined after 10 s. By then no node
+// had queued updates, and two nodes that both lacked each other's record exchanged lists only
+// every 30 s, each with a random peer that lacked the same records. Nodes 5 and 10 were
+// missing from each other's lists for 63 s without any suspicion. See
+// TestNodesThatStartTogetherAgree for the mechanism.
 func TestNoSuspicionWithoutLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"))
@@ -34,8 +36,8 @@
 			s.advance(time.Duration(rapid.IntRange(0, 3000).Draw(t, "gap")) * time.Millisecond)
 		}
 		s.advance(time.Minute)
-		if !s.agreed() {
-			t.Fatalf("%d nodes do not agree", count)
+		if !s.converged() {
+			t.Fatalf("%d nodes did not converge", count)
 		}
 		for _, node := range s.running() {
 			if node.count(EventSuspected)+node.count(EventDied) > 0 {
@@ -45,24 +47,24 @@
 	})
 }
 
-func TestCrashesAreDetectedByAll(t *testing.T) {
+func TestCrashDetectedByAllNodes(t *testing.T) {
 	for _, count := range []int{2, 3, 10, 60} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			s := newSimulation(uint64(count))
 			nodes := cluster(t, s, count)
 			nodes[count-1].crash()
 			nodes[count/2].crash()
-			taken, detected := s.until(detectionLimit, s.agreed)
-			assert.Assert(t, detected, "the crash was not known to all in %v", detectionLimit)
-			t.Logf("all of %d nodes knew after %v", count, taken)
+			elapsed, detected := s.advanceUntil(detectionLimit, s.converged)
+			assert.Assert(t, detected, "not all nodes detected the crashes within %v", detectionLimit)
+			t.Logf("all of %d nodes detected the crashes after %v", count, elapsed)
 			for _, node := range s.running() {
-				assert.Equal(t, node.state(nodes[count-1]), Dead)
+				assert.Equal(t, node.stateOf(nodes[count-1]), Dead)
 			}
 		})
 	}
 }
 
-func TestRefutationWinsUnderLoss(t *testing.T) {
+func TestRefutationUnderPacketLoss(t *testing.T) {
 	s := newSimulation(7)
 	nodes := cluster(t, s, 30)
 	s.loss, s.duplicate = 0.15, 0.1
@@ -74,76 +76,76 @@
 		suspicions += node.Stats().Suspicions
 		refutations += node.Stats().Refutations
 	}
-	assert.Assert(t, suspicions > 0 && refutations > 0, "the loss caused no suspicion to refute")
+	assert.Assert(t, suspicions > 0 && refutations > 0, "the packet loss caused no refuted suspicion")
 }
 
-func TestFalseRumourOfDeathIsRefuted(t *testing.T) {
+func TestForgedDeathIsRefuted(t *testing.T) {
 	s := newSimulation(8)
 	nodes := cluster(t, s, 10)
-	rumour := nodes[4].Self()
-	rumour.State = Dead
-	forged, err := encoder.Marshal(message{Kind: kindGossip, Cluster: "test", Sender: nodes[1].Self(), Updates: []Member{rumour}})
+	forgedRecord := nodes[4].Self()
+	forgedRecord.State = Dead
+	datagram, err := encoder.Marshal(message{Kind: kindGossip, Cluster: "test", Sender: nodes[1].Self(), Updates: []Member{forgedRecord}})
 	assert.NilError(t, err)
-	nodes[2].receive(Packet{From: nodes[1].address, Data: forged})
-	assert.Equal(t, nodes[2].state(nodes[4]), Dead)
-	_, agreed := s.until(detectionLimit, s.agreed)
-	assert.Assert(t, agreed, "the rumour was not refuted")
-	assert.Assert(t, nodes[4].Self().Incarnation > rumour.Incarnation)
+	nodes[2].receive(Packet{From: nodes[1].address, Data: datagram})
+	assert.Equal(t, nodes[2].stateOf(nodes[4]), Dead)
+	_, converged := s.advanceUntil(detectionLimit, s.converged)
+	assert.Assert(t, converged, "the forged record was not refuted")
+	assert.Assert(t, nodes[4].Self().Incarnation > forgedRecord.Incarnation)
 }
 
-func TestHealedCutConverges(t *testing.T) {
+func TestConvergenceAfterPartition(t *testing.T) {
 	s := newSimulation(9)
 	nodes := cluster(t, s, 30)
-	s.cut = func(from, to *simulatedNode) bool { return (from.zone == "zone-0") != (to.zone == "zone-0") }
+	s.partitioned = func(from, to *simulatedNode) bool { return (from.zone == "zone-0") != (to.zone == "zone-0") }
 	s.advance(2 * time.Minute)
 	assert.Equal(t, len(nodes[0].Live("")), 10)
 	assert.Equal(t, len(nodes[1].Live("")), 20)
-	assert.Assert(t, nodes[0].Confident() && nodes[1].Confident())
-	s.start(30, 0) // joins one half during the cut
+	assert.Assert(t, nodes[0].ListReliable() && nodes[1].ListReliable())
+	s.start(30, 0) // joins one side during the partition
 	nodes[4].crash()
 	s.advance(20 * time.Second)
-	s.cut = func(_, _ *simulatedNode) bool { return false }
-	taken, agreed := s.until(healLimit, s.agreed)
-	assert.Assert(t, agreed, "the halves did not agree in %v", healLimit)
-	t.Logf("the halves agreed after %v", taken)
+	s.partitioned = func(_, _ *simulatedNode) bool { return false }
+	elapsed, converged := s.advanceUntil(healLimit, s.converged)
+	assert.Assert(t, converged, "the two sides did not converge within %v", healLimit)
+	t.Logf("the two sides converged after %v", elapsed)
 }
 
-func TestReturnOfADeadMemberPromptsAnExchange(t *testing.T) {
+func TestReturnOfDeadMemberTriggersExchange(t *testing.T) {
 	s := newSimulation(27)
 	nodes := cluster(t, s, 4)
-	s.advance(exchangePause * DefaultPeriod)
+	s.advance(minExchangePeriods * DefaultPeriod)
 	node, member := nodes[0], nodes[1]
-	node.believe(node.table.entries["node-1"], Dead)
+	node.changeState(node.table.entries["node-1"], Dead)
 	member.Leave()
-	node.learn(member.Self(), "")
+	node.applyRecord(member.Self(), "")
 	node.exchange.earliest = 0
 	address, _, due := node.ExchangeDue()
 	assert.Assert(t, due)
 	assert.Equal(t, address, member.address)
 }
 
-func TestHealedCutConvergesWithoutSeeds(t *testing.T) {
+func TestConvergenceAfterPartitionWithoutSeeds(t *testing.T) {
 	s := newSimulation(23)
 	nodes := cluster(t, s, 20)
 	for _, node := range nodes {
 		node.contacts.seeds = nil
 	}
-	s.cut = func(from, to *simulatedNode) bool { return (from.zone == "zone-0") != (to.zone == "zone-0") }
+	s.partitioned = func(from, to *simulatedNode) bool { return (from.zone == "zone-0") != (to.zone == "zone-0") }
 	s.advance(time.Minute)
 	assert.Equal(t, len(nodes[0].Live("")), 7)
-	s.cut = func(_, _ *simulatedNode) bool { return false }
-	_, agreed := s.until(healLimit, s.agreed)
-	assert.Assert(t, agreed, "the halves did not agree in %v", healLimit)
+	s.partitioned = func(_, _ *simulatedNode) bool { return false }
+	_, converged := s.advanceUntil(healLimit, s.converged)
+	assert.Assert(t, converged, "the two sides did not converge within %v", healLimit)
 }
 
-func TestLeavingIsToldAndNoAlarm(t *testing.T) {
+func TestLeaveIsAnnouncedNotDetectedAsDeath(t *testing.T) {
 	s := newSimulation(14)
 	nodes := cluster(t, s, 20)
 	leaver := nodes[6]
 	leaver.Leave()
 	s.advance(3 * time.Second)
 	for _, node := range nodes {
-		assert.Equal(t, node.state(leaver), Leaving)
+		assert.Equal(t, node.stateOf(leaver), Leaving)
 		assert.Assert(t, !containsName(node.Live(""), "node-6"))
 		assert.Assert(t, !containsName(node.Live(leaver.zone), "node-6"))
 	}
@@ -151,12 +153,12 @@
 	leaver.crash()
 	s.advance(detectionLimit)
 	for _, node := range s.running() {
-		assert.Equal(t, node.state(leaver), Left)
+		assert.Equal(t, node.stateOf(leaver), Left)
 		assert.Equal(t, node.count(EventDied), 0)
 	}
 }
 
-func TestRestartedNodeTakesItsNameBack(t *testing.T) {
+func TestRestartedNodeReplacesOldRecord(t *testing.T) {
 	for _, skew := range []time.Duration{0, -time.Hour} {
 		t.Run(skew.String(), func(t *testing.T) {
 			s := newSimulation(15)
@@ -164,8 +166,8 @@
 			nodes[7].crash()
 			s.advance(time.Second)
 			restarted := s.start(7, skew)
-			_, agreed := s.until(healLimit, s.agreed)
-			assert.Assert(t, agreed)
+			_, converged := s.advanceUntil(healLimit, s.converged)
+			assert.Assert(t, converged)
 			for _, node := range s.running() {
 				for _, member := range node.Members() {
 					if member.Name == "node-7" {
@@ -181,32 +183,32 @@
 	s := newSimulation(16)
 	s.start(0, 0)
 	s.start(1, 0)
-	s.tamper = func(config *Config) { config.ClusterName = "other" }
-	stranger := s.start(2, 0)
+	s.configure = func(config *Config) { config.ClusterName = "other" }
+	other := s.start(2, 0)
 	s.advance(time.Minute)
 	assert.Equal(t, len(s.nodes["10.0.0.1:7000"].Members()), 2)
-	assert.Equal(t, len(stranger.Members()), 1)
-	assert.Assert(t, stranger.Stats().DatagramsRejected > 0)
+	assert.Equal(t, len(other.Members()), 1)
+	assert.Assert(t, other.Stats().DatagramsRejected > 0)
 }
 
-func TestHintedAddressesJoin(t *testing.T) {
+func TestJoinThroughHints(t *testing.T) {
 	s := newSimulation(17)
-	s.tamper = func(config *Config) { config.Seeds = nil }
+	s.configure = func(config *Config) { config.Seeds = nil }
 	for number := range 4 {
 		s.start(number, 0)
 	}
 	s.advance(10 * time.Second)
-	assert.Assert(t, !s.agreed(), "nodes met without seeds or hints")
-	s.running()[0].Hint([]string{"10.0.0.2:7000", "10.0.0.3:7000", "10.0.0.4:7000", "not an address"})
-	_, agreed := s.until(2*time.Minute, s.agreed)
-	assert.Assert(t, agreed)
+	assert.Assert(t, !s.converged(), "nodes joined without seeds or hints")
+	s.running()[0].SetHints([]string{"10.0.0.2:7000", "10.0.0.3:7000", "10.0.0.4:7000", "not an address"})
+	_, converged := s.advanceUntil(2*time.Minute, s.converged)
+	assert.Assert(t, converged)
 }
 
-func TestPayloadReachesEveryone(t *testing.T) {
+func TestPayloadReachesAllMembers(t *testing.T) {
 	s := newSimulation(18)
 	nodes := cluster(t, s, 12)
 	assert.NilError(t, nodes[3].SetPayload([]byte("revision 7")))
-	_, told := s.until(20*time.Second, func() bool {
+	_, received := s.advanceUntil(20*time.Second, func() bool {
 		for _, node := range nodes {
 			if node != nodes[3] && node.payloads["node-3"] != "revision 7" {
 				return false
@@ -214,6 +216,6 @@
 		}
 		return true
 	})
-	assert.Assert(t, told)
+	assert.Assert(t, received)
 	assert.ErrorIs(t, nodes[3].SetPayload(make([]byte, MaxPayload+1)), errPayloadSize)
 }
--- a/internal/membership/receive.go
+++ b/internal/membership/receive.go
@@ -1,11 +1,11 @@
 package membership
 
-// HandlePacket takes in a received datagram. Its source is not trusted: it
-// cannot make the node keep more than bounded state.
+// HandlePacket handles a received datagram. The source address is not trusted, and the state
+// that datagrams can make the node keep is limited.
 func (m *Membership) HandlePacket(now Instant, packet Packet) {
-	m.noticePause(now)
+	m.detectPause(now)
 	m.mutex.Lock()
-	defer m.release()
+	defer m.unlockAndWake()
 	m.now = now
 	m.stats.DatagramsReceived++
 	m.stats.BytesReceived += uint64(len(packet.Data))
@@ -21,59 +21,60 @@
 		m.refute(received.Sender)
 		return
 	}
-	m.takeIn(received, packet.From)
-	m.updateAlone()
+	m.handleMessage(received, packet.From)
+	m.updateSoleMember()
 }
 
-// takeIn learns what a valid datagram says and answers it.
-func (m *Membership) takeIn(received message, from string) {
-	m.learn(received.Sender, "")
-	trusted := m.trusted(received)
-	sender := m.present(received.Sender)
+// handleMessage applies the records of a valid datagram and answers it.
+func (m *Membership) handleMessage(received message, from string) {
+	m.applyRecord(received.Sender, "")
+	provesMembership := m.listsSelfPresent(received)
+	sender := m.presentEntry(received.Sender)
 	source := ""
 	if sender != nil {
 		source = sender.PeerAddress
 	}
 	for _, update := range received.Updates {
-		m.learn(update, source)
+		m.applyRecord(update, source)
 	}
-	sender = m.present(received.Sender)
+	sender = m.presentEntry(received.Sender)
 	if sender != nil {
 		m.compareDigest(received.Digest, sender)
 	}
 	if sender != nil && len(received.Payload) > 0 {
 		m.deliverPayload(sender.Member, received.Payload)
 	}
-	m.answer(received, from)
+	m.reply(received, from)
 	if sender == nil {
 		return
 	}
 	switch received.Kind {
 	case kindAck:
-		m.acknowledged(received, trusted)
+		m.handleAck(received, provesMembership)
 	case kindPingRequest:
-		m.relayPing(received, from)
-	case kindReceipt:
-		m.received(received, trusted)
+		m.handlePingRequest(received, from)
+	case kindPingRequestAck:
+		m.handlePingRequestAck(received, provesMembership)
 	case kindRelayedAck:
-		m.relayAcknowledged(received, trusted)
+		m.handleRelayedAck(received, provesMembership)
 	}
 }
 
-// compareDigest notes whether the sender's list is the same as ours.
-func (m *Membership) compareDigest(told uint64, sender *entry) {
-	if told == 0 {
+// compareDigest records whether the sender's list equals the node's own.
+func (m *Membership) compareDigest(digest uint64, sender *entry) {
+	if digest == 0 {
 		return
 	}
-	if told == m.currentDigest() {
-		m.exchange.agreed(m.config.Period)
+	if digest == m.currentDigest() {
+		m.exchange.recordMatch(m.config.Period)
 		return
 	}
-	m.exchange.differs(sender.PeerAddress, m.now.Monotonic, m.config.Period)
+	m.exchange.recordMismatch(sender.PeerAddress, m.now.Monotonic, m.config.Period)
 }
 
-// present returns the entry of a sender that is a member in its current run.
-func (m *Membership) present(sender Member) *entry {
+// presentEntry returns the entry of a sender if its current run is a member that is not gone,
+// or nil.
+func (m *Membership) presentEntry(sender Member) *entry {
 	known, found := m.table.entries[sender.Name]
 	if !found || known.BootID != sender.BootID || known.State.Gone() {
 		return nil
@@ -81,10 +82,11 @@
 	return known
 }
 
-// trusted reports whether the sender holds us live, so that its answer may
-// prove our place in the cluster. It is asked before the updates are learnt,
-// as one about ourselves would be refuted by that.
-func (m *Membership) trusted(received message) bool {
+// listsSelfPresent reports whether the sender does not list this node as dead or left;
+// otherwise its answer does not prove that the node is still a member. It must be called
+// before the updates are applied, because applying such an update refutes it and raises the
+// incarnation.
+func (m *Membership) listsSelfPresent(received message) bool {
 	for _, update := range received.Updates {
 		if update.Name == m.self.Name && update.State.Gone() && update.Incarnation >= m.self.Incarnation {
 			return false
@@ -93,85 +95,86 @@
 	return true
 }
 
-// answer acknowledges a ping and tells the sender what it must know: that we
-// lack its full record, ours if it asks, and what it has to refute.
-func (m *Membership) answer(received message, from string) {
+// reply acknowledges a ping. It also requests the sender's full record if the node lacks it,
+// sends the node's own if requested, and sends the record that the sender has to refute.
+func (m *Membership) reply(received message, from string) {
 	known, found := m.table.entries[received.Sender.Name]
-	strange := !received.Sender.full() && !received.Sender.State.Gone() &&
+	recordMissing := !received.Sender.full() && !received.Sender.State.Gone() &&
 		(!found || known.BootID != received.Sender.BootID)
 	outdated := found && !received.Sender.State.Gone() &&
 		(known.State.Gone() || known.Incarnation > received.Sender.Incarnation)
 	to := destination{
-		address:   from,
-		name:      received.Sender.Name,
-		introduce: received.Introduce,
-		outdated:  outdated,
+		address:    from,
+		name:       received.Sender.Name,
+		fullRecord: received.RequestRecord,
+		outdated:   outdated,
 	}
-	reply := message{Kind: kindGossip, Introduce: strange}
+	reply := message{Kind: kindGossip, RequestRecord: recordMissing}
 	if received.Kind == kindPing {
 		reply.Kind = kindAck
 		reply.Sequence = received.Sequence
 	}
-	if reply.Kind == kindAck || strange || outdated || received.Introduce {
+	if reply.Kind == kindAck || recordMissing || outdated || received.RequestRecord {
 		m.send(to, reply)
 	}
 }
 
-// acknowledged ends a probe, or hands the answer on to who asked for it.
-func (m *Membership) acknowledged(received message, trusted bool) {
-	made, relayed := m.relays[received.Sequence]
-	if relayed && made.target == received.Sender.Name {
+// handleAck ends a probe, or relays the acknowledgement to the member that requested the
+// probe.
+func (m *Membership) handleAck(received message, provesMembership bool) {
+	relayed, found := m.relays[received.Sequence]
+	if found && relayed.target == received.Sender.Name {
 		delete(m.relays, received.Sequence)
-		answer := message{Kind: kindRelayedAck, Sequence: made.sequence, Target: made.target}
-		answer.Updates = []Member{m.table.entries[made.target].compact()}
-		m.send(destination{address: made.requester, name: made.name}, answer)
+		answer := message{Kind: kindRelayedAck, Sequence: relayed.requesterSequence, Target: relayed.target}
+		answer.Updates = []Member{m.table.entries[relayed.target].compact()}
+		m.send(destination{address: relayed.requesterAddress, name: relayed.requesterName}, answer)
 		return
 	}
-	ended := m.prober.take(received.Sequence, received.Sender.Name)
-	if ended == nil {
+	completed := m.prober.complete(received.Sequence, received.Sender.Name)
+	if completed == nil {
 		return
 	}
-	if trusted {
-		m.guard.prove(ended.sentAt)
+	if provesMembership {
+		m.guard.recordAck(completed.sentAt)
 	}
-	if ended.target == "" {
-		m.exchange.want(m.table.entries[received.Sender.Name].PeerAddress)
+	if completed.target == "" {
+		m.exchange.request(m.table.entries[received.Sender.Name].PeerAddress)
 	}
 }
 
-// relayPing probes a member for another one. Only members are probed, at the
-// address in our own list.
-func (m *Membership) relayPing(received message, from string) {
+// handlePingRequest probes a member on behalf of the sender. It probes only members, at the
+// address in the node's own list, and not the addresses that a datagram contains.
+func (m *Membership) handlePingRequest(received message, from string) {
 	target, found := m.table.entries[received.Target]
 	if !found || len(m.relays) >= maxRelays {
 		return
 	}
 	m.sequence++
 	m.relays[m.sequence] = relay{
-		requester: from,
-		name:      received.Sender.Name,
-		sequence:  received.Sequence,
-		target:    target.Name,
-		expires:   m.now.Monotonic + m.config.Period,
+		requesterAddress:  from,
+		requesterName:     received.Sender.Name,
+		requesterSequence: received.Sequence,
+		target:            target.Name,
+		expires:           m.now.Monotonic + m.config.Period,
 	}
 	m.send(toMember(target.Member), message{Kind: kindPing, Sequence: m.sequence})
-	m.send(destination{address: from, name: received.Sender.Name}, message{Kind: kindReceipt, Sequence: received.Sequence})
+	m.send(destination{address: from, name: received.Sender.Name}, message{Kind: kindPingRequestAck, Sequence: received.Sequence})
 }
 
-// received takes the receipt of a ping request: the target is in doubt, but we
-// are not isolated.
-func (m *Membership) received(receipt message, trusted bool) {
+// handlePingRequestAck records the acknowledgement of a ping request: the target is still in
+// doubt, but the node is not isolated.
+func (m *Membership) handlePingRequestAck(receipt message, provesMembership bool) {
 	for _, pending := range m.prober.probes {
-		if trusted && pending.indirect && pending.sequence == receipt.Sequence {
-			m.guard.prove(pending.indirectAt)
+		if provesMembership && pending.indirect && pending.sequence == receipt.Sequence {
+			m.guard.recordAck(pending.indirectAt)
 		}
 	}
 }
 
-// relayAcknowledged ends a probe that another member has made for us.
-func (m *Membership) relayAcknowledged(answer message, trusted bool) {
-	ended := m.prober.take(answer.Sequence, answer.Target)
-	if ended != nil && trusted && ended.indirect {
-		m.guard.prove(ended.indirectAt)
+// handleRelayedAck ends a probe that another member has completed on behalf of this node.
+func (m *Membership) handleRelayedAck(answer message, provesMembership bool) {
+	completed := m.prober.complete(answer.Sequence, answer.Target)
+	if completed != nil && provesMembership && completed.indirect {
+		m.guard.recordAck(completed.indirectAt)
 	}
 }
--- a/internal/membership/run.go
+++ b/internal/membership/run.go
@@ -11,21 +11,21 @@
 // errClosed ends the goroutines of Run.
 var errClosed = errors.New("membership is closed")
 
-// exchangeJob is an exchange that is due.
+// exchangeJob is an exchange with the peer at address that is due.
 type exchangeJob struct {
 	address string
 	digest  uint64
 }
 
-// Run drives the protocol with the configured clock and transport until the
-// context ends, Close is called or the transport is closed. It returns the
-// context's error, or nil after Close.
+// Run drives the protocol with the configured clock and transport until the context ends,
+// Close is called or the transport is closed. It returns the context's error, or nil after
+// Close.
 func (m *Membership) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	jobs := make(chan exchangeJob, 1)
-	group.Go(func() error { return m.drive(ctx, jobs) })
-	group.Go(func() error { return m.deliver(ctx) })
-	group.Go(func() error { return m.exchangeLists(ctx, jobs) })
+	group.Go(func() error { return m.runProtocol(ctx, jobs) })
+	group.Go(func() error { return m.runDelivery(ctx) })
+	group.Go(func() error { return m.runExchanges(ctx, jobs) })
 	err := group.Wait()
 	if errors.Is(err, errClosed) {
 		return nil
@@ -33,8 +33,8 @@
 	return err
 }
 
-// drive is the only goroutine that calls Step and HandlePacket.
-func (m *Membership) drive(ctx context.Context, jobs chan<- exchangeJob) error {
+// runProtocol is the only goroutine that calls Step and HandlePacket.
+func (m *Membership) runProtocol(ctx context.Context, jobs chan<- exchangeJob) error {
 	ticker := time.NewTicker(max(m.config.Period/stepsPerPeriod, time.Millisecond))
 	defer ticker.Stop()
 	packets := m.config.Transport.Receive()
@@ -56,7 +56,7 @@
 	}
 }
 
-// scheduleExchange passes a due exchange on, unless one is under way.
+// scheduleExchange queues an exchange that is due unless one is queued already.
 func (m *Membership) scheduleExchange(jobs chan<- exchangeJob) {
 	if m.config.Exchange == nil || len(jobs) == cap(jobs) {
 		return
@@ -66,7 +66,7 @@
 	}
 }
 
-func (m *Membership) deliver(ctx context.Context) error {
+func (m *Membership) runDelivery(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -78,13 +78,13 @@
 	}
 }
 
-func (m *Membership) exchangeLists(ctx context.Context, jobs <-chan exchangeJob) error {
+func (m *Membership) runExchanges(ctx context.Context, jobs <-chan exchangeJob) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case job := <-jobs:
-			m.fetch(ctx, job.address, job.digest)
+			m.exchangeWith(ctx, job.address, job.digest)
 		}
 	}
 }
--- a/internal/membership/run_test.go
+++ b/internal/membership/run_test.go
@@ -18,35 +18,35 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// realNode is a node with a UDP socket on the loopback interface.
-type realNode struct {
+// udpNode is a node with a UDP socket on the loopback interface.
+type udpNode struct {
 	*Membership
 	transport *UDPTransport
 	done      chan error
 	cancel    context.CancelFunc
 }
 
-func startReal(t *testing.T, name string, seeds ...string) *realNode {
+func startUDPNode(t *testing.T, name string, seeds ...string) *udpNode {
 	t.Helper()
 	transport, err := ListenUDP("127.0.0.1:0")
 	assert.NilError(t, err)
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
-	made, err := New(Config{
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	membership, err := New(Config{
 		Self:      Member{Name: name, Zone: "a", PeerAddress: transport.LocalAddress()},
 		Seeds:     seeds,
 		Period:    50 * time.Millisecond,
 		Transport: transport,
-		Logger:    logrus.NewEntry(quiet),
+		Logger:    logrus.NewEntry(logger),
 	})
 	assert.NilError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	node := &realNode{Membership: made, transport: transport, done: make(chan error, 1), cancel: cancel}
-	go func() { node.done <- made.Run(ctx) }()
+	node := &udpNode{Membership: membership, transport: transport, done: make(chan error, 1), cancel: cancel}
+	go func() { node.done <- membership.Run(ctx) }()
 	return node
 }
 
-func (n *realNode) stop(t *testing.T) {
+func (n *udpNode) stop(t *testing.T) {
 	t.Helper()
 	n.Close()
 	assert.NilError(t, <-n.done)
@@ -54,24 +54,24 @@
 	assert.NilError(t, n.transport.Close())
 }
 
-func waitFor(t *testing.T, what string, condition func() bool) {
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if condition() {
 			return poll.Success()
 		}
-		return poll.Continue("waiting: %s", what)
+		return poll.Continue("waiting: %s", description)
 	}, poll.WithTimeout(20*time.Second), poll.WithDelay(20*time.Millisecond))
 }
 
 func TestThreeNodesOverUDP(t *testing.T) {
-	first := startReal(t, "first")
-	second := startReal(t, "second", first.Self().PeerAddress)
-	third := startReal(t, "third", first.Self().PeerAddress)
-	nodes := []*realNode{first, second, third}
-	waitFor(t, "all to know all", func() bool {
+	first := startUDPNode(t, "first")
+	second := startUDPNode(t, "second", first.Self().PeerAddress)
+	third := startUDPNode(t, "third", first.Self().PeerAddress)
+	nodes := []*udpNode{first, second, third}
+	waitFor(t, "all nodes to list each other", func() bool {
 		for _, node := range nodes {
-			if len(node.Live("a")) != len(nodes) || !node.Confident() {
+			if len(node.Live("a")) != len(nodes) || !node.ListReliable() {
 				return false
 			}
 		}
@@ -79,26 +79,26 @@
 	})
 	third.Leave()
 	third.stop(t)
-	waitFor(t, "the departure to be known", func() bool { return len(first.Live("")) == 2 && len(second.Live("")) == 2 })
+	waitFor(t, "the other nodes to remove the node that left", func() bool { return len(first.Live("")) == 2 && len(second.Live("")) == 2 })
 	second.cancel()
 	assert.ErrorIs(t, <-second.done, context.Canceled)
-	waitFor(t, "the crash to be known", func() bool { return len(first.Live("")) == 1 })
+	waitFor(t, "the crash to be detected", func() bool { return len(first.Live("")) == 1 })
 	assert.NilError(t, second.transport.Close())
 	first.stop(t)
 }
 
-func TestRunEndsWithItsTransport(t *testing.T) {
-	node := startReal(t, "only")
+func TestRunReturnsWhenTransportCloses(t *testing.T) {
+	node := startUDPNode(t, "only")
 	assert.NilError(t, node.transport.Close())
 	assert.NilError(t, <-node.done)
 	node.cancel()
 }
 
-func TestBadSettingsAreRefused(t *testing.T) {
+func TestInvalidConfigRejected(t *testing.T) {
 	valid := Config{Self: exampleMember(1), Transport: &simulatedNode{}, Clock: newSimulation(1).start(0, 0).clock}
 	tests := []struct {
-		change func(*Config)
-		want   error
+		modify  func(*Config)
+		wantErr error
 	}{
 		{func(*Config) {}, nil},
 		{func(c *Config) { c.Transport = nil }, errNoTransport},
@@ -110,13 +110,13 @@
 	}
 	for i, test := range tests {
 		config := valid
-		test.change(&config)
+		test.modify(&config)
 		_, err := New(config)
-		assert.ErrorIs(t, err, test.want, "case %d", i)
+		assert.ErrorIs(t, err, test.wantErr, "case %d", i)
 	}
 }
 
-func TestListsAreExchangedOverHTTP(t *testing.T) {
+func TestHTTPExchange(t *testing.T) {
 	s := newSimulation(20)
 	nodes := cluster(t, s, 5)
 	server := httptest.NewServer(nodes[0].Handler())
@@ -131,11 +131,11 @@
 	joiner := s.start(9, 0)
 	joiner.Merge(members)
 	assert.Equal(t, len(joiner.Live("")), 6)
-	assert.Equal(t, joiner.Stats().QueuedUpdates, 1, "merged members are no news to pass on")
+	assert.Equal(t, joiner.Stats().QueuedUpdates, 1, "merged members were queued as updates")
 
 	members, size, err = HTTPExchange(client, "test")(t.Context(), address, nodes[0].Digest())
 	assert.NilError(t, err)
-	assert.Assert(t, members == nil && size == 0, "equal lists need no exchange")
+	assert.Assert(t, members == nil && size == 0, "a list was sent although the digests are equal")
 
 	_, _, err = HTTPExchange(client, "other")(t.Context(), address, 1)
 	assert.ErrorIs(t, err, errOtherCluster)
@@ -147,7 +147,7 @@
 	assert.Equal(t, response.StatusCode, http.StatusMethodNotAllowed)
 }
 
-func TestExchangedListIsBounded(t *testing.T) {
+func TestHTTPExchangeRejectsInvalidResponse(t *testing.T) {
 	tests := map[string]func(http.ResponseWriter){
 		"endless": func(w http.ResponseWriter) {
 			for range maxListBytes/1024 + 1 {
@@ -174,7 +174,7 @@
 	}
 }
 
-func TestMergeDoubtsDeathsAndKeepsNewerRecords(t *testing.T) {
+func TestMergeProbesDeadAndKeepsNewerRecords(t *testing.T) {
 	s := newSimulation(21)
 	nodes := cluster(t, s, 5)
 	list := append([]Member(nil), nodes[0].Snapshot()...)
@@ -182,10 +182,10 @@
 		list[i].State = Dead
 	}
 	nodes[1].Merge(list)
-	assert.Equal(t, len(nodes[1].Live("")), 5, "a death in a list was believed")
+	assert.Equal(t, len(nodes[1].Live("")), 5, "a death in a merged list was applied")
 	before := nodes[1].Stats().ProbesSent
 	s.advance(3 * DefaultPeriod)
-	assert.Assert(t, nodes[1].Stats().ProbesSent >= before+4+2, "the members in doubt were not probed")
+	assert.Assert(t, nodes[1].Stats().ProbesSent >= before+4+2, "the members reported dead were not probed")
 	stale := append([]Member(nil), nodes[0].Snapshot()...)
 	for i := range stale {
 		stale[i].Incarnation--
@@ -193,6 +193,6 @@
 	}
 	nodes[1].Merge(stale)
 	for _, member := range nodes[1].Members() {
-		assert.Assert(t, member.MeshAddress != "10.9.9.9:9", "an older record was believed")
+		assert.Assert(t, member.MeshAddress != "10.9.9.9:9", "an older record was applied")
 	}
 }
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -9,50 +9,52 @@
 	"gotest.tools/v3/assert"
 )
 
-// bytesPerPeriod returns what a node sends on average in a quiet cluster.
+// bytesPerPeriod returns the average number of bytes that a node sends per period in a cluster
+// without changes.
 func bytesPerPeriod(t testing.TB, count, payload int) float64 {
 	s := newSimulation(19)
 	nodes := cluster(t, s, count)
 	for _, node := range nodes {
 		assert.NilError(t, node.SetPayload(make([]byte, payload)))
 	}
-	s.advance((introductionPeriods + 20) * DefaultPeriod)
+	s.advance((fullRecordPeriods + 20) * DefaultPeriod)
 	before := totalBytesSent(nodes)
 	const periods = 60
 	s.advance(periods * DefaultPeriod)
 	return float64(totalBytesSent(nodes)-before) / float64(count*periods)
 }
 
-func TestBytesPerPeriodDoNotGrowWithTheCluster(t *testing.T) {
+func TestBytesPerPeriodIndependentOfClusterSize(t *testing.T) {
 	small, large := bytesPerPeriod(t, 20, 100), bytesPerPeriod(t, 200, 100)
 	t.Logf("bytes per node and period: %.1f at 20 nodes, %.1f at 200", small, large)
 	assert.Assert(t, large < 1.05*small, "%.1f at 20 nodes, %.1f at 200", small, large)
 }
 
-// BenchmarkLargeCluster measures a cluster of the size to design for, in
-// virtual time: the heap that a node takes, the detection of a crash, and the
-// healing of a cut that parts a third of the nodes from the rest. The cut heals in 13.0 s, and
-// in 41.3 s where datagrams tell no digests; the crash is known after 8.5 s, and 8.2 s.
+// BenchmarkLargeCluster measures a cluster of the intended maximum size in virtual time: the
+// heap per node, the detection of a crash, and the convergence after a partition between a
+// third of the nodes and the rest. The lists converge 13.0 s after the partition, and after
+// 41.3 s if datagrams carry no digests; the crash is detected by all nodes after 8.5 s, and
+// 8.2 s without digests.
 func BenchmarkLargeCluster(b *testing.B) {
 	const count = 820
 	for b.Loop() {
 		s := newSimulation(24)
 		nodes := cluster(b, s, count)
-		s.advance(introductionPeriods * DefaultPeriod)
+		s.advance(fullRecordPeriods * DefaultPeriod)
 		var memory runtime.MemStats
 		runtime.GC()
 		runtime.ReadMemStats(&memory)
 		b.ReportMetric(float64(memory.HeapAlloc)/count, "heap-bytes/node")
 		nodes[count-1].crash()
-		taken, _ := s.until(time.Minute, s.agreed)
-		b.ReportMetric(taken.Seconds(), "crash-seconds")
-		s.cut = func(from, to *simulatedNode) bool { return (from.zone == "zone-0") != (to.zone == "zone-0") }
+		elapsed, _ := s.advanceUntil(time.Minute, s.converged)
+		b.ReportMetric(elapsed.Seconds(), "crash-seconds")
+		s.partitioned = func(from, to *simulatedNode) bool { return (from.zone == "zone-0") != (to.zone == "zone-0") }
 		s.advance(2 * time.Minute)
-		s.cut = func(_, _ *simulatedNode) bool { return false }
+		s.partitioned = func(_, _ *simulatedNode) bool { return false }
 		before := totalBytesSent(nodes)
-		taken, _ = s.until(5*time.Minute, s.agreed)
-		b.ReportMetric(taken.Seconds(), "heal-seconds")
-		b.ReportMetric(float64(totalBytesSent(nodes)-before)/count/taken.Seconds(), "heal-bytes/node/s")
+		elapsed, _ = s.advanceUntil(5*time.Minute, s.converged)
+		b.ReportMetric(elapsed.Seconds(), "heal-seconds")
+		b.ReportMetric(float64(totalBytesSent(nodes)-before)/count/elapsed.Seconds(), "heal-bytes/node/s")
 	}
 }
 
--- a/internal/membership/schedule.go
+++ b/internal/membership/schedule.go
@@ -3,71 +3,75 @@
 import "time"
 
 const (
-	// exchangePause is the shortest time, in periods, between two exchanges.
-	exchangePause = 2
-	// apartPeriods is how long no peer's digest may equal ours before lists are exchanged.
-	// Changes that are being passed on make digests differ for less.
-	apartPeriods = 3
+	// minExchangePeriods is the shortest time, in periods, between two exchanges.
+	minExchangePeriods = 2
+	// mismatchPeriods is the time, in periods, without a matching digest from any peer after
+	// which lists are exchanged. While an update is still being sent, digests differ for a
+	// shorter time.
+	mismatchPeriods = 3
 )
 
-// exchangeSchedule says when and with whom the next exchange is due.
+// exchangeSchedule determines when the next exchange is due and with which peer.
 type exchangeSchedule struct {
-	wanted string
-	// earliest is the end of the pause after an exchange.
+	requested string
+	// earliest is the time before which no exchange starts.
 	earliest time.Duration
-	// regular is when the next one is due that nothing has prompted.
-	regular time.Duration
-	// pause is the time from the next exchange to the one after it. It doubles with each
-	// exchange that teaches nothing until lists agree, so that nodes which can't agree, as
-	// where a path works in one direction only, spend no more on it than on regular ones.
-	pause time.Duration
-	// apart tells that each digest that was told since apartSince differed from ours.
-	apart      bool
-	apartSince time.Duration
+	// nextPeriodic is when the next exchange is due if none is requested.
+	nextPeriodic time.Duration
+	// backoff is the time from the next exchange to the one after it. It doubles with each
+	// exchange that changes nothing until lists match. Nodes whose lists cannot converge, for
+	// example because a path works in one direction only, thus exchange no more often than at
+	// the periodic interval.
+	backoff time.Duration
+	// mismatched is whether every digest received since mismatchedSince differed from the
+	// node's own.
+	mismatched      bool
+	mismatchedSince time.Duration
 }
 
-// learned notes that an exchange taught something: the next one may teach more.
-func (s *exchangeSchedule) learned(now, period time.Duration) {
-	s.pause = exchangePause * period
-	s.earliest = min(s.earliest, now+s.pause)
+// recordChange records that an exchange changed the list. The next one is allowed soon, as it
+// may change the list again.
+func (s *exchangeSchedule) recordChange(now, period time.Duration) {
+	s.backoff = minExchangePeriods * period
+	s.earliest = min(s.earliest, now+s.backoff)
 }
 
-// agreed notes that a peer's list is the same as ours.
-func (s *exchangeSchedule) agreed(period time.Duration) {
-	s.apart = false
-	s.pause = exchangePause * period
+// recordMatch records that a peer's list equals the node's own.
+func (s *exchangeSchedule) recordMatch(period time.Duration) {
+	s.mismatched = false
+	s.backoff = minExchangePeriods * period
 }
 
-// differs notes that the list of the peer at the address is not the same as ours, and asks
-// for an exchange if that lasts: a change has then been missed, by one side at least, and
-// is not passed on any more.
-func (s *exchangeSchedule) differs(address string, now, period time.Duration) {
-	if !s.apart {
-		s.apart, s.apartSince = true, now
+// recordMismatch records that the list of the peer at the address differs from the node's own.
+// If that lasts it requests an exchange: at least one of the two nodes has then missed an
+// update that is no longer being sent.
+func (s *exchangeSchedule) recordMismatch(address string, now, period time.Duration) {
+	if !s.mismatched {
+		s.mismatched, s.mismatchedSince = true, now
 	}
-	if now-s.apartSince >= apartPeriods*period {
-		s.want(address)
+	if now-s.mismatchedSince >= mismatchPeriods*period {
+		s.request(address)
 	}
 }
 
-// begin notes that an exchange is made now.
-func (s *exchangeSchedule) begin(now, interval time.Duration) {
-	s.wanted = ""
-	s.earliest = now + s.pause
-	s.regular = now + interval
-	s.pause = min(2*s.pause, interval)
+// start records that an exchange starts now.
+func (s *exchangeSchedule) start(now, interval time.Duration) {
+	s.requested = ""
+	s.earliest = now + s.backoff
+	s.nextPeriodic = now + interval
+	s.backoff = min(2*s.backoff, interval)
 }
 
-// want asks for an exchange with the peer at the address soon.
-func (s *exchangeSchedule) want(address string) {
+// request requests an exchange with the peer at the address.
+func (s *exchangeSchedule) request(address string) {
 	if address != "" {
-		s.wanted = address
+		s.requested = address
 	}
 }
 
-// ExchangeDue returns the address of a peer whose list should be fetched now,
-// with our digest. Run calls it; who drives Step directly calls it too, and
-// hands the list to Merge.
+// ExchangeDue returns the address of a peer whose list should be fetched now and the digest of
+// the node's own list. Run calls it. A caller that drives Step directly must call it as well
+// and pass the fetched list to Merge.
 func (m *Membership) ExchangeDue() (address string, digest uint64, due bool) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -75,14 +79,14 @@
 	if now < m.exchange.earliest || m.self.State.Gone() {
 		return "", 0, false
 	}
-	address = m.exchange.wanted
-	if address == "" && now >= m.exchange.regular {
+	address = m.exchange.requested
+	if address == "" && now >= m.exchange.nextPeriodic {
 		address = m.randomPeer()
 	}
 	if address == "" {
 		return "", 0, false
 	}
-	m.exchange.begin(now, m.config.ExchangeInterval)
+	m.exchange.start(now, m.config.ExchangeInterval)
 	m.stats.Exchanges++
 	return address, m.currentDigest(), true
 }
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -1,20 +1,20 @@
 package membership
 
-// introductionPeriods is how long after its start a node sends its full record
-// in every datagram.
-const introductionPeriods = 120
+// fullRecordPeriods is for how many periods after its start a node sends its full record in
+// every datagram.
+const fullRecordPeriods = 120
 
-// announceCount is the number of members told at once that the node leaves.
-const announceCount = 6
+// announceFanout is the number of members to which a node announces directly that it leaves.
+const announceFanout = 6
 
-// destination says where a message goes and what its receiver needs to be told.
+// destination is the receiver of a message and what the message must contain for it.
 type destination struct {
 	address string
-	// name is empty when the member at the address is not known.
+	// name is empty if the member at the address is unknown.
 	name string
-	// introduce asks for our full record.
-	introduce bool
-	// outdated means that the receiver lags behind what is believed of it.
+	// fullRecord is whether the receiver requested the node's full record.
+	fullRecord bool
+	// outdated is whether the receiver's own record is older than the one in this node's list.
 	outdated bool
 }
 
@@ -22,8 +22,8 @@
 	return destination{address: member.PeerAddress, name: member.Name}
 }
 
-// send completes a message with the sender, the payload and more updates and
-// sends it. A failed send counts as a lost datagram.
+// send adds the sender, the digest, the payload and queued updates to a message and sends it.
+// A send error is treated like a lost datagram.
 func (m *Membership) send(to destination, outgoing message) {
 	outgoing.Cluster = m.config.ClusterName
 	outgoing.Sender = m.senderRecord(to)
@@ -31,14 +31,14 @@
 	if payload := m.payload.Load(); payload != nil {
 		outgoing.Payload = *payload
 	}
-	outgoing.Updates = append(outgoing.Updates, m.correction(to)...)
+	outgoing.Updates = append(outgoing.Updates, m.recordToRefute(to)...)
 	encoded, err := encoder.Marshal(outgoing)
 	if err != nil {
-		m.logger.WithError(err).Error("datagram could not be encoded")
+		m.logger.WithError(err).Error("failed to encode a datagram")
 		return
 	}
 	space := min(maxUpdateBytes, MaxDatagram-len(encoded)-updatesOverhead)
-	updates := m.updates.take(space, m.retransmitLimit(), to.name)
+	updates := m.updates.nextBatch(space, m.retransmitLimit(), to.name)
 	if len(updates) > 0 {
 		outgoing.Updates = append(outgoing.Updates, updates...)
 		encoded, err = encoder.Marshal(outgoing)
@@ -48,18 +48,20 @@
 	}
 }
 
-// senderRecord returns our record: compact for those who should know the rest.
+// senderRecord returns the node's own record. It is compact if the receiver should already
+// have the full record.
 func (m *Membership) senderRecord(to destination) Member {
 	known, found := m.table.entries[to.name]
-	introducing := m.now.Monotonic-m.started < introductionPeriods*m.config.Period
-	if to.introduce || introducing || !found || known.State.Gone() {
+	introducing := m.now.Monotonic-m.started < fullRecordPeriods*m.config.Period
+	if to.fullRecord || introducing || !found || known.State.Gone() {
 		return m.self
 	}
 	return m.self.compact()
 }
 
-// correction returns what the receiver should refute about itself.
-func (m *Membership) correction(to destination) []Member {
+// recordToRefute returns the receiver's record in this node's list if the receiver has to
+// refute or update it.
+func (m *Membership) recordToRefute(to destination) []Member {
 	known, found := m.table.entries[to.name]
 	if !found {
 		return nil
@@ -75,26 +77,26 @@
 	m.stats.BytesSent += uint64(len(datagram))
 	if err := m.config.Transport.Send(address, datagram); err != nil {
 		m.stats.SendErrors++
-		m.logger.WithError(err).Debug("datagram could not be sent")
+		m.logger.WithError(err).Debug("failed to send a datagram")
 	}
 }
 
-// spread sends the payload and updates to a few extra members, one of them in
-// another zone if there is one.
-func (m *Membership) spread() {
+// gossip sends the payload and updates to Fanout members, one of them in another zone if there
+// is one.
+func (m *Membership) gossip() {
 	if m.payload.Load() == nil && m.updates.len() == 0 {
 		return
 	}
-	for _, receiver := range m.spreadReceivers() {
+	for _, receiver := range m.gossipReceivers() {
 		m.send(toMember(receiver), message{Kind: kindGossip})
 	}
 }
 
-func (m *Membership) spreadReceivers() []Member {
+func (m *Membership) gossipReceivers() []Member {
 	present := m.table.present
 	receivers := sample(m.random, present, 1, m.inOtherZone)
-	rest := m.config.Fanout - len(receivers)
-	more := sample(m.random, present, rest, func(candidate Member) bool {
+	remaining := m.config.Fanout - len(receivers)
+	more := sample(m.random, present, remaining, func(candidate Member) bool {
 		return !containsName(receivers, candidate.Name)
 	})
 	return append(receivers, more...)
@@ -102,10 +104,10 @@
 
 func (m *Membership) inOtherZone(member Member) bool { return member.Zone != m.self.Zone }
 
-// announce tells some members at once about a change of our own record.
-func (m *Membership) announce() {
-	anyone := func(Member) bool { return true }
-	for _, receiver := range sample(m.random, m.table.present, announceCount, anyone) {
+// announceSelf sends a change of the node's own record to some members immediately.
+func (m *Membership) announceSelf() {
+	acceptAll := func(Member) bool { return true }
+	for _, receiver := range sample(m.random, m.table.present, announceFanout, acceptAll) {
 		m.send(toMember(receiver), message{Kind: kindGossip})
 	}
 }
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -13,27 +13,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// simulation runs many nodes over a simulated network in virtual time.
+// simulation runs nodes on a simulated network in virtual time.
 type simulation struct {
 	now       time.Duration
 	random    *rand.Rand
 	queue     taskQueue
 	scheduled int
 	nodes     map[string]*simulatedNode
-	order     []string
+	addresses []string
 	loss      float64
 	duplicate float64
 	delay     time.Duration
-	// cut reports whether datagrams between two nodes are lost.
-	cut func(from, to *simulatedNode) bool
-	// tamper adjusts the settings of nodes that start.
-	tamper func(*Config)
+	// partitioned reports whether datagrams from one node to another are lost.
+	partitioned func(from, to *simulatedNode) bool
+	// configure modifies the settings of nodes started later.
+	configure func(*Config)
 }
 
-// simulatedNode is a node with its own clock, inbox and record of events.
+// simulatedNode is a node with its own clock, a receive queue and the events that it has
+// emitted.
 type simulatedNode struct {
 	*Membership
-	world     *simulation
+	sim       *simulation
 	address   string
 	zone      string
 	stopped   bool
@@ -70,11 +71,11 @@
 
 func newSimulation(seed uint64) *simulation {
 	return &simulation{
-		random: rand.New(rand.NewPCG(seed, 1)),
-		nodes:  map[string]*simulatedNode{},
-		delay:  2 * time.Millisecond,
-		cut:    func(_, _ *simulatedNode) bool { return false },
-		tamper: func(*Config) {},
+		random:      rand.New(rand.NewPCG(seed, 1)),
+		nodes:       map[string]*simulatedNode{},
+		delay:       2 * time.Millisecond,
+		partitioned: func(_, _ *simulatedNode) bool { return false },
+		configure:   func(*Config) {},
 	}
 }
 
@@ -93,8 +94,9 @@
 	s.now = end
 }
 
-// until advances in steps until the condition holds and returns the time taken.
-func (s *simulation) until(limit time.Duration, condition func() bool) (time.Duration, bool) {
+// advanceUntil advances the time in steps until the condition holds or the limit is reached,
+// and returns the elapsed time.
+func (s *simulation) advanceUntil(limit time.Duration, condition func() bool) (time.Duration, bool) {
 	start := s.now
 	for !condition() {
 		if s.now-start >= limit {
@@ -105,40 +107,40 @@
 	return s.now - start, true
 }
 
-// start runs a node; its zone follows from its number. A node of the same name
-// must have been stopped.
+// start starts a node; its number determines its zone. A running node of the same name must
+// have been stopped.
 func (s *simulation) start(number int, skew time.Duration) *simulatedNode {
 	name := fmt.Sprintf("node-%d", number)
 	node := &simulatedNode{
-		world:     s,
+		sim:       s,
 		address:   fmt.Sprintf("10.0.%d.%d:7000", number/250, number%250+1),
 		zone:      fmt.Sprintf("zone-%d", number%3),
 		clockSkew: skew,
 		payloads:  map[string]string{},
 	}
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
-	quiet.SetLevel(logrus.PanicLevel)
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	logger.SetLevel(logrus.PanicLevel)
 	config := Config{
 		ClusterName: "test",
 		Self:        Member{Name: name, Zone: node.zone, Region: "region-0", PeerAddress: node.address, MeshAddress: node.address},
 		Seeds:       []string{"10.0.0.1:7000", "10.0.0.2:7000", "10.0.0.3:7000"},
 		Transport:   node,
-		Logger:      quiet.WithField("component", "membership"),
+		Logger:      logger.WithField("component", "membership"),
 		Clock:       node.clock,
 		RandSeed:    s.random.Uint64() | 1,
 		OnPause:     func(time.Duration) { node.actions = append(node.actions, "pause") },
 		OnPayload:   func(from Member, payload []byte) { node.payloads[from.Name] = string(payload) },
 	}
-	s.tamper(&config)
-	made, err := New(config)
+	s.configure(&config)
+	membership, err := New(config)
 	if err != nil {
 		panic(err)
 	}
-	node.Membership = made
+	node.Membership = membership
 	node.Subscribe(func(event Event) { node.events = append(node.events, event) })
 	if _, restarted := s.nodes[node.address]; !restarted {
-		s.order = append(s.order, node.address)
+		s.addresses = append(s.addresses, node.address)
 	}
 	s.nodes[node.address] = node
 	s.after(time.Duration(s.random.Int64N(int64(DefaultPeriod/stepsPerPeriod))), node.tick)
@@ -146,31 +148,31 @@
 }
 
 func (n *simulatedNode) clock() Instant {
-	return Instant{Wall: epoch.Add(n.world.now + n.clockSkew), Monotonic: n.world.now}
+	return Instant{Wall: epoch.Add(n.sim.now + n.clockSkew), Monotonic: n.sim.now}
 }
 
-// tick steps the node, performs exchanges that are due and schedules itself.
+// tick steps the node, performs an exchange that is due and schedules the next tick.
 func (n *simulatedNode) tick() {
 	if n.stopped {
 		return
 	}
-	n.world.after(DefaultPeriod/stepsPerPeriod, n.tick)
+	n.sim.after(DefaultPeriod/stepsPerPeriod, n.tick)
 	if n.paused {
 		return
 	}
 	n.Step(n.clock())
 	n.DeliverEvents()
 	if address, digest, due := n.ExchangeDue(); due {
-		n.fetchFrom(n.world.nodes[address], digest)
+		n.fetchFrom(n.sim.nodes[address], digest)
 	}
 }
 
 func (n *simulatedNode) fetchFrom(peer *simulatedNode, digest uint64) {
-	if peer == nil || peer.stopped || peer.paused || n.world.cut(n, peer) || peer.Digest() == digest {
+	if peer == nil || peer.stopped || peer.paused || n.sim.partitioned(n, peer) || peer.Digest() == digest {
 		return
 	}
 	list := slices.Clone(peer.Snapshot())
-	n.world.after(2*n.world.delay, func() {
+	n.sim.after(2*n.sim.delay, func() {
 		if !n.stopped && !n.paused {
 			n.Merge(list)
 		}
@@ -184,24 +186,24 @@
 		panic("datagram is too large")
 	}
 	copies := 1
-	if n.world.random.Float64() < n.world.duplicate {
+	if n.sim.random.Float64() < n.sim.duplicate {
 		copies = 2
 	}
 	for range copies {
-		n.world.carry(n, address, slices.Clone(datagram))
+		n.sim.transmit(n, address, slices.Clone(datagram))
 	}
 	return nil
 }
 
-// Receive implements Transport; the simulation hands packets over itself.
+// Receive implements Transport. The simulation passes packets to receive instead.
 func (n *simulatedNode) Receive() <-chan Packet { return nil }
 
-func (s *simulation) carry(from *simulatedNode, address string, datagram []byte) {
+func (s *simulation) transmit(from *simulatedNode, address string, datagram []byte) {
 	lost := s.random.Float64() < s.loss
 	delay := s.delay/2 + time.Duration(s.random.Int64N(int64(s.delay)))
 	s.after(delay, func() {
 		to := s.nodes[address]
-		if lost || to == nil || to.stopped || s.cut(from, to) {
+		if lost || to == nil || to.stopped || s.partitioned(from, to) {
 			return
 		}
 		to.receive(Packet{From: from.address, Data: datagram})
@@ -210,7 +212,7 @@
 
 func (n *simulatedNode) receive(packet Packet) {
 	if n.paused {
-		if len(n.inbox) < receiveQueue {
+		if len(n.inbox) < receiveQueueLength {
 			n.inbox = append(n.inbox, packet)
 		}
 		return
@@ -221,13 +223,14 @@
 
 func (n *simulatedNode) pause() { n.paused = true }
 
-// resume lets the node run on; the datagrams of the pause come first.
+// resume continues the node after a pause; it first receives the datagrams queued during the
+// pause.
 func (n *simulatedNode) resume() {
 	n.paused = false
 	n.actions = nil
-	waiting := n.inbox
+	queued := n.inbox
 	n.inbox = nil
-	for _, packet := range waiting {
+	for _, packet := range queued {
 		n.receive(packet)
 	}
 }
@@ -244,10 +247,11 @@
 	return count
 }
 
-// running returns the nodes that have not stopped, in the order of their start.
+// running returns the nodes that have not stopped, in the order in which their addresses were
+// first started.
 func (s *simulation) running() []*simulatedNode {
 	var running []*simulatedNode
-	for _, address := range s.order {
+	for _, address := range s.addresses {
 		if node := s.nodes[address]; !node.stopped {
 			running = append(running, node)
 		}
@@ -255,8 +259,9 @@
 	return running
 }
 
-// agreed reports whether every running node lists just the running ones live.
-func (s *simulation) agreed() bool {
+// converged reports whether every running node lists exactly the running nodes as live and all
+// digests are equal.
+func (s *simulation) converged() bool {
 	running := s.running()
 	for _, node := range running {
 		live := node.Live("")
@@ -272,23 +277,23 @@
 	return true
 }
 
-// state returns what a node believes of another one.
-func (n *simulatedNode) state(of *simulatedNode) State {
+// stateOf returns the state of another node in this node's list, or Left if it is not listed.
+func (n *simulatedNode) stateOf(other *simulatedNode) State {
 	for _, member := range n.Members() {
-		if member.Name == of.config.Self.Name {
+		if member.Name == other.config.Self.Name {
 			return member.State
 		}
 	}
 	return Left
 }
 
-// cluster starts count nodes and waits until they agree.
+// cluster starts count nodes and waits until they have converged.
 func cluster(t testing.TB, s *simulation, count int) []*simulatedNode {
 	t.Helper()
 	for number := range count {
 		s.start(number, 0)
 	}
-	_, agreed := s.until(2*time.Minute, s.agreed)
-	assert.Assert(t, agreed, "%d nodes did not find each other", count)
+	_, converged := s.advanceUntil(2*time.Minute, s.converged)
+	assert.Assert(t, converged, "%d nodes did not converge", count)
 	return s.running()
 }
--- a/internal/membership/stats.go
+++ b/internal/membership/stats.go
@@ -1,43 +1,43 @@
 package membership
 
-// Stats are counters since the start, and two gauges.
+// Stats holds counters since the start and, in its last three fields, current values.
 type Stats struct {
-	// BytesSent and BytesReceived count the datagrams' contents, without the
-	// headers of IP and UDP.
+	// BytesSent and BytesReceived count the datagrams' contents, without IP and UDP headers.
 	BytesSent         uint64
 	BytesReceived     uint64
 	DatagramsSent     uint64
 	DatagramsReceived uint64
-	// DatagramsRejected were malformed or of another cluster.
+	// DatagramsRejected counts datagrams that were malformed or of another cluster.
 	DatagramsRejected uint64
 	SendErrors        uint64
-	// ProbesSent counts pings of members, ContactsSent those of bare addresses.
+	// ProbesSent counts pings of members, ContactsSent pings of addresses whose member is
+	// unknown.
 	ProbesSent     uint64
 	ContactsSent   uint64
 	ProbesFailed   uint64
 	IndirectProbes uint64
-	// Suspicions counts those taken up here, whoever raised them.
+	// Suspicions counts the suspicions started on this node, whichever node raised them.
 	Suspicions uint64
-	// Deaths counts the suspicions that ran out here.
+	// Deaths counts the members that this node declared dead.
 	Deaths uint64
-	// Refutations counts how often this node had to refute something.
+	// Refutations counts the records about this node that it had to refute.
 	Refutations uint64
 	Pauses      uint64
-	// MembersRefused counts those that found the list full.
+	// MembersRefused counts the members that were not added because the list was full.
 	MembersRefused uint64
 	Exchanges      uint64
 	ExchangeErrors uint64
-	// ExchangeBytes counts the bodies received in exchanges.
+	// ExchangeBytes counts the response bytes received in exchanges.
 	ExchangeBytes uint64
-	// Known is the number of other members, tombstones included; Present
-	// leaves the tombstones out.
+	// Known is the number of other members including tombstones, Present the number without
+	// them.
 	Known   int
 	Present int
-	// QueuedUpdates is the number of changes still to be passed on.
+	// QueuedUpdates is the number of updates that still have to be sent.
 	QueuedUpdates int
 }
 
-// Stats returns the current counters.
+// Stats returns the current values of the counters and gauges.
 func (m *Membership) Stats() Stats {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
--- a/internal/membership/step.go
+++ b/internal/membership/step.go
@@ -1,11 +1,11 @@
 package membership
 
-// Step advances the protocol to the given time. It should be called several
-// times in a period, by the goroutine that calls HandlePacket.
+// Step advances the protocol to the given time. It should be called several times per period,
+// by the goroutine that calls HandlePacket.
 func (m *Membership) Step(now Instant) {
-	m.noticePause(now)
+	m.detectPause(now)
 	m.mutex.Lock()
-	defer m.release()
+	defer m.unlockAndWake()
 	m.now = now
 	if m.self.State.Gone() {
 		return
@@ -16,10 +16,10 @@
 	if now.Monotonic >= m.nextPeriod {
 		m.startPeriod()
 	}
-	m.updateAlone()
+	m.updateSoleMember()
 }
 
-// startPeriod sends what is due once in a period.
+// startPeriod performs the tasks that are due once per period.
 func (m *Membership) startPeriod() {
 	m.periods++
 	m.nextPeriod += m.config.Period
@@ -33,18 +33,19 @@
 	if m.periods%deadProbePeriods == 0 {
 		m.probeDead()
 	}
-	m.contact()
-	m.spread()
+	m.pingContact()
+	m.gossip()
 }
 
 func (m *Membership) dropOldTombstones() {
 	if m.table.dropTombstonesBefore(m.now.Monotonic - m.config.TombstoneLifetime) {
-		m.changed()
+		m.invalidateView()
 	}
 }
 
-// release ends a critical section and wakes the goroutine that delivers events.
-func (m *Membership) release() {
+// unlockAndWake unlocks the mutex and wakes the delivery goroutine if the event queue is not
+// empty.
+func (m *Membership) unlockAndWake() {
 	m.mutex.Unlock()
 	if m.events.empty() {
 		return
@@ -55,37 +56,37 @@
 	}
 }
 
-// Leave announces that the node stops taking part: others give it no new work
-// and its death is no alarm. It still answers, until Close.
+// Leave announces that the node will stop. Other nodes then assign it no new work and do not
+// report its stop as a failure. The node still answers until Close.
 func (m *Membership) Leave() {
 	m.mutex.Lock()
-	defer m.release()
+	defer m.unlockAndWake()
 	if m.self.State != Alive {
 		return
 	}
 	m.self.State = Leaving
 	m.raiseIncarnation(m.self.Incarnation + 1)
-	m.announce()
+	m.announceSelf()
 }
 
-// Close ends the protocol. After Leave the others are told that the node has
-// left; without, they find out as of a crash. The transport stays open.
+// Close stops the protocol. After Leave it announces that the node has left; otherwise the
+// other members detect the stop like a crash. The transport stays open.
 func (m *Membership) Close() {
 	m.closeOnce.Do(func() {
-		m.sayLeft()
+		m.markLeft()
 		close(m.closing)
 	})
 }
 
-func (m *Membership) sayLeft() {
+func (m *Membership) markLeft() {
 	m.mutex.Lock()
-	defer m.release()
-	announced := m.self.State == Leaving
+	defer m.unlockAndWake()
+	leaving := m.self.State == Leaving
 	m.self.State = Left
 	m.self.Incarnation++
 	m.guard.lastStep.Store(nil)
-	m.changed()
-	if announced {
-		m.announce()
+	m.invalidateView()
+	if leaving {
+		m.announceSelf()
 	}
 }
--- a/internal/membership/table.go
+++ b/internal/membership/table.go
@@ -9,34 +9,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// entry is the node's belief about one other member.
+// entry is the record of one other member with the state of its failure detection.
 type entry struct {
 	Member
 	// suspicionEnd is when a suspect is declared dead, on the monotonic clock.
 	suspicionEnd time.Duration
-	// lastChecked is whether the node has probed the suspect itself before the
-	// suspicion runs out.
-	lastChecked bool
-	// goneAt is when the member was found dead or left, on the monotonic clock.
+	// finalProbeQueued is whether the node has queued its own probe of the suspect before the
+	// suspicion ends.
+	finalProbeQueued bool
+	// goneAt is when the member was marked as dead or left, on the monotonic clock.
 	goneAt time.Duration
-	// position is the entry's place in the list that it is in.
+	// position is the index of the entry in its entryList.
 	position int
-	// hashed is what the digest was last made of.
-	hashed Member
-	digest uint64
+	// digestInput is the record from which digest was computed.
+	digestInput Member
+	digest      uint64
 }
 
-// memberDigest returns the hash of the member that goes into the digest of the
-// list. It is made anew only after a change.
+// memberDigest returns the member's share of the list digest. It is recomputed only after a
+// change.
 func (e *entry) memberDigest() uint64 {
 	record := e.compact()
-	if record != e.hashed {
-		e.hashed, e.digest = record, memberDigest(record)
+	if record != e.digestInput {
+		e.digestInput, e.digest = record, memberDigest(record)
 	}
 	return e.digest
 }
 
-// entryList is a set of entries from which one is drawn in constant time.
+// entryList is a set of entries that supports random selection in constant time.
 type entryList struct{ entries []*entry }
 
 func (l *entryList) add(added *entry) {
@@ -44,7 +44,7 @@
 	l.entries = append(l.entries, added)
 }
 
-// remove takes an entry out; the last one takes its place.
+// remove deletes an entry and moves the last entry to its index.
 func (l *entryList) remove(removed *entry) {
 	last := len(l.entries) - 1
 	moved := l.entries[last]
@@ -56,14 +56,14 @@
 
 func (l *entryList) size() int { return len(l.entries) }
 
-// table holds the beliefs about all other members, bounded in number.
+// table holds the records of all other members, limited in number.
 type table struct {
 	entries map[string]*entry
 	// suspects are the entries in the state Suspect.
 	suspects map[string]*entry
 	limit    int
-	// present holds the entries that are not gone, dead those that are dead.
-	// Entries that left are in neither.
+	// present holds the entries that are not gone, dead those that are dead. Entries that have
+	// left are in neither list.
 	present entryList
 	dead    entryList
 }
@@ -72,7 +72,7 @@
 	return &table{entries: map[string]*entry{}, suspects: map[string]*entry{}, limit: limit}
 }
 
-// listOf returns the list for entries in the state, nil if there is none.
+// listOf returns the list for entries in the state, or nil if there is none.
 func (t *table) listOf(state State) *entryList {
 	switch {
 	case !state.Gone():
@@ -84,8 +84,8 @@
 	}
 }
 
-// insert adds a member, for whom the oldest tombstone makes room if need be. It
-// returns nil when the table is full of members that are not gone.
+// insert adds a member. If the table is full it drops the oldest tombstone; if there is none
+// it returns nil.
 func (t *table) insert(member Member) *entry {
 	if len(t.entries) >= t.limit && !t.dropOldestTombstone() {
 		return nil
@@ -101,7 +101,7 @@
 	return added
 }
 
-// setState changes the state of an entry and the list that it is in.
+// setState changes the state of an entry and moves it to the list for that state.
 func (t *table) setState(changed *entry, state State) {
 	before, after := t.listOf(changed.State), t.listOf(state)
 	if before != after {
@@ -115,7 +115,7 @@
 	delete(t.suspects, changed.Name)
 }
 
-// move takes an entry from one list to another; either may be nil.
+// move moves an entry from one list to another; either may be nil.
 func move(moved *entry, from, to *entryList) {
 	if from != nil {
 		from.remove(moved)
@@ -125,7 +125,7 @@
 	}
 }
 
-// drop forgets an entry.
+// drop removes an entry.
 func (t *table) drop(dropped *entry) {
 	move(dropped, t.listOf(dropped.State), nil)
 	delete(t.entries, dropped.Name)
@@ -155,7 +155,8 @@
 	return a.Name < b.Name
 }
 
-// dropTombstonesBefore forgets the members that are gone since before the limit.
+// dropTombstonesBefore removes the members that became dead or left before the limit and
+// reports whether there were any.
 func (t *table) dropTombstonesBefore(limit time.Duration) bool {
 	before := len(t.entries)
 	for _, candidate := range t.entries {
@@ -166,7 +167,7 @@
 	return len(t.entries) < before
 }
 
-// digest returns the hash of all members that are not gone, the node itself included.
+// digest returns the hash of all members that are not gone, including the node itself.
 func (t *table) digest(self Member) uint64 {
 	var sum uint64
 	if !self.State.Gone() {
@@ -187,10 +188,10 @@
 	return addresses
 }
 
-// view is an immutable picture of the table and the node itself for readers
-// outside the protocol, built at most once after a change.
+// view is an immutable copy of the table and the node's own record for readers outside the
+// protocol. It is built at most once per change.
 type view struct {
-	// all holds every member, tombstones included, by name.
+	// all holds all members, including tombstones, by name.
 	all  []Member
 	live []Member
 	// liveByZone holds the live members of each zone, by name.
@@ -198,7 +199,7 @@
 	digest     uint64
 }
 
-// buildView builds the picture from the table, the node itself and the digest of both.
+// buildView builds a view from the node's own record, the table and the digest of both.
 func buildView(self Member, entries map[string]*entry, digest uint64) *view {
 	sorted := make([]*entry, 0, len(entries)+1)
 	sorted = append(sorted, &entry{Member: self})
@@ -218,7 +219,7 @@
 	return built
 }
 
-// classify enters one member in the lists that it belongs to.
+// classify appends one member to the lists it belongs to.
 func (v *view) classify(known *entry) {
 	v.all = append(v.all, known.Member)
 	if known.State.Live() {
@@ -227,8 +228,8 @@
 	}
 }
 
-// memberDigest hashes what two lists must agree on. A suspicion is local and
-// passing, so that it counts as alive.
+// memberDigest hashes the fields on which two lists must agree. A suspicion is local and
+// temporary, so it counts as alive.
 func memberDigest(member Member) uint64 {
 	if member.State == Suspect {
 		member.State = Alive
@@ -240,19 +241,20 @@
 	return xxhash.Sum64(encoded)
 }
 
-// sampleAttempts bounds the tries to draw a member that fits.
+// sampleAttempts limits the random draws for each member of a sample.
 const sampleAttempts = 16
 
-// sample draws up to count distinct members that fit, in time that does not
-// grow with the list. It may miss members when few fit.
-func sample(random *rand.Rand, from entryList, count int, fits func(Member) bool) []Member {
+// sample draws up to count distinct members accepted by the filter, in time that does not
+// depend on the length of the list. If the filter accepts few members it may return fewer than
+// there are.
+func sample(random *rand.Rand, from entryList, count int, accept func(Member) bool) []Member {
 	var drawn []Member
 	if from.size() == 0 {
 		return nil
 	}
 	for attempt := 0; attempt < sampleAttempts*count && len(drawn) < count; attempt++ {
 		candidate := from.entries[random.IntN(from.size())].Member
-		if fits(candidate) && !containsName(drawn, candidate.Name) {
+		if accept(candidate) && !containsName(drawn, candidate.Name) {
 			drawn = append(drawn, candidate)
 		}
 	}
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -10,11 +10,11 @@
 	"pgregory.net/rapid"
 )
 
-// namesWhere returns the names of the entries whose state fits, sorted.
-func namesWhere(t *table, fits func(State) bool) []string {
+// namesWhere returns the sorted names of the entries whose state the filter accepts.
+func namesWhere(t *table, accept func(State) bool) []string {
 	names := []string{}
 	for name, known := range t.entries {
-		if fits(known.State) {
+		if accept(known.State) {
 			names = append(names, name)
 		}
 	}
@@ -31,35 +31,35 @@
 	return names
 }
 
-func TestListsFollowTheStates(t *testing.T) {
+func TestEntryListsMatchStates(t *testing.T) {
 	states := rapid.SampledFrom([]State{Alive, Suspect, Leaving, Dead, Left})
 	rapid.Check(t, func(t *rapid.T) {
-		beliefs := newTable(8)
+		members := newTable(8)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			name := fmt.Sprintf("node-%d", rapid.IntRange(0, 11).Draw(t, "name"))
-			known, found := beliefs.entries[name]
+			known, found := members.entries[name]
 			switch {
 			case rapid.IntRange(0, 9).Draw(t, "drop") == 0:
-				beliefs.dropTombstonesBefore(time.Hour)
+				members.dropTombstonesBefore(time.Hour)
 			case found:
-				beliefs.setState(known, states.Draw(t, "state"))
+				members.setState(known, states.Draw(t, "state"))
 			default:
-				beliefs.insert(Member{Name: name, State: states.Draw(t, "state")})
+				members.insert(Member{Name: name, State: states.Draw(t, "state")})
 			}
-			present := namesWhere(beliefs, func(state State) bool { return !state.Gone() })
-			dead := namesWhere(beliefs, func(state State) bool { return state == Dead })
-			suspects := namesWhere(beliefs, func(state State) bool { return state == Suspect })
-			if !slices.Equal(namesIn(beliefs.present), present) || !slices.Equal(namesIn(beliefs.dead), dead) {
-				t.Fatalf("present %v, listed %v; dead %v, listed %v", present, namesIn(beliefs.present), dead, namesIn(beliefs.dead))
+			present := namesWhere(members, func(state State) bool { return !state.Gone() })
+			dead := namesWhere(members, func(state State) bool { return state == Dead })
+			suspects := namesWhere(members, func(state State) bool { return state == Suspect })
+			if !slices.Equal(namesIn(members.present), present) || !slices.Equal(namesIn(members.dead), dead) {
+				t.Fatalf("present %v, listed %v; dead %v, listed %v", present, namesIn(members.present), dead, namesIn(members.dead))
 			}
-			if len(suspects) != len(beliefs.suspects) {
-				t.Fatalf("suspects %v, listed %v", suspects, beliefs.suspects)
+			if len(suspects) != len(members.suspects) {
+				t.Fatalf("suspects %v, listed %v", suspects, members.suspects)
 			}
 		}
 	})
 }
 
-func TestDigestFollowsEachChange(t *testing.T) {
+func TestDigestChangesWithRecord(t *testing.T) {
 	known := &entry{Member: Member{Name: "node-1", PeerAddress: "10.0.0.1:1", Incarnation: 5, BootID: 9}}
 	seen := []uint64{}
 	for _, change := range []func(){
@@ -80,19 +80,19 @@
 	assert.Equal(t, known.memberDigest(), alive)
 }
 
-// TestProtocolBuildsNoPicture checks that a change does not cost the protocol
-// itself a copy of the whole list.
-func TestProtocolBuildsNoPicture(t *testing.T) {
+// TestProtocolDoesNotBuildView checks that the protocol itself does not copy the whole list
+// after a change.
+func TestProtocolDoesNotBuildView(t *testing.T) {
 	s := newSimulation(31)
 	nodes := cluster(t, s, 12)
 	s.advance(5 * DefaultPeriod)
 	crashed, watched := nodes[11], nodes[0]
 	crashed.crash()
-	watched.changed()
-	_, died := s.until(time.Minute, func() bool {
+	watched.invalidateView()
+	_, died := s.advanceUntil(time.Minute, func() bool {
 		watched.mutex.Lock()
 		defer watched.mutex.Unlock()
-		assert.Assert(t, watched.picture.Load() == nil, "built in period %d", watched.periods)
+		assert.Assert(t, watched.cachedView.Load() == nil, "the view was built in period %d", watched.periods)
 		return watched.table.entries[crashed.Self().Name].State == Dead
 	})
 	assert.Assert(t, died)
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -10,28 +10,28 @@
 	"github.com/samber/oops"
 )
 
-// receiveQueue is the number of datagrams that wait for the runner; more are
-// dropped, as the protocol stands loss.
-const receiveQueue = 512
+// receiveQueueLength is the number of received datagrams that are queued. Further ones are
+// dropped, as the protocol tolerates loss.
+const receiveQueueLength = 512
 
-// receiveBuffer is one byte more than a datagram may have, to tell longer ones.
-const receiveBuffer = MaxDatagram + 1
+// receiveBufferSize is one byte larger than the largest valid datagram, so that longer ones
+// are detected.
+const receiveBufferSize = MaxDatagram + 1
 
 // Packet is a received datagram.
 type Packet struct {
-	// From is the source address, IP:port. It is not proven.
+	// From is the source address, IP:port. It is not authenticated.
 	From string
 	Data []byte
 }
 
-// Transport sends and receives datagrams, which may be lost, duplicated and
-// reordered.
+// Transport sends and receives datagrams. Datagrams may be lost, duplicated and reordered.
 type Transport interface {
-	// Send sends a datagram to an IP:port without waiting. It keeps no
-	// reference to the bytes after it returns.
+	// Send sends a datagram to an IP:port without blocking. It does not retain the bytes after
+	// it returns.
 	Send(address string, datagram []byte) error
-	// Receive returns the channel of received datagrams. It is closed when the
-	// transport is.
+	// Receive returns the channel of received datagrams. It is closed when the transport is
+	// closed.
 	Receive() <-chan Packet
 }
 
@@ -43,18 +43,18 @@
 	dropped    atomic.Uint64
 }
 
-// ListenUDP opens a socket on an IP:port and starts to receive. Close ends it.
+// ListenUDP opens a socket on an IP:port and starts receiving. Close closes it.
 func ListenUDP(address string) (*UDPTransport, error) {
-	failed := oops.In("membership").With("step", "listen", "peer", address)
+	errorContext := oops.In("membership").With("step", "listen", "peer", address)
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return nil, failed.Wrap(err)
+		return nil, errorContext.Wrap(err)
 	}
 	connection, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(parsed))
 	if err != nil {
-		return nil, failed.Wrap(err)
+		return nil, errorContext.Wrap(err)
 	}
-	transport := &UDPTransport{connection: connection, packets: make(chan Packet, receiveQueue)}
+	transport := &UDPTransport{connection: connection, packets: make(chan Packet, receiveQueueLength)}
 	transport.reader.Add(1)
 	go transport.read()
 	return transport, nil
@@ -63,35 +63,36 @@
 // LocalAddress returns the IP:port of the socket.
 func (t *UDPTransport) LocalAddress() string { return t.connection.LocalAddr().String() }
 
-// Dropped returns the number of datagrams dropped because nobody took them.
+// Dropped returns the number of datagrams dropped because of a full receive queue or a read
+// error.
 func (t *UDPTransport) Dropped() uint64 { return t.dropped.Load() }
 
 // Send implements Transport.
 func (t *UDPTransport) Send(address string, datagram []byte) error {
-	failed := oops.In("membership").With("step", "send", "peer", address)
+	errorContext := oops.In("membership").With("step", "send", "peer", address)
 	parsed, err := netip.ParseAddrPort(address)
 	if err != nil {
-		return failed.Wrap(err)
+		return errorContext.Wrap(err)
 	}
 	_, err = t.connection.WriteToUDPAddrPort(datagram, parsed)
-	return failed.Wrap(err)
+	return errorContext.Wrap(err)
 }
 
 // Receive implements Transport.
 func (t *UDPTransport) Receive() <-chan Packet { return t.packets }
 
-// Close closes the socket and waits for its reader.
+// Close closes the socket and waits for the read goroutine.
 func (t *UDPTransport) Close() error {
 	err := t.connection.Close()
 	t.reader.Wait()
 	return oops.In("membership").With("step", "close").Wrap(err)
 }
 
-// read passes datagrams on until the socket is closed.
+// read queues received datagrams until the socket is closed.
 func (t *UDPTransport) read() {
 	defer t.reader.Done()
 	defer close(t.packets)
-	buffer := make([]byte, receiveBuffer)
+	buffer := make([]byte, receiveBufferSize)
 	for {
 		length, source, err := t.connection.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -102,11 +103,11 @@
 			continue
 		}
 		from := netip.AddrPortFrom(source.Addr().Unmap(), source.Port())
-		t.pass(Packet{From: from.String(), Data: append([]byte(nil), buffer[:length]...)})
+		t.enqueue(Packet{From: from.String(), Data: append([]byte(nil), buffer[:length]...)})
 	}
 }
 
-func (t *UDPTransport) pass(packet Packet) {
+func (t *UDPTransport) enqueue(packet Packet) {
 	select {
 	case t.packets <- packet:
 	default:
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -2,15 +2,15 @@
 
 import "container/list"
 
-// updateQueue holds the changes that the node still passes on, at most one for
-// each member. Fresh changes go first; a change that has been sent goes to the
-// end, so that the least sent ones are ahead.
+// updateQueue holds the updates that the node still sends, at most one per member. New updates
+// are at the front. An update that was sent moves to the back, so that those sent least often
+// come first.
 type updateQueue struct {
 	order  *list.List
 	byName map[string]*list.Element
 }
 
-// update is a change and how often it was sent.
+// update is a member record to send and how often it was sent.
 type update struct {
 	record        Member
 	size          int
@@ -21,8 +21,8 @@
 	return &updateQueue{order: list.New(), byName: map[string]*list.Element{}}
 }
 
-// add queues a change in place of an older one of the same member. Addresses
-// that an unfinished older change of the same run carries are kept.
+// add queues an update and replaces an older one of the same member. If the older one carries
+// the addresses, the new one carries them as well.
 func (q *updateQueue) add(known Member, withAddresses bool) {
 	if element, queued := q.byName[known.Name]; queued {
 		older := element.Value.(*update)
@@ -37,30 +37,30 @@
 	q.byName[known.Name] = q.order.PushFront(fresh)
 }
 
-// take returns changes that fit the space in bytes and counts them as sent. A
-// change that has been sent limit times leaves the queue. The excluded member
-// is the receiver, which is told about itself in another way.
-func (q *updateQueue) take(space, limit int, excluded string) []Member {
-	var taken []Member
+// nextBatch returns updates that fit in the space in bytes and counts them as sent. An update
+// that has been sent limit times leaves the queue. The excluded member is the receiver: a
+// message carries its record separately if the receiver has to refute it.
+func (q *updateQueue) nextBatch(space, limit int, excluded string) []Member {
+	var batch []Member
 	element := q.order.Front()
-	for remaining := q.order.Len(); remaining > 0 && len(taken) < maxQueuedUpdates; remaining-- {
+	for remaining := q.order.Len(); remaining > 0 && len(batch) < maxQueuedUpdates; remaining-- {
 		next := element.Next()
 		queued := element.Value.(*update)
 		if queued.size > space {
 			break
 		}
 		if queued.record.Name != excluded {
-			taken = append(taken, queued.record)
+			batch = append(batch, queued.record)
 			space -= queued.size
-			q.sent(element, limit)
+			q.markSent(element, limit)
 		}
 		element = next
 	}
-	return taken
+	return batch
 }
 
-// sent moves a change to the end or out of the queue.
-func (q *updateQueue) sent(element *list.Element, limit int) {
+// markSent counts a transmission and moves the update to the back, or removes it at the limit.
+func (q *updateQueue) markSent(element *list.Element, limit int) {
 	queued := element.Value.(*update)
 	queued.transmissions++
 	if queued.transmissions < limit {
@@ -71,5 +71,5 @@
 	delete(q.byName, queued.record.Name)
 }
 
-// len returns the number of queued changes.
+// len returns the number of queued updates.
 func (q *updateQueue) len() int { return q.order.Len() }
