--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,7 +1,7 @@
-// Package gossip defines what a node tells the others along with its
-// heartbeats: how far its configuration and its roster of claim replicas are, and
-// the shed levels of the targets it guards. A payload has a bounded size whatever the number of nodes and
-// targets.
+// Package gossip defines the application payload of the membership datagrams: the state of a
+// node's configuration, the epoch of its roster of claim replicas, and the shed levels of the
+// targets for which it is the home. The size of a payload is bounded for any number of nodes
+// and targets.
 package gossip
 
 import (
@@ -14,20 +14,19 @@
 	"github.com/lugspur/lugspur/internal/configuration"
 )
 
-// MaxLevels bounds the shed levels in one payload.
+// MaxLevels is the maximum number of shed levels in one payload.
 const MaxLevels = 12
 
-// Payload is what a node tells.
+// Payload is the application data that a node sends to other nodes.
 type Payload struct {
-	// Digest says what configuration the node has.
+	// Digest summarizes the node's configuration.
 	Digest configuration.Digest `cbor:"1,keyasint"`
-	// Version is the sender's clock in milliseconds since 1970; it orders the
-	// payloads of one node.
+	// Version is the sender's clock in milliseconds since 1970. It orders the payloads of one
+	// node.
 	Version uint64 `cbor:"2,keyasint"`
-	// Levels are the strictest shed levels of the targets that the node guards.
+	// Levels are the strictest shed levels of the targets for which the node is the home.
 	Levels []Level `cbor:"3,keyasint,omitempty"`
-	// ClaimEpoch is the epoch of the roster of claim replicas that the node
-	// knows, zero without one.
+	// ClaimEpoch is the epoch of the node's roster of claim replicas, or zero if it has none.
 	ClaimEpoch uint64 `cbor:"4,keyasint,omitempty"`
 }
 
@@ -36,12 +35,12 @@
 	_ struct{} `cbor:",toarray"`
 	// Target is the hash of the target's name.
 	Target uint32
-	// Threshold is the rank key from which on calls are refused.
+	// Threshold is the rank key at and above which calls are refused.
 	Threshold uint16
 }
 
-// Strictest sorts the levels in place, the strictest first, and returns those
-// that fit in a payload.
+// Strictest sorts the levels in place, strictest first, and returns those that fit in a
+// payload.
 func Strictest(levels []Level) []Level {
 	slices.SortFunc(levels, func(a, b Level) int {
 		return cmp.Or(cmp.Compare(a.Threshold, b.Threshold), cmp.Compare(a.Target, b.Target))
@@ -49,14 +48,13 @@
 	return levels[:min(len(levels), MaxLevels)]
 }
 
-// Encode returns the payload's bytes.
+// Encode returns the encoded payload.
 func (p Payload) Encode() ([]byte, error) {
 	encoded, err := cbor.Marshal(p)
 	return encoded, oops.In("gossip").With("step", "encode").Wrap(err)
 }
 
-// Decode reads a payload. Levels beyond MaxLevels are an error, as no node
-// sends them.
+// Decode decodes a payload. More than MaxLevels levels are an error, as no node sends them.
 func Decode(encoded []byte) (Payload, error) {
 	var payload Payload
 	if err := cbor.Unmarshal(encoded, &payload); err != nil {
@@ -64,7 +62,7 @@
 	}
 	if len(payload.Levels) > MaxLevels {
 		return Payload{}, oops.In("gossip").With("step", "decode").
-			Errorf("%d shed levels: allowed are %d", len(payload.Levels), MaxLevels)
+			Errorf("payload has %d shed levels, the maximum is %d", len(payload.Levels), MaxLevels)
 	}
 	return payload, nil
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -11,19 +11,19 @@
 	"github.com/lugspur/lugspur/internal/membership"
 )
 
-func TestStrictestKeepsTheLowestThresholds(t *testing.T) {
+func TestStrictestKeepsLowestThresholds(t *testing.T) {
 	var levels []gossip.Level
 	for target := range uint32(3 * gossip.MaxLevels) {
 		levels = append(levels, gossip.Level{Target: target, Threshold: uint16(500 - target)})
 	}
-	kept := gossip.Strictest(levels)
-	assert.Equal(t, len(kept), gossip.MaxLevels)
-	for i, level := range kept {
+	strictest := gossip.Strictest(levels)
+	assert.Equal(t, len(strictest), gossip.MaxLevels)
+	for i, level := range strictest {
 		assert.Equal(t, level.Target, uint32(3*gossip.MaxLevels-1-i))
 	}
 }
 
-func TestTheLargestPayloadFitsADatagram(t *testing.T) {
+func TestLargestPayloadFitsDatagram(t *testing.T) {
 	payload := gossip.Payload{Digest: configuration.Digest{
 		Floor: math.MaxInt64, Count: math.MaxUint32, Sum: math.MaxUint64,
 		Tombstones: math.MaxUint64, Collected: math.MaxInt64, Drains: math.MaxUint64,
@@ -39,11 +39,11 @@
 	assert.DeepEqual(t, decoded, payload)
 }
 
-func TestDecodeRefuses(t *testing.T) {
+func TestDecodeRejectsInvalid(t *testing.T) {
 	tooMany := gossip.Payload{Levels: make([]gossip.Level, gossip.MaxLevels+1)}
 	encoded, err := tooMany.Encode()
 	assert.NilError(t, err)
-	for name, bytes := range map[string][]byte{"too many levels": encoded, "cut short": encoded[:5], "empty": nil} {
+	for name, bytes := range map[string][]byte{"too many levels": encoded, "truncated": encoded[:5], "empty": nil} {
 		t.Run(name, func(t *testing.T) {
 			_, err := gossip.Decode(bytes)
 			assert.Assert(t, err != nil)
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -5,11 +5,11 @@
 	"github.com/lugspur/lugspur/internal/membership"
 )
 
-// Members shows a membership as the configuration sees nodes. It is safe for
-// concurrent use.
+// Members provides the members of a cluster as members of the configuration package. It is
+// safe for concurrent use.
 type Members struct{ Membership *membership.Membership }
 
-// Members returns the nodes known now.
+// Members returns all members that the membership lists, including tombstones.
 func (m Members) Members() []configuration.Member {
 	known := m.Membership.Members()
 	members := make([]configuration.Member, 0, len(known))
@@ -19,7 +19,7 @@
 	return members
 }
 
-// MemberOf returns a member as the configuration sees it.
+// MemberOf converts a member to a member of the configuration package.
 func MemberOf(member membership.Member) configuration.Member {
 	return configuration.Member{
 		Name:        member.Name,
