--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -142,7 +142,7 @@
 // is suspended meanwhile. Its cause is then context.DeadlineExceeded, by which Expired
 // tells; its error is context.Canceled, and it tells no deadline of its own.
 //
-// Where the process stood still over the moment, the context ends ReadyGrace after it goes
+// Where the process stood still over the moment, the context ends LateDeadlineGrace after it goes
 // on: what arrived meanwhile is ready, and is to be read before it is given up.
 func (c *Clock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, expire := context.WithCancelCause(parent)
@@ -168,17 +168,17 @@
 // reached ends a context whose moment has come, or was due to end at the moment. A process
 // that stands still again within the grace gets another one.
 func (c *Clock) reached(d *deadline, due time.Time, graces int) {
-	if graces == 0 || !Late(c.Since(due)) {
+	if graces == 0 || !IsStall(c.Since(due)) {
 		d.expire(context.DeadlineExceeded)
 		return
 	}
-	due = c.Now().Add(ReadyGrace)
-	time.AfterFunc(ReadyGrace, func() { c.reached(d, due, graces-1) })
+	due = c.Now().Add(LateDeadlineGrace)
+	time.AfterFunc(LateDeadlineGrace, func() { c.reached(d, due, graces-1) })
 }
 
-// ReadyGrace is how long a bound that is noticed late still holds, so that what is ready
+// LateDeadlineGrace is how long a bound that is noticed late still holds, so that what is ready
 // is read first.
-const ReadyGrace = 50 * time.Millisecond
+const LateDeadlineGrace = 50 * time.Millisecond
 
 // maxGraces bounds the graces of one context: callers wait for it.
 const maxGraces = 3
@@ -186,6 +186,6 @@
 // leastLateness is by how much a timer fires too late only if the process stood still.
 const leastLateness = 50 * time.Millisecond
 
-// Late reports whether a timer that fires so much too late tells that the process stood
+// IsStall reports whether a timer that fires so much too late tells that the process stood
 // still.
-func Late(by time.Duration) bool { return by > leastLateness }
+func IsStall(by time.Duration) bool { return by > leastLateness }
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -54,7 +54,7 @@
 	m.sinceBoot += sinceBoot
 }
 
-func TestOnlySuspensionsAreAdded(t *testing.T) {
+func TestClockAddsOnlySuspensions(t *testing.T) {
 	m := &machine{sinceBoot: time.Hour, steady: 50 * time.Minute}
 	c := New(m.source())
 	began := c.Now()
@@ -88,9 +88,9 @@
 	assert.Equal(t, c.Since(began), time.Second)
 }
 
-// TestADeadlineThatPassedInASuspensionEndsItsContext has two contexts, of which the
+// TestDeadlinePassedDuringSuspensionEndsContext has two contexts, of which the
 // deadline of one passes while the machine is suspended.
-func TestADeadlineThatPassedInASuspensionEndsItsContext(t *testing.T) {
+func TestDeadlinePassedDuringSuspensionEndsContext(t *testing.T) {
 	m := &machine{}
 	c := New(m.source())
 	resumed := make(chan struct{}, 1)
@@ -138,7 +138,7 @@
 	defer cancelLate()
 	m.run(time.Second)
 	<-late.Done()
-	assert.Assert(t, time.Since(began) >= span+ReadyGrace, "after %v", time.Since(began))
+	assert.Assert(t, time.Since(began) >= span+LateDeadlineGrace, "after %v", time.Since(began))
 	assert.Assert(t, Expired(late))
 }
 
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -181,7 +181,7 @@
 		answer.Body = replacement.Document()
 		return
 	}
-	if corrected, changed := problem.Disown(answer.Body); changed {
+	if corrected, changed := problem.MarkExecutionUnknown(answer.Body); changed {
 		answer.Body = corrected
 	}
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -106,18 +106,18 @@
 // Retried counts a retry.
 func (m *Metrics) Retried(service string) { m.retries.WithLabelValues(service).Inc() }
 
-// Gauge adds a value that is read when the metrics are.
-func (m *Metrics) Gauge(name, help string, read func() float64) {
+// RegisterGauge adds a value that is read when the metrics are.
+func (m *Metrics) RegisterGauge(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Counter adds a counter that is read when the metrics are.
-func (m *Metrics) Counter(name, help string, read func() float64) {
+// RegisterCounter adds a counter that is read when the metrics are.
+func (m *Metrics) RegisterCounter(name, help string, read func() float64) {
 	m.registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, read))
 }
 
-// Homes adds the loads of the targets that the node is the home of.
-func (m *Metrics) Homes(loads func() map[string]home.Load) {
+// RegisterHomes adds the loads of the targets that the node is the home of.
+func (m *Metrics) RegisterHomes(loads func() map[string]home.Load) {
 	m.registry.MustRegister(&homeCollector{loads: loads})
 }
 
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -20,9 +20,9 @@
 	m.Refused(gateway.Mesh, "a", problem.New(problem.Overloaded, problem.ExecutedNo, "", "", ""), time.Millisecond)
 	m.Retried("a")
 	depth := 3.0
-	m.Gauge("depth", "Depth.", func() float64 { return depth })
-	m.Counter("sent_total", "Sent.", func() float64 { return 9 })
-	m.Homes(func() map[string]home.Load {
+	m.RegisterGauge("depth", "Depth.", func() float64 { return depth })
+	m.RegisterCounter("sent_total", "Sent.", func() float64 { return 9 })
+	m.RegisterHomes(func() map[string]home.Load {
 		return map[string]home.Load{"a-1": {InFlight: 2, Limit: 8, Queued: 1, QueueDelay: 250 * time.Millisecond, Threshold: 512}}
 	})
 	depth = 4
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -248,14 +248,14 @@
 }
 
 func (n *Node) provisionMetrics() {
-	n.metrics.Homes(n.homes.Loads)
-	n.metrics.Gauge("calls_in_flight", "Calls in the node.", func() float64 { return float64(n.gateway.InFlight()) })
-	n.metrics.Gauge("configuration_floor", "Revision up to which the node's configuration is complete.",
+	n.metrics.RegisterHomes(n.homes.Loads)
+	n.metrics.RegisterGauge("calls_in_flight", "Calls in the node.", func() float64 { return float64(n.gateway.InFlight()) })
+	n.metrics.RegisterGauge("configuration_floor", "Revision up to which the node's configuration is complete.",
 		func() float64 { return float64(n.replica.Floor()) })
-	n.metrics.Gauge("members_present", "Nodes that the node knows to be present, without itself.",
+	n.metrics.RegisterGauge("members_present", "Nodes that the node knows to be present, without itself.",
 		func() float64 { return float64(n.members.Stats().Present) })
-	n.metrics.Counter("gossip_sent_bytes_total", "Bytes of datagrams sent to other nodes.",
+	n.metrics.RegisterCounter("gossip_sent_bytes_total", "Bytes of datagrams sent to other nodes.",
 		func() float64 { return float64(n.members.Stats().BytesSent) })
-	n.metrics.Counter("gossip_received_bytes_total", "Bytes of datagrams received from other nodes.",
+	n.metrics.RegisterCounter("gossip_received_bytes_total", "Bytes of datagrams received from other nodes.",
 		func() float64 { return float64(n.members.Stats().BytesReceived) })
 }
--- a/internal/problem/problem.go
+++ b/internal/problem/problem.go
@@ -191,12 +191,12 @@
 	return document
 }
 
-// Disown returns the document of an answer by which a target passes a problem
+// MarkExecutionUnknown returns the document of an answer by which a target passes a problem
 // on from further down its chain, corrected: the target itself has run, so
 // that whatever was told of the call below, this call was not left unexecuted.
 // It returns false for a body that does not claim to be ours or needs no
 // correction.
-func Disown(body []byte) ([]byte, bool) {
+func MarkExecutionUnknown(body []byte) ([]byte, bool) {
 	var p Problem
 	if json.Unmarshal(body, &p) != nil || !strings.HasPrefix(p.Type, typePrefix) || p.Executed == ExecutedUnknown {
 		return nil, false
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -44,7 +44,7 @@
 	n.metrics.Ended(peering.Answered, "", time.Millisecond, time.Second)
 	n.metrics.heartbeatRefused(registry.RefusedSlots)
 	n.metrics.BudgetCounted("s", forward.FirstSent, "")
-	n.calls.Called(purposeRecords, "list", "done")
+	n.calls.CallEnded(purposeRecords, "list", "done")
 	var served []string
 	for _, match := range metricLine.FindAllStringSubmatch(scrape(n), -1) {
 		served = append(served, match[1])
@@ -84,11 +84,11 @@
 func TestStoreCallsAddUp(t *testing.T) {
 	n := newTestNode(t)
 	for range 3 {
-		n.calls.Called(purposeRecords, "watch", "done")
+		n.calls.CallEnded(purposeRecords, "watch", "done")
 	}
-	n.calls.Called(purposeOwnRecord, "compare and swap", "conflict")
+	n.calls.CallEnded(purposeOwnRecord, "compare and swap", "conflict")
 	n.calls.record()
-	n.calls.Called(purposeRecords, "watch", "done")
+	n.calls.CallEnded(purposeRecords, "watch", "done")
 	n.calls.record()
 	n.calls.record()
 	text := scrape(n)
--- a/internal/sidecar/storecalls.go
+++ b/internal/sidecar/storecalls.go
@@ -37,8 +37,8 @@
 	return &storeCalls{log: log, total: make(map[storeCall]int), logged: make(map[storeCall]int)}
 }
 
-// Called implements platform.Observer.
-func (c *storeCalls) Called(purpose store.Purpose, call, outcome string) {
+// CallEnded implements platform.Observer.
+func (c *storeCalls) CallEnded(purpose store.Purpose, call, outcome string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.total[storeCall{purpose, call, outcome}]++
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -67,10 +67,10 @@
 // it reads again: data may have arrived meanwhile, so the target was not silent.
 func (c *connection) read(buffer []byte) (int, error) {
 	n, err := c.socket.Read(buffer)
-	if n > 0 || c.readDeadline.IsZero() || !errors.Is(err, os.ErrDeadlineExceeded) || !clock.Late(time.Since(c.readDeadline)) {
+	if n > 0 || c.readDeadline.IsZero() || !errors.Is(err, os.ErrDeadlineExceeded) || !clock.IsStall(time.Since(c.readDeadline)) {
 		return n, err
 	}
-	if err := c.setReadDeadline(time.Now().Add(clock.ReadyGrace)); err != nil {
+	if err := c.setReadDeadline(time.Now().Add(clock.LateDeadlineGrace)); err != nil {
 		return 0, err
 	}
 	return c.socket.Read(buffer)
--- a/internal/virtualtime/virtualtime_test.go
+++ b/internal/virtualtime/virtualtime_test.go
@@ -8,10 +8,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestTimersThatAreReadLate ended the race detector itself: goroutines read timers that are
+// TestConcurrentReadsOfDueTimers ended the race detector itself: goroutines read timers that are
 // due already, each on its own thread, while the bubble runs others. Shown by this test
 // without virtualtime, in 6 of 6 processes: "CHECK failed: tsan_rtl.cpp:346" among others.
-func TestTimersThatAreReadLate(t *testing.T) {
+func TestConcurrentReadsOfDueTimers(t *testing.T) {
 	const goroutines, rounds = 100, 500
 	Run(t, func(t *testing.T) {
 		read := make(chan int, goroutines)
--- a/test/restart_once_test.go
+++ b/test/restart_once_test.go
@@ -73,7 +73,7 @@
 	runs := make(map[string]int)
 	for _, target := range starts {
 		for _, run := range target.Log() {
-			runs[edge.RootOf(run.ID)]++
+			runs[edge.RootRequestID(run.ID)]++
 		}
 	}
 	counts := make(map[int]int)
