--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -14,13 +14,13 @@
 	known := m.Membership.Members()
 	members := make([]configuration.Member, 0, len(known))
 	for _, member := range known {
-		members = append(members, MemberOf(member))
+		members = append(members, ConfigurationMember(member))
 	}
 	return members
 }
 
-// MemberOf converts a member to a member of the configuration package.
-func MemberOf(member membership.Member) configuration.Member {
+// ConfigurationMember converts a member to a member of the configuration package.
+func ConfigurationMember(member membership.Member) configuration.Member {
 	return configuration.Member{
 		Name:        member.Name,
 		Zone:        member.Zone,
--- a/internal/membership/convergence_test.go
+++ b/internal/membership/convergence_test.go
@@ -47,7 +47,7 @@
 	return elapsed
 }
 
-// TestNodesThatStartTogetherAgree checks that nodes that start, or restart, together converge
+// TestNodesStartedTogetherConverge checks that nodes that start, or restart, together converge
 // quickly.
 //
 // That once took up to 90 s. Meanwhile nodes disagreed on the homes of targets, so that calls
@@ -58,7 +58,7 @@
 // as updates, and the next exchange of each pair was 30 s away. In a trace of eleven nodes the
 // two clusters, of four and seven nodes, had empty queues from 5 s on, one contact at 10 s,
 // and exchanges at 35 s and 65 s.
-func TestNodesThatStartTogetherAgree(t *testing.T) {
+func TestNodesStartedTogetherConverge(t *testing.T) {
 	for _, count := range []int{2, 5, 8, 12, 30, 60} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			var times []time.Duration
--- a/internal/membership/protocol_test.go
+++ b/internal/membership/protocol_test.go
@@ -24,7 +24,7 @@
 // had queued updates, and two nodes that both lacked each other's record exchanged lists only
 // every 30 s, each with a random peer that lacked the same records. Nodes 5 and 10 were
 // missing from each other's lists for 63 s without any suspicion. See
-// TestNodesThatStartTogetherAgree for the mechanism.
+// TestNodesStartedTogetherConverge for the mechanism.
 func TestNoSuspicionWithoutLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"))
