--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-func fill(replica *Replica, q Request, from, count uint64, now time.Time) {
+func fill(replica *Replica, req Request, from, count uint64, now time.Time) {
 	for i := range count {
-		binary.BigEndian.PutUint64(q.Key[:], from+i)
-		replica.Handle(q, now)
+		binary.BigEndian.PutUint64(req.Key[:], from+i)
+		replica.Handle(req, now)
 	}
 }
 
@@ -22,14 +22,14 @@
 	replica.Adopt(roster, now)
 	key := uint64(0)
 	for b.Loop() {
-		// At this rate the table stays full and one record expires for each insert.
+		// At this rate the table stays full, and one record expires per insert.
 		now = now.Add(roster.Retention / (DefaultCapacity - 1))
 		fill(replica, Request{To: self, Epoch: 1}, key, 1, now)
 		key++
 	}
 }
 
-// BenchmarkFullReplica reports the memory of a claim in a full table.
+// BenchmarkFullReplica reports the memory use per claim of a full table.
 func BenchmarkFullReplica(b *testing.B) {
 	roster := testRoster(b)
 	self := roster.Seats[0].Holder.Identity
--- a/internal/claim/bootstrap.go
+++ b/internal/claim/bootstrap.go
@@ -13,14 +13,14 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// bootstrap looks for a roster in the store and creates the first one if there
-// is none. Nodes that other nodes gave a roster never come here.
+// bootstrap reads the roster from the store and creates the first one if there
+// is none. It isn't called on nodes that received a roster from a peer.
 func (m *Manager) bootstrap(ctx context.Context, now time.Time) error {
-	if now.Sub(m.refreshed) < time.Duration(m.rank(0))*m.config.Interval {
+	if now.Sub(m.lastRead) < time.Duration(m.rank(0))*m.config.Interval {
 		return nil
 	}
-	m.refreshed = now
-	_, _, err := m.read(ctx)
+	m.lastRead = now
+	_, _, err := m.readRoster(ctx)
 	if !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
@@ -35,74 +35,76 @@
 	if err != nil {
 		return err
 	}
-	return m.write(ctx, 0, genesis, ChangeGenesis)
+	return m.writeRoster(ctx, 0, genesis, ChangeGenesis)
 }
 
-// planGenesis returns the members of the first roster, none while there are too
-// few nodes. Nodes that come late are waited for; after that a smaller roster
-// is better than none, down to smallestGenesis.
+// planGenesis returns the members of the first roster, or nil while there are
+// too few nodes. After genesisGracePeriod it accepts a smaller roster of at
+// least minimumGenesisSize, which is better than none.
 func (m *Manager) planGenesis(now time.Time) []Member {
 	view := View{Self: m.self, Nodes: m.config.Members.Members()}
 	members := PlanGenesis(view, m.config.Size)
-	if members != nil || now.Sub(m.started) < m.config.Settle+genesisPatience {
+	if members != nil || now.Sub(m.started) < m.config.Settle+genesisGracePeriod {
 		return members
 	}
-	alive := len(view.alive())
+	alive := len(view.aliveMembers())
 	size := min(alive-1+alive%2, m.config.Size)
-	if size < smallestGenesis {
+	if size < minimumGenesisSize {
 		return nil
 	}
 	return PlanGenesis(view, size)
 }
 
-// rank is the node's place among the live ones in an order drawn by the epoch.
+// rank returns the node's position among the live nodes in a pseudorandom order
+// that depends on the epoch.
 func (m *Manager) rank(epoch uint64) int {
-	type place struct {
+	type rankedNode struct {
 		name string
 		hash uint64
 	}
-	var places []place
+	var ranked []rankedNode
 	for _, n := range m.config.Members.Members() {
 		if n.Alive || n.Name == m.self.Name {
-			places = append(places, place{name: n.Name, hash: hashPlace(n.Name, epoch)})
+			ranked = append(ranked, rankedNode{name: n.Name, hash: rankHash(n.Name, epoch)})
 		}
 	}
-	slices.SortFunc(places, func(a, b place) int {
+	slices.SortFunc(ranked, func(a, b rankedNode) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name))
 	})
-	rank := slices.IndexFunc(places, func(p place) bool { return p.name == m.self.Name })
+	rank := slices.IndexFunc(ranked, func(p rankedNode) bool { return p.name == m.self.Name })
 	if rank < 0 {
 		return maximumRank
 	}
 	return min(rank, maximumRank)
 }
 
-func hashPlace(name string, epoch uint64) uint64 {
+func rankHash(name string, epoch uint64) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(strconv.FormatUint(epoch, 10)))
 	h.Write([]byte(name))
 	return h.Sum64()
 }
 
-// copyClaims fetches pages while the node is joining, from all voters at once.
-// A failed source is asked again at the next look.
+// copyClaims fetches pages from all voters concurrently while the node is
+// joining. A source that failed is retried in the next reconciliation.
 func (m *Manager) copyClaims(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	for range pageRoundsPerTry {
+	for range maximumPageRounds {
 		requests := m.config.Service.pageRequests()
-		if len(requests) == 0 || !m.fetch(ctx, requests) {
+		if len(requests) == 0 || !m.fetchPages(ctx, requests) {
 			return
 		}
 	}
 }
 
-// fetch asks for one page of each source and reports whether the copy advanced.
-func (m *Manager) fetch(ctx context.Context, requests []OutgoingPageRequest) bool {
+// fetchPages fetches one page from each source and reports whether the copy
+// progressed.
+func (m *Manager) fetchPages(ctx context.Context, requests []OutgoingPageRequest) bool {
 	pages := make([]Page, len(requests))
 	var running sync.WaitGroup
-	for i, q := range requests {
-		running.Go(func() { pages[i] = m.fetchPage(ctx, q) })
+	for i, req := range requests {
+		running.Go(func() { pages[i] = m.fetchPage(ctx, req) })
 	}
 	running.Wait()
 	progress := false
@@ -114,10 +116,10 @@
 	return progress
 }
 
-func (m *Manager) fetchPage(ctx context.Context, q OutgoingPageRequest) Page {
-	page, err := exchange[Page](ctx, m.config.Client, q.Member.Address, PathPage, q.Request)
+func (m *Manager) fetchPage(ctx context.Context, req OutgoingPageRequest) Page {
+	page, err := exchange[Page](ctx, m.config.Client, req.Member.Address, PathPage, req.Request)
 	if err != nil {
-		m.config.Logger.WithError(err).Warn("claims not copied")
+		m.config.Logger.WithError(err).Warn("failed to copy claims from a replica")
 		return Page{Refused: true}
 	}
 	return page
--- a/internal/claim/claimer.go
+++ b/internal/claim/claimer.go
@@ -14,52 +14,54 @@
 )
 
 const (
-	// DefaultClaimTimeout is the default time for one replica to answer.
+	// DefaultClaimTimeout is the default timeout of a request to one replica.
 	DefaultClaimTimeout = time.Second
-	// DefaultMaximumClaims is the default number of claims under way at once.
+	// DefaultMaximumClaims is the default maximum of concurrent claims.
 	DefaultMaximumClaims = 1024
 
-	// maximumRestarts bounds how often one claim follows a newer roster.
+	// maximumRestarts limits how often one claim restarts with a newer roster.
 	maximumRestarts = 2
 	releaseTries    = 2
 
-	// maximumSplits bounds how often a claim is tried again after a split.
-	maximumSplits    = 4
-	minimumSplitWait = 2 * time.Millisecond
-	splitWaitSpread  = 10 * time.Millisecond
+	// maximumSplitRetries limits how often a claim is retried after a split
+	// vote.
+	maximumSplitRetries = 4
+	minimumSplitBackoff = 2 * time.Millisecond
+	splitBackoffJitter  = 10 * time.Millisecond
 )
 
-// Causes why a claim was not granted.
+// Reasons why a claim was not granted.
 var (
 	ErrNoRoster      = errors.New("no roster known")
-	ErrTooManyClaims = errors.New("too many claims under way")
+	ErrTooManyClaims = errors.New("too many concurrent claims")
 	ErrClosed        = errors.New("claimer closed")
 	ErrNoMajority    = errors.New("no majority of replicas granted the claim")
 	ErrKeyExpired    = errors.New("idempotency key is older than its lifetime")
-	ErrKeyHeld       = errors.New("another attempt has the idempotency key")
+	ErrKeyHeld       = errors.New("another attempt holds the idempotency key")
 )
 
 // ClaimerConfig configures a Claimer.
 type ClaimerConfig struct {
 	Service *Service
-	// Client sends requests to peers; it should keep connections alive.
+	// Client sends requests to peers. It should keep connections alive.
 	Client *http.Client
-	// Timeout is for one replica to answer; zero is DefaultClaimTimeout. Above
-	// half of ClaimWindow it is lowered to that.
+	// Timeout applies to a request to one replica; zero means
+	// DefaultClaimTimeout. It is capped at half of ClaimWindow.
 	Timeout time.Duration
-	// MaximumClaims bounds the claims under way, including answers that come
-	// after the decision; zero is DefaultMaximumClaims.
+	// MaximumClaims limits concurrent claims; zero means DefaultMaximumClaims.
+	// A claim counts until its last request has ended, also after the decision.
 	MaximumClaims int
 }
 
-// Decision is the end of a claim.
+// Decision is the result of Claim.
 type Decision struct {
 	// Outcome is Granted, Held or Unavailable.
 	Outcome Outcome
-	// Epoch is the roster's in which the claim ended; zero without a roster.
+	// Epoch is the epoch in which the claim was decided, or zero without a
+	// roster.
 	Epoch uint64
-	// RetryAfter is how long replicas of a new generation still wait, where
-	// that is why the claim is Unavailable; otherwise zero.
+	// RetryAfter is the longest time that a replica of a new generation must
+	// still wait before it can vote. It is zero if no replica reported a wait.
 	RetryAfter time.Duration
 
 	key     KeyHash
@@ -67,7 +69,7 @@
 	voters  []Member
 }
 
-// Claimer claims keys for the calls that enter this node. It is safe for
+// Claimer claims keys for the calls that this node receives. It is safe for
 // concurrent use.
 type Claimer struct {
 	service *Service
@@ -75,15 +77,15 @@
 	timeout time.Duration
 	slots   chan struct{}
 
-	base   context.Context
-	cancel context.CancelFunc
-	mutex  sync.Mutex // guards closed against running.Add
-	closed bool
+	baseContext context.Context
+	cancel      context.CancelFunc
+	mutex       sync.Mutex // guards closed against running.Add
+	closed      bool
 	// running counts the goroutines.
 	running sync.WaitGroup
 }
 
-// NewClaimer returns a claimer. Close must be called in the end.
+// NewClaimer returns a claimer. The caller must call Close.
 func NewClaimer(config ClaimerConfig) *Claimer {
 	if config.Timeout <= 0 {
 		config.Timeout = DefaultClaimTimeout
@@ -97,11 +99,11 @@
 		timeout: min(config.Timeout, ClaimWindow/2),
 		slots:   make(chan struct{}, config.MaximumClaims),
 	}
-	c.base, c.cancel = context.WithCancel(context.Background())
+	c.baseContext, c.cancel = context.WithCancel(context.Background())
 	return c
 }
 
-// Close ends all goroutines. Claims under way end as not granted.
+// Close stops all goroutines. Pending claims are not granted.
 func (c *Claimer) Close() {
 	c.mutex.Lock()
 	c.closed = true
@@ -121,16 +123,17 @@
 	return true
 }
 
-// Claim claims a key within its scope for an attempt, which must be new. It
-// must be called as soon as the call's header was read. With Granted the call
-// may run, unless Release is called. With any other outcome the attempt must
-// never run, and the error tells why; claims at replicas are released.
+// Claim claims a key within its scope for a new attempt. It must be called as
+// soon as the call's header has been read. If the outcome is Granted, the call
+// may run unless Release is called. With any other outcome the attempt must
+// never run, the error gives the reason, and claims granted by replicas are
+// released.
 //
-// When attempts split the votes, so that none has a majority, Claim tries again
-// a few times under further attempt ids.
+// If concurrent attempts split the votes so that none has a majority, Claim
+// retries up to maximumSplitRetries times with new attempt IDs.
 func (c *Claimer) Claim(ctx context.Context, scope, key string, attempt AttemptID) (Decision, error) {
 	decision, err := c.claim(ctx, scope, key, attempt)
-	c.service.counters.outcome(decision.Outcome)
+	c.service.counters.countOutcome(decision.Outcome)
 	return decision, oops.In("claim").With("step", "claim").With("attempt", attempt.String()).Wrap(err)
 }
 
@@ -145,12 +148,12 @@
 	}
 	hash := HashKey(scope, key)
 	for round := 1; ; round++ {
-		decision, split, err := c.gather(ctx, NewCoordinator(roster, hash, attempt, received))
+		decision, split, err := c.collectVotes(ctx, NewCoordinator(roster, hash, attempt, received))
 		if decision.Outcome == Unavailable && round > 1 {
-			// An earlier round saw another attempt, which may have run.
+			// In an earlier round another attempt held the key and may have run.
 			decision.Outcome, err = Held, ErrKeyHeld
 		}
-		if !split || round > maximumSplits || !pause.For(ctx, splitWait(round)) {
+		if !split || round > maximumSplitRetries || !pause.For(ctx, splitBackoff(round)) {
 			return decision, err
 		}
 		attempt = NewAttemptID()
@@ -158,9 +161,9 @@
 	}
 }
 
-// gather carries out one attempt. It reports a split when some replicas
-// granted the attempt and others hold the key for another one.
-func (c *Claimer) gather(ctx context.Context, coordinator *Coordinator) (decision Decision, split bool, err error) {
+// collectVotes executes one attempt. It reports a split if some replicas
+// granted the attempt while others hold the key for another one.
+func (c *Claimer) collectVotes(ctx context.Context, coordinator *Coordinator) (decision Decision, split bool, err error) {
 	decision = Decision{Epoch: coordinator.Epoch(), key: coordinator.key, attempt: coordinator.attempt}
 	select {
 	case c.slots <- struct{}{}:
@@ -168,44 +171,44 @@
 		decision.Outcome = Unavailable
 		return decision, false, ErrTooManyClaims
 	}
-	g := newGathering(c, coordinator)
-	decision.Outcome = g.run(ctx)
-	if !c.start(g.finish) {
+	collector := newVoteCollector(c, coordinator)
+	decision.Outcome = collector.run(ctx)
+	if !c.start(collector.drain) {
 		<-c.slots
 	}
 	decision.Epoch = coordinator.Epoch()
-	decision.RetryAfter = coordinator.Wait()
+	decision.RetryAfter = coordinator.MaxWait()
 	decision.voters = coordinator.Voters()
-	granted, _ := coordinator.count()
-	return decision, decision.Outcome == Held && granted > 0, g.cause()
+	granted, _ := coordinator.countVotes()
+	return decision, decision.Outcome == Held && granted > 0, collector.cause()
 }
 
-// splitWait is a random time, longer with each round, so that one of the
-// attempts that split the votes comes before the others.
-func splitWait(round int) time.Duration {
-	return time.Duration(round) * (minimumSplitWait + rand.N(splitWaitSpread))
+// splitBackoff returns a random delay that grows with each round, so that one
+// of the competing attempts is sent before the others.
+func splitBackoff(round int) time.Duration {
+	return time.Duration(round) * (minimumSplitBackoff + rand.N(splitBackoffJitter))
 }
 
-// Release gives up an attempt that was granted its claim and will never run,
-// so that the key can be claimed again. It returns at once; a release that
-// gets lost leaves the key held until the retention has passed.
+// Release releases the claim of an attempt that was granted and will never run,
+// so that the key can be claimed again. It doesn't block. If a release message
+// is lost, the key stays held until the retention has passed.
 func (c *Claimer) Release(decision Decision) {
 	for _, voter := range decision.voters {
-		q := ReleaseRequest{To: voter.Identity, Key: decision.key, Attempt: decision.attempt}
-		if !c.start(func() { c.sendRelease(voter, q) }) {
+		req := ReleaseRequest{To: voter.Identity, Key: decision.key, Attempt: decision.attempt}
+		if !c.start(func() { c.sendRelease(voter, req) }) {
 			c.service.counters.releasesFailed.Add(1)
 		}
 	}
 }
 
-func (c *Claimer) sendRelease(voter Member, q ReleaseRequest) {
+func (c *Claimer) sendRelease(voter Member, req ReleaseRequest) {
 	if voter.Identity == c.service.self {
-		c.service.release(q)
+		c.service.handleRelease(req)
 		return
 	}
 	for range releaseTries {
-		ctx, cancel := context.WithTimeout(c.base, c.timeout)
-		_, err := exchange[Response](ctx, c.client, voter.Address, PathRelease, q)
+		ctx, cancel := context.WithTimeout(c.baseContext, c.timeout)
+		_, err := exchange[Response](ctx, c.client, voter.Address, PathRelease, req)
 		cancel()
 		if err == nil {
 			return
@@ -214,18 +217,18 @@
 	c.service.counters.releasesFailed.Add(1)
 }
 
-// ask sends a request to a voter, and once more with the roster if the voter
-// doesn't know it yet.
-func (c *Claimer) ask(voter Member, q Request, roster Roster) (Response, error) {
+// sendRequest sends a request to a voter. If the voter doesn't have the epoch's
+// roster yet, it sends the request again with the roster attached.
+func (c *Claimer) sendRequest(voter Member, req Request, roster Roster) (Response, error) {
 	if voter.Identity == c.service.self {
-		return c.service.handle(q), nil
+		return c.service.handleRequest(req), nil
 	}
-	ctx, cancel := context.WithTimeout(c.base, c.timeout)
+	ctx, cancel := context.WithTimeout(c.baseContext, c.timeout)
 	defer cancel()
-	response, err := exchange[Response](ctx, c.client, voter.Address, PathClaim, q)
+	response, err := exchange[Response](ctx, c.client, voter.Address, PathClaim, req)
 	if err != nil || response.Answer != AnswerBehind {
 		return response, err
 	}
-	q.Roster = &roster
-	return exchange[Response](ctx, c.client, voter.Address, PathClaim, q)
+	req.Roster = &roster
+	return exchange[Response](ctx, c.client, voter.Address, PathClaim, req)
 }
--- a/internal/claim/cluster_roster_test.go
+++ b/internal/claim/cluster_roster_test.go
@@ -1,9 +1,9 @@
 package claim
 
-// propose plans a change from what is in the store; commit writes it later,
-// when the store may have moved on.
+// propose plans a change based on the roster in the store. commit writes it
+// later, when the stored roster may have changed.
 func (c *cluster) propose(m *machine, v View) {
-	if !c.storeUp || m.island {
+	if !c.storeUp || m.partitioned {
 		return
 	}
 	c.adopt(m, *c.roster)
@@ -14,7 +14,7 @@
 }
 
 func (c *cluster) commit(m *machine) {
-	if m.proposal == nil || !c.storeUp || m.island {
+	if m.proposal == nil || !c.storeUp || m.partitioned {
 		return
 	}
 	if m.proposal.Epoch == c.roster.Epoch+1 {
@@ -28,8 +28,8 @@
 }
 
 func (c *cluster) sendPageRequests(i int) {
-	for _, q := range c.machines[i].replica.PageRequests() {
-		c.send(i, c.indexOf(q.Member.Address), q.Request)
+	for _, req := range c.machines[i].replica.PageRequests() {
+		c.send(i, c.indexOf(req.Member.Address), req.Request)
 	}
 }
 
@@ -37,10 +37,10 @@
 	if !m.replica.Adopt(r, c.clock(m)) {
 		return
 	}
-	if c.broken == breachNoWait {
+	if c.brokenRule == breachNoWait {
 		m.replica.founderSince = m.replica.founderSince.Add(-2 * simRetention)
 	}
-	if c.broken == breachNoCopy && m.replica.copying != nil {
+	if c.brokenRule == breachNoCopy && m.replica.copying != nil {
 		for _, s := range m.replica.copying.sources {
 			m.replica.ReceivePage(Page{From: s.member.Identity, Epoch: r.Epoch, Last: true}, c.clock(m))
 		}
--- a/internal/claim/cluster_test.go
+++ b/internal/claim/cluster_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// breach is a rule of the algorithm that a simulated cluster breaks.
+// breach selects the rule of the algorithm that a simulated cluster violates.
 type breach int
 
 const (
@@ -14,7 +14,7 @@
 	breachEpochIgnored
 	breachNoCopy
 	breachNoWait
-	breachFalseWitness
+	breachFalseLostReport
 	breachReleaseRunning
 	breachLateGrants
 	breachUnverifiedIdentity
@@ -49,40 +49,40 @@
 }
 
 type machine struct {
-	name     string
-	boot     BootID
-	rate     float64 // of its clock
-	paused   bool
-	island   bool // cut off from the store and from machines not in the island
-	replica  *Replica
-	calls    []*simCall
-	proposal *Roster
+	name        string
+	boot        BootID
+	rate        float64 // clock rate
+	paused      bool
+	partitioned bool // reaches only other partitioned machines and not the store
+	replica     *Replica
+	calls       []*simCall
+	proposal    *Roster
 }
 
-// cluster is a simulated cluster with one owner of all time and messages.
-// choose returns a number below its argument and drives every decision.
+// cluster is a simulated cluster with simulated time and network. choose returns
+// a number below its argument and makes every nondeterministic decision.
 type cluster struct {
-	choose   func(n int) int
-	broken   breach
-	mix      mix
-	start    time.Time
-	now      time.Time
-	machines []*machine
-	roster   *Roster // in the store
-	storeUp  bool
-	network  []packet
-	keys     []simKey
-	attempts []*simAttempt
-	serial   uint64
-	fault    string
-	granted  int
+	choose     func(n int) int
+	brokenRule breach
+	profile    faultProfile
+	start      time.Time
+	now        time.Time
+	machines   []*machine
+	roster     *Roster // in the store
+	storeUp    bool
+	network    []packet
+	keys       []simKey
+	attempts   []*simAttempt
+	serial     uint64
+	violation  string
+	granted    int
 	// activations counts replicas that joined.
 	activations int
 }
 
-func newCluster(machines, seats int, broken breach, mix mix, choose func(int) int) *cluster {
+func newCluster(machines, seats int, rule breach, profile faultProfile, choose func(int) int) *cluster {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	c := &cluster{choose: choose, broken: broken, mix: mix, start: start, now: start, storeUp: true}
+	c := &cluster{choose: choose, brokenRule: rule, profile: profile, start: start, now: start, storeUp: true}
 	for i := range machines {
 		m := &machine{name: fmt.Sprintf("n%d", i), rate: 1 + 0.01*float64(i%3-1)}
 		c.machines = append(c.machines, m)
@@ -99,7 +99,7 @@
 	return c
 }
 
-func (c *cluster) unique() (id [16]byte) {
+func (c *cluster) uniqueID() (id [16]byte) {
 	c.serial++
 	copy(id[:], fmt.Sprintf("%016d", c.serial))
 	return id
@@ -112,16 +112,16 @@
 func (c *cluster) self(m *machine) Identity { return Identity{Name: m.name, Boot: m.boot} }
 
 func (c *cluster) boot(m *machine) {
-	var known *Roster
-	if c.broken == breachFreshVotes && m.replica != nil {
-		known = m.replica.roster
+	var roster *Roster
+	if c.brokenRule == breachFreshVotes && m.replica != nil {
+		roster = m.replica.roster
 	} else {
-		m.boot = c.unique()
+		m.boot = c.uniqueID()
 	}
-	m.replica = NewReplica(c.self(m), c.mix.capacity)
+	m.replica = NewReplica(c.self(m), c.profile.capacity)
 	m.calls, m.proposal, m.paused = nil, nil, false
-	if known != nil {
-		m.replica.Adopt(*known, c.clock(m))
+	if roster != nil {
+		m.replica.Adopt(*roster, c.clock(m))
 		m.replica.copied = true
 	}
 }
@@ -150,14 +150,15 @@
 	c.network = append(c.network, packet{to: to, from: from, body: body})
 }
 
-// call sends a key to a machine, as a caller that keeps to the key's lifetime.
+// call sends a call with the key to a machine. The caller must respect the key's
+// lifetime.
 func (c *cluster) call(i int, key simKey) *simAttempt {
 	m := c.machines[i]
 	roster, ok := m.replica.Roster()
 	if !ok {
 		return nil
 	}
-	attempt := &simAttempt{id: c.unique(), key: key.hash}
+	attempt := &simAttempt{id: c.uniqueID(), key: key.hash}
 	call := &simCall{coordinator: NewCoordinator(roster, key.hash, attempt.id, c.clock(m)), attempt: attempt}
 	m.calls = append(m.calls, call)
 	c.attempts = append(c.attempts, attempt)
@@ -177,15 +178,15 @@
 	}
 }
 
-// settle records a call's outcome, checks the invariants and releases what
-// will never run.
-func (c *cluster) settle(i int, call *simCall, outcome Outcome) {
+// recordOutcome records a call's outcome, checks the invariants and releases the
+// claim of an attempt that will never run.
+func (c *cluster) recordOutcome(i int, call *simCall, outcome Outcome) {
 	a := call.attempt
 	if outcome == Pending || a.cancelled {
 		return
 	}
 	if a.outcome != Pending && a.outcome != outcome {
-		c.fault = fmt.Sprintf("attempt %s was %s and is %s", a.id, a.outcome, outcome)
+		c.violation = fmt.Sprintf("attempt %s was %s and is %s", a.id, a.outcome, outcome)
 		return
 	}
 	if a.outcome == outcome {
@@ -197,12 +198,12 @@
 		return
 	}
 	c.granted++
-	if c.broken == breachReleaseRunning {
+	if c.brokenRule == breachReleaseRunning {
 		c.release(i, call)
 	}
 	for _, other := range c.attempts {
 		if other != a && other.key == a.key && other.outcome == Granted && !other.cancelled {
-			c.fault = fmt.Sprintf("key %x is granted to attempts %s and %s", a.key, other.id, a.id)
+			c.violation = fmt.Sprintf("key %x is granted to attempts %s and %s", a.key, other.id, a.id)
 		}
 	}
 }
@@ -224,23 +225,23 @@
 	}
 }
 
-func (c *cluster) handle(m *machine, q Request, now time.Time) Response {
-	asked := q
-	if known, ok := m.replica.Roster(); ok && c.broken == breachEpochIgnored {
-		q.Epoch = known.Epoch
+func (c *cluster) handle(m *machine, req Request, now time.Time) Response {
+	original := req
+	if adopted, ok := m.replica.Roster(); ok && c.brokenRule == breachEpochIgnored {
+		req.Epoch = adopted.Epoch
 	}
-	if c.broken == breachUnverifiedIdentity {
-		if q.To != c.self(m) && m.replica.roster != nil {
-			answer := m.replica.grant(q.Key, q.Attempt, now)
-			return Response{From: asked.To, Epoch: asked.Epoch, Key: q.Key, Attempt: q.Attempt, Answer: answer}
+	if c.brokenRule == breachUnverifiedIdentity {
+		if req.To != c.self(m) && m.replica.roster != nil {
+			answer := m.replica.grant(req.Key, req.Attempt, now)
+			return Response{From: original.To, Epoch: original.Epoch, Key: req.Key, Attempt: req.Attempt, Answer: answer}
 		}
 	}
-	response := m.replica.Handle(q, now)
-	if c.broken == breachEvictsWhenFull && response.Answer == AnswerFull {
-		m.replica.claims = newTable(c.mix.capacity)
-		response = m.replica.Handle(q, now)
+	response := m.replica.Handle(req, now)
+	if c.brokenRule == breachEvictsWhenFull && response.Answer == AnswerFull {
+		m.replica.claims = newTable(c.profile.capacity)
+		response = m.replica.Handle(req, now)
 	}
-	response.Epoch = asked.Epoch
+	response.Epoch = original.Epoch
 	return response
 }
 
@@ -249,7 +250,7 @@
 		if call.attempt.id != response.Attempt {
 			continue
 		}
-		if c.broken == breachLateGrants {
+		if c.brokenRule == breachLateGrants {
 			call.coordinator.received = now
 		}
 		switch {
@@ -261,7 +262,7 @@
 			request.Roster = &call.coordinator.roster
 			c.send(p.to, p.from, request)
 		default:
-			c.settle(p.to, call, call.coordinator.Receive(response, now))
+			c.recordOutcome(p.to, call, call.coordinator.Receive(response, now))
 		}
 	}
 }
--- a/internal/claim/coordinator.go
+++ b/internal/claim/coordinator.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Outcome is how a claim ended.
+// Outcome is the result of a claim.
 type Outcome uint8
 
 const (
-	// Pending means that the claim has not ended.
+	// Pending means that the claim is not decided yet.
 	Pending Outcome = iota
-	// Granted means that the call may run, and that no other attempt may.
+	// Granted means that this attempt may run the call and no other attempt may.
 	Granted
-	// Held means that this attempt will never run and that another may have
-	// run: the caller is told "executed: unknown".
+	// Held means that this attempt will never run, but another one may have
+	// run. The caller receives "executed: unknown".
 	Held
-	// Unavailable means that this attempt will never run: the caller is told
-	// "executed: no", which speaks of this sending alone.
+	// Unavailable means that this attempt will never run. The caller receives
+	// "executed: no", which applies to this attempt only.
 	Unavailable
 )
 
@@ -32,31 +32,31 @@
 	}
 }
 
-// Coordinator gathers the votes for one attempt. It is a pure state machine
+// Coordinator collects the votes for one attempt. It is a pure state machine
 // and not safe for concurrent use. An outcome other than Pending is final.
 type Coordinator struct {
 	roster   Roster
 	key      KeyHash
 	attempt  AttemptID
 	received time.Time
-	votes    map[Identity]Answer // zero: not answered
-	held     bool
-	wait     time.Duration
+	votes    map[Identity]Answer // zero: no answer yet
+	heldSeen bool
+	maxWait  time.Duration
 	outcome  Outcome
 }
 
-// failed stands for a voter that gives no answer.
-const failed = answerCount
+// answerMissing is the vote of a replica whose request failed.
+const answerMissing = answerCount
 
-// NewCoordinator starts an attempt for a call that was received at the given
-// time.
+// NewCoordinator returns the coordinator of an attempt for a call that was
+// received at the given time.
 func NewCoordinator(roster Roster, key KeyHash, attempt AttemptID, received time.Time) *Coordinator {
 	c := &Coordinator{key: key, attempt: attempt, received: received}
-	c.use(roster)
+	c.startEpoch(roster)
 	return c
 }
 
-func (c *Coordinator) use(roster Roster) {
+func (c *Coordinator) startEpoch(roster Roster) {
 	c.roster = roster
 	c.votes = make(map[Identity]Answer, len(roster.Seats))
 	for _, voter := range roster.Voters() {
@@ -64,25 +64,25 @@
 	}
 }
 
-// Restart begins again with a newer roster. Votes of the epoch before don't
-// count. It reports whether it did.
+// Restart starts voting again with a newer roster and reports whether it did.
+// Votes of the earlier epoch are discarded.
 func (c *Coordinator) Restart(roster Roster) bool {
 	newer := roster.Lineage == c.roster.Lineage && roster.Epoch > c.roster.Epoch
 	if c.outcome != Pending || !newer || roster.Validate() != nil {
 		return false
 	}
-	c.use(roster)
+	c.startEpoch(roster)
 	return true
 }
 
-// Epoch returns the epoch in which votes are gathered.
+// Epoch returns the epoch in which votes are counted.
 func (c *Coordinator) Epoch() uint64 { return c.roster.Epoch }
 
-// Wait returns the longest time that a voter said it must still let pass, zero
-// if none did.
-func (c *Coordinator) Wait() time.Duration { return c.wait }
+// MaxWait returns the longest wait that a voter reported with AnswerWaiting, or
+// zero.
+func (c *Coordinator) MaxWait() time.Duration { return c.maxWait }
 
-// Voters returns the replicas to ask.
+// Voters returns the replicas that requests are sent to.
 func (c *Coordinator) Voters() []Member { return c.roster.Voters() }
 
 // Request returns the request for one voter.
@@ -90,78 +90,78 @@
 	return Request{To: to, Epoch: c.roster.Epoch, Key: c.key, Attempt: c.attempt}
 }
 
-// Receive counts a voter's answer. Answers to other attempts or in other
-// epochs and repeated answers are ignored.
+// Receive counts a voter's answer. Answers for other attempts or epochs and
+// duplicate answers are ignored.
 func (c *Coordinator) Receive(response Response, now time.Time) Outcome {
 	if response.Epoch == c.roster.Epoch && response.Key == c.key && response.Attempt == c.attempt {
-		c.vote(response.From, response.Answer)
-		c.wait = max(c.wait, min(response.Wait, c.roster.Retention))
+		c.recordVote(response.From, response.Answer)
+		c.maxWait = max(c.maxWait, min(response.Wait, c.roster.Retention))
 	}
 	return c.Decide(now)
 }
 
-// Fail notes that a voter gave no answer in the epoch.
-func (c *Coordinator) Fail(voter Identity, epoch uint64, now time.Time) Outcome {
+// RecordFailure records that a request to a voter failed in the epoch.
+func (c *Coordinator) RecordFailure(voter Identity, epoch uint64, now time.Time) Outcome {
 	if epoch == c.roster.Epoch {
-		c.vote(voter, failed)
+		c.recordVote(voter, answerMissing)
 	}
 	return c.Decide(now)
 }
 
-func (c *Coordinator) vote(voter Identity, answer Answer) {
+func (c *Coordinator) recordVote(voter Identity, answer Answer) {
 	if previous, ok := c.votes[voter]; !ok || previous != 0 {
 		return
 	}
 	c.votes[voter] = answer
-	c.held = c.held || answer == AnswerHeld
+	c.heldSeen = c.heldSeen || answer == AnswerHeld
 }
 
-// Decide ends the claim if it can be ended at the given time.
+// Decide sets and returns the outcome if it is certain at the given time.
 func (c *Coordinator) Decide(now time.Time) Outcome {
 	if c.outcome != Pending {
 		return c.outcome
 	}
-	granted, open := c.count()
+	granted, unanswered := c.countVotes()
 	switch {
 	case elapsed(c.received, now) > ClaimWindow:
-		c.outcome = c.refusal()
+		c.outcome = c.refusedOutcome()
 	case granted >= c.roster.Majority():
 		c.outcome = Granted
-	case granted+open < c.roster.Majority():
-		c.outcome = c.refusal()
+	case granted+unanswered < c.roster.Majority():
+		c.outcome = c.refusedOutcome()
 	}
 	return c.outcome
 }
 
-// GiveUp ends a pending claim, so that it can never be granted.
+// GiveUp refuses a pending claim, so that it can never be granted.
 func (c *Coordinator) GiveUp() Outcome {
 	if c.outcome == Pending {
-		c.outcome = c.refusal()
+		c.outcome = c.refusedOutcome()
 	}
 	return c.outcome
 }
 
-func (c *Coordinator) count() (granted, open int) {
+func (c *Coordinator) countVotes() (granted, unanswered int) {
 	for _, answer := range c.votes {
 		switch answer {
 		case AnswerGranted:
 			granted++
 		case 0:
-			open++
+			unanswered++
 		}
 	}
-	return granted, open
+	return granted, unanswered
 }
 
-func (c *Coordinator) refusal() Outcome {
-	if c.held {
+func (c *Coordinator) refusedOutcome() Outcome {
+	if c.heldSeen {
 		return Held
 	}
 	return Unavailable
 }
 
-// elapsed is the larger of what the monotonic and the wall clock say, since
-// the monotonic clock may stand still while a machine is suspended.
+// elapsed returns the larger of the monotonic and the wall-clock difference,
+// because the monotonic clock may stop while the machine is suspended.
 func elapsed(since, now time.Time) time.Duration {
 	return max(now.Sub(since), now.Round(0).Sub(since.Round(0)))
 }
--- a/internal/claim/copying.go
+++ b/internal/claim/copying.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// copying is the state of a joining replica that copies the claims of a
-// majority of the voters of one epoch. A new epoch starts it again.
-type copying struct {
+// copyState is the progress of a joining replica in copying the claims of a
+// majority of the voters of one epoch. Each new epoch starts a new copy.
+type copyState struct {
 	epoch    uint64
 	majority int
-	sources  []source
+	sources  []copySource
 }
 
-type source struct {
+type copySource struct {
 	member Member
 	cursor uint64
 	done   bool
 }
 
-func newCopying(roster Roster) *copying {
-	c := &copying{epoch: roster.Epoch, majority: roster.Majority()}
+func newCopyState(roster Roster) *copyState {
+	c := &copyState{epoch: roster.Epoch, majority: roster.Majority()}
 	for _, voter := range roster.Voters() {
-		c.sources = append(c.sources, source{member: voter})
+		c.sources = append(c.sources, copySource{member: voter})
 	}
 	return c
 }
 
-func (c *copying) complete() bool {
+func (c *copyState) complete() bool {
 	done := 0
 	for _, s := range c.sources {
 		if s.done {
@@ -34,14 +34,14 @@
 	return done >= c.majority
 }
 
-// OutgoingPageRequest is a PageRequest with the replica that it goes to.
+// OutgoingPageRequest is a PageRequest with its destination.
 type OutgoingPageRequest struct {
 	Member  Member
 	Request PageRequest
 }
 
-// PageRequests returns the requests that a joining replica must send next,
-// none if it isn't joining or is ready.
+// PageRequests returns the requests that a joining replica must send next. It
+// returns none if the replica isn't joining or has finished copying.
 func (r *Replica) PageRequests() []OutgoingPageRequest {
 	if r.copying == nil || r.copying.complete() {
 		return nil
@@ -57,9 +57,9 @@
 	return requests
 }
 
-// ReceivePage merges a page and reports whether the copy has advanced. Pages
-// that repeat, come late or belong to another epoch are ignored, and so is one
-// for which memory is lacking.
+// ReceivePage merges a page and reports whether the copy progressed. Pages that
+// are duplicate, delayed or of another epoch are ignored. A page that exceeds
+// the capacity makes no progress either.
 func (r *Replica) ReceivePage(page Page, now time.Time) bool {
 	if r.copying == nil || page.Refused || page.Epoch != r.copying.epoch {
 		return false
@@ -73,7 +73,7 @@
 	return false
 }
 
-func (r *Replica) mergePage(s *source, page Page, now time.Time) bool {
+func (r *Replica) mergePage(s *copySource, page Page, now time.Time) bool {
 	r.claims.expire(now, r.roster.Retention)
 	for _, c := range page.Claims {
 		if !r.claims.merge(c, now) {
@@ -88,9 +88,9 @@
 	return true
 }
 
-// Ready returns the epoch from which the replica may be activated, and whether
-// there is one. The activation must be written by compare-and-swap on the
-// roster of just this epoch.
+// Ready reports whether the replica has finished copying and can be activated,
+// and in which epoch. The activation must be written by compare-and-swap on the
+// roster of exactly this epoch.
 func (r *Replica) Ready() (uint64, bool) {
 	if r.copying == nil || !r.copying.complete() {
 		return 0, false
--- a/internal/claim/keytime.go
+++ b/internal/claim/keytime.go
@@ -10,12 +10,12 @@
 const (
 	uuidTextLength = 36
 	uuidBytes      = 16
-	// maximumClockSkew is allowed between a caller's clock and a node's; for
-	// short lifetimes it is a quarter of them.
+	// maximumClockSkew is the allowance for skew between the clocks of a caller
+	// and a node. For short key lifetimes it is a quarter of the lifetime.
 	maximumClockSkew = time.Minute
 )
 
-// keyTime returns the time in a key that is a UUID of version 7 (RFC 9562).
+// keyTime returns the timestamp of a key that is a version 7 UUID (RFC 9562).
 func keyTime(key string) (time.Time, bool) {
 	if len(key) != uuidTextLength || strings.Count(key, "-") != 4 {
 		return time.Time{}, false
@@ -28,8 +28,8 @@
 	return time.UnixMilli(int64(milliseconds)), true
 }
 
-// keyExpired tells whether the key shows that it is so old that replicas may
-// have forgotten its claim.
+// keyExpired reports whether the key's timestamp is so old that replicas may
+// have expired its claim.
 func keyExpired(key string, roster Roster, now time.Time) bool {
 	issued, ok := keyTime(key)
 	if !ok {
--- a/internal/claim/manager.go
+++ b/internal/claim/manager.go
@@ -15,29 +15,30 @@
 const (
 	// RosterKey is the roster's key in the store. It must never be deleted.
 	RosterKey = "/lugspur/roster"
-	// DefaultRetention is the default time for which claims are remembered.
+	// DefaultRetention is the default time for which claims are kept.
 	DefaultRetention = 10 * time.Minute
 	// DefaultSize is the default number of replicas.
 	DefaultSize = 3
-	// DefaultInterval is the default time between two looks at the roster.
+	// DefaultInterval is the default reconciliation interval.
 	DefaultInterval = time.Second
 
-	// genesisPatience is how long nodes that are missing for a roster of the
-	// wanted size are waited for.
-	genesisPatience = 20 * time.Second
-	// smallestGenesis is the least size of a roster that is smaller than wanted.
-	smallestGenesis = 3
+	// genesisGracePeriod is how long the first roster is delayed if there are
+	// too few nodes for the configured size.
+	genesisGracePeriod = 20 * time.Second
+	// minimumGenesisSize is the minimum size of a first roster that is smaller
+	// than configured.
+	minimumGenesisSize = 3
 
-	storeTimeout     = 5 * time.Second
-	maximumBackoff   = 30 * time.Second
-	joinTimeout      = 30 * time.Second
-	refreshInterval  = 30 * time.Second
-	maximumRank      = 30
-	refreshingNodes  = 3
-	pageRoundsPerTry = 128
+	storeTimeout      = 5 * time.Second
+	maximumBackoff    = 30 * time.Second
+	joinTimeout       = 30 * time.Second
+	refreshInterval   = 30 * time.Second
+	maximumRank       = 30
+	refreshRanks      = 3
+	maximumPageRounds = 128
 )
 
-// Members tells which nodes there are.
+// Members provides the current nodes of the cluster.
 type Members interface {
 	Members() []Node
 }
@@ -50,33 +51,35 @@
 	// Client sends requests to peers.
 	Client *http.Client
 	Logger logrus.FieldLogger
-	// Size is the number of replicas of a first roster, odd; zero is
-	// DefaultSize. A cluster with fewer nodes gets a smaller one after a while,
-	// of three at least. An existing roster keeps its size.
+	// Size is the number of replicas in the first roster. It must be odd; zero
+	// means DefaultSize. A cluster with fewer nodes gets a smaller roster of at
+	// least three after a grace period. An existing roster keeps its size.
 	Size int
-	// Retention is that of a first roster; zero is DefaultRetention.
+	// Retention is the retention of the first roster; zero means
+	// DefaultRetention.
 	Retention time.Duration
-	// Interval is the time between two looks; zero is DefaultInterval.
+	// Interval is the reconciliation interval; zero means DefaultInterval.
 	Interval time.Duration
-	// Settle is how long to wait for members before a first roster is created.
+	// Settle is the minimum time after the start before the first roster is
+	// created, so that nodes can join.
 	Settle time.Duration
 }
 
-// Manager keeps a node's roster up to date, takes part in its changes and
-// copies claims when the node joins. Run may be called once; Forget may be
-// called from any goroutine.
+// Manager keeps a node's roster up to date, makes roster changes and copies
+// claims when the node joins. Run must be called at most once. Forget is safe
+// for concurrent use.
 type Manager struct {
 	config  ManagerConfig
 	self    Identity
 	started time.Time
 
-	epoch      uint64
-	epochSince time.Time
-	need       Change
-	needSince  time.Time
-	refreshed  time.Time
-	failures   int
-	retryAfter time.Time
+	epoch         uint64
+	epochSince    time.Time
+	pendingChange Change
+	pendingSince  time.Time
+	lastRead      time.Time
+	failures      int
+	retryAfter    time.Time
 }
 
 // NewManager returns a manager.
@@ -93,13 +96,13 @@
 	return &Manager{config: config, self: config.Service.self}
 }
 
-// Run works until the context ends.
+// Run reconciles the roster periodically until the context is done.
 func (m *Manager) Run(ctx context.Context) {
 	ticker := time.NewTicker(m.config.Interval)
 	defer ticker.Stop()
 	m.started = m.config.Service.now()
 	for {
-		m.look(ctx)
+		m.reconcile(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -108,14 +111,15 @@
 	}
 }
 
-// look does what is due now, and at most one change.
-func (m *Manager) look(ctx context.Context) {
+// reconcile copies claims if the node is joining and makes at most one roster
+// change.
+func (m *Manager) reconcile(ctx context.Context) {
 	now := m.config.Service.now()
 	m.copyClaims(ctx)
 	if now.Before(m.retryAfter) {
 		return
 	}
-	err := m.maintain(ctx, now)
+	err := m.maintainRoster(ctx, now)
 	if ctx.Err() != nil {
 		return
 	}
@@ -126,7 +130,7 @@
 	m.config.Service.counters.storeErrors.Add(1)
 	m.failures++
 	m.retryAfter = now.Add(backoff(m.config.Interval, m.failures))
-	m.config.Logger.WithError(err).Warn("roster not maintained")
+	m.config.Logger.WithError(err).Warn("roster reconciliation failed")
 }
 
 func backoff(interval time.Duration, failures int) time.Duration {
@@ -137,46 +141,47 @@
 	return min(wait, max(maximumBackoff, interval))
 }
 
-func (m *Manager) maintain(ctx context.Context, now time.Time) error {
-	known, ok := m.config.Service.Roster()
+func (m *Manager) maintainRoster(ctx context.Context, now time.Time) error {
+	current, ok := m.config.Service.Roster()
 	if !ok {
 		return m.bootstrap(ctx, now)
 	}
-	m.observe(known, now)
-	if m.due(known, now) {
-		return m.change(ctx, now)
+	m.trackEpoch(current, now)
+	if m.changeDue(current, now) {
+		return m.applyChange(ctx, now)
 	}
-	if now.Sub(m.refreshed) >= refreshInterval && m.rank(known.Epoch) < refreshingNodes {
-		m.refreshed = now
-		_, _, err := m.read(ctx)
+	if now.Sub(m.lastRead) >= refreshInterval && m.rank(current.Epoch) < refreshRanks {
+		m.lastRead = now
+		_, _, err := m.readRoster(ctx)
 		return err
 	}
 	return nil
 }
 
-func (m *Manager) observe(known Roster, now time.Time) {
-	if known.Epoch != m.epoch {
-		m.epoch, m.epochSince = known.Epoch, now
-		m.need = ChangeNone
+func (m *Manager) trackEpoch(current Roster, now time.Time) {
+	if current.Epoch != m.epoch {
+		m.epoch, m.epochSince = current.Epoch, now
+		m.pendingChange = ChangeNone
 	}
 }
 
-// due tells whether this node should make a change now. Changes that only it
-// can make are due at once; for others the nodes wait one interval more each,
-// in an order that differs by epoch.
-func (m *Manager) due(known Roster, now time.Time) bool {
-	_, change := Plan(known, m.view(known, now))
-	if change != m.need {
-		m.need, m.needSince = change, now
+// changeDue reports whether this node should make a change now. Changes that
+// only this node can make are due immediately. For other changes each node waits
+// one interval longer than the node before it in the order given by rank, so
+// that they rarely conflict.
+func (m *Manager) changeDue(current Roster, now time.Time) bool {
+	_, change := Plan(current, m.view(current, now))
+	if change != m.pendingChange {
+		m.pendingChange, m.pendingSince = change, now
 	}
-	if change == ChangeNone || change.concernsSelf() {
+	if change == ChangeNone || change.selfOnly() {
 		return change != ChangeNone
 	}
-	return now.Sub(m.needSince) >= time.Duration(1+m.rank(known.Epoch))*m.config.Interval
+	return now.Sub(m.pendingSince) >= time.Duration(1+m.rank(current.Epoch))*m.config.Interval
 }
 
-// view is what the node knows; a replica that has been joining for too long is
-// taken for dead.
+// view returns the input for Plan. A replica that has been joining for longer
+// than joinTimeout counts as not alive.
 func (m *Manager) view(roster Roster, now time.Time) View {
 	v := View{Self: m.self, ReadyEpoch: m.config.Service.readyEpoch(), Nodes: m.config.Members.Members()}
 	if roster.Epoch != m.epoch || now.Sub(m.epochSince) <= joinTimeout {
@@ -192,9 +197,9 @@
 	return v
 }
 
-// change reads the roster from the store and writes the one that should follow.
-func (m *Manager) change(ctx context.Context, now time.Time) error {
-	stored, revision, err := m.read(ctx)
+// applyChange reads the roster from the store, plans the next one and writes it.
+func (m *Manager) applyChange(ctx context.Context, now time.Time) error {
+	stored, revision, err := m.readRoster(ctx)
 	if err != nil {
 		return err
 	}
@@ -202,34 +207,35 @@
 	if change == ChangeNone {
 		return nil
 	}
-	return m.write(ctx, revision, next, change)
+	return m.writeRoster(ctx, revision, next, change)
 }
 
-// read gets the roster from the store and adopts it.
-func (m *Manager) read(ctx context.Context) (Roster, store.Revision, error) {
+// readRoster reads the roster from the store and adopts it.
+func (m *Manager) readRoster(ctx context.Context) (Roster, store.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	failure := oops.In("claim").With("step", "read roster")
+	errorBuilder := oops.In("claim").With("step", "read roster")
 	entry, err := m.config.Store.Get(ctx, RosterKey)
 	if err != nil {
-		return Roster{}, 0, failure.Wrap(err)
+		return Roster{}, 0, errorBuilder.Wrap(err)
 	}
 	stored, err := DecodeRoster(entry.Value)
 	if err != nil {
-		return Roster{}, 0, failure.Wrap(err)
+		return Roster{}, 0, errorBuilder.Wrap(err)
 	}
 	m.config.Service.Adopt(stored)
-	known, _ := m.config.Service.Roster()
-	if known.Lineage != stored.Lineage || known.Epoch > stored.Epoch {
-		return Roster{}, 0, failure.With("known", known.Epoch).With("stored", stored.Epoch).
-			Errorf("roster in the store is older than the one known or of another lineage")
+	current, _ := m.config.Service.Roster()
+	if current.Lineage != stored.Lineage || current.Epoch > stored.Epoch {
+		return Roster{}, 0, errorBuilder.With("known", current.Epoch).With("stored", stored.Epoch).
+			Errorf("roster in the store is older than the adopted one or of another lineage")
 	}
 	return stored, entry.Revision, nil
 }
 
-// write swaps the roster in the store. When the outcome is unknown nothing is
-// adopted; the next look reads what became of it.
-func (m *Manager) write(ctx context.Context, expected store.Revision, next Roster, change Change) error {
+// writeRoster replaces the roster in the store by compare-and-swap. If the
+// outcome is unknown, nothing is adopted; the next reconciliation reads the
+// roster again.
+func (m *Manager) writeRoster(ctx context.Context, expected store.Revision, next Roster, change Change) error {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	body, err := EncodeRoster(next)
@@ -238,7 +244,7 @@
 	}
 	_, err = m.config.Store.CompareAndSwap(ctx, RosterKey, expected, body, store.NoLease)
 	if errors.Is(err, store.ErrConflict) {
-		return nil // another node was faster
+		return nil // another node changed the roster first
 	}
 	if err != nil {
 		return oops.In("claim").With("step", "write roster").With("change", string(change)).Wrap(err)
@@ -249,10 +255,10 @@
 	return nil
 }
 
-// Forget marks a holder as lost on the word of an operator, who must be sure
-// that its machine is off for good.
+// Forget marks a holder as lost at an operator's request. The operator must
+// ensure that the holder's machine has been shut down permanently.
 func (m *Manager) Forget(ctx context.Context, holder Identity) error {
-	stored, revision, err := m.read(ctx)
+	stored, revision, err := m.readRoster(ctx)
 	if err != nil {
 		return err
 	}
@@ -260,5 +266,5 @@
 	if err != nil {
 		return oops.In("claim").With("step", "forget").With("peer", holder.Name).Wrap(err)
 	}
-	return m.write(ctx, revision, next, ChangeLost)
+	return m.writeRoster(ctx, revision, next, ChangeLost)
 }
--- a/internal/claim/message_test.go
+++ b/internal/claim/message_test.go
@@ -17,7 +17,7 @@
 	return roster
 }
 
-func TestRosterSurvivesEncoding(t *testing.T) {
+func TestRosterRoundTrip(t *testing.T) {
 	roster := testRoster(t)
 	roster, err := roster.NextReplace(roster.Seats[1].Holder.Identity, Member{Identity: Identity{Name: "d", Boot: NewBootID()}})
 	assert.NilError(t, err)
@@ -48,7 +48,7 @@
 func TestKeyExpired(t *testing.T) {
 	roster := testRoster(t)
 	roster.Retention = 10 * time.Minute
-	issued := time.UnixMilli(0x017F22E279B0) // the example of RFC 9562
+	issued := time.UnixMilli(0x017F22E279B0) // example from RFC 9562
 	tests := []struct {
 		key   string
 		after time.Duration
@@ -64,7 +64,7 @@
 	}
 }
 
-// FuzzMessages feeds whatever decodes to a replica and a coordinator.
+// FuzzMessages passes every decodable message to a replica and a coordinator.
 func FuzzMessages(f *testing.F) {
 	roster := testRoster(f)
 	self := roster.Seats[0].Holder.Identity
@@ -80,14 +80,14 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		now := time.Unix(0, 0)
 		replica := NewReplica(self, 10)
-		if q, err := decode[Request](body); err == nil {
-			assert.Assert(t, replica.Handle(q, now).Answer < answerCount)
+		if req, err := decode[Request](body); err == nil {
+			assert.Assert(t, replica.Handle(req, now).Answer < answerCount)
 		}
-		if q, err := decode[PageRequest](body); err == nil {
-			replica.Page(q, now)
+		if req, err := decode[PageRequest](body); err == nil {
+			replica.Page(req, now)
 		}
-		if q, err := decode[ReleaseRequest](body); err == nil {
-			replica.Release(q, now)
+		if req, err := decode[ReleaseRequest](body); err == nil {
+			replica.Release(req, now)
 		}
 		if p, err := decode[Page](body); err == nil {
 			replica.ReceivePage(p, now)
--- a/internal/claim/nodes_test.go
+++ b/internal/claim/nodes_test.go
@@ -18,14 +18,14 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// fakeStore holds one key. With down set it is unavailable; with lost set a
-// write takes effect but its answer is lost.
+// fakeStore stores one key. If down is set, it is unavailable. If loseAnswers is
+// set, a write takes effect but its answer is lost.
 type fakeStore struct {
 	store.Store
-	mutex sync.Mutex
-	entry store.Entry
-	down  atomic.Bool
-	lost  atomic.Bool
+	mutex       sync.Mutex
+	entry       store.Entry
+	down        atomic.Bool
+	loseAnswers atomic.Bool
 }
 
 func (f *fakeStore) Get(context.Context, string) (store.Entry, error) {
@@ -50,7 +50,7 @@
 		return 0, store.ErrConflict
 	}
 	f.entry = store.Entry{Key: key, Value: value, Revision: expected + 1}
-	if f.lost.Load() {
+	if f.loseAnswers.Load() {
 		return 0, store.ErrUnknownOutcome
 	}
 	return f.entry.Revision, nil
@@ -66,21 +66,21 @@
 	server  *httptest.Server
 }
 
-type testNodes struct {
+type testCluster struct {
 	t        *testing.T
 	store    *fakeStore
-	offset   atomic.Int64 // of the clock
+	offset   atomic.Int64 // clock offset in nanoseconds
 	capacity int
 	client   *http.Client
 	nodes    []*testNode
 }
 
-func (n *testNodes) now() time.Time { return time.Now().Add(time.Duration(n.offset.Load())) }
+func (n *testCluster) now() time.Time { return time.Now().Add(time.Duration(n.offset.Load())) }
 
-func (n *testNodes) advance(d time.Duration) { n.offset.Add(int64(d)) }
+func (n *testCluster) advance(d time.Duration) { n.offset.Add(int64(d)) }
 
-// Members returns all nodes; those whose server is closed aren't alive.
-func (n *testNodes) Members() []Node {
+// Members returns all nodes. Nodes whose server is closed aren't alive.
+func (n *testCluster) Members() []Node {
 	var nodes []Node
 	for _, node := range n.nodes {
 		nodes = append(nodes, node.node)
@@ -88,9 +88,9 @@
 	return nodes
 }
 
-func startNodes(t *testing.T, count, capacity int) *testNodes {
+func startNodes(t *testing.T, count, capacity int) *testCluster {
 	t.Helper()
-	n := &testNodes{t: t, store: &fakeStore{}, capacity: capacity, client: &http.Client{Transport: &http.Transport{}}}
+	n := &testCluster{t: t, store: &fakeStore{}, capacity: capacity, client: &http.Client{Transport: &http.Transport{}}}
 	for i := range count {
 		n.nodes = append(n.nodes, &testNode{node: Node{Name: fmt.Sprintf("node-%d", i), Zone: fmt.Sprintf("zone-%d", i%3)}})
 		n.boot(i)
@@ -105,8 +105,8 @@
 	return n
 }
 
-// boot starts a node without memory, under its name.
-func (n *testNodes) boot(i int) {
+// boot starts a node with its configured name and without claims.
+func (n *testCluster) boot(i int) {
 	node := n.nodes[i]
 	node.node.BootID = NewBootID()
 	node.service = NewService(ServiceConfig{Self: node.node.member().Identity, Capacity: n.capacity, Now: n.now})
@@ -123,7 +123,7 @@
 	})
 }
 
-func (n *testNodes) kill(i int) {
+func (n *testCluster) kill(i int) {
 	node := n.nodes[i]
 	if node.node.Alive {
 		node.claimer.Close()
@@ -133,32 +133,32 @@
 	}
 }
 
-// lookOnce lets the managers of live nodes look once.
-func (n *testNodes) lookOnce() {
+// reconcileOnce runs one reconciliation on each live node.
+func (n *testCluster) reconcileOnce() {
 	for _, node := range n.nodes {
 		if node.node.Alive {
-			node.manager.look(n.t.Context())
+			node.manager.reconcile(n.t.Context())
 		}
 	}
 }
 
-// settle lets the managers of live nodes look until nothing is left to do.
-func (n *testNodes) settle() {
+// converge reconciles all live nodes often enough for all changes to be made.
+func (n *testCluster) converge() {
 	for range 20 {
 		n.advance(2 * DefaultInterval)
-		n.lookOnce()
+		n.reconcileOnce()
 	}
 }
 
-func (n *testNodes) claim(i int, key string) Outcome {
+func (n *testCluster) claim(i int, key string) Outcome {
 	n.t.Helper()
 	decision, err := n.nodes[i].claimer.Claim(n.t.Context(), "service", key, NewAttemptID())
 	assert.Equal(n.t, err == nil, decision.Outcome == Granted)
 	return decision.Outcome
 }
 
-// seatsOf returns the indexes of the nodes that hold seats and of those that don't.
-func (n *testNodes) seats() (holders, others []int) {
+// seats returns the indexes of the nodes that hold a seat and of the others.
+func (n *testCluster) seats() (holders, others []int) {
 	roster, err := DecodeRoster(n.store.entry.Value)
 	assert.NilError(n.t, err)
 	for i, node := range n.nodes {
@@ -171,9 +171,9 @@
 	return holders, others
 }
 
-func (n *testNodes) eventually(what string, holds func() bool) {
+func (n *testCluster) eventually(description string, condition func() bool) {
 	n.t.Helper()
-	for deadline := time.Now().Add(10 * time.Second); !holds(); time.Sleep(5 * time.Millisecond) {
-		assert.Assert(n.t, time.Now().Before(deadline), what)
+	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
+		assert.Assert(n.t, time.Now().Before(deadline), description)
 	}
 }
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -5,14 +5,14 @@
 	"slices"
 )
 
-// Node is a node as the membership sees it.
+// Node is a node as reported by the membership.
 type Node struct {
 	Name        string
 	BootID      BootID
 	Zone        string
 	PeerAddress string
-	// Alive is false for a node that isn't heard of or is about to stop. It
-	// decides what is attempted, never what is safe.
+	// Alive is false for a node that is unreachable or about to stop. It affects
+	// only which changes are attempted; safety doesn't depend on it.
 	Alive bool
 }
 
@@ -20,10 +20,10 @@
 	return Member{Identity: Identity{Name: n.Name, Boot: n.BootID}, Zone: n.Zone, Address: n.PeerAddress}
 }
 
-// Change names what a planned roster changes.
+// Change is the kind of change that a planned roster makes.
 type Change string
 
-// The changes. Plan proposes those after ChangeGenesis, weighed in this order.
+// Plan considers the changes after ChangeGenesis in this order.
 const (
 	ChangeNone       Change = ""
 	ChangeGenesis    Change = "genesis"
@@ -35,18 +35,20 @@
 	ChangeSpread     Change = "spread-zones"
 )
 
-// concernsSelf tells whether only the planning node itself may make the change.
-func (c Change) concernsSelf() bool { return c == ChangeActivate || c == ChangeLost }
+// selfOnly reports whether the change can be made only by the node that it
+// concerns.
+func (c Change) selfOnly() bool { return c == ChangeActivate || c == ChangeLost }
 
-// View is what a node knows when it plans.
+// View is the input for planning: the node's local state and its view of the
+// membership.
 type View struct {
 	Self Identity
-	// ReadyEpoch is what Replica.Ready reports; zero is not ready.
+	// ReadyEpoch is the result of Replica.Ready, or zero if it isn't ready.
 	ReadyEpoch uint64
 	Nodes      []Node
 }
 
-// Plan returns the roster that should follow and what it changes.
+// Plan returns the next roster and the kind of change, or ChangeNone.
 func Plan(r Roster, v View) (Roster, Change) {
 	if v.ReadyEpoch == r.Epoch {
 		if next, err := r.NextActivate(v.Self); err == nil {
@@ -56,7 +58,7 @@
 	if next, err := r.NextLost(v.Self); err == nil {
 		return next, ChangeLost
 	}
-	if next, err := r.NextGeneration(spread(v.alive(), len(r.Seats))); err == nil {
+	if next, err := r.NextGeneration(spreadOverZones(v.aliveMembers(), len(r.Seats))); err == nil {
 		return next, ChangeGeneration
 	}
 	if next, ok := planReinstatement(r, v); ok {
@@ -71,17 +73,17 @@
 	return Roster{}, ChangeNone
 }
 
-// PlanGenesis returns the members of a first roster, none while too few nodes
+// PlanGenesis returns the members of the first roster, or nil if too few nodes
 // are alive.
 func PlanGenesis(v View, size int) []Member {
-	members := spread(v.alive(), size)
+	members := spreadOverZones(v.aliveMembers(), size)
 	if len(members) < size {
 		return nil
 	}
 	return members
 }
 
-func (v View) alive() []Member {
+func (v View) aliveMembers() []Member {
 	var members []Member
 	for _, n := range v.Nodes {
 		if n.Alive && n.Name != "" {
@@ -98,8 +100,8 @@
 	})
 }
 
-// planReinstatement takes a replacement back whose holder lives after all, if
-// the joining replica can't be activated.
+// planReinstatement cancels the replacement of a holder that is alive if the
+// joining replica can't be activated.
 func planReinstatement(r Roster, v View) (Roster, bool) {
 	stuck := len(r.Voters()) < r.Majority()
 	for _, seat := range r.Seats {
@@ -116,14 +118,14 @@
 	return Roster{}, false
 }
 
-// planReplacement replaces one holder or joining replica that isn't alive,
-// unless another replica is joining already.
+// planReplacement replaces one holder or joining replica that isn't alive. It
+// does nothing while another replica is joining.
 func planReplacement(r Roster, v View) (Roster, bool) {
 	if slices.ContainsFunc(r.Seats, func(s Seat) bool { return s.Joining != nil && v.isAlive(s.Joining.Identity) }) {
 		return Roster{}, false
 	}
 	for _, seat := range r.Seats {
-		if seat.Votes() && v.isAlive(seat.Holder.Identity) {
+		if seat.CanVote() && v.isAlive(seat.Holder.Identity) {
 			continue
 		}
 		if next, ok := replaceHolder(r, v, seat); ok {
@@ -134,8 +136,8 @@
 }
 
 func replaceHolder(r Roster, v View, seat Seat) (Roster, bool) {
-	zones := zonesOf(r, seat.Holder.Identity)
-	candidate, ok := candidateFor(r, v.alive(), zones)
+	zones := seatsPerZone(r, seat.Holder.Identity)
+	candidate, ok := pickCandidate(r, v.aliveMembers(), zones)
 	if !ok {
 		return Roster{}, false
 	}
@@ -143,17 +145,17 @@
 	return next, err == nil
 }
 
-// planSpread moves a seat from a zone that has two more than another zone, once
-// all holders vote and are alive.
+// planSpread moves a seat to a zone that has at least two seats fewer, if all
+// holders are alive and have a vote.
 func planSpread(r Roster, v View) (Roster, bool) {
 	for _, seat := range r.Seats {
-		if !seat.Votes() || !v.isAlive(seat.Holder.Identity) {
+		if !seat.CanVote() || !v.isAlive(seat.Holder.Identity) {
 			return Roster{}, false
 		}
 	}
 	for _, seat := range r.Seats {
-		zones := zonesOf(r, seat.Holder.Identity)
-		candidate, ok := candidateFor(r, v.alive(), zones)
+		zones := seatsPerZone(r, seat.Holder.Identity)
+		candidate, ok := pickCandidate(r, v.aliveMembers(), zones)
 		if !ok || zones[candidate.Zone] >= zones[seat.Holder.Zone] {
 			continue
 		}
@@ -164,8 +166,8 @@
 	return Roster{}, false
 }
 
-// zonesOf counts the seats of each zone but for the one of a holder.
-func zonesOf(r Roster, without Identity) map[string]int {
+// seatsPerZone counts the seats in each zone, leaving out one holder's seat.
+func seatsPerZone(r Roster, without Identity) map[string]int {
 	zones := make(map[string]int, len(r.Seats))
 	for _, seat := range r.Seats {
 		if seat.Holder.Identity == without {
@@ -180,8 +182,9 @@
 	return zones
 }
 
-// candidateFor returns a node that has no seat, in a zone with the fewest.
-func candidateFor(r Roster, alive []Member, zones map[string]int) (Member, bool) {
+// pickCandidate returns a node without a seat, from the zone with the fewest
+// seats.
+func pickCandidate(r Roster, alive []Member, zones map[string]int) (Member, bool) {
 	var best Member
 	found := false
 	for _, m := range alive {
@@ -195,8 +198,9 @@
 	return best, found
 }
 
-// spread picks members so that the zones differ by as little as they can.
-func spread(alive []Member, size int) []Member {
+// spreadOverZones selects members so that they are distributed over the zones
+// as evenly as possible.
+func spreadOverZones(alive []Member, size int) []Member {
 	zones := make(map[string]int)
 	picked := make([]Member, 0, size)
 	rest := slices.Clone(alive)
--- a/internal/claim/replica.go
+++ b/internal/claim/replica.go
@@ -8,17 +8,17 @@
 	self   Identity
 	roster *Roster
 	claims *table
-	// founderOf is the founding epoch of the generation in which the replica
-	// first saw itself as a founder at founderSince.
-	founderOf    uint64
-	founderSince time.Time
-	copying      *copying
-	// copied is set once the replica has held the claims of a majority.
+	// founderGeneration is the founding epoch of the latest generation that has
+	// the replica as a founder. The replica adopted that roster at founderSince.
+	founderGeneration uint64
+	founderSince      time.Time
+	copying           *copyState
+	// copied is set once the replica has copied the claims of a majority.
 	copied bool
 }
 
-// NewReplica returns a replica with no roster and no claims. The capacity is
-// the largest number of claims it holds.
+// NewReplica returns a replica without a roster and without claims. The
+// capacity is the maximum number of claims that it holds.
 func NewReplica(self Identity, capacity int) *Replica {
 	return &Replica{self: self, claims: newTable(capacity)}
 }
@@ -31,41 +31,41 @@
 	return *r.roster, true
 }
 
-// Adopt takes a roster over if it is newer than the one known and of the same
-// lineage, and reports whether it did. From then on the replica grants nothing
-// in earlier epochs.
+// Adopt replaces the current roster if the given one is newer and of the same
+// lineage, and reports whether it did. Afterwards the replica grants nothing in
+// earlier epochs.
 func (r *Replica) Adopt(roster Roster, now time.Time) bool {
-	if roster.Validate() != nil || !r.follows(roster) {
+	if roster.Validate() != nil || !r.isSuccessor(roster) {
 		return false
 	}
 	r.roster = &roster
 	r.copying = nil
 	if roster.joiningSeatOf(r.self) != nil {
-		r.copying = newCopying(roster)
+		r.copying = newCopyState(roster)
 		r.copied = false
 	}
 	seat := roster.seatOf(r.self)
-	if seat != nil && seat.Founder && r.founderOf != roster.Founded {
-		r.founderOf = roster.Founded
+	if seat != nil && seat.Founder && r.founderGeneration != roster.FoundingEpoch {
+		r.founderGeneration = roster.FoundingEpoch
 		r.founderSince = now
 	}
 	return true
 }
 
-func (r *Replica) follows(roster Roster) bool {
+func (r *Replica) isSuccessor(roster Roster) bool {
 	if r.roster == nil {
 		return true
 	}
 	return roster.Lineage == r.roster.Lineage && roster.Epoch > r.roster.Epoch
 }
 
-// Handle answers a request for a claim.
-func (r *Replica) Handle(q Request, now time.Time) Response {
-	if q.Roster != nil {
-		r.Adopt(*q.Roster, now)
+// Handle processes a claim request.
+func (r *Replica) Handle(req Request, now time.Time) Response {
+	if req.Roster != nil {
+		r.Adopt(*req.Roster, now)
 	}
-	response := Response{From: r.self, Epoch: q.Epoch, Key: q.Key, Attempt: q.Attempt}
-	response.Answer = r.answer(q, now)
+	response := Response{From: r.self, Epoch: req.Epoch, Key: req.Key, Attempt: req.Attempt}
+	response.Answer = r.answer(req, now)
 	switch response.Answer {
 	case AnswerStale:
 		response.Roster = r.roster
@@ -75,39 +75,41 @@
 	return response
 }
 
-func (r *Replica) answer(q Request, now time.Time) Answer {
+func (r *Replica) answer(req Request, now time.Time) Answer {
 	switch {
-	case q.To != r.self:
+	case req.To != r.self:
 		return AnswerNotVoter
-	case r.roster == nil || q.Epoch > r.roster.Epoch:
+	case r.roster == nil || req.Epoch > r.roster.Epoch:
 		return AnswerBehind
-	case q.Epoch < r.roster.Epoch:
+	case req.Epoch < r.roster.Epoch:
 		return AnswerStale
 	}
-	if refusal := r.refusal(now); refusal != 0 {
+	if refusal := r.voteRefusal(now); refusal != 0 {
 		return refusal
 	}
-	return r.grant(q.Key, q.Attempt, now)
+	return r.grant(req.Key, req.Attempt, now)
 }
 
-// refusal tells why the replica may not vote now; zero means that it may.
-func (r *Replica) refusal(now time.Time) Answer {
+// voteRefusal returns the reason why the replica can't vote now, or zero if it
+// can.
+func (r *Replica) voteRefusal(now time.Time) Answer {
 	seat := r.roster.seatOf(r.self)
 	switch {
-	case seat == nil || !seat.Votes():
+	case seat == nil || !seat.CanVote():
 		return AnswerNotVoter
 	case !seat.Founder && !r.copied:
 		return AnswerNotVoter
-	case seat.Founder && r.waits(now):
+	case seat.Founder && r.mustWait(now):
 		return AnswerWaiting
 	}
 	return 0
 }
 
-// waits tells whether a founder must still let the retention pass. The first
-// generation has no claims before it.
-func (r *Replica) waits(now time.Time) bool {
-	return r.roster.Founded > 1 && now.Sub(r.founderSince) <= r.roster.Retention
+// mustWait reports whether a founder must still wait for the retention to pass,
+// since an earlier generation may have granted claims. The first generation has
+// no predecessor.
+func (r *Replica) mustWait(now time.Time) bool {
+	return r.roster.FoundingEpoch > 1 && now.Sub(r.founderSince) <= r.roster.Retention
 }
 
 func (r *Replica) grant(key KeyHash, attempt AttemptID, now time.Time) Answer {
@@ -128,40 +130,42 @@
 	return AnswerGranted
 }
 
-// Release drops an attempt that will never run, in any epoch.
-func (r *Replica) Release(q ReleaseRequest, now time.Time) {
-	if q.To != r.self || r.roster == nil {
+// Release releases the claim of an attempt that will never run. It applies in
+// any epoch.
+func (r *Replica) Release(req ReleaseRequest, now time.Time) {
+	if req.To != r.self || r.roster == nil {
 		return
 	}
 	r.claims.expire(now, r.roster.Retention)
-	old := r.claims.find(q.Key)
+	old := r.claims.find(req.Key)
 	if old == nil {
-		// Remembered so that a late copy of the claim isn't granted; without
-		// room it may be, which only keeps the key held.
-		r.claims.insert(record{key: q.Key, attempt: q.Attempt, state: recordReleased}, now)
+		// The release is recorded so that a delayed claim request of the attempt
+		// isn't granted. If the table is full, that request may be granted, which
+		// only leaves the key held.
+		r.claims.insert(record{key: req.Key, attempt: req.Attempt, state: recordReleased}, now)
 		return
 	}
-	if old.state == recordHeld && old.attempt == q.Attempt {
+	if old.state == recordHeld && old.attempt == req.Attempt {
 		old.state = recordReleased
 	}
 }
 
-// Page hands claims over to a replica that joins. The replica must have
-// adopted the request's epoch, so that all its grants in epochs before are
-// among the claims, and must be allowed to vote.
-func (r *Replica) Page(q PageRequest, now time.Time) Page {
-	if q.Roster != nil {
-		r.Adopt(*q.Roster, now)
-	}
-	page := Page{From: r.self, Epoch: q.Epoch, Cursor: q.Cursor}
-	if q.To != r.self || r.roster == nil || r.roster.Epoch < q.Epoch || r.refusal(now) != 0 {
+// Page returns a page of claims for a joining replica. This replica must be
+// allowed to vote and must have adopted the request's epoch, so that the claims
+// include all that it granted in earlier epochs.
+func (r *Replica) Page(req PageRequest, now time.Time) Page {
+	if req.Roster != nil {
+		r.Adopt(*req.Roster, now)
+	}
+	page := Page{From: r.self, Epoch: req.Epoch, Cursor: req.Cursor}
+	if req.To != r.self || r.roster == nil || r.roster.Epoch < req.Epoch || r.voteRefusal(now) != 0 {
 		page.Refused = true
 		return page
 	}
 	r.claims.expire(now, r.roster.Retention)
-	page.Claims, page.Next, page.Last = r.claims.page(q.Cursor)
+	page.Claims, page.Next, page.Last = r.claims.page(req.Cursor)
 	return page
 }
 
-// Len returns the number of records in memory.
+// Len returns the number of records in the table.
 func (r *Replica) Len() int { return r.claims.len() }
--- a/internal/claim/roster.go
+++ b/internal/claim/roster.go
@@ -8,53 +8,53 @@
 )
 
 const (
-	// MaximumSeats bounds the size of a roster.
+	// MaximumSeats is the maximum number of seats in a roster.
 	MaximumSeats = 9
-	// ClaimWindow is the longest time from the receipt of a call to the last
-	// grant that its coordinator counts.
+	// ClaimWindow is the maximum time after the receipt of a call at which its
+	// coordinator still counts grants.
 	ClaimWindow = 10 * time.Second
-	// MinimumRetention and MaximumRetention bound a roster's retention.
+	// MinimumRetention and MaximumRetention are the limits of Roster.Retention.
 	MinimumRetention = 2 * ClaimWindow
 	MaximumRetention = 24 * time.Hour
 
-	// Two clocks that are each at most one percent wrong differ by less than
-	// one part in clockDriftDivisor.
+	// Two clocks with a rate error of at most one percent each differ by at most
+	// 1/clockDriftDivisor of the elapsed time.
 	clockDriftDivisor = 50
 	maximumNameBytes  = 256
 )
 
-// Errors of the roster's transitions.
+// Errors returned by Validate and by the roster's transitions.
 var (
 	ErrInvalidRoster   = errors.New("invalid roster")
 	ErrNoSeat          = errors.New("no such seat")
 	ErrAlreadySeated   = errors.New("replica already has a seat")
-	ErrTooFewVoters    = errors.New("change would leave fewer voters than a majority")
-	ErrTooFewLost      = errors.New("fewer seats are marked lost than a majority")
-	ErrSameBoot        = errors.New("the holder is the process itself")
+	ErrTooFewVoters    = errors.New("change would leave too few voters for a majority")
+	ErrTooFewLost      = errors.New("seats marked as lost are not a majority")
+	ErrSameBoot        = errors.New("seat is held by the calling process")
 	ErrWrongMemberSize = errors.New("number of members differs from the number of seats")
 )
 
-// BootID names one run of a node's process; it is drawn at random at the start
-// and never used again.
+// BootID identifies one run of a node's process. It is generated at random on
+// startup and never reused.
 type BootID [16]byte
 
-// NewBootID draws a boot id.
+// NewBootID returns a random boot ID.
 func NewBootID() BootID {
 	var id BootID
 	_, _ = rand.Read(id[:]) // never fails
 	return id
 }
 
-// String returns the id in hexadecimal.
+// String returns the ID in hexadecimal.
 func (b BootID) String() string { return hex.EncodeToString(b[:]) }
 
-// Identity names one run of one node.
+// Identity identifies one run of a node's process.
 type Identity struct {
 	Name string `cbor:"1,keyasint"`
 	Boot BootID `cbor:"2,keyasint"`
 }
 
-// Member is a node that is or may become a replica.
+// Member is a node that is a replica or a candidate.
 type Member struct {
 	Identity Identity `cbor:"1,keyasint"`
 	Zone     string   `cbor:"2,keyasint"`
@@ -62,45 +62,47 @@
 	Address string `cbor:"3,keyasint"`
 }
 
-// Seat is one of the roster's places.
+// Seat is the place of one replica in a roster.
 type Seat struct {
 	Holder Member `cbor:"1,keyasint"`
-	// Founder marks a holder that was seated when the generation was founded
-	// and not by copying claims.
+	// Founder marks a holder that was seated when the generation was created,
+	// rather than by copying claims.
 	Founder bool `cbor:"2,keyasint,omitempty"`
-	// Lost marks a holder whose memory is known to be gone.
+	// Lost marks a holder whose process is known to have ended, and its claims
+	// with it.
 	Lost bool `cbor:"3,keyasint,omitempty"`
-	// Joining is the replica that is to take the holder's place. While it is
-	// set nobody votes for the seat.
+	// Joining is the replica that is replacing the holder. While it is set,
+	// the seat has no vote.
 	Joining *Member `cbor:"4,keyasint,omitempty"`
 }
 
-// Votes tells whether the seat's holder votes.
-func (s Seat) Votes() bool { return !s.Lost && s.Joining == nil }
+// CanVote reports whether the seat's holder has a vote.
+func (s Seat) CanVote() bool { return !s.Lost && s.Joining == nil }
 
-// Roster names the replicas of an epoch. A Roster is never changed in place:
-// the Next functions return the roster that follows.
+// Roster lists the replicas of an epoch. A Roster is immutable: the Next
+// methods return the successor.
 type Roster struct {
-	// Lineage is drawn at random at genesis and kept by all that follow.
+	// Lineage is generated at random for the first roster and copied to all
+	// its successors.
 	Lineage [16]byte `cbor:"1,keyasint"`
-	// Epoch grows by one with each change; the first is 1.
+	// Epoch starts at 1 and increases by one with each change.
 	Epoch uint64 `cbor:"2,keyasint"`
-	// Founded is the epoch in which the current generation was founded.
-	Founded uint64 `cbor:"3,keyasint"`
-	// Retention is how long a replica remembers a claim.
+	// FoundingEpoch is the epoch in which the current generation was created.
+	FoundingEpoch uint64 `cbor:"3,keyasint"`
+	// Retention is how long a replica keeps a claim.
 	Retention time.Duration `cbor:"4,keyasint"`
 	Seats     []Seat        `cbor:"5,keyasint"`
 }
 
-// NewGenesis returns the first roster. Its members vote at once, which is
-// right only if it is created in a store that has never held a roster.
+// NewGenesis returns the first roster. Its members vote immediately, which is
+// safe only if the store has never contained a roster.
 func NewGenesis(retention time.Duration, members []Member) (Roster, error) {
-	r := Roster{Epoch: 1, Founded: 1, Retention: retention, Seats: founders(members)}
+	r := Roster{Epoch: 1, FoundingEpoch: 1, Retention: retention, Seats: founderSeats(members)}
 	_, _ = rand.Read(r.Lineage[:]) // never fails
 	return r, r.Validate()
 }
 
-func founders(members []Member) []Seat {
+func founderSeats(members []Member) []Seat {
 	seats := make([]Seat, 0, len(members))
 	for _, m := range members {
 		seats = append(seats, Seat{Holder: m, Founder: true})
@@ -113,7 +115,7 @@
 	if len(r.Seats) == 0 || len(r.Seats) > MaximumSeats || len(r.Seats)%2 == 0 {
 		return ErrInvalidRoster
 	}
-	if r.Epoch == 0 || r.Founded == 0 || r.Founded > r.Epoch {
+	if r.Epoch == 0 || r.FoundingEpoch == 0 || r.FoundingEpoch > r.Epoch {
 		return ErrInvalidRoster
 	}
 	if r.Retention < MinimumRetention || r.Retention > MaximumRetention {
@@ -143,27 +145,27 @@
 	return max(len(m.Identity.Name), len(m.Zone), len(m.Address)) <= maximumNameBytes
 }
 
-// Majority is the number of grants that decide a claim.
+// Majority returns the number of grants that a claim needs.
 func (r Roster) Majority() int { return len(r.Seats)/2 + 1 }
 
-// KeyLifetime is how long after its first use a caller may send a key again
-// and be sure that the call isn't run twice.
+// KeyLifetime returns how long after its first use a key can be sent again
+// with the guarantee that the call isn't run twice.
 func (r Roster) KeyLifetime() time.Duration {
 	return r.Retention - r.Retention/clockDriftDivisor - ClaimWindow
 }
 
-// Voters returns the holders that vote.
+// Voters returns the holders that have a vote.
 func (r Roster) Voters() []Member {
 	voters := make([]Member, 0, len(r.Seats))
 	for _, seat := range r.Seats {
-		if seat.Votes() {
+		if seat.CanVote() {
 			voters = append(voters, seat.Holder)
 		}
 	}
 	return voters
 }
 
-// LostSeats returns the number of seats whose holder is marked lost.
+// LostSeats returns the number of seats whose holder is marked as lost.
 func (r Roster) LostSeats() int {
 	lost := 0
 	for _, seat := range r.Seats {
@@ -194,8 +196,8 @@
 	return nil
 }
 
-// next returns a copy with the following epoch whose seats may be changed.
-func (r Roster) next() Roster {
+// nextEpoch returns a copy with the next epoch, whose seats can be modified.
+func (r Roster) nextEpoch() Roster {
 	r.Seats = append([]Seat(nil), r.Seats...)
 	r.Epoch++
 	return r
--- a/internal/claim/scenario_test.go
+++ b/internal/claim/scenario_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// deliverWhere delivers the messages in flight that match, and those that they
-// cause, until none matches.
+// deliverWhere delivers matching messages, including those sent in response,
+// until none in flight matches.
 func (c *cluster) deliverWhere(match func(packet) bool) {
 	for i := 0; i < len(c.network); i++ {
 		p := c.network[i]
@@ -20,7 +20,7 @@
 	}
 }
 
-func without(v View, names ...string) View {
+func markDead(v View, names ...string) View {
 	for i := range v.Nodes {
 		for _, name := range names {
 			if v.Nodes[i].Name == name {
@@ -31,50 +31,51 @@
 	return v
 }
 
-// replaceWhileClaiming lets a claim of the old epoch reach a second replica
-// only after the first one was replaced by a copy.
+// replaceWhileClaiming delivers a claim request of the old epoch to a second
+// replica only after the first replica was replaced by one that copied claims.
 func replaceWhileClaiming(c *cluster) {
-	key := simKey{hash: c.unique(), first: c.now}
+	key := simKey{hash: c.uniqueID(), first: c.now}
 	c.call(0, key)
 	c.deliverWhere(func(p packet) bool { return p.to == 2 })
 	c.deliverWhere(func(p packet) bool { return p.from == 2 })
-	late := c.network
+	delayed := c.network
 	c.network = nil
-	c.propose(c.machines[1], without(c.view(c.machines[1]), "n2"))
+	c.propose(c.machines[1], markDead(c.view(c.machines[1]), "n2"))
 	c.commit(c.machines[1])
 	c.adopt(c.machines[0], *c.roster)
 	c.adopt(c.machines[3], *c.roster)
 	c.sendPageRequests(3)
 	c.drain()
-	c.propose(c.machines[3], without(c.view(c.machines[3]), "n2"))
+	c.propose(c.machines[3], markDead(c.view(c.machines[3]), "n2"))
 	c.commit(c.machines[3])
 	c.adopt(c.machines[0], *c.roster)
 	c.adopt(c.machines[1], *c.roster)
-	c.network = late
+	c.network = delayed
 	c.deliverWhere(func(p packet) bool { return p.to == 0 })
 	c.network = nil
 	c.call(1, key)
 	c.deliverWhere(func(p packet) bool { return p.to != 2 && p.from != 2 })
 }
 
-// generationBesideIsland cuts two holders off while the others try to found a
-// new generation, and then sends a key to both sides.
-func generationBesideIsland(c *cluster) {
-	c.machines[0].island, c.machines[1].island = true, true
-	rest := c.machines[2:]
+// generationDuringPartition partitions two holders from the other machines, which
+// try to create a new generation, and then sends a call with the same key to
+// both sides.
+func generationDuringPartition(c *cluster) {
+	c.machines[0].partitioned, c.machines[1].partitioned = true, true
+	others := c.machines[2:]
 	for range 6 {
-		for _, m := range rest {
-			v := without(c.view(m), "n0", "n1")
-			if c.broken == breachFalseWitness {
-				v.Self = Identity{Name: c.machines[int(c.roster.Epoch)%2].name, Boot: c.unique()}
+		for _, m := range others {
+			v := markDead(c.view(m), "n0", "n1")
+			if c.brokenRule == breachFalseLostReport {
+				v.Self = Identity{Name: c.machines[int(c.roster.Epoch)%2].name, Boot: c.uniqueID()}
 			}
 			c.propose(m, v)
 			c.commit(m)
 		}
 		c.now = c.now.Add(simRetention / 2)
 	}
-	key := simKey{hash: c.unique(), first: c.now}
-	connected := func(p packet) bool { return c.machines[p.from].island == c.machines[p.to].island }
+	key := simKey{hash: c.uniqueID(), first: c.now}
+	connected := func(p packet) bool { return c.machines[p.from].partitioned == c.machines[p.to].partitioned }
 	c.call(3, key)
 	c.deliverWhere(connected)
 	c.call(0, key)
@@ -88,18 +89,18 @@
 		broken breach
 	}{
 		{"replacement during a claim, epoch ignored", replaceWhileClaiming, breachEpochIgnored},
-		{"generation beside an island, false witness", generationBesideIsland, breachFalseWitness},
+		{"new generation during a partition, false report of a lost holder", generationDuringPartition, breachFalseLostReport},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			right := newCluster(5, 3, breachNone, mixes[1], seeded(1))
-			test.run(right)
-			assert.Equal(t, right.fault, "")
-			assert.Equal(t, right.granted, 1, "exactly one attempt is granted")
+			correct := newCluster(5, 3, breachNone, faultProfiles[1], seeded(1))
+			test.run(correct)
+			assert.Equal(t, correct.violation, "")
+			assert.Equal(t, correct.granted, 1, "exactly one attempt is granted")
 
-			wrong := newCluster(5, 3, test.broken, mixes[1], seeded(1))
-			test.run(wrong)
-			assert.Assert(t, wrong.fault != "", "the broken rule goes unnoticed")
+			faulty := newCluster(5, 3, test.broken, faultProfiles[1], seeded(1))
+			test.run(faulty)
+			assert.Assert(t, faulty.violation != "", "the simulation does not detect the broken rule")
 		})
 	}
 }
--- a/internal/claim/service.go
+++ b/internal/claim/service.go
@@ -19,16 +19,17 @@
 // ServiceConfig configures a Service.
 type ServiceConfig struct {
 	Self Identity
-	// Capacity is the largest number of claims held; zero is DefaultCapacity.
+	// Capacity is the maximum number of claims; zero means DefaultCapacity.
 	Capacity int
-	// Now is the clock; nil is time.Now.
+	// Now is the clock; nil means time.Now.
 	Now func() time.Time
-	// OnAdopt, if not nil, is called with each roster adopted, outside of locks.
+	// OnAdopt, if not nil, is called with each adopted roster while no lock is
+	// held.
 	OnAdopt func(Roster)
 }
 
-// Service is a node's replica on the peer listener. It is safe for concurrent
-// use.
+// Service serves a node's replica on the peer listener. It is safe for
+// concurrent use.
 type Service struct {
 	self     Identity
 	capacity int
@@ -40,7 +41,7 @@
 	replica *Replica
 }
 
-// NewService returns a service with an empty memory and no roster.
+// NewService returns a service without claims and without a roster.
 func NewService(config ServiceConfig) *Service {
 	if config.Capacity <= 0 {
 		config.Capacity = DefaultCapacity
@@ -59,13 +60,13 @@
 
 // Register adds the handlers to the peer listener's mux.
 func (s *Service) Register(mux *http.ServeMux) {
-	mux.HandleFunc("POST "+PathClaim, serve(s.handle))
-	mux.HandleFunc("POST "+PathRelease, serve(s.release))
-	mux.HandleFunc("POST "+PathPage, serve(s.page))
+	mux.HandleFunc("POST "+PathClaim, messageHandler(s.handleRequest))
+	mux.HandleFunc("POST "+PathRelease, messageHandler(s.handleRelease))
+	mux.HandleFunc("POST "+PathPage, messageHandler(s.handlePage))
 }
 
-// serve answers one message with another.
-func serve[Q, A message](handle func(Q) A) http.HandlerFunc {
+// messageHandler decodes a request, calls handle and encodes its result.
+func messageHandler[Q, A message](handle func(Q) A) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaximumMessageBytes))
 		if err != nil {
@@ -83,58 +84,58 @@
 			return
 		}
 		w.Header().Set("Content-Type", contentType)
-		_, _ = w.Write(answer) // a lost answer is the asker's to notice
+		_, _ = w.Write(answer) // the client detects a lost answer
 	}
 }
 
-// Adopt takes over a roster that is newer than the one known and reports
-// whether it did.
+// Adopt replaces the current roster if the given one is newer and of the same
+// lineage, and reports whether it did.
 func (s *Service) Adopt(roster Roster) bool {
 	s.mutex.Lock()
 	adopted := s.replica.Adopt(roster, s.now())
 	s.mutex.Unlock()
 	if adopted {
-		s.announce(roster)
+		s.notifyAdopted(roster)
 	}
 	return adopted
 }
 
-func (s *Service) announce(roster Roster) {
+func (s *Service) notifyAdopted(roster Roster) {
 	if s.onAdopt != nil {
 		s.onAdopt(roster)
 	}
 }
 
-// Roster returns the newest roster known and whether there is one.
+// Roster returns the newest roster adopted and whether there is one.
 func (s *Service) Roster() (Roster, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.replica.Roster()
 }
 
-func (s *Service) handle(q Request) Response {
-	s.adoptAttached(q.Roster)
-	q.Roster = nil
+func (s *Service) handleRequest(req Request) Response {
+	s.adoptAttached(req.Roster)
+	req.Roster = nil
 	s.mutex.Lock()
-	response := s.replica.Handle(q, s.now())
+	response := s.replica.Handle(req, s.now())
 	s.mutex.Unlock()
 	s.counters.answers[response.Answer].Add(1)
 	return response
 }
 
-func (s *Service) release(q ReleaseRequest) Response {
+func (s *Service) handleRelease(req ReleaseRequest) Response {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.replica.Release(q, s.now())
-	return Response{From: s.self, Key: q.Key, Attempt: q.Attempt, Answer: AnswerReleased}
+	s.replica.Release(req, s.now())
+	return Response{From: s.self, Key: req.Key, Attempt: req.Attempt, Answer: AnswerReleased}
 }
 
-func (s *Service) page(q PageRequest) Page {
-	s.adoptAttached(q.Roster)
-	q.Roster = nil
+func (s *Service) handlePage(req PageRequest) Page {
+	s.adoptAttached(req.Roster)
+	req.Roster = nil
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.replica.Page(q, s.now())
+	return s.replica.Page(req, s.now())
 }
 
 func (s *Service) adoptAttached(roster *Roster) {
@@ -155,7 +156,7 @@
 	return s.replica.ReceivePage(page, s.now())
 }
 
-// readyEpoch is Replica.Ready with zero for not ready.
+// readyEpoch returns the epoch of Replica.Ready, or zero if it isn't ready.
 func (s *Service) readyEpoch() uint64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/claim/service_test.go
+++ b/internal/claim/service_test.go
@@ -17,7 +17,7 @@
 func TestClaimIsGrantedOnceAcrossNodes(t *testing.T) {
 	n := startNodes(t, 5, 0)
 	assert.Equal(t, n.claim(0, "before-roster"), Unavailable)
-	n.settle()
+	n.converge()
 	assert.Equal(t, n.claim(0, "pay-1"), Granted)
 	for i := range n.nodes {
 		assert.Equal(t, n.claim(i, "pay-1"), Held)
@@ -29,7 +29,7 @@
 
 func TestReleasedKeyIsGrantedAgain(t *testing.T) {
 	n := startNodes(t, 3, 0)
-	n.settle()
+	n.converge()
 	decision, err := n.nodes[0].claimer.Claim(t.Context(), "service", "pay", NewAttemptID())
 	assert.NilError(t, err)
 	assert.Equal(t, decision.Outcome, Granted)
@@ -39,7 +39,7 @@
 
 func TestConcurrentClaimsOfOneKey(t *testing.T) {
 	n := startNodes(t, 5, 0)
-	n.settle()
+	n.converge()
 	const rounds = 40
 	won := 0
 	for round := range rounds {
@@ -58,53 +58,53 @@
 		won += int(granted.Load())
 	}
 	t.Logf("one of 5 concurrent attempts won in %d of %d rounds", won, rounds)
-	assert.Assert(t, won > rounds/2, "splits aren't resolved")
+	assert.Assert(t, won > rounds/2, "split votes are not resolved")
 }
 
-func TestReplicasAreReplacedOneAfterAnotherAndClaimsSurvive(t *testing.T) {
+func TestClaimsSurviveReplacementOfAllReplicas(t *testing.T) {
 	n := startNodes(t, 5, 0)
-	n.settle()
+	n.converge()
 	assert.Equal(t, n.claim(0, "pay"), Granted)
 	first, _ := n.seats()
 	for _, i := range first {
 		n.kill(i)
-		n.settle()
+		n.converge()
 		n.boot(i)
-		n.settle()
+		n.converge()
 	}
-	// No process that granted the claim is left.
+	// No process that granted the claim is running any more.
 	for i := range n.nodes {
 		assert.Equal(t, n.claim(i, "pay"), Held)
 		assert.Equal(t, n.claim(i, fmt.Sprint("new-", i)), Granted)
 	}
 }
 
-func TestLossOfMajorityRefusesUntilRetentionHasPassed(t *testing.T) {
+func TestMajorityLossRefusesClaimsForRetention(t *testing.T) {
 	n := startNodes(t, 4, 0)
-	n.settle()
+	n.converge()
 	assert.Equal(t, n.claim(0, "pay"), Granted)
 	holders, others := n.seats()
 	for _, i := range holders[:2] {
 		n.kill(i)
 	}
-	n.settle()
-	assert.Equal(t, n.claim(others[0], "other"), Unavailable, "death is not proven")
+	n.converge()
+	assert.Equal(t, n.claim(others[0], "other"), Unavailable, "the killed holders are not proven to have ended")
 	for _, i := range holders[:2] {
 		n.boot(i)
 	}
-	n.settle()
+	n.converge()
 	roster, _ := n.nodes[0].service.Roster()
-	assert.Assert(t, roster.Founded > 1, "a new generation is founded")
+	assert.Assert(t, roster.FoundingEpoch > 1, "no new generation was created")
 	assert.Equal(t, n.claim(0, "pay"), Unavailable)
 	decision, _ := n.nodes[0].claimer.Claim(t.Context(), "scope", "pay", NewAttemptID())
-	assert.Assert(t, decision.RetryAfter > 0 && decision.RetryAfter <= testRetention, "callers are told when to come back: %s", decision.RetryAfter)
+	assert.Assert(t, decision.RetryAfter > 0 && decision.RetryAfter <= testRetention, "RetryAfter is %s", decision.RetryAfter)
 	n.advance(testRetention + time.Second)
 	assert.Equal(t, n.claim(0, "new"), Granted)
 }
 
-// A cluster that is smaller than the wanted roster gets the largest that it can
-// hold, once latecomers were waited for.
-func TestFirstRosterOfASmallCluster(t *testing.T) {
+// A cluster with fewer nodes than the configured roster size gets the largest
+// possible roster after the grace period.
+func TestFirstRosterOfSmallCluster(t *testing.T) {
 	for nodes, size := range map[int]int{2: 0, 3: 3, 4: 3, 5: 5, 6: 5} {
 		t.Run(strconv.Itoa(nodes), func(t *testing.T) {
 			n := startNodes(t, nodes, 0)
@@ -112,11 +112,11 @@
 				node.manager.config.Size = 5
 				node.manager.started = n.now()
 			}
-			n.lookOnce()
-			_, known := n.nodes[0].service.Roster()
-			assert.Equal(t, known, size == 5, "at first")
-			n.advance(genesisPatience)
-			n.settle()
+			n.reconcileOnce()
+			_, adopted := n.nodes[0].service.Roster()
+			assert.Equal(t, adopted, size == 5, "before the grace period has passed")
+			n.advance(genesisGracePeriod)
+			n.converge()
 			roster, _ := n.nodes[0].service.Roster()
 			assert.Equal(t, len(roster.Seats), size)
 		})
@@ -125,35 +125,36 @@
 
 func TestForgetAllowsNewGeneration(t *testing.T) {
 	n := startNodes(t, 5, 0)
-	n.settle()
+	n.converge()
 	holders, others := n.seats()
 	for _, i := range holders[:2] {
 		n.kill(i)
 	}
-	n.settle()
+	n.converge()
 	for _, i := range holders[:2] {
 		assert.NilError(t, n.nodes[others[0]].manager.Forget(t.Context(), n.nodes[i].node.member().Identity))
 	}
-	n.settle()
+	n.converge()
 	n.advance(testRetention + time.Second)
 	assert.Equal(t, n.claim(others[0], "new"), Granted)
 }
 
-func TestLostAnswersOfTheStore(t *testing.T) {
+func TestStoreAnswersLost(t *testing.T) {
 	n := startNodes(t, 3, 0)
-	n.store.lost.Store(true)
-	n.settle()
+	n.store.loseAnswers.Store(true)
+	n.converge()
 	assert.Equal(t, n.claim(0, "pay"), Granted)
 	assert.Assert(t, n.nodes[0].service.Stats().Epoch > 0)
 }
 
-func TestFullReplicasAbstainAndForgetNothing(t *testing.T) {
+func TestFullReplicasAbstainWithoutEviction(t *testing.T) {
 	n := startNodes(t, 3, 10)
-	n.settle()
+	n.converge()
 	for i := range 10 {
 		assert.Equal(t, n.claim(i%3, fmt.Sprint(i)), Granted)
 	}
-	// Two replicas that lag behind would still be a majority with room.
+	// Wait until all replicas are full: two that haven't received all
+	// requests yet would be a majority below capacity.
 	n.eventually("full", func() bool {
 		for _, node := range n.nodes {
 			if node.service.Stats().Records != 10 {
@@ -170,9 +171,9 @@
 	assert.Equal(t, n.claim(0, "after expiry"), Granted)
 }
 
-func TestCallerThatLeavesEndsTheClaim(t *testing.T) {
+func TestCanceledCallerEndsClaim(t *testing.T) {
 	n := startNodes(t, 3, 0)
-	n.settle()
+	n.converge()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	holders, _ := n.seats()
@@ -197,7 +198,7 @@
 	running.Wait()
 }
 
-func TestHandlersRefuseWhatIsNotAMessage(t *testing.T) {
+func TestHandlersRejectInvalidMessages(t *testing.T) {
 	n := startNodes(t, 1, 0)
 	for _, path := range []string{PathClaim, PathRelease, PathPage} {
 		for _, body := range []io.Reader{http.NoBody, io.LimitReader(zeros{}, 2*MaximumMessageBytes)} {
--- a/internal/claim/stats.go
+++ b/internal/claim/stats.go
@@ -2,29 +2,32 @@
 
 import "sync/atomic"
 
-// Stats counts what a node's claims came to since its start.
+// Stats are the counters of a node since its start and the state of its
+// replica.
 type Stats struct {
-	// Granted, Held and Unavailable count this node's own claims.
+	// Granted, Held and Unavailable count the outcomes of claims that this node
+	// coordinated.
 	Granted     uint64
 	Held        uint64
 	Unavailable uint64
-	// ReleasesFailed counts releases that did not reach a replica, which then
-	// holds the key until the retention has passed.
+	// ReleasesFailed counts releases that failed. The replica then holds the
+	// key until the retention has passed.
 	ReleasesFailed uint64
 
-	// Answers counts what this node answered as a replica.
+	// Answers counts this node's answers as a replica.
 	Answers [answerCount]uint64
-	// Records and Capacity are the claims in this node's memory and the most
-	// that it can hold.
+	// Records is the number of claims in this node's replica, and Capacity its
+	// maximum.
 	Records  int
 	Capacity int
 
-	// Epoch, Lost and Voters describe the roster known; zero without one.
+	// Epoch, Lost and Voters describe the current roster; they are zero without
+	// one.
 	Epoch  uint64
 	Lost   int
 	Voters int
 	// Changes counts the roster changes that this node wrote, and StoreErrors
-	// its failed calls to the store.
+	// the reconciliations that failed.
 	Changes     uint64
 	StoreErrors uint64
 }
@@ -39,7 +42,7 @@
 	storeErrors    atomic.Uint64
 }
 
-func (c *counters) outcome(o Outcome) {
+func (c *counters) countOutcome(o Outcome) {
 	switch o {
 	case Granted:
 		c.granted.Add(1)
@@ -50,7 +53,7 @@
 	}
 }
 
-// Stats returns the counters and the state of the replica.
+// Stats returns the current counters and the state of the replica.
 func (s *Service) Stats() Stats {
 	c := &s.counters
 	stats := Stats{
@@ -76,7 +79,7 @@
 	return stats
 }
 
-// String returns the answer's name, as a metric's label.
+// String returns the answer's name as used in metric labels.
 func (a Answer) String() string {
 	names := [answerCount]string{
 		"none", "granted", "held", "stale", "behind", "not-voter", "waiting", "full", "released",
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// DefaultCapacity is the default number of claims that a replica can hold.
+// DefaultCapacity is the default maximum number of claims in a replica.
 const DefaultCapacity = 200_000
 
 type recordState uint8
 
 const (
 	recordHeld recordState = iota
-	// recordContested has more than one attempt; it is granted to none.
+	// recordContested may belong to more than one attempt and is granted to
+	// none of them.
 	recordContested
-	// recordReleased remembers an attempt that will never run.
+	// recordReleased belongs to an attempt that was released and will never run.
 	recordReleased
-	// recordReplaced has been followed by a newer record of the key.
-	recordReplaced
+	// recordSuperseded was followed by a newer record of the same key.
+	recordSuperseded
 )
 
 type record struct {
 	key     KeyHash
 	attempt AttemptID
-	// since is the time of insertion, counted from the table's base.
-	since time.Duration
-	state recordState
+	// inserted is the time of insertion, as an offset from table.base.
+	inserted time.Duration
+	state    recordState
 }
 
-// chunkRecords is the number of records that are allocated and freed together.
+// chunkRecords is the number of records that are allocated and freed as one
+// chunk.
 const chunkRecords = 1024
 
-// table holds claims in the order of their insertion, which is that of their
-// expiry. Its memory is bounded by capacity; a record leaves it only when the
-// retention has passed.
+// table holds claims in insertion order, which is also their expiry order. Its
+// memory is bounded by capacity. Records are removed only when the retention
+// has passed, never to make room.
 type table struct {
 	capacity int
 	base     time.Time
 	index    map[KeyHash]uint64 // sequence number of the key's newest record
-	// chunks hold the records from first on to before next; a record's place
-	// in its chunk is its sequence number modulo chunkRecords.
+	// chunks hold the records with sequence numbers in [first, next). The index
+	// of a record in its chunk is its sequence number modulo chunkRecords.
 	chunks [][]record
 	first  uint64
 	next   uint64
@@ -51,13 +53,14 @@
 
 func (t *table) len() int { return int(t.next - t.first) }
 
-func (t *table) at(sequence uint64) *record {
+func (t *table) recordAt(sequence uint64) *record {
 	chunk := t.chunks[sequence/chunkRecords-t.first/chunkRecords]
 	return &chunk[sequence%chunkRecords]
 }
 
-// age is the time since the table's base, which is the first time it is told.
-func (t *table) age(now time.Time) time.Duration {
+// sinceBase returns the time since the table's base. The first call sets the
+// base.
+func (t *table) sinceBase(now time.Time) time.Duration {
 	if t.base.IsZero() {
 		t.base = now
 	}
@@ -69,32 +72,32 @@
 	if !ok {
 		return nil
 	}
-	return t.at(sequence)
+	return t.recordAt(sequence)
 }
 
-// insert adds a record and reports whether there was room.
+// insert adds a record. It returns false if the table is full.
 func (t *table) insert(r record, now time.Time) bool {
 	if t.len() >= t.capacity {
 		return false
 	}
-	r.since = t.age(now)
+	r.inserted = t.sinceBase(now)
 	if old := t.find(r.key); old != nil {
-		old.state = recordReplaced
+		old.state = recordSuperseded
 	}
 	if t.next%chunkRecords == 0 {
 		t.chunks = append(t.chunks, make([]record, chunkRecords))
 	}
 	t.index[r.key] = t.next
 	t.next++
-	*t.at(t.next - 1) = r
+	*t.recordAt(t.next - 1) = r
 	return true
 }
 
-// expire forgets the records that are older than the retention.
+// expire removes the records that are older than the retention.
 func (t *table) expire(now time.Time, retention time.Duration) {
-	age := t.age(now)
-	for t.len() > 0 && age-t.at(t.first).since > retention {
-		t.forget(t.first, t.at(t.first).key)
+	age := t.sinceBase(now)
+	for t.len() > 0 && age-t.recordAt(t.first).inserted > retention {
+		t.unindex(t.first, t.recordAt(t.first).key)
 		t.first++
 		if t.first%chunkRecords == 0 {
 			t.chunks = slices.Delete(t.chunks, 0, 1)
@@ -102,16 +105,16 @@
 	}
 }
 
-func (t *table) forget(sequence uint64, key KeyHash) {
+func (t *table) unindex(sequence uint64, key KeyHash) {
 	if newest, ok := t.index[key]; ok && newest == sequence {
 		delete(t.index, key)
 	}
 }
 
-// merge adds a claim that another replica handed over and reports whether
-// there was room. A claim that is known already keeps its age, which counts
-// from after the receipt of its call; where attempts differ the age starts
-// anew, since the other one may belong to a later use of the key.
+// merge adds a claim copied from another replica. It returns false if the table
+// is full. A claim that is already present keeps its age, which is safe because
+// it was inserted after its call was received. If the attempts differ, the age
+// starts again, because the other attempt may be a later use of the key.
 func (t *table) merge(c CopiedClaim, now time.Time) bool {
 	state := recordHeld
 	if c.Contested {
@@ -127,12 +130,12 @@
 	return t.insert(record{key: c.Key, attempt: c.Attempt, state: state}, now)
 }
 
-// page returns the claims from the cursor on, the cursor of the next page and
-// whether this one is the last.
+// page returns the claims starting at the cursor, the cursor of the next page
+// and whether this page is the last one.
 func (t *table) page(cursor uint64) (claims []CopiedClaim, next uint64, last bool) {
 	next = max(cursor, t.first)
 	for next < t.next && len(claims) < maximumPageClaims {
-		r := t.at(next)
+		r := t.recordAt(next)
 		next++
 		if r.state == recordHeld || r.state == recordContested {
 			claims = append(claims, CopiedClaim{Key: r.key, Attempt: r.attempt, Contested: r.state == recordContested})
--- a/internal/claim/table_test.go
+++ b/internal/claim/table_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestTableAgainstMap compares the table, over chunk borders, with a plain map
-// of the keys and their times.
+// TestTableAgainstMap compares the table, across chunk boundaries, with a map
+// from keys to insertion times.
 func TestTableAgainstMap(t *testing.T) {
 	const retention = time.Minute
 	rapid.Check(t, func(t *rapid.T) {
@@ -38,12 +38,12 @@
 			for key := range model {
 				assert.Assert(t, table.find(key) != nil)
 			}
-			assert.Equal(t, len(copyOf(table)), len(model))
+			assert.Equal(t, len(allPages(table)), len(model))
 		}
 	})
 }
 
-func copyOf(t *table) (all []CopiedClaim) {
+func allPages(t *table) (all []CopiedClaim) {
 	for cursor, last := uint64(0), false; !last; {
 		var claims []CopiedClaim
 		claims, cursor, last = t.page(cursor)
@@ -52,7 +52,7 @@
 	return all
 }
 
-func TestMergeRefusesKeysWithDifferentAttempts(t *testing.T) {
+func TestMergeMarksDifferentAttemptsContested(t *testing.T) {
 	now := time.Unix(0, 0)
 	key, one, two := KeyHash{1}, AttemptID{1}, AttemptID{2}
 	table := newTable(10)
--- a/internal/claim/transition.go
+++ b/internal/claim/transition.go
@@ -1,14 +1,14 @@
 package claim
 
-// NextReplace gives the seat held by the holder to a joining replica, in place
-// of one that may be joining already. The holder doesn't vote from then on. It
-// fails with ErrTooFewVoters when the joining replica could not copy the
-// claims of a majority.
+// NextReplace starts the replacement of a holder by a joining replica, which
+// supersedes a replica that is already joining for the seat. The holder loses
+// its vote. NextReplace fails with ErrTooFewVoters if too few voters would be
+// left for the joining replica to copy the claims of a majority.
 func (r Roster) NextReplace(holder Identity, joining Member) (Roster, error) {
 	if r.seatOf(joining.Identity) != nil || r.joiningSeatOf(joining.Identity) != nil {
 		return Roster{}, ErrAlreadySeated
 	}
-	n := r.next()
+	n := r.nextEpoch()
 	seat := n.seatOf(holder)
 	if seat == nil {
 		return Roster{}, ErrNoSeat
@@ -20,10 +20,10 @@
 	return n, n.Validate()
 }
 
-// NextReinstate lets a holder vote again that was to be replaced. It still has
-// its memory, since the boot id is the same.
+// NextReinstate cancels the replacement of a holder, which can then vote again.
+// The holder still has its claims, since its boot ID is the same.
 func (r Roster) NextReinstate(holder Identity) (Roster, error) {
-	n := r.next()
+	n := r.nextEpoch()
 	seat := n.seatOf(holder)
 	if seat == nil || seat.Joining == nil || seat.Lost {
 		return Roster{}, ErrNoSeat
@@ -32,11 +32,10 @@
 	return n, n.Validate()
 }
 
-// NextActivate makes a joining replica the holder of its seat. Only the
-// replica itself may ask for it, and only while Replica.Ready reports the
-// epoch of r.
+// NextActivate makes a joining replica the holder of its seat. Only the replica
+// itself may call it, and only while Replica.Ready returns the epoch of r.
 func (r Roster) NextActivate(joining Identity) (Roster, error) {
-	n := r.next()
+	n := r.nextEpoch()
 	seat := n.joiningSeatOf(joining)
 	if seat == nil {
 		return Roster{}, ErrNoSeat
@@ -45,17 +44,18 @@
 	return n, n.Validate()
 }
 
-// NextLost marks the holder that has the name of the given process and another
-// boot id. The process testifies that the holder is dead, since two processes
-// never have one name at a time; so only the process itself may ask for it.
-func (r Roster) NextLost(witness Identity) (Roster, error) {
-	n := r.next()
+// NextLost marks as lost the holder that has the same name as the given process
+// and another boot ID. Two processes never have the same name at a time, so the
+// running process proves that the holder has ended. Therefore only that process
+// itself may call it.
+func (r Roster) NextLost(process Identity) (Roster, error) {
+	n := r.nextEpoch()
 	for i := range n.Seats {
 		seat := &n.Seats[i]
-		if seat.Holder.Identity.Name != witness.Name || seat.Lost {
+		if seat.Holder.Identity.Name != process.Name || seat.Lost {
 			continue
 		}
-		if seat.Holder.Identity.Boot == witness.Boot {
+		if seat.Holder.Identity.Boot == process.Boot {
 			return Roster{}, ErrSameBoot
 		}
 		seat.Lost = true
@@ -64,10 +64,10 @@
 	return Roster{}, ErrNoSeat
 }
 
-// NextForget marks a holder as lost on the word of an operator. It is safe
-// only if the holder's machine is off for good.
+// NextForget marks a holder as lost at an operator's request. It is safe only if
+// the holder's machine has been shut down permanently.
 func (r Roster) NextForget(holder Identity) (Roster, error) {
-	n := r.next()
+	n := r.nextEpoch()
 	seat := n.seatOf(holder)
 	if seat == nil || seat.Lost {
 		return Roster{}, ErrNoSeat
@@ -76,9 +76,9 @@
 	return n, n.Validate()
 }
 
-// NextGeneration seats new members when a majority of the holders is marked
-// lost, so that no claim can be decided any more by the holders before. The
-// new holders grant nothing until the retention has passed.
+// NextGeneration replaces all holders once a majority of them is marked as lost,
+// so that the old holders can no longer decide a claim. The new holders grant
+// nothing until the retention has passed.
 func (r Roster) NextGeneration(members []Member) (Roster, error) {
 	if r.LostSeats() < r.Majority() {
 		return Roster{}, ErrTooFewLost
@@ -86,8 +86,8 @@
 	if len(members) != len(r.Seats) {
 		return Roster{}, ErrWrongMemberSize
 	}
-	n := r.next()
-	n.Founded = n.Epoch
-	n.Seats = founders(members)
+	n := r.nextEpoch()
+	n.FoundingEpoch = n.Epoch
+	n.Seats = founderSeats(members)
 	return n, n.Validate()
 }
