--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -1,11 +1,11 @@
-// Package home is the part of a node that guards targets. Every target has one
-// home node, which counts the target's work exactly, orders the calls that wait
-// for it by criticality and sheds the least important first.
+// Package home implements admission control for targets. Every target has one
+// home node, which counts the target's calls exactly, queues waiting calls by
+// criticality and sheds the least important ones first.
 //
-// For a short time after the membership changed, two nodes may both serve as
-// the home of a target. Each then keeps to a limit of its own below the
-// target's slots, a new one to half of them, so that the target is never sent
-// more than twice its slots.
+// For a short time after a membership change, two nodes may both act as the
+// home of a target. Each of them enforces its own limit, which is at most the
+// target's slots, or half of them on a node that isn't the owner. The target
+// therefore never receives more than twice its slots.
 package home
 
 import (
@@ -30,50 +30,51 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// Step is the name of this step in problems and errors.
+// Step is the step name used in problems and errors of this package.
 const Step = "home"
 
-// Call is a call with what the home needs to know of it.
+// Call is a call with its call context.
 type Call struct {
 	transport.Call
 	Context callcontext.Context
 }
 
-// Reply is a target's complete answer, or the beginning of a large one.
+// Reply is a target's answer. Of a large answer only the first part is buffered.
 type Reply struct {
 	*transport.Response
-	// Load is the home's state when the answer came.
+	// Load is the home's load when the answer was received.
 	Load Load
 }
 
-// Load is what a home tells the nodes that send it calls.
+// Load is the load of a target that its home reports to the nodes that forward
+// calls to it.
 type Load struct {
 	InFlight   int
 	Limit      int
 	Queued     int
 	QueueDelay time.Duration
-	// Threshold is the rank key from which on calls are refused upstream.
+	// Threshold is the rank key at and above which calls are refused upstream.
 	Threshold uint16
-	// Version orders the loads of one target: the home's clock in milliseconds
-	// since 1970.
+	// Version orders the loads of a target. It is the home's clock in
+	// milliseconds since 1970.
 	Version uint64
 }
 
-// Settings are the parts of the node's settings that homes use.
+// Settings are the settings of a Manager.
 type Settings struct {
-	// Queue bounds the calls that wait for one target.
+	// Queue configures the queue of each target.
 	Queue scheduler.Config
-	// MaxBuffered is the largest answer, in bytes, that is held whole.
+	// MaxBuffered is the size in bytes up to which an answer is fully buffered.
 	MaxBuffered int64
-	// Acting reports whether this node may act as a home now; it is asked right
-	// before a call is sent. Nil means always.
+	// Acting reports whether this node may act as a home now. It is called
+	// right before a call is sent. Nil means always.
 	Acting func() bool
 	// FixedLimit keeps the limit at the declared slots, for experiments.
 	FixedLimit bool
 }
 
-// guard is the state of one target at its home.
-type guard struct {
+// targetState is the admission state of one target at its home.
+type targetState struct {
 	target    *catalog.Target
 	owner     bool
 	limiter   *limit.Limiter
@@ -83,54 +84,55 @@
 	lastUsed  time.Time
 }
 
-// Manager holds the guards of the targets that this node serves as the home
-// of. It is safe for concurrent use.
+// Manager holds the state of the targets that have this node as their home. It
+// is safe for concurrent use.
 type Manager struct {
 	settings Settings
 	now      func() time.Time
 
-	mutex  sync.RWMutex
-	guards map[string]*guard
+	mutex   sync.RWMutex
+	targets map[string]*targetState
 }
 
-// NewManager returns a manager without guards; they are made when a call for
-// their target comes.
+// NewManager returns a manager without targets. The state of a target is created
+// on its first call.
 func NewManager(settings Settings, now func() time.Time) *Manager {
-	return &Manager{settings: settings, now: now, guards: map[string]*guard{}}
+	return &Manager{settings: settings, now: now, targets: map[string]*targetState{}}
 }
 
-// Run sends the call to the target as soon as its limit allows. The service is
-// the target's. On error the problem says whether the target may have run it.
+// Run sends the call to the target as soon as the target's limit allows it.
+// service must be the target's service. If the call fails, the problem tells
+// whether the target may have run it.
 func (m *Manager) Run(ctx context.Context, service *catalog.Service, target *catalog.Target, owner bool, call *Call) (*Reply, *problem.Problem) {
 	if target.Draining {
 		return nil, problem.New(problem.Draining, problem.ExecutedNo, Step, target.Name, "the target is leaving").
 			WithRetryAfter(time.Second)
 	}
-	g := m.guardOf(target, owner)
-	g.shedding.Observe(call.Context.Rank)
-	if g.sheds(call.Context.Rank) {
+	s := m.stateOf(target, owner)
+	s.shedding.Observe(call.Context.Rank)
+	if s.shouldShed(call.Context.Rank) {
 		return nil, problem.New(problem.Overloaded, problem.ExecutedNo, Step, target.Name, "calls of this rank are being shed").
 			WithRetryAfter(time.Second)
 	}
-	permit, err := g.scheduler.Acquire(ctx, scheduler.Request{
+	permit, err := s.scheduler.Acquire(ctx, scheduler.Request{
 		Rank:     call.Context.Rank,
 		Deadline: call.Context.Deadline,
 		Caller:   xxhash.Sum64String(call.Context.Caller),
 	})
 	if err != nil {
-		return nil, refused(target, err)
+		return nil, refusalProblem(target, err)
 	}
-	if !m.acting() {
+	if !m.mayServe() {
 		permit.Cancel()
 		return nil, problem.New(problem.NoTarget, problem.ExecutedNo, Step, target.Name, "the home was paused and has not caught up").
 			WithRetryAfter(time.Second)
 	}
-	return g.exchange(ctx, service, permit, call, m.now)
+	return s.exchange(ctx, service, permit, call, m.now)
 }
 
-func (m *Manager) acting() bool { return m.settings.Acting == nil || m.settings.Acting() }
+func (m *Manager) mayServe() bool { return m.settings.Acting == nil || m.settings.Acting() }
 
-func refused(target *catalog.Target, err error) *problem.Problem {
+func refusalProblem(target *catalog.Target, err error) *problem.Problem {
 	var refusal *scheduler.Refusal
 	if !errors.As(err, &refusal) {
 		return problem.New(problem.CallerGone, problem.ExecutedNo, Step, target.Name, err.Error()).WithCause(err)
@@ -143,33 +145,34 @@
 		WithRetryAfter(refusal.RetryAfter).WithCause(err)
 }
 
-func (g *guard) exchange(ctx context.Context, service *catalog.Service, permit *scheduler.Permit, call *Call, now func() time.Time) (*Reply, *problem.Problem) {
+func (s *targetState) exchange(ctx context.Context, service *catalog.Service, permit *scheduler.Permit, call *Call, now func() time.Time) (*Reply, *problem.Problem) {
 	setTimeout(call.Header, call.Context.Deadline.Sub(now()))
-	answer, err := g.pool.Exchange(ctx, &call.Call)
+	answer, err := s.pool.Exchange(ctx, &call.Call)
 	if err != nil {
-		failure := failed(ctx, g.target, err)
+		failure := exchangeProblem(ctx, s.target, err)
 		permit.Release(limit.Sample{Outcome: outcomeOf(failure)})
 		return nil, failure
 	}
-	g.hint(service, answer.Header)
-	if refusal := targetRefusal(service, g.target, answer); refusal != nil {
+	s.reportLoadHint(service, answer.Header)
+	if refusal := targetRefusal(service, s.target, answer); refusal != nil {
 		answer.Close()
 		permit.Release(limit.Sample{Outcome: limit.Overload})
 		return nil, refusal
 	}
 	StripHop(answer.Header)
-	disownProblem(g.target, answer)
+	markProblemUnknown(s.target, answer)
 	if answer.Remainder != nil {
-		answer.Remainder = &releasing{ReadCloser: answer.Remainder, release: permit.Release}
+		answer.Remainder = &permitReleaser{ReadCloser: answer.Remainder, release: permit.Release}
 	} else {
 		permit.Release(limit.Sample{Outcome: limit.Success})
 	}
-	return &Reply{Response: answer, Load: g.load(now())}, nil
+	return &Reply{Response: answer, Load: s.load(now())}, nil
 }
 
-// disownProblem corrects a problem document that a target passed on from
-// further down its chain. One that is too large to be looked at is replaced.
-func disownProblem(target *catalog.Target, answer *transport.Response) {
+// markProblemUnknown sets executed to unknown in a problem document that a target
+// passed on from a downstream service. A document that is too large to be parsed
+// is replaced.
+func markProblemUnknown(target *catalog.Target, answer *transport.Response) {
 	if !isProblemType(answer.Header.Get("Content-Type")) {
 		return
 	}
@@ -186,8 +189,8 @@
 	}
 }
 
-// isProblemType reports whether the media type is that of problem documents. Most
-// answers are told apart by their first letters.
+// isProblemType reports whether the media type is that of problem documents. The
+// prefix comparison avoids parsing the media type of most answers.
 func isProblemType(contentType string) bool {
 	contentType = strings.TrimSpace(contentType)
 	length := len(problem.ContentType)
@@ -198,24 +201,26 @@
 	return err == nil && mediaType == problem.ContentType
 }
 
-// setTimeout tells the target how long its answer is waited for.
+// setTimeout sets the header that gives the target the remaining time.
 func setTimeout(header http.Header, left time.Duration) {
 	header.Set(callcontext.TimeoutHeader, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
 }
 
-// hint passes on the load that the target reports; it lags and misleads, so the
-// limiter takes it only as a reason to send less.
-func (g *guard) hint(service *catalog.Service, header http.Header) {
+// reportLoadHint passes the load that the target reports to the limiter. Reported
+// loads are delayed and can be wrong, so the limiter uses them only to lower the
+// limit.
+func (s *targetState) reportLoadHint(service *catalog.Service, header http.Header) {
 	if service.Spec.LoadHeader == "" {
 		return
 	}
 	if load, err := strconv.ParseFloat(header.Get(service.Spec.LoadHeader), 64); err == nil {
-		g.limiter.Hint(load)
+		s.limiter.Hint(load)
 	}
 }
 
-// targetRefusal recognises the answer by which a target refuses a call that it
-// has not run, where the service's settings say how its targets do that.
+// targetRefusal returns a problem if the answer is a target's refusal of a call
+// that it has not run. Refusals are marked by the header that is configured for
+// the service.
 func targetRefusal(service *catalog.Service, target *catalog.Target, answer *transport.Response) *problem.Problem {
 	name := service.Spec.RefusalHeader
 	if name == "" || answer.Header.Get(name) == "" {
@@ -232,8 +237,8 @@
 	return refusal.WithRetryAfter(time.Duration(seconds) * time.Second)
 }
 
-// failed turns a failed exchange into a problem.
-func failed(ctx context.Context, target *catalog.Target, err error) *problem.Problem {
+// exchangeProblem returns the problem for a failed exchange with the target.
+func exchangeProblem(ctx context.Context, target *catalog.Target, err error) *problem.Problem {
 	executed := problem.ExecutedUnknown
 	reason := problem.TargetFailed
 	var failure *transport.Failure
@@ -262,15 +267,16 @@
 	return limit.Failure
 }
 
-// releasing gives the permit back when the rest of a large answer was read.
-type releasing struct {
+// permitReleaser releases the permit when the remainder of a large answer is
+// closed.
+type permitReleaser struct {
 	io.ReadCloser
 	release func(limit.Sample)
 	once    sync.Once
 }
 
-// Close closes the answer and gives the permit back.
-func (r *releasing) Close() error {
+// Close closes the answer and releases the permit.
+func (r *permitReleaser) Close() error {
 	r.once.Do(func() { r.release(limit.Sample{Outcome: limit.Success}) })
 	return r.ReadCloser.Close()
 }
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -29,7 +29,7 @@
 	return NewManager(settings, time.Now)
 }
 
-// newTarget serves a target and counts the calls that reach it.
+// newTarget serves a target and counts the calls that it receives.
 func newTarget(t *testing.T, slots int, handler http.HandlerFunc) (*catalog.Target, *atomic.Int64) {
 	t.Helper()
 	count := &atomic.Int64{}
@@ -43,7 +43,7 @@
 	}}, count
 }
 
-func answering(status int, body string) http.HandlerFunc {
+func respondWith(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status); _, _ = io.WriteString(w, body) }
 }
 
@@ -61,24 +61,24 @@
 var service = &catalog.Service{Name: "a"}
 
 // eventually polls until the condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if holds() {
+		if condition() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("%s", description)
 	}, poll.WithDelay(time.Millisecond), poll.WithTimeout(5*time.Second))
 }
 
-func isProblem(t *testing.T, failure *problem.Problem, reason problem.Reason, executed problem.Executed) {
+func assertProblem(t *testing.T, failure *problem.Problem, reason problem.Reason, executed problem.Executed) {
 	t.Helper()
 	assert.Assert(t, failure != nil, "no problem")
 	assert.Equal(t, failure.Reason, reason, "%v", failure)
 	assert.Equal(t, failure.Executed, executed, "%v", failure)
 }
 
-func TestAnswer(t *testing.T) {
+func TestTargetAnswer(t *testing.T) {
 	target, _ := newTarget(t, 4, func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.Header.Get(callcontext.TimeoutHeader) != "")
 		w.Header().Set("X-Own", "1")
@@ -99,11 +99,11 @@
 	assert.Assert(t, reply.Load.Limit > 0 && reply.Load.Version > 0)
 }
 
-func TestDrainingTargetGetsNothing(t *testing.T) {
-	target, count := newTarget(t, 4, answering(200, ""))
+func TestDrainingTargetReceivesNoCalls(t *testing.T) {
+	target, count := newTarget(t, 4, respondWith(200, ""))
 	target.Draining = true
 	_, failure := newManager(Settings{}).Run(t.Context(), service, target, true, newCall())
-	isProblem(t, failure, problem.Draining, problem.ExecutedNo)
+	assertProblem(t, failure, problem.Draining, problem.ExecutedNo)
 	assert.Equal(t, count.Load(), int64(0))
 }
 
@@ -116,13 +116,13 @@
 		retryAfter string
 		seconds    int
 	}{
-		"503":               {refusing, 503, "Target-Shed", "7", 7},
-		"429":               {refusing, 429, "Target-Shed", "", 1},
-		"odd Retry-After":   {refusing, 503, "Target-Shed", "soon", 1},
-		"without header":    {refusing, 503, "X-Other", "7", 0},
-		"500 may have run":  {refusing, 500, "Target-Shed", "7", 0},
-		"success":           {refusing, 200, "Target-Shed", "", 0},
-		"service that does": {service, 503, "Target-Shed", "7", 0},
+		"503":                            {refusing, 503, "Target-Shed", "7", 7},
+		"429":                            {refusing, 429, "Target-Shed", "", 1},
+		"invalid Retry-After":            {refusing, 503, "Target-Shed", "soon", 1},
+		"without header":                 {refusing, 503, "X-Other", "7", 0},
+		"500 may have run":               {refusing, 500, "Target-Shed", "7", 0},
+		"success":                        {refusing, 200, "Target-Shed", "", 0},
+		"service without refusal header": {service, 503, "Target-Shed", "7", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			target, _ := newTarget(t, 4, func(w http.ResponseWriter, _ *http.Request) {
@@ -136,22 +136,23 @@
 				assert.Equal(t, reply.Status, c.status)
 				return
 			}
-			isProblem(t, failure, problem.Overloaded, problem.ExecutedNo)
+			assertProblem(t, failure, problem.Overloaded, problem.ExecutedNo)
 			assert.Equal(t, failure.RetryAfterSeconds, c.seconds)
 		})
 	}
 }
 
-// A target that passes on a problem document from further down has run itself.
-func TestPassedOnProblemBecomesUnknown(t *testing.T) {
+// A target that passes on a problem document from a downstream service has run
+// the call itself, so a document that says "executed: no" would be wrong.
+func TestForwardedProblemMarkedUnknown(t *testing.T) {
 	document := string(problem.New(problem.Overloaded, problem.ExecutedNo, "home", "b-1", "").Document())
 	large := string(problem.New(problem.Overloaded, problem.ExecutedNo, "home", "b-1", strings.Repeat("x", 2*maxBuffered)).Document())
 	for name, c := range map[string]struct{ contentType, body string }{
-		"as it came":      {problem.ContentType, document},
-		"with parameter":  {problem.ContentType + "; charset=utf-8", document},
-		"in upper case":   {"Application/Problem+JSON", document},
-		"with more space": {problem.ContentType, " " + document + "\n"},
-		"large":           {problem.ContentType, large},
+		"exact type":             {problem.ContentType, document},
+		"with parameter":         {problem.ContentType + "; charset=utf-8", document},
+		"other letter case":      {"Application/Problem+JSON", document},
+		"additional white space": {problem.ContentType, " " + document + "\n"},
+		"large":                  {problem.ContentType, large},
 	} {
 		t.Run(name, func(t *testing.T) {
 			target, _ := newTarget(t, 4, func(w http.ResponseWriter, _ *http.Request) {
@@ -165,9 +166,9 @@
 			recorder := httptest.NewRecorder()
 			reply.WriteTo(recorder, time.Time{})
 			reply.Close()
-			var told problem.Problem
-			assert.NilError(t, json.Unmarshal(recorder.Body.Bytes(), &told))
-			assert.Equal(t, told.Executed, problem.ExecutedUnknown)
+			var parsed problem.Problem
+			assert.NilError(t, json.Unmarshal(recorder.Body.Bytes(), &parsed))
+			assert.Equal(t, parsed.Executed, problem.ExecutedUnknown)
 			assert.Equal(t, recorder.Header().Get(problem.ExecutedHeader), "")
 			assert.Equal(t, recorder.Code, http.StatusServiceUnavailable)
 		})
@@ -196,15 +197,13 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 			defer cancel()
 			_, failure := m.Run(ctx, service, target, true, newCall())
-			isProblem(t, failure, c.reason, c.executed)
-			assert.Equal(t, m.InFlight(), 0, "the permit was not given back")
+			assertProblem(t, failure, c.reason, c.executed)
+			assert.Equal(t, m.InFlight(), 0, "the permit was not released")
 		})
 	}
 	t.Run("refused connection", func(t *testing.T) {
 		target := &catalog.Target{Name: "a-1", Target: resource.Target{Address: "127.0.0.1:1", Slots: 1, Connections: 1}}
 		_, failure := newManager(Settings{}).Run(t.Context(), service, target, true, newCall())
-		isProblem(t, failure, problem.TargetFailed, problem.ExecutedNo)
+		assertProblem(t, failure, problem.TargetFailed, problem.ExecutedNo)
 	})
 }
-
-// held is a target that answers when the test lets it.
--- a/internal/home/peer.go
+++ b/internal/home/peer.go
@@ -18,17 +18,17 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// The form of a forwarded call on the peer listener: the path is PathPrefix,
+// The path of a forwarded call on the peer listener is PathPrefix followed by
 // the target's name and the call's own path.
 const (
 	// PathPrefix starts the path of forwarded calls.
 	PathPrefix = "/peer/call/"
-	// LoadHeader carries the home's load on every answer of a home; an answer
-	// without it does not come from one.
+	// LoadHeader carries the home's load in every answer from a home. An answer
+	// without it was not sent by a home.
 	LoadHeader = "Lugspur-Home-Load"
-	// ResultHeader tells a target's answer from a problem of the home's.
+	// ResultHeader distinguishes a target's answer from a problem of the home.
 	ResultHeader = "Lugspur-Home-Result"
-	// ProblemHeader holds the home's problem document in base64, because an
+	// ProblemHeader carries the home's problem document in base64, because an
 	// answer to HEAD has no body.
 	ProblemHeader = "Lugspur-Home-Problem"
 
@@ -36,15 +36,15 @@
 	resultProblem = "problem"
 )
 
-// String returns the load as LoadHeader carries it: calls in flight, limit,
-// calls queued, queueing delay in microseconds, threshold, version.
+// String returns the value of LoadHeader: calls in flight, limit, calls queued,
+// queueing delay in microseconds, threshold, version.
 func (l Load) String() string {
 	return fmt.Sprintf("%d %d %d %d %d %d", l.InFlight, l.Limit, l.Queued, l.QueueDelay.Microseconds(), l.Threshold, l.Version)
 }
 
 const loadFields = 6
 
-// parseLoad reads a load as String writes it.
+// parseLoad parses the format written by String.
 func parseLoad(text string) (Load, error) {
 	fields := strings.Fields(text)
 	if len(fields) != loadFields {
@@ -68,8 +68,8 @@
 	}, nil
 }
 
-// WriteReply answers a forwarded call with the target's answer. An answer that
-// breaks off is aborted, so that the node that asked sees it as incomplete.
+// WriteReply answers a forwarded call with the target's answer. If the answer is
+// truncated, the connection is aborted so that the forwarding node detects it.
 func WriteReply(w http.ResponseWriter, reply *Reply, deadline time.Time) {
 	defer reply.Close()
 	w.Header().Set(ResultHeader, resultAnswer)
@@ -77,7 +77,7 @@
 	reply.WriteTo(w, deadline)
 }
 
-// WriteProblem answers a forwarded call with a problem of the home's.
+// WriteProblem answers a forwarded call with a problem of the home.
 func WriteProblem(w http.ResponseWriter, load Load, failure *problem.Problem) {
 	w.Header().Set(ResultHeader, resultProblem)
 	w.Header().Set(LoadHeader, load.String())
@@ -85,19 +85,18 @@
 	w.WriteHeader(failure.Status)
 }
 
-// LoadOf returns the load of the target's guard; it is zero without one.
+// LoadOf returns the target's load, or zero if there is no state for it.
 func (m *Manager) LoadOf(target string) Load {
 	m.mutex.RLock()
-	g := m.guards[target]
+	s := m.targets[target]
 	m.mutex.RUnlock()
-	if g == nil {
+	if s == nil {
 		return Load{}
 	}
-	return g.load(m.now())
+	return s.load(m.now())
 }
 
-// Client forwards calls to the homes of other nodes. It is safe for concurrent
-// use.
+// Client forwards calls to homes on other nodes. It is safe for concurrent use.
 type Client struct {
 	maxBuffered int64
 
@@ -105,12 +104,13 @@
 	pools map[string]*transport.Pool
 }
 
-// NewClient returns a client that holds answers up to the given size, in bytes.
+// NewClient returns a client that fully buffers answers of up to maxBuffered
+// bytes.
 func NewClient(maxBuffered int64) *Client {
 	return &Client{maxBuffered: maxBuffered, pools: map[string]*transport.Pool{}}
 }
 
-// maxIdlePerPeer bounds the idle connections kept to one peer.
+// maxIdlePerPeer is the maximum number of idle connections to one peer.
 const maxIdlePerPeer = 256
 
 func (c *Client) pool(peer string) *transport.Pool {
@@ -129,7 +129,7 @@
 	return pool
 }
 
-// Retain closes the pools of all peers but the given ones.
+// Retain closes the connection pools of all peers except the given ones.
 func (c *Client) Retain(peers map[string]bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -141,7 +141,7 @@
 	}
 }
 
-// Run has the call run by the home at the peer address.
+// Run forwards the call to the home at the peer address.
 func (c *Client) Run(ctx context.Context, peer, target string, call *Call) (*Reply, *problem.Problem) {
 	if err := call.Context.SetHeader(call.Header); err != nil {
 		return nil, problem.New(problem.Internal, problem.ExecutedNo, "forward", peer, err.Error()).WithCause(err)
@@ -150,7 +150,7 @@
 	forwarded.RequestURI = PathPrefix + target + call.RequestURI
 	answer, err := c.pool(peer).Exchange(ctx, &forwarded)
 	if err != nil {
-		return nil, forwardingFailed(ctx, peer, err)
+		return nil, forwardingProblem(ctx, peer, err)
 	}
 	load, err := parseLoad(answer.Header.Get(LoadHeader))
 	if err != nil {
@@ -158,10 +158,10 @@
 		return nil, problem.New(problem.TargetFailed, problem.ExecutedUnknown, "forward", peer, err.Error()).
 			WithRetryAfter(time.Second)
 	}
-	return interpret(peer, load, answer)
+	return parseReply(peer, load, answer)
 }
 
-func interpret(peer string, load Load, answer *transport.Response) (*Reply, *problem.Problem) {
+func parseReply(peer string, load Load, answer *transport.Response) (*Reply, *problem.Problem) {
 	result := answer.Header.Get(ResultHeader)
 	document := answer.Header.Get(ProblemHeader)
 	for _, name := range []string{ResultHeader, LoadHeader, ProblemHeader} {
@@ -187,7 +187,7 @@
 	return problem.Parse(document)
 }
 
-func forwardingFailed(ctx context.Context, peer string, err error) *problem.Problem {
+func forwardingProblem(ctx context.Context, peer string, err error) *problem.Problem {
 	executed := problem.ExecutedUnknown
 	reason := problem.TargetFailed
 	var failure *transport.Failure
@@ -205,12 +205,12 @@
 		WithRetryAfter(time.Second).WithCause(err)
 }
 
-// bufferedByServer is the size, in bytes, up to which net/http takes an answer
-// without waiting for its reader.
-const bufferedByServer = 2 << 10
+// serverBufferBytes is the size up to which net/http buffers an answer, so that
+// writing it doesn't wait for the client to read.
+const serverBufferBytes = 2 << 10
 
-// WriteTo writes the answer. When the rest of a large answer breaks off or is
-// not taken before the deadline, the connection is aborted.
+// WriteTo writes the answer. The connection is aborted if the remainder of a
+// large answer is truncated or can't be written before the deadline.
 func (r *Reply) WriteTo(w http.ResponseWriter, deadline time.Time) {
 	header := w.Header()
 	for name, values := range r.Header {
@@ -219,8 +219,8 @@
 	if r.Remainder == nil && !r.NoBody {
 		header.Set("Content-Length", strconv.Itoa(len(r.Body)))
 	}
-	if r.Remainder != nil || len(r.Body) > bufferedByServer {
-		// A connection that can't have a deadline is bounded by the server's own.
+	if r.Remainder != nil || len(r.Body) > serverBufferBytes {
+		// If setting the deadline fails, the server's own write timeout applies.
 		control := http.NewResponseController(w)
 		_ = control.SetWriteDeadline(deadline)
 		defer func() { _ = control.SetWriteDeadline(time.Time{}) }()
@@ -238,8 +238,8 @@
 	}
 }
 
-// StripHop removes the headers that hold for one connection only, and those by
-// which a stranger could pass for a node.
+// StripHop removes hop-by-hop headers and the headers that are reserved for
+// nodes, which callers or targets could forge.
 func StripHop(header http.Header) {
 	for _, listed := range header.Values("Connection") {
 		for name := range strings.SplitSeq(listed, ",") {
--- a/internal/home/peer_test.go
+++ b/internal/home/peer_test.go
@@ -16,10 +16,10 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-var someLoad = Load{InFlight: 1, Limit: 8, Queued: 2, QueueDelay: 3 * time.Millisecond, Threshold: 300, Version: 1_780_000_000_000}
+var sampleLoad = Load{InFlight: 1, Limit: 8, Queued: 2, QueueDelay: 3 * time.Millisecond, Threshold: 300, Version: 1_780_000_000_000}
 
 func TestLoadRoundTrip(t *testing.T) {
-	for _, want := range []Load{{}, someLoad} {
+	for _, want := range []Load{{}, sampleLoad} {
 		got, err := parseLoad(want.String())
 		assert.NilError(t, err)
 		assert.Equal(t, got, want)
@@ -33,8 +33,8 @@
 	assert.Equal(t, clamped.Threshold, uint16(criticality.RankCount))
 }
 
-// peerOf serves a home; the handler plays the part of the node.
-func peerOf(t *testing.T, handler http.HandlerFunc) string {
+// newPeer serves the handler as the peer listener of a home.
+func newPeer(t *testing.T, handler http.HandlerFunc) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -49,12 +49,12 @@
 	})
 	m := newManager(Settings{})
 	call := newCall()
-	peer := peerOf(t, func(w http.ResponseWriter, r *http.Request) {
+	peer := newPeer(t, func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.RequestURI == PathPrefix+"a-1/x?q=1")
 		got, err := callcontext.FromHeader(r.Header)
 		assert.Check(t, err == nil && got.RequestID == call.Context.RequestID)
-		here := newCall()
-		reply, _ := m.Run(r.Context(), service, target, true, here)
+		received := newCall()
+		reply, _ := m.Run(r.Context(), service, target, true, received)
 		WriteReply(w, reply, time.Time{})
 	})
 	call.RequestURI = "/x?q=1"
@@ -70,69 +70,69 @@
 	refusal := problem.New(problem.Overloaded, problem.ExecutedNo, Step, "a-1", "queue-full").WithRetryAfter(3 * time.Second)
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodHead} {
 		t.Run(method, func(t *testing.T) {
-			peer := peerOf(t, func(w http.ResponseWriter, _ *http.Request) { WriteProblem(w, someLoad, refusal) })
+			peer := newPeer(t, func(w http.ResponseWriter, _ *http.Request) { WriteProblem(w, sampleLoad, refusal) })
 			call := newCall()
 			call.Method = method
 			reply, failure := NewClient(maxBuffered).Run(t.Context(), peer, "a-1", call)
-			isProblem(t, failure, problem.Overloaded, problem.ExecutedNo)
+			assertProblem(t, failure, problem.Overloaded, problem.ExecutedNo)
 			assert.Equal(t, failure.RetryAfterSeconds, 3)
-			assert.Equal(t, reply.Load, someLoad)
+			assert.Equal(t, reply.Load, sampleLoad)
 		})
 	}
 }
 
-func TestAnswersThatAreNoHomes(t *testing.T) {
+func TestAnswersNotFromAHome(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
-		"somebody else":  answering(200, "hello"),
+		"not a home":     respondWith(200, "hello"),
 		"not found":      http.NotFound,
 		"malformed load": func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(LoadHeader, "1 2") },
-		"no result":      func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(LoadHeader, someLoad.String()) },
+		"no result":      func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(LoadHeader, sampleLoad.String()) },
 		"cut":            func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
-		"foreign problem": func(w http.ResponseWriter, _ *http.Request) {
+		"problem not sent by a home": func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(503)
 			_, _ = io.WriteString(w, `{"executed":"no"}`)
 		},
-		"problem's status": func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set(LoadHeader, someLoad.String())
+		"problem in the body only": func(w http.ResponseWriter, _ *http.Request) {
+			w.Header().Set(LoadHeader, sampleLoad.String())
 			w.Header().Set(ResultHeader, resultProblem)
 			_, _ = io.WriteString(w, `{"type":"urn:lugspur:problem:overloaded","status":0,"executed":"no"}`)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, failure := NewClient(maxBuffered).Run(t.Context(), peerOf(t, handler), "a-1", newCall())
-			isProblem(t, failure, problem.TargetFailed, problem.ExecutedUnknown)
+			_, failure := NewClient(maxBuffered).Run(t.Context(), newPeer(t, handler), "a-1", newCall())
+			assertProblem(t, failure, problem.TargetFailed, problem.ExecutedUnknown)
 		})
 	}
 }
 
-func TestNoHome(t *testing.T) {
+func TestUnreachableHome(t *testing.T) {
 	_, failure := NewClient(maxBuffered).Run(t.Context(), "127.0.0.1:1", "a-1", newCall())
-	isProblem(t, failure, problem.NoTarget, problem.ExecutedNo)
+	assertProblem(t, failure, problem.NoTarget, problem.ExecutedNo)
 	assert.Equal(t, failure.Peer, "127.0.0.1:1")
 }
 
-func TestForwardedCallThatIsCancelled(t *testing.T) {
-	left, began := make(chan struct{}), make(chan struct{})
-	peer := peerOf(t, func(_ http.ResponseWriter, r *http.Request) {
-		close(began)
+func TestCanceledForwardedCall(t *testing.T) {
+	canceled, started := make(chan struct{}), make(chan struct{})
+	peer := newPeer(t, func(_ http.ResponseWriter, r *http.Request) {
+		close(started)
 		<-r.Context().Done()
-		close(left)
+		close(canceled)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
-	go func() { <-began; cancel() }()
+	go func() { <-started; cancel() }()
 	_, failure := NewClient(maxBuffered).Run(ctx, peer, "a-1", newCall())
-	isProblem(t, failure, problem.CallerGone, problem.ExecutedUnknown)
-	<-left
+	assertProblem(t, failure, problem.CallerGone, problem.ExecutedUnknown)
+	<-canceled
 }
 
-func TestLargeForwardedAnswerThatBreaksOff(t *testing.T) {
+func TestTruncatedLargeForwardedAnswer(t *testing.T) {
 	target, _ := newTarget(t, 1, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100000")
 		_, _ = io.WriteString(w, strings.Repeat("x", 5*maxBuffered))
 		panic(http.ErrAbortHandler)
 	})
 	m := newManager(Settings{})
-	peer := peerOf(t, func(w http.ResponseWriter, r *http.Request) {
+	peer := newPeer(t, func(w http.ResponseWriter, r *http.Request) {
 		reply, _ := m.Run(r.Context(), service, target, true, newCall())
 		WriteReply(w, reply, time.Time{})
 	})
@@ -140,13 +140,13 @@
 	assert.Assert(t, failure == nil, "%v", failure)
 	_, err := io.Copy(io.Discard, reply.Remainder)
 	reply.Close()
-	assert.Assert(t, err != nil, "the answer looks complete")
-	eventually(t, "permit given back", func() bool { return m.InFlight() == 0 })
+	assert.Assert(t, err != nil, "the truncated answer was read without an error")
+	eventually(t, "permit released", func() bool { return m.InFlight() == 0 })
 }
 
 func TestRetainClosesOtherPools(t *testing.T) {
-	peer := peerOf(t, func(w http.ResponseWriter, _ *http.Request) {
-		WriteProblem(w, someLoad, problem.New(problem.NoTarget, problem.ExecutedNo, "", "", ""))
+	peer := newPeer(t, func(w http.ResponseWriter, _ *http.Request) {
+		WriteProblem(w, sampleLoad, problem.New(problem.NoTarget, problem.ExecutedNo, "", "", ""))
 	})
 	client := NewClient(maxBuffered)
 	_, _ = client.Run(t.Context(), peer, "a-1", newCall())
@@ -156,7 +156,7 @@
 	assert.Equal(t, len(client.pools), 0)
 }
 
-func TestStripHop(t *testing.T) {
+func TestStripHopHeaders(t *testing.T) {
 	header := http.Header{"Connection": {"X-One, keep-alive"}, "X-One": {"1"}, "X-Two": {"2"}, "Te": {"trailers"}}
 	for _, name := range hopHeaders {
 		header.Set(name, header.Get(name)+"x")
--- a/internal/home/shedding_test.go
+++ b/internal/home/shedding_test.go
@@ -13,10 +13,11 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// TestShedCallsDoNotWait has a call wait for a busy target that sheds sheddable
-// calls: one more of those is refused at once, and more important ones wait.
+// TestShedCallsDoNotWait has one call queued for a busy target that sheds
+// sheddable calls. Another sheddable call must be refused immediately, while a
+// more important one is queued.
 func TestShedCallsDoNotWait(t *testing.T) {
-	target, count, release := held(t, 1)
+	target, count, release := newBlockingTarget(t, 1)
 	releaseOnce := sync.OnceFunc(func() { close(release) })
 	defer releaseOnce()
 	m := newManager(Settings{Queue: scheduler.Config{MaxWait: time.Minute}})
@@ -28,7 +29,7 @@
 	sheddable := newCall()
 	sheddable.Context.Rank = criticality.Rank{Level: criticality.Sheddable}
 	sheddable.Context.Deadline = time.Now().Add(300 * time.Millisecond)
-	shedding := m.guardOf(target, true).shedding
+	shedding := m.stateOf(target, true).shedding
 	full := shed.State{InFlight: 1, Limit: 1, Queued: 9}
 	shedding.Tick(time.Unix(1, 0), full)
 	shedding.Observe(sheddable.Context.Rank)
@@ -36,7 +37,7 @@
 	shedding.Tick(time.Unix(2, 0), full)
 
 	refused := (<-start(m, target, sheddable)).failure
-	isProblem(t, refused, problem.Overloaded, problem.ExecutedNo)
+	assertProblem(t, refused, problem.Overloaded, problem.ExecutedNo)
 	assert.Equal(t, refused.Detail, "calls of this rank are being shed")
 	important := start(m, target, newCall())
 	eventually(t, "important call in the queue", func() bool { return m.LoadOf("a-1").Queued == 2 })
--- a/internal/home/guards_test.go
+++ b/internal/home/targetstate_test.go
@@ -20,7 +20,7 @@
 	"github.com/lugspur/lugspur/internal/scheduler"
 )
 
-func TestPermitOfALargeAnswerThatBreaksOff(t *testing.T) {
+func TestPermitReleasedAfterTruncatedLargeAnswer(t *testing.T) {
 	target, _ := newTarget(t, 1, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100000")
 		_, _ = io.WriteString(w, strings.Repeat("x", 5*maxBuffered))
@@ -30,7 +30,7 @@
 	for range 3 {
 		reply, failure := m.Run(t.Context(), service, target, true, newCall())
 		assert.Assert(t, failure == nil, "%v", failure)
-		assert.Equal(t, m.InFlight(), 1, "the permit of an unfinished answer was given back")
+		assert.Equal(t, m.InFlight(), 1, "the permit of an incomplete answer was released")
 		func() {
 			defer func() {
 				assert.Equal(t, recover(), http.ErrAbortHandler, "the connection to the caller is not aborted")
@@ -48,7 +48,7 @@
 		want               int
 	}{{8, 10, true, 8}, {10, 8, true, 8}, {8, 8, false, 4}, {1, 1, false, 1}, {9, 9, false, 4}} {
 		t.Run(fmt.Sprint(c), func(t *testing.T) {
-			target, _ := newTarget(t, c.slots, answering(200, ""))
+			target, _ := newTarget(t, c.slots, respondWith(200, ""))
 			target.Connections = c.connections
 			m := newManager(Settings{FixedLimit: true})
 			_, failure := m.Run(t.Context(), service, target, c.owner, newCall())
@@ -77,7 +77,9 @@
 	}
 }
 
-func held(t *testing.T, slots int) (*catalog.Target, *atomic.Int64, chan struct{}) {
+// newBlockingTarget serves a target that answers once the returned channel is
+// closed.
+func newBlockingTarget(t *testing.T, slots int) (*catalog.Target, *atomic.Int64, chan struct{}) {
 	release := make(chan struct{})
 	target, count := newTarget(t, slots, func(_ http.ResponseWriter, r *http.Request) {
 		select {
@@ -102,23 +104,23 @@
 	return results
 }
 
-func TestResetRefusesWaitersAndFinishesOthers(t *testing.T) {
-	target, count, release := held(t, 1)
+func TestResetRefusesQueuedCallsOnly(t *testing.T) {
+	target, count, release := newBlockingTarget(t, 1)
 	m := newManager(Settings{Queue: scheduler.Config{MaxWait: 10 * time.Second}})
 	running := start(m, target, newCall())
 	eventually(t, "call at the target", func() bool { return count.Load() == 1 })
 	waiting := start(m, target, newCall())
 	eventually(t, "call in the queue", func() bool { return m.LoadOf("a-1").Queued == 1 })
 	m.Reset()
-	isProblem(t, (<-waiting).failure, problem.NoTarget, problem.ExecutedNo)
+	assertProblem(t, (<-waiting).failure, problem.NoTarget, problem.ExecutedNo)
 	assert.Equal(t, len(m.Loads()), 0)
 	close(release)
 	got := <-running
-	assert.Assert(t, got.failure == nil, "a call in flight was cut: %v", got.failure)
+	assert.Assert(t, got.failure == nil, "a call in flight failed: %v", got.failure)
 }
 
 func TestMoreImportantCallsGoFirst(t *testing.T) {
-	target, count, release := held(t, 1)
+	target, count, release := newBlockingTarget(t, 1)
 	m := newManager(Settings{Queue: scheduler.Config{MaxQueue: 1, MaxWait: 10 * time.Second}})
 	first := start(m, target, newCall())
 	eventually(t, "call at the target", func() bool { return count.Load() == 1 })
@@ -128,15 +130,15 @@
 	eventually(t, "call in the queue", func() bool { return m.LoadOf("a-1").Queued == 1 })
 	highResult := start(m, target, high)
 	evicted := (<-lowResult).failure
-	isProblem(t, evicted, problem.Overloaded, problem.ExecutedNo)
+	assertProblem(t, evicted, problem.Overloaded, problem.ExecutedNo)
 	assert.Assert(t, evicted.RetryAfterSeconds > 0)
 	close(release)
 	assert.Assert(t, (<-highResult).failure == nil && (<-first).failure == nil)
 	assert.Equal(t, count.Load(), int64(2))
 }
 
-func TestCallerThatLeavesTheQueue(t *testing.T) {
-	target, count, release := held(t, 1)
+func TestCanceledCallerLeavesQueue(t *testing.T) {
+	target, count, release := newBlockingTarget(t, 1)
 	defer close(release)
 	m := newManager(Settings{Queue: scheduler.Config{MaxWait: 10 * time.Second}})
 	_ = start(m, target, newCall())
@@ -149,14 +151,14 @@
 	}()
 	eventually(t, "call in the queue", func() bool { return m.LoadOf("a-1").Queued == 1 })
 	cancel()
-	isProblem(t, (<-results).failure, problem.CallerGone, problem.ExecutedNo)
+	assertProblem(t, (<-results).failure, problem.CallerGone, problem.ExecutedNo)
 	assert.Equal(t, m.LoadOf("a-1").Queued, 0)
 }
 
-func TestIdleGuardsAreForgotten(t *testing.T) {
+func TestIdleTargetStateIsDropped(t *testing.T) {
 	now := time.Now()
 	m := NewManager(Settings{}, func() time.Time { return now })
-	target, _ := newTarget(t, 1, answering(200, ""))
+	target, _ := newTarget(t, 1, respondWith(200, ""))
 	call := newCall()
 	call.Context.Deadline = now.Add(time.Minute)
 	_, failure := m.Run(t.Context(), service, target, true, call)
@@ -168,9 +170,9 @@
 	assert.Equal(t, len(m.Loads()), 0)
 }
 
-func TestTargetThatMoves(t *testing.T) {
-	before, _ := newTarget(t, 2, answering(200, "before"))
-	after, _ := newTarget(t, 2, answering(200, "after"))
+func TestTargetAddressChange(t *testing.T) {
+	before, _ := newTarget(t, 2, respondWith(200, "before"))
+	after, _ := newTarget(t, 2, respondWith(200, "after"))
 	m := newManager(Settings{})
 	for _, target := range []*catalog.Target{before, after} {
 		_, failure := m.Run(t.Context(), service, target, true, newCall())
