--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -1,7 +1,7 @@
-// Package grant gives out a request's retries. The node that a request entered
-// holds its budget; every node on the chain asks it for a grant before it
-// sends a call again. A grant that gets lost on the way counts as spent, so
-// that the bound holds whatever the network does.
+// Package grant distributes a request's retry budget. The ingress node of a
+// request holds the budget. Every node on the call chain requests a grant from
+// it before it retries a call. A grant that is lost in transit counts as spent,
+// so that the budget is never exceeded, whatever the network does.
 package grant
 
 import (
@@ -23,13 +23,14 @@
 // Path is the path of grant requests on the peer listener.
 const Path = "/peer/grant"
 
-// maxMessageBytes bounds a message of this package.
+// maxMessageBytes is the maximum size of a request or response.
 const maxMessageBytes = 256
 
-// askTimeout bounds one grant request; a retry that waits longer is of no use.
-const askTimeout = 100 * time.Millisecond
+// requestTimeout is the timeout of a grant request. A retry that is delayed
+// longer than this is no longer useful.
+const requestTimeout = 100 * time.Millisecond
 
-// Token names one grant, so that a repeated message spends one retry only.
+// Token identifies a grant, so that a duplicate message spends only one retry.
 type Token [8]byte
 
 // NewToken returns a random token.
@@ -39,43 +40,44 @@
 	return token
 }
 
-// Ledger holds the budgets of the requests that entered by this node.
+// Ledger holds the retry budgets of the requests that entered at this node.
 type Ledger interface {
-	// Grant spends one retry of the request, once for each token, and reports
-	// whether there was one left.
+	// Grant spends one retry of the request and reports whether one was left.
+	// Repeated calls with the same token spend only one retry.
 	Grant(request callcontext.RequestID, token Token) bool
 }
 
-// question asks for one retry of a request.
-type question struct {
+// grantRequest requests one retry of a request.
+type grantRequest struct {
 	_       struct{} `cbor:",toarray"`
 	Request callcontext.RequestID
 	Token   Token
 }
 
-// received is a question before the lengths of its parts were checked; arrays
-// would be filled up from shorter ones.
-type received struct {
+// rawRequest is a grantRequest with unchecked lengths. Decoding directly into
+// arrays would silently pad byte strings that are too short.
+type rawRequest struct {
 	_       struct{} `cbor:",toarray"`
 	Request []byte
 	Token   []byte
 }
 
-// read returns the question's parts, or false if they don't have their lengths.
-func (q received) read() (request callcontext.RequestID, token Token, ok bool) {
+// parse returns the request ID and the token. ok is false if one of them has
+// the wrong length.
+func (q rawRequest) parse() (request callcontext.RequestID, token Token, ok bool) {
 	ok = len(q.Request) == len(request) && len(q.Token) == len(token)
 	copy(request[:], q.Request)
 	copy(token[:], q.Token)
 	return request, token, ok
 }
 
-// reply tells whether the retry was granted.
-type reply struct {
+// grantResponse reports whether the retry was granted.
+type grantResponse struct {
 	_       struct{} `cbor:",toarray"`
 	Granted bool
 }
 
-// Register adds the handler that answers other nodes to the peer listener.
+// Register adds the handler for grant requests to the peer listener's mux.
 func Register(mux *http.ServeMux, ledger Ledger) {
 	mux.HandleFunc("POST "+Path, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
@@ -83,17 +85,17 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		var asked received
-		if err := cbor.Unmarshal(body, &asked); err != nil {
+		var raw rawRequest
+		if err := cbor.Unmarshal(body, &raw); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		request, token, ok := asked.read()
+		request, token, ok := raw.parse()
 		if !ok {
 			http.Error(w, "malformed grant request", http.StatusBadRequest)
 			return
 		}
-		answer, err := cbor.Marshal(reply{Granted: ledger.Grant(request, token)})
+		answer, err := cbor.Marshal(grantResponse{Granted: ledger.Grant(request, token)})
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
@@ -102,37 +104,39 @@
 	})
 }
 
-// Client asks for grants. It is safe for concurrent use.
+// Client requests grants from ingress nodes. It is safe for concurrent use.
 type Client struct {
 	self   netip.AddrPort
 	ledger Ledger
 	http   *http.Client
 }
 
-// NewClient returns a client of the node at the peer address self.
+// NewClient returns a client for the node with the peer address self, whose own
+// requests are granted by the ledger directly.
 func NewClient(self netip.AddrPort, ledger Ledger, client *http.Client) *Client {
 	return &Client{self: self, ledger: ledger, http: client}
 }
 
-// Ask asks the request's ingress node for one retry. An error means that no
-// answer came: the retry is not granted, and may be spent.
+// Ask requests one retry from the request's ingress node. If it returns an
+// error, no valid answer was received: the retry is not granted, but may have
+// been spent.
 func (c *Client) Ask(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error) {
 	token := NewToken()
 	if ingress == c.self {
 		return c.ledger.Grant(request, token), nil
 	}
-	granted, err := c.ask(ctx, ingress, question{Request: request, Token: token})
+	granted, err := c.send(ctx, ingress, grantRequest{Request: request, Token: token})
 	if err != nil {
 		return false, oops.In("grant").With("step", "ask").With("peer", ingress.String()).
-			Wrapf(err, "ask %s for a retry", ingress)
+			Wrapf(err, "request a retry from %s", ingress)
 	}
 	return granted, nil
 }
 
-func (c *Client) ask(ctx context.Context, ingress netip.AddrPort, asked question) (bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+func (c *Client) send(ctx context.Context, ingress netip.AddrPort, message grantRequest) (bool, error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	body, err := cbor.Marshal(asked)
+	body, err := cbor.Marshal(message)
 	if err != nil {
 		return false, err
 	}
@@ -152,7 +156,7 @@
 	if err != nil {
 		return false, err
 	}
-	var answer reply
+	var answer grantResponse
 	if err := cbor.Unmarshal(content, &answer); err != nil {
 		return false, err
 	}
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -16,7 +16,8 @@
 	"github.com/lugspur/lugspur/internal/callcontext"
 )
 
-// budget grants so many retries of any request, once for each token.
+// budget is a Ledger with one budget for all requests. It spends one retry per
+// token.
 type budget struct {
 	mutex  sync.Mutex
 	left   int
@@ -45,24 +46,24 @@
 	return b.left
 }
 
-// serve runs the handler; around may spoil its answers.
-func serve(t *testing.T, ledger Ledger, around func(http.Handler) http.Handler) netip.AddrPort {
+// serve starts a server for the ledger. wrap may corrupt its answers.
+func serve(t *testing.T, ledger Ledger, wrap func(http.Handler) http.Handler) netip.AddrPort {
 	t.Helper()
 	mux := http.NewServeMux()
 	Register(mux, ledger)
-	server := httptest.NewServer(around(mux))
+	server := httptest.NewServer(wrap(mux))
 	t.Cleanup(server.Close)
 	return netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
 }
 
-func sound(next http.Handler) http.Handler { return next }
+func unmodified(next http.Handler) http.Handler { return next }
 
-var elsewhere = netip.MustParseAddrPort("127.0.0.1:1")
+var selfAddress = netip.MustParseAddrPort("127.0.0.1:1")
 
-func TestAskTheIngress(t *testing.T) {
+func TestRequestFromIngress(t *testing.T) {
 	ledger, own := newBudget(2), newBudget(5)
-	ingress := serve(t, ledger, sound)
-	client := NewClient(elsewhere, own, http.DefaultClient)
+	ingress := serve(t, ledger, unmodified)
+	client := NewClient(selfAddress, own, http.DefaultClient)
 	for _, want := range []bool{true, true, false} {
 		granted, err := client.Ask(t.Context(), ingress, callcontext.NewRequestID())
 		assert.NilError(t, err)
@@ -71,11 +72,11 @@
 	assert.Equal(t, own.remaining(), 5, "the node's own budget was used")
 }
 
-func TestAskItself(t *testing.T) {
+func TestRequestFromOwnLedger(t *testing.T) {
 	own := newBudget(1)
-	client := NewClient(elsewhere, own, &http.Client{Transport: noNetwork{t}})
+	client := NewClient(selfAddress, own, &http.Client{Transport: noNetwork{t}})
 	for _, want := range []bool{true, false} {
-		granted, err := client.Ask(t.Context(), elsewhere, callcontext.NewRequestID())
+		granted, err := client.Ask(t.Context(), selfAddress, callcontext.NewRequestID())
 		assert.NilError(t, err)
 		assert.Equal(t, granted, want)
 	}
@@ -88,19 +89,19 @@
 	return nil, http.ErrServerClosed
 }
 
-func TestNoGrantWithoutAnAnswer(t *testing.T) {
-	after := func(spoil func(http.ResponseWriter, *httptest.ResponseRecorder, *http.Request)) func(http.Handler) http.Handler {
+func TestNoGrantWithoutValidAnswer(t *testing.T) {
+	corruptAnswers := func(corrupt func(http.ResponseWriter, *httptest.ResponseRecorder, *http.Request)) func(http.Handler) http.Handler {
 		return func(next http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				recorder := httptest.NewRecorder()
 				next.ServeHTTP(recorder, r)
-				spoil(w, recorder, r)
+				corrupt(w, recorder, r)
 			})
 		}
 	}
-	for name, spoil := range map[string]func(http.ResponseWriter, *httptest.ResponseRecorder, *http.Request){
-		"connection cut": func(http.ResponseWriter, *httptest.ResponseRecorder, *http.Request) { panic(http.ErrAbortHandler) },
-		"no answer":      func(_ http.ResponseWriter, _ *httptest.ResponseRecorder, r *http.Request) { <-r.Context().Done() },
+	for name, corrupt := range map[string]func(http.ResponseWriter, *httptest.ResponseRecorder, *http.Request){
+		"connection aborted": func(http.ResponseWriter, *httptest.ResponseRecorder, *http.Request) { panic(http.ErrAbortHandler) },
+		"no answer":          func(_ http.ResponseWriter, _ *httptest.ResponseRecorder, r *http.Request) { <-r.Context().Done() },
 		"status": func(w http.ResponseWriter, r *httptest.ResponseRecorder, _ *http.Request) {
 			w.WriteHeader(http.StatusInternalServerError)
 			_, _ = w.Write(r.Body.Bytes())
@@ -116,26 +117,26 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			ledger := newBudget(1)
-			ingress := serve(t, ledger, after(spoil))
-			client := NewClient(elsewhere, newBudget(1), &http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
+			ingress := serve(t, ledger, corruptAnswers(corrupt))
+			client := NewClient(selfAddress, newBudget(1), &http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
 			granted, err := client.Ask(t.Context(), ingress, callcontext.NewRequestID())
 			assert.Assert(t, err != nil && !granted)
 			assert.ErrorContains(t, err, ingress.String())
-			assert.Equal(t, ledger.remaining(), 0, "a lost grant is not spent")
+			assert.Equal(t, ledger.remaining(), 0, "a lost grant was not spent")
 		})
 	}
 }
 
-func TestNobodyThere(t *testing.T) {
-	granted, err := NewClient(elsewhere, newBudget(1), http.DefaultClient).
+func TestUnreachableIngress(t *testing.T) {
+	granted, err := NewClient(selfAddress, newBudget(1), http.DefaultClient).
 		Ask(t.Context(), netip.MustParseAddrPort("127.0.0.1:9"), callcontext.NewRequestID())
 	assert.Assert(t, err != nil && !granted)
 }
 
-func TestCallersContextEndsTheQuestion(t *testing.T) {
+func TestCanceledContextEndsRequest(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	granted, err := NewClient(elsewhere, newBudget(1), http.DefaultClient).Ask(ctx, serve(t, newBudget(1), sound), callcontext.NewRequestID())
+	granted, err := NewClient(selfAddress, newBudget(1), http.DefaultClient).Ask(ctx, serve(t, newBudget(1), unmodified), callcontext.NewRequestID())
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.Assert(t, !granted)
 }
@@ -148,19 +149,19 @@
 	return recorder
 }
 
-func TestHandlerRefusesWhatIsMalformed(t *testing.T) {
-	valid, err := cbor.Marshal(question{Request: callcontext.NewRequestID(), Token: NewToken()})
+func TestHandlerRejectsMalformedMessages(t *testing.T) {
+	valid, err := cbor.Marshal(grantRequest{Request: callcontext.NewRequestID(), Token: NewToken()})
 	assert.NilError(t, err)
 	shortToken, err := cbor.Marshal([]any{make([]byte, 16), make([]byte, 3)})
 	assert.NilError(t, err)
 	for name, body := range map[string][]byte{
-		"empty":       nil,
-		"cut":         valid[:len(valid)-1],
-		"more behind": append(bytes.Clone(valid), 0),
-		"too large":   append(bytes.Clone(valid), make([]byte, maxMessageBytes)...),
-		"text":        []byte("please"),
-		"null":        {0xf6},
-		"short token": shortToken,
+		"empty":         nil,
+		"cut":           valid[:len(valid)-1],
+		"trailing byte": append(bytes.Clone(valid), 0),
+		"too large":     append(bytes.Clone(valid), make([]byte, maxMessageBytes)...),
+		"text":          []byte("please"),
+		"null":          {0xf6},
+		"short token":   shortToken,
 	} {
 		t.Run(name, func(t *testing.T) {
 			ledger := newBudget(1)
@@ -170,8 +171,8 @@
 	}
 }
 
-func TestARepeatedMessageSpendsOneRetry(t *testing.T) {
-	message, err := cbor.Marshal(question{Request: callcontext.NewRequestID(), Token: NewToken()})
+func TestRepeatedMessageSpendsOneRetry(t *testing.T) {
+	message, err := cbor.Marshal(grantRequest{Request: callcontext.NewRequestID(), Token: NewToken()})
 	assert.NilError(t, err)
 	ledger := newBudget(2)
 	first, second := post(ledger, message), post(ledger, message)
@@ -180,7 +181,7 @@
 }
 
 func FuzzHandler(f *testing.F) {
-	valid, err := cbor.Marshal(question{Request: callcontext.NewRequestID(), Token: NewToken()})
+	valid, err := cbor.Marshal(grantRequest{Request: callcontext.NewRequestID(), Token: NewToken()})
 	assert.NilError(f, err)
 	f.Add(valid)
 	f.Add([]byte{0x82, 0x40, 0x40})
@@ -189,7 +190,7 @@
 		if recorder.Code == http.StatusBadRequest {
 			return
 		}
-		var answer reply
+		var answer grantResponse
 		assert.Equal(t, recorder.Code, http.StatusOK)
 		assert.NilError(t, cbor.Unmarshal(recorder.Body.Bytes(), &answer))
 	})
