--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -101,7 +101,7 @@
 }
 
 // Run sends the call to the target as soon as the target's limit allows it.
-// service must be the target's service. If the call fails, the problem tells
+// service must be the target's service. If the call fails, the problem reports
 // whether the target may have run it.
 func (m *Manager) Run(ctx context.Context, service *catalog.Service, target *catalog.Target, owner bool, call *Call) (*Reply, *problem.Problem) {
 	if target.Draining {
