--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -28,8 +28,8 @@
 	Missing
 	// Unknown requests carry a key that no tenant holds.
 	Unknown
-	// Unproved requests can't be decided on: the configuration may be behind.
-	Unproved
+	// Unverified requests can't be decided on: the configuration may be behind.
+	Unverified
 )
 
 var outcomeNames = [...]string{"allowed", "no API key", "unknown API key", "the API key can't be checked"}
@@ -150,5 +150,5 @@
 }
 
 func unproved(age time.Duration) Decision {
-	return Decision{Outcome: Unproved, Age: age, RetryAfter: unprovedDelay + rand.N(unprovedDelay)}
+	return Decision{Outcome: Unverified, Age: age, RetryAfter: unprovedDelay + rand.N(unprovedDelay)}
 }
--- a/internal/apikey/apikey_test.go
+++ b/internal/apikey/apikey_test.go
@@ -173,7 +173,7 @@
 		time.Sleep(recent + time.Millisecond)
 		for _, keys := range [][]string{{"new"}, {"b"}, {}} {
 			decision := f.check(keys...)
-			assert.Equal(t, decision.Outcome, Unproved)
+			assert.Equal(t, decision.Outcome, Unverified)
 			assert.Assert(t, decision.RetryAfter >= unprovedDelay)
 		}
 	})
@@ -185,12 +185,12 @@
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newFixture(t)
 		f.put(1, map[string][]string{"one": {"a"}})
-		assert.Equal(t, f.check("a").Outcome, Unproved, "never verified")
+		assert.Equal(t, f.check("a").Outcome, Unverified, "never verified")
 		f.source.verify()
 		time.Sleep(4500 * time.Millisecond)
 		assert.Equal(t, f.check("a").Outcome, Allowed)
 		time.Sleep(bound - 4500*time.Millisecond)
-		assert.Equal(t, f.check("a").Outcome, Unproved)
+		assert.Equal(t, f.check("a").Outcome, Unverified)
 		time.Sleep(4 * time.Second)
 		f.source.verify()
 		assert.Equal(t, f.check("a").Outcome, Allowed)
@@ -208,7 +208,7 @@
 		}
 		synctest.Wait()
 		began := time.Now()
-		assert.Equal(t, f.check("new").Outcome, Unproved)
+		assert.Equal(t, f.check("new").Outcome, Unverified)
 		assert.Equal(t, time.Since(began), time.Duration(0))
 		time.Sleep(lookupTimeout)
 		assert.Equal(t, f.check("a").Outcome, Allowed)
--- a/internal/configfeed/feed.go
+++ b/internal/configfeed/feed.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// Change takes changes of the store that a source told.
-func (f *Feed) Change(entries []store.Entry, source string) {
+// ApplyChanges takes changes of the store that a source told.
+func (f *Feed) ApplyChanges(entries []store.Entry, source string) {
 	for _, entry := range entries {
 		if entry.Key == f.key {
 			f.change(entry, source)
--- a/internal/configfeed/feed_test.go
+++ b/internal/configfeed/feed_test.go
@@ -29,16 +29,16 @@
 }
 
 func change(feed *Feed, document string) {
-	feed.Change([]store.Entry{{Key: key, Value: []byte(document)}}, "store")
+	feed.ApplyChanges([]store.Entry{{Key: key, Value: []byte(document)}}, "store")
 }
 
 func TestVersionsOnlyRise(t *testing.T) {
 	feed, holder := newFeed()
 	change(feed, "5")
 	assert.Equal(t, holder.Version(), routetable.Version(5))
-	feed.Change([]store.Entry{{Key: key, Value: []byte("4")}}, "10.0.0.1:8300")
+	feed.ApplyChanges([]store.Entry{{Key: key, Value: []byte("4")}}, "10.0.0.1:8300")
 	assert.Equal(t, holder.Version(), routetable.Version(5))
-	feed.Change([]store.Entry{{Key: key, Value: []byte("8")}}, "10.0.0.1:8300")
+	feed.ApplyChanges([]store.Entry{{Key: key, Value: []byte("8")}}, "10.0.0.1:8300")
 	assert.Equal(t, holder.Version(), routetable.Version(8))
 	change(feed, "7")
 	assert.Equal(t, holder.Version(), routetable.Version(8), "an older one changes nothing")
@@ -61,6 +61,6 @@
 func TestOtherKeysAndDeletionsChangeNothing(t *testing.T) {
 	feed, holder := newFeed()
 	change(feed, "2")
-	feed.Change([]store.Entry{{Key: key + "-other", Value: []byte("3")}, {Key: key, Deleted: true}}, "store")
+	feed.ApplyChanges([]store.Entry{{Key: key + "-other", Value: []byte("3")}, {Key: key, Deleted: true}}, "store")
 	assert.Equal(t, holder.Version(), routetable.Version(2))
 }
--- a/internal/configfeed/proof.go
+++ b/internal/configfeed/proof.go
@@ -29,8 +29,8 @@
 	last time.Time
 }
 
-// NewProof returns the proof of what the feed put in force out of a copy.
-func NewProof(feed *Feed, copy Verification) *Proof { return &Proof{feed: feed, copy: copy} }
+// NewFreshness returns the proof of what the feed put in force out of a copy.
+func NewFreshness(feed *Feed, copy Verification) *Proof { return &Proof{feed: feed, copy: copy} }
 
 // VerifiedAt returns a moment at which the store held the configuration that is in force
 // now, or an older one that was then the newest; zero if none is known.
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -146,7 +146,7 @@
 	fixture := &fixture{levels: pressure.New(time.Now), quarantine: quarantine.New(quarantine.Config{Now: time.Now})}
 	for _, answer := range answers {
 		home := &fakeHome{answer: answer}
-		handler := peering.Handler(peering.Services{Home: home, AntiEntropy: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})
+		handler := peering.Handler(peering.Services{Home: home, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodGet {
 				fixture.pings.Add(1)
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -77,10 +77,10 @@
 type Quarantine interface {
 	// Empty reports whether there are no suspects.
 	Empty() bool
-	// Standing returns the crashes and the quarantine state of a request.
-	Standing(hash fingerprint.Fingerprint) quarantine.Standing
-	// Answered records that a target answered a request.
-	Answered(call quarantine.OpenCall)
+	// State returns the crashes and the quarantine state of a request.
+	State(hash fingerprint.Fingerprint) quarantine.State
+	// RecordAnswer records that a target answered a request.
+	RecordAnswer(call quarantine.Call)
 }
 
 // Keys checks the API keys of requests. It is safe for concurrent use.
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -329,7 +329,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
-	server := &http.Server{Handler: peering.Handler(peering.Services{Home: &fakeHome{answer: answerOK}, AntiEntropy: replica.NewSpread(replica.SpreadConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})}
+	server := &http.Server{Handler: peering.Handler(peering.Services{Home: &fakeHome{answer: answerOK}, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 }
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -22,7 +22,7 @@
 	if f.quarantine.Empty() {
 		return nil
 	}
-	standing := f.quarantine.Standing(q.fingerprint())
+	standing := f.quarantine.State(q.fingerprint())
 	q.call.Crashes = standing.Crashes
 	if standing.Quarantined && !standing.TrialDue {
 		return f.quarantineProblem(q, standing.RetryAfter)
@@ -48,7 +48,7 @@
 
 // isolated reports whether the request must run without other suspects beside it.
 func (q *request) isolated() bool {
-	return quarantine.Standing{Crashes: q.call.Crashes}.Isolated()
+	return quarantine.State{Crashes: q.call.Crashes}.Isolated()
 }
 
 // recordCrashes updates the number of targets that crashed while running the request.
@@ -59,7 +59,7 @@
 // reportAnswered tells the quarantine that a target answered a suspect.
 func (f *Forwarder) reportAnswered(q *request) {
 	if q.isSuspect() {
-		f.quarantine.Answered(quarantine.OpenCall{Fingerprint: q.fingerprint(), Service: q.service, Route: q.route.Name})
+		f.quarantine.RecordAnswer(quarantine.Call{Fingerprint: q.fingerprint(), Service: q.service, Route: q.route.Name})
 	}
 }
 
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -26,7 +26,7 @@
 // path.
 func (f *fixture) recordCrashes(path string, crashes int) {
 	hash := (&peering.Call{Method: http.MethodGet, Host: "a.example", URI: path}).Fingerprint()
-	f.quarantine.Crashed("earlier", []quarantine.OpenCall{{Fingerprint: hash, Crashes: crashes}})
+	f.quarantine.RecordCrash("earlier", []quarantine.Call{{Fingerprint: hash, Crashes: crashes}})
 }
 
 func (f *fixture) reasonOf(t *testing.T, body []byte) problem.Reason {
--- a/internal/forward/tenant.go
+++ b/internal/forward/tenant.go
@@ -23,7 +23,7 @@
 		return nil
 	}
 	detail, reason := decision.Outcome.String(), problem.Unauthenticated
-	if decision.Outcome == apikey.Unproved {
+	if decision.Outcome == apikey.Unverified {
 		reason = problem.KeyUnproved
 	}
 	f.observer.Identified("", reason)
@@ -55,7 +55,7 @@
 	}
 	f.observer.Identified(q.tenant.Name, reason)
 	f.log.Record(eventlog.Event{Kind: eventlog.LimitRefused, Request: q.id, Route: q.route.Name, Outcome: q.tenant.Name, Reason: detail,
-		Count: q.permit.Asked, Wait: q.permit.RetryAfter, Version: uint64(f.routes.Version())})
+		Count: q.permit.HoldersAsked, Wait: q.permit.RetryAfter, Version: uint64(f.routes.Version())})
 	return f.problem(reason, problem.ExecutedNo, "limit", detail).WithRetryDelay(q.permit.RetryAfter)
 }
 
--- a/internal/forward/tenant_test.go
+++ b/internal/forward/tenant_test.go
@@ -98,7 +98,7 @@
 	}{
 		{apikey.Decision{Outcome: apikey.Missing}, http.StatusUnauthorized, ""},
 		{apikey.Decision{Outcome: apikey.Unknown}, http.StatusUnauthorized, ""},
-		{apikey.Decision{Outcome: apikey.Unproved, RetryAfter: 700 * time.Millisecond}, http.StatusServiceUnavailable, "0.700"},
+		{apikey.Decision{Outcome: apikey.Unverified, RetryAfter: 700 * time.Millisecond}, http.StatusServiceUnavailable, "0.700"},
 	} {
 		f := newTenantFixture(t, &fixedKeys{decision: test.decision}, answerOK)
 		answer := f.doWithKey("/read/x", "1")
@@ -119,7 +119,7 @@
 		defer close(ended)
 		log.Run(ctx)
 	}()
-	for _, decision := range []apikey.Decision{{Tenant: &testTenant}, {Outcome: apikey.Unknown}, {Outcome: apikey.Unproved}} {
+	for _, decision := range []apikey.Decision{{Tenant: &testTenant}, {Outcome: apikey.Unknown}, {Outcome: apikey.Unverified}} {
 		f := newTenantFixture(t, &fixedKeys{decision: decision}, answerOK)
 		f.forwarder.log = log
 		answer := f.doWithKey("/read/x", "1")
@@ -176,7 +176,7 @@
 // TestRequestOverLimitHasNoSideEffects refuses a request by its tenant's limit: no home
 // must receive it, and it must add nothing to its service's retry budget.
 func TestRequestOverLimitHasNoSideEffects(t *testing.T) {
-	for outcome, status := range map[ratelimit.Outcome]int{ratelimit.Reached: http.StatusTooManyRequests, ratelimit.Unavailable: http.StatusServiceUnavailable} {
+	for outcome, status := range map[ratelimit.Outcome]int{ratelimit.LimitReached: http.StatusTooManyRequests, ratelimit.Unavailable: http.StatusServiceUnavailable} {
 		limits := &fixedLimits{decision: ratelimit.Decision{Outcome: outcome, RetryAfter: 400 * time.Millisecond}}
 		f := newLimitFixture(t, limits, answerOK)
 		before := f.forwarder.budget("s").Balance()
--- a/internal/guard/answered.go
+++ b/internal/guard/answered.go
@@ -63,6 +63,6 @@
 		g.answered.add(s.fingerprint(call), now)
 	}
 	if !g.config.Quarantine.Empty() {
-		g.config.Quarantine.Answered(s.openCall(call))
+		g.config.Quarantine.RecordAnswer(s.openCall(call))
 	}
 }
--- a/internal/guard/crash.go
+++ b/internal/guard/crash.go
@@ -29,7 +29,7 @@
 
 // brokenCall is a call whose connection to the target broke before the answer.
 type brokenCall struct {
-	quarantine.OpenCall
+	quarantine.Call
 	at time.Time
 }
 
@@ -60,25 +60,25 @@
 }
 
 // addBroken records a broken call.
-func (d *crashDetector) addBroken(call quarantine.OpenCall, now time.Time) {
+func (d *crashDetector) addBroken(call quarantine.Call, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.broken = slices.DeleteFunc(d.broken, func(old brokenCall) bool { return now.Sub(old.at) > brokenCallRetention })
 	if len(d.broken) < maxBrokenCalls {
-		d.broken = append(d.broken, brokenCall{OpenCall: call, at: now})
+		d.broken = append(d.broken, brokenCall{Call: call, at: now})
 	}
 }
 
 // takeSuspects marks the target as crashed and returns and clears the broken calls that are
 // suspects. Requests that were answered recently are not.
-func (d *crashDetector) takeSuspects(answered *answeredSet) []quarantine.OpenCall {
+func (d *crashDetector) takeSuspects(answered *answeredSet) []quarantine.Call {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.crashed = true
-	var suspects []quarantine.OpenCall
+	var suspects []quarantine.Call
 	for _, call := range d.broken {
 		if !d.exempt(call.Fingerprint, answered) {
-			suspects = append(suspects, call.OpenCall)
+			suspects = append(suspects, call.Call)
 		}
 	}
 	d.broken = nil
@@ -150,7 +150,7 @@
 
 // handleBrokenCall records a broken call and reports whether the target crashed while running
 // it. Concurrent callers share one probe.
-func (g *Guard) handleBrokenCall(ctx context.Context, i *incarnation, call quarantine.OpenCall) bool {
+func (g *Guard) handleBrokenCall(ctx context.Context, i *incarnation, call quarantine.Call) bool {
 	now := g.now()
 	i.crashDetector.addBroken(call, now)
 	if i.draining.Load() {
@@ -194,7 +194,7 @@
 		g.log.Record(eventlog.Event{Kind: eventlog.TargetEnded, Service: i.target.Service, Target: i.target.Incarnation().String(), Count: brokenCount, Reason: reason})
 	}
 	if len(suspects) > 0 {
-		g.config.Quarantine.Crashed(i.target.Incarnation().String(), suspects)
+		g.config.Quarantine.RecordCrash(i.target.Incarnation().String(), suspects)
 	}
 }
 
--- a/internal/guard/crash_test.go
+++ b/internal/guard/crash_test.go
@@ -99,8 +99,8 @@
 }
 
 // standing returns the quarantine state of requests with the URI.
-func standing(g *Guard, uri string) quarantine.Standing {
-	return g.config.Quarantine.Standing(newCallTo("", uri).Fingerprint())
+func standing(g *Guard, uri string) quarantine.State {
+	return g.config.Quarantine.State(newCallTo("", uri).Fingerprint())
 }
 
 func TestCrashIsDistinguishedFromBrokenConnection(t *testing.T) {
@@ -156,7 +156,7 @@
 
 // addSuspect reports the given number of crashes for requests with the URI.
 func addSuspect(g *Guard, uri string, crashes int) {
-	g.config.Quarantine.Crashed("earlier-"+uri, []quarantine.OpenCall{{Fingerprint: newCallTo("", uri).Fingerprint(), Crashes: crashes}})
+	g.config.Quarantine.RecordCrash("earlier-"+uri, []quarantine.Call{{Fingerprint: newCallTo("", uri).Fingerprint(), Crashes: crashes}})
 }
 
 func TestQuarantinedCallDoesNotReachTarget(t *testing.T) {
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -56,15 +56,15 @@
 type Quarantine interface {
 	// Empty reports whether there are neither suspects nor quarantined requests.
 	Empty() bool
-	// Standing returns the quarantine state of a request.
-	Standing(hash fingerprint.Fingerprint) quarantine.Standing
-	// Crashed records a crash of the target with its suspects among the open calls.
-	Crashed(instance string, open []quarantine.OpenCall)
-	// Answered records that the target answered a request.
-	Answered(call quarantine.OpenCall)
+	// State returns the quarantine state of a request.
+	State(hash fingerprint.Fingerprint) quarantine.State
+	// RecordCrash records a crash of the target with its suspects among the open calls.
+	RecordCrash(instance string, open []quarantine.Call)
+	// RecordAnswer records that the target answered a request.
+	RecordAnswer(call quarantine.Call)
 	// ClaimTrial reports whether a quarantined request whose trial run is due may run
 	// on this node.
-	ClaimTrial(ctx context.Context, call quarantine.OpenCall) bool
+	ClaimTrial(ctx context.Context, call quarantine.Call) bool
 }
 
 // Observer receives the outcomes of calls, for metrics.
--- a/internal/guard/isolation.go
+++ b/internal/guard/isolation.go
@@ -14,7 +14,7 @@
 	hash   fingerprint.Fingerprint
 	hashed bool
 	// standing is the request's quarantine state, including the crashes that the call reports.
-	standing quarantine.Standing
+	standing quarantine.State
 	// trial is set if the call is the trial run of a quarantined request.
 	trial bool
 	// unlock releases the suspect lock; nil if the call doesn't hold it.
@@ -38,14 +38,14 @@
 }
 
 // openCall returns the entry for the call in a crash report.
-func (s *screening) openCall(call *peering.Call) quarantine.OpenCall {
-	return quarantine.OpenCall{Fingerprint: s.fingerprint(call), Service: call.Service, Route: call.Route, Crashes: s.standing.Crashes + 1}
+func (s *screening) openCall(call *peering.Call) quarantine.Call {
+	return quarantine.Call{Fingerprint: s.fingerprint(call), Service: call.Service, Route: call.Route, Crashes: s.standing.Crashes + 1}
 }
 
 // refreshStanding updates the request's quarantine state. The number of crashes that the call
 // carries may be newer than the node's own, unless the request was cleared here.
 func (g *Guard) refreshStanding(s *screening, call *peering.Call) {
-	s.standing = g.config.Quarantine.Standing(s.fingerprint(call))
+	s.standing = g.config.Quarantine.State(s.fingerprint(call))
 	if !s.standing.Cleared {
 		s.standing.Crashes = max(s.standing.Crashes, call.Crashes)
 	}
@@ -110,7 +110,7 @@
 }
 
 // quarantinedReply returns the refusal of a quarantined call.
-func quarantinedReply(standing quarantine.Standing) *peering.Reply {
+func quarantinedReply(standing quarantine.State) *peering.Reply {
 	reply := refusedReply(peering.Quarantined)
 	reply.RetryAfter = standing.RetryAfter
 	reply.Crashes = standing.Crashes
--- a/internal/peering/client.go
+++ b/internal/peering/client.go
@@ -161,7 +161,7 @@
 }
 
 // RequestPermits requests permits of a tenant's limit from the peer.
-func (c *Client) RequestPermits(ctx context.Context, address string, ask *ratelimit.Ask) (*ratelimit.Grant, error) {
+func (c *Client) RequestPermits(ctx context.Context, address string, ask *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	response, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: permitPath, Body: encode(ask)})
 	if err != nil {
 		return nil, err
--- a/internal/peering/datagram.go
+++ b/internal/peering/datagram.go
@@ -90,7 +90,7 @@
 	id, content := binary.BigEndian.Uint32(datagram[1:]), datagram[datagramHeaderBytes:]
 	switch datagram[0] {
 	case datagramRequest:
-		var ask ratelimit.Ask
+		var ask ratelimit.PermitRequest
 		if cbor.Unmarshal(content, &ask) != nil || !ask.Valid() {
 			return
 		}
@@ -119,7 +119,7 @@
 
 // Request requests permits from the node at the address. If the grant does not arrive in
 // time, Ask returns an error, and permits that were issued are lost.
-func (d *PermitSocket) Request(ctx context.Context, address string, ask *ratelimit.Ask) (*ratelimit.Grant, error) {
+func (d *PermitSocket) Request(ctx context.Context, address string, ask *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	holder, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("request permits from %s: %w", address, err)
--- a/internal/peering/datagram_test.go
+++ b/internal/peering/datagram_test.go
@@ -15,10 +15,10 @@
 // recordingIssuer issues all needed permits and records the requests.
 type recordingIssuer struct {
 	mutex    sync.Mutex
-	requests []ratelimit.Ask
+	requests []ratelimit.PermitRequest
 }
 
-func (i *recordingIssuer) Issue(ask *ratelimit.Ask) *ratelimit.Grant {
+func (i *recordingIssuer) Issue(ask *ratelimit.PermitRequest) *ratelimit.Grant {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.requests = append(i.requests, *ask)
@@ -44,7 +44,7 @@
 	var requests sync.WaitGroup
 	for needed := range 200 {
 		requests.Go(func() {
-			grant, err := node.Request(t.Context(), addressOf(holder), &ratelimit.Ask{Share: 3, Tenant: "acme", Needed: needed})
+			grant, err := node.Request(t.Context(), addressOf(holder), &ratelimit.PermitRequest{Share: 3, Tenant: "acme", Needed: needed})
 			if err == nil {
 				assert.Equal(t, grant.Issued, needed)
 			}
@@ -72,13 +72,13 @@
 	silent, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = silent.Close() }()
-	_, err = node.Request(t.Context(), silent.LocalAddr().String(), &ratelimit.Ask{})
+	_, err = node.Request(t.Context(), silent.LocalAddr().String(), &ratelimit.PermitRequest{})
 	assert.ErrorIs(t, err, errGrantTimeout)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	_, err = node.Request(ctx, silent.LocalAddr().String(), &ratelimit.Ask{})
+	_, err = node.Request(ctx, silent.LocalAddr().String(), &ratelimit.PermitRequest{})
 	assert.ErrorIs(t, err, context.Canceled)
-	_, err = node.Request(t.Context(), "nowhere", &ratelimit.Ask{})
+	_, err = node.Request(t.Context(), "nowhere", &ratelimit.PermitRequest{})
 	assert.ErrorContains(t, err, "nowhere")
 	assert.Equal(t, pendingRequests(node), 0)
 }
@@ -91,11 +91,11 @@
 	assert.NilError(t, err)
 	defer func() { _ = sender.Close() }()
 	for _, datagram := range [][]byte{{}, {1}, {1, 0, 0, 0, 1}, {1, 0, 0, 0, 1, 0xff}, {2, 0, 0, 0, 1, 0xff}, {9, 0, 0, 0, 1, 0x80},
-		encodeDatagram(datagramRequest, 1, &ratelimit.Ask{Share: ratelimit.Shares}), encodeDatagram(datagramGrant, 7, &ratelimit.Grant{}), make([]byte, 4000)} {
+		encodeDatagram(datagramRequest, 1, &ratelimit.PermitRequest{Share: ratelimit.Shares}), encodeDatagram(datagramGrant, 7, &ratelimit.Grant{}), make([]byte, 4000)} {
 		_, err := sender.Write(datagram)
 		assert.NilError(t, err)
 	}
-	grant, err := node.Request(t.Context(), addressOf(holder), &ratelimit.Ask{Needed: 2})
+	grant, err := node.Request(t.Context(), addressOf(holder), &ratelimit.PermitRequest{Needed: 2})
 	assert.NilError(t, err)
 	assert.Equal(t, grant.Issued, 2)
 }
@@ -107,7 +107,7 @@
 	holder, node := listenDatagrams(b, &noopIssuer{}), listenDatagrams(b, nil)
 	b.ReportAllocs()
 	for b.Loop() {
-		_, err := node.Request(b.Context(), addressOf(holder), &ratelimit.Ask{Share: 1, Tenant: "tenant", Needed: 1})
+		_, err := node.Request(b.Context(), addressOf(holder), &ratelimit.PermitRequest{Share: 1, Tenant: "tenant", Needed: 1})
 		assert.NilError(b, err)
 	}
 }
@@ -115,6 +115,6 @@
 // noopIssuer issues all needed permits and records nothing.
 type noopIssuer struct{}
 
-func (*noopIssuer) Issue(ask *ratelimit.Ask) *ratelimit.Grant {
+func (*noopIssuer) Issue(ask *ratelimit.PermitRequest) *ratelimit.Grant {
 	return &ratelimit.Grant{Held: true, Issued: ask.Needed}
 }
--- a/internal/peering/message.go
+++ b/internal/peering/message.go
@@ -112,7 +112,7 @@
 
 // PermitIssuer issues permits under tenants' limits.
 type PermitIssuer interface {
-	Issue(ask *ratelimit.Ask) *ratelimit.Grant
+	Issue(ask *ratelimit.PermitRequest) *ratelimit.Grant
 }
 
 // Outcome is the result class of a call.
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -39,7 +39,7 @@
 )
 
 func digestsAt(revision store.Revision) []replica.Digest {
-	return []replica.Digest{{Through: revision, Age: time.Second}}
+	return []replica.Digest{{Revision: revision, Age: time.Second}}
 }
 
 // fakeAntiEntropy records the digests that it receives.
@@ -69,7 +69,7 @@
 
 func (s *fakeAntiEntropy) AnswerQuery(query *replica.Query) *replica.Answer {
 	items := []replica.Item{{Key: "k", Value: []byte("document"), Revision: 4, Lease: store.LeaseID{Number: 6}}, {Key: "gone", Revision: 5, Deleted: true}}
-	return &replica.Answer{Deltas: []replica.Delta{{Digest: query.Digests[0], Whole: true, Items: items}}}
+	return &replica.Answer{Deltas: []replica.Delta{{Digest: query.Digests[0], Full: true, Items: items}}}
 }
 
 var testCodec = NewCodec("X-Signature")
@@ -164,9 +164,9 @@
 func filledCopy(t *testing.T, source store.Store) *replica.Copy {
 	t.Helper()
 	filled := replica.NewCopy(time.Second, func([]store.Entry, string) {}, time.Now)
-	keeper := &replica.Keeper{Copy: filled, Store: source, Prefix: "k", Place: func() (int, bool) { return 0, true }, Now: time.Now}
+	keeper := &replica.Syncer{Copy: filled, Store: source, Prefix: "k", Position: func() (int, bool) { return 0, true }, Now: time.Now}
 	go keeper.Run(t.Context())
-	waitFor(t, "the replica is filled", filled.Filled)
+	waitFor(t, "the replica is filled", filled.Initialized)
 	return filled
 }
 
@@ -186,14 +186,14 @@
 	source := memory.New(time.Now)
 	_, err := source.CompareAndSwap(t.Context(), "k", 0, []byte("document"), store.NoLease)
 	assert.NilError(t, err)
-	server := httptest.NewServer(Handler(Services{Home: &echoHome{}, AntiEntropy: replica.NewSpread(replica.SpreadConfig{Address: "peer", Peers: noPeers, Now: time.Now}, filledCopy(t, source)), Codec: testCodec, MaxBytes: testMaxBytes, Process: testProcess}))
+	server := httptest.NewServer(Handler(Services{Home: &echoHome{}, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Address: "peer", Peers: noPeers, Now: time.Now}, filledCopy(t, source)), Codec: testCodec, MaxBytes: testMaxBytes, Process: testProcess}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	address := strings.TrimPrefix(server.URL, "http://")
 
 	received := make(chan string, 1)
 	empty := replica.NewCopy(time.Second, func(entries []store.Entry, from string) { received <- string(entries[0].Value) + " from " + from }, time.Now)
 	client := NewClient(ClientConfig{MaxBuffered: testMaxBytes, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: callerAddress, Codec: testCodec})
-	client.SetAntiEntropy(replica.NewSpread(replica.SpreadConfig{Address: callerAddress, Peers: noPeers, Ask: client.Query, Now: time.Now}, empty))
+	client.SetAntiEntropy(replica.NewAntiEntropy(replica.AntiEntropyConfig{Address: callerAddress, Peers: noPeers, SendQuery: client.Query, Now: time.Now}, empty))
 	_, err = client.Call(t.Context(), address, &Call{URI: "/x"})
 	assert.NilError(t, err)
 	assert.Equal(t, <-received, "document from "+address)
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -170,7 +170,7 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	var ask ratelimit.Ask
+	var ask ratelimit.PermitRequest
 	if err := cbor.Unmarshal(content, &ask); err != nil || !ask.Valid() {
 		w.WriteHeader(http.StatusBadRequest)
 		return
--- a/internal/peering/wire_digest.go
+++ b/internal/peering/wire_digest.go
@@ -23,7 +23,7 @@
 func encodeDigests(digests []replica.Digest) []wireDigest {
 	encoded := make([]wireDigest, len(digests))
 	for i, digest := range digests {
-		encoded[i] = wireDigest{Through: digest.Through.Number(), Age: encodeAge(digest.Age), Verified: encodeAge(digest.Verified)}
+		encoded[i] = wireDigest{Through: digest.Revision.Number(), Age: encodeAge(digest.Age), Verified: encodeAge(digest.Verified)}
 	}
 	return encoded
 }
@@ -33,9 +33,9 @@
 func encodeNewest(digests []replica.Digest) []uint64 {
 	var newest []uint64
 	for i, digest := range digests {
-		if digest.Newest != 0 {
+		if digest.DocumentVersion != 0 {
 			newest = append(newest, make([]uint64, i+1-len(newest))...)
-			newest[i] = digest.Newest
+			newest[i] = digest.DocumentVersion
 		}
 	}
 	return newest
@@ -46,7 +46,7 @@
 func encodeEpochs(digests []replica.Digest) []uint32 {
 	var epochs []uint32
 	for _, digest := range digests {
-		epochs = append(epochs, uint32(digest.Through.Epoch()))
+		epochs = append(epochs, uint32(digest.Revision.Epoch()))
 	}
 	distinct := slices.Compact(slices.Clone(epochs))
 	if len(distinct) > 1 {
@@ -70,9 +70,9 @@
 func decodeDigests(encoded []wireDigest, epochs []uint32, newest []uint64) []replica.Digest {
 	digests := make([]replica.Digest, len(encoded))
 	for i, digest := range encoded {
-		digests[i] = replica.Digest{Through: digestRevision(digest, epochs, i), Age: decodeAge(digest.Age), Verified: decodeAge(digest.Verified)}
+		digests[i] = replica.Digest{Revision: digestRevision(digest, epochs, i), Age: decodeAge(digest.Age), Verified: decodeAge(digest.Verified)}
 		if i < len(newest) {
-			digests[i].Newest = newest[i]
+			digests[i].DocumentVersion = newest[i]
 		}
 	}
 	return digests
--- a/internal/peering/wire_test.go
+++ b/internal/peering/wire_test.go
@@ -20,7 +20,7 @@
 	return &Call{Service: "prices", RequestID: "cbfed4665665238d.96c6f396bb9a3a42.bbf4b50146973c51.b6524dcef0b56046", Method: "POST", URI: "/list/7?x=%20y", Host: "prices.example",
 		Header: http.Header{"Content-Type": {"text/plain"}, "X-Custom": {"a", "b"}}, Body: []byte{0, 1, 2}, Remaining: 2345 * time.Millisecond, Caller: "cards",
 		Route: "price-list", Rank: 300, MaxWait: 180 * time.Millisecond, Nested: true, Retried: true, PriorCalls: 3, OfferIndex: 2, AtMostOnce: true, Crashes: 2, Process: 9, Resumed: true, From: "10.1.0.34:8560",
-		Digests: []replica.Digest{{Through: 1234, Age: 45 * time.Millisecond}, {Through: 1250, Age: -1}}}
+		Digests: []replica.Digest{{Revision: 1234, Age: 45 * time.Millisecond}, {Revision: 1250, Age: -1}}}
 }
 
 func fullReply() *Reply {
@@ -33,10 +33,10 @@
 // several, and a newest document that the store has lost.
 func TestDigestsRoundTripAcrossEpochs(t *testing.T) {
 	for _, digests := range [][]replica.Digest{
-		{{Through: store.NewRevision(3, 1234)}, {Through: store.NewRevision(3, 1250)}},
-		{{Through: store.NewRevision(1, 1234), Newest: 80}, {Through: store.NewRevision(2, 1250)}},
-		{{Through: 1234}, {Through: store.NewRevision(store.MaxEpoch, 1250), Newest: 7}},
-		{{}, {Through: store.NewRevision(1, 5)}},
+		{{Revision: store.NewRevision(3, 1234)}, {Revision: store.NewRevision(3, 1250)}},
+		{{Revision: store.NewRevision(1, 1234), DocumentVersion: 80}, {Revision: store.NewRevision(2, 1250)}},
+		{{Revision: 1234}, {Revision: store.NewRevision(store.MaxEpoch, 1250), DocumentVersion: 7}},
+		{{}, {Revision: store.NewRevision(1, 5)}},
 	} {
 		call := fullCall()
 		call.Digests = digests
--- a/internal/quarantine/keeper.go
+++ b/internal/quarantine/keeper.go
@@ -97,8 +97,8 @@
 	if config.Epoch == nil {
 		config.Epoch = func() store.Epoch { return 0 }
 	}
-	if config.Place == nil {
-		config.Place = func() (int, bool) { return 0, false }
+	if config.Position == nil {
+		config.Position = func() (int, bool) { return 0, false }
 	}
 	return &keeper{
 		store:     config.Store,
@@ -112,7 +112,7 @@
 		revisions: make(map[fingerprint.Fingerprint]store.Revision),
 		records:   make(map[fingerprint.Fingerprint]Record),
 		epoch:     config.Epoch,
-		place:     config.Place,
+		place:     config.Position,
 	}
 }
 
--- a/internal/quarantine/operator.go
+++ b/internal/quarantine/operator.go
@@ -9,19 +9,19 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Listed is a verdict as an operator sees it.
-type Listed struct {
+// Entry is a verdict as an operator sees it.
+type Entry struct {
 	Fingerprint fingerprint.Fingerprint
 	Record
 }
 
 // List returns the verdicts that the store holds, those that were lifted left out.
-func List(ctx context.Context, held store.Store, prefix string) ([]Listed, error) {
+func List(ctx context.Context, held store.Store, prefix string) ([]Entry, error) {
 	snapshot, err := held.List(ctx, prefix)
 	if err != nil {
 		return nil, fmt.Errorf("list verdicts: %w", err)
 	}
-	var listed []Listed
+	var listed []Entry
 	for _, entry := range snapshot.Entries {
 		hash, err := fingerprint.Parse(strings.TrimPrefix(entry.Key, prefix))
 		if err != nil {
@@ -32,7 +32,7 @@
 			return nil, fmt.Errorf("verdict %s: %w", entry.Key, err)
 		}
 		if !record.Lifted {
-			listed = append(listed, Listed{Fingerprint: hash, Record: record})
+			listed = append(listed, Entry{Fingerprint: hash, Record: record})
 		}
 	}
 	return listed, nil
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -11,18 +11,18 @@
 
 // Config describes the node and where verdicts lie.
 type Config struct {
-	Spread SpreadConfig
+	Broadcast BroadcastConfig
 	// Store takes verdicts under Prefix.
 	Store  store.Store
 	Prefix string
 	// Epoch returns the newest epoch of the store that is known, nil is the first; Place the
 	// node's own place in an order of all nodes, false if it has none. It may be nil.
-	Epoch func() store.Epoch
-	Place func() (int, bool)
-	// OnVerdict is told of requests that are refused from now on; it may be nil.
-	OnVerdict func(hash fingerprint.Fingerprint)
-	Log       *eventlog.Log
-	Now       func() time.Time
+	Epoch    func() store.Epoch
+	Position func() (int, bool)
+	// OnQuarantine is told of requests that are refused from now on; it may be nil.
+	OnQuarantine func(hash fingerprint.Fingerprint)
+	Log          *eventlog.Log
+	Now          func() time.Time
 }
 
 // Quarantine is what one node knows of requests that crash targets, and how it tells
@@ -40,11 +40,11 @@
 func New(config Config) *Quarantine {
 	return &Quarantine{
 		table:  NewTable(config.Now),
-		spread: NewSpread(config.Spread),
+		spread: NewSpread(config.Broadcast),
 		keeper: newKeeper(config),
 		log:    config.Log,
 
-		onVerdict: config.OnVerdict,
+		onVerdict: config.OnQuarantine,
 	}
 }
 
@@ -67,8 +67,8 @@
 // Empty reports whether there are no suspects, so that no request needs a look.
 func (q *Quarantine) Empty() bool { return q.table.Empty() }
 
-// Standing returns what is known of a request.
-func (q *Quarantine) Standing(hash fingerprint.Fingerprint) Standing { return q.table.Standing(hash) }
+// State returns what is known of a request.
+func (q *Quarantine) State(hash fingerprint.Fingerprint) State { return q.table.Standing(hash) }
 
 // Quarantined returns the number of requests that are refused.
 func (q *Quarantine) Quarantined() int { return q.table.Quarantined() }
@@ -77,16 +77,16 @@
 // many.
 func (q *Quarantine) Unplaced() uint64 { return q.table.Unplaced() }
 
-// OpenCall is a call that broke off as the target beside the node crashed.
-type OpenCall struct {
+// Call is a call that broke off as the target beside the node crashed.
+type Call struct {
 	Fingerprint    fingerprint.Fingerprint
 	Service, Route string
 	// Crashes counts the targets in a row that crashed under the request, with this one.
 	Crashes int
 }
 
-// Crashed takes the end of the target beside the node, with the calls that broke off.
-func (q *Quarantine) Crashed(instance string, open []OpenCall) {
+// RecordCrash takes the end of the target beside the node, with the calls that broke off.
+func (q *Quarantine) RecordCrash(instance string, open []Call) {
 	crash := crashReport(instance, open)
 	details := make(map[fingerprint.Fingerprint]Record, len(open))
 	for _, call := range open {
@@ -103,7 +103,7 @@
 // crashReport returns the report of a target's end. It convicts only a request that ran
 // beside no other suspect of several crashes: of two one is harmless, and nodes that learn
 // of crashes late let them run together. Both then go on one after the other.
-func crashReport(instance string, open []OpenCall) Crash {
+func crashReport(instance string, open []Call) Crash {
 	convictable := make(map[fingerprint.Fingerprint]bool)
 	for _, call := range open {
 		if call.Crashes >= quarantineCrashes {
@@ -121,8 +121,8 @@
 	return crash
 }
 
-// Answered notes that a target answered the request.
-func (q *Quarantine) Answered(call OpenCall) {
+// RecordAnswer notes that a target answered the request.
+func (q *Quarantine) RecordAnswer(call Call) {
 	ended := q.table.Standing(call.Fingerprint).Quarantined
 	cleared, worthTelling := q.table.Answered(call.Fingerprint)
 	if !worthTelling {
@@ -137,7 +137,7 @@
 
 // ClaimTrial reports whether the node may let a quarantined request run whose trial is
 // due. Of all nodes one gets the trial, and none while the store is away.
-func (q *Quarantine) ClaimTrial(ctx context.Context, call OpenCall) bool {
+func (q *Quarantine) ClaimTrial(ctx context.Context, call Call) bool {
 	trials := q.table.trials(call.Fingerprint) + 1
 	if !q.keeper.claimTrial(ctx, call.Fingerprint, Record{Service: call.Service, Route: call.Route, Trials: trials}) {
 		return false
@@ -161,8 +161,8 @@
 	}
 }
 
-// Change takes changes of the store.
-func (q *Quarantine) Change(entries []store.Entry) {
+// ApplyChanges takes changes of the store.
+func (q *Quarantine) ApplyChanges(entries []store.Entry) {
 	holds := func(hash fingerprint.Fingerprint) bool { return q.table.Standing(hash).Quarantined }
 	for _, change := range q.keeper.change(entries, holds) {
 		switch {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -66,7 +66,7 @@
 func (g *group) add(addresses []string, number int) *Quarantine {
 	node := New(Config{
 		Store: awayStore{g.held, g}, Prefix: testPrefix, Now: g.now,
-		Spread: SpreadConfig{Address: addresses[number], Peers: func() []string { return addresses }, Send: g.send},
+		Broadcast: BroadcastConfig{Address: addresses[number], Peers: func() []string { return addresses }, Send: g.send},
 	})
 	g.nodes = append(g.nodes, node)
 	go node.Run(g.t.Context())
@@ -99,13 +99,13 @@
 	g.t.Helper()
 	snapshot, err := g.held.List(g.t.Context(), testPrefix)
 	assert.NilError(g.t, err)
-	node.Change(snapshot.Entries)
+	node.ApplyChanges(snapshot.Entries)
 }
 
 // crash has a target beside a node crash under the request.
 func (g *group) crash(number int, instance string, hash fingerprint.Fingerprint) {
 	node := g.nodes[number]
-	node.Crashed(instance, []OpenCall{{Fingerprint: hash, Service: "s", Route: "r", Crashes: node.Standing(hash).Crashes + 1}})
+	node.RecordCrash(instance, []Call{{Fingerprint: hash, Service: "s", Route: "r", Crashes: node.State(hash).Crashes + 1}})
 }
 
 // await waits until the condition holds at all nodes.
@@ -126,9 +126,9 @@
 	g.t.Helper()
 	for i := range quarantineCrashes {
 		g.crash(i%len(g.nodes), fmt.Sprintf("i-%s-%d", hash, i), hash)
-		g.await("told of a crash", func(node *Quarantine) bool { return node.Standing(hash).Crashes == i+1 })
+		g.await("told of a crash", func(node *Quarantine) bool { return node.State(hash).Crashes == i+1 })
 	}
-	g.await("quarantined", func(node *Quarantine) bool { return node.Standing(hash).Quarantined })
+	g.await("quarantined", func(node *Quarantine) bool { return node.State(hash).Quarantined })
 }
 
 // awaitRecord waits until the store holds a record that the condition accepts.
@@ -157,7 +157,7 @@
 	g.awaitRecord(hash, func(record Record) bool { return record == Record{Service: "s", Route: "r"} })
 	late := g.add([]string{"0", "1", "2", "3", "4"}, 4)
 	g.follow(late)
-	assert.Assert(t, late.Standing(hash).Quarantined, "a node that starts finds it in the store")
+	assert.Assert(t, late.State(hash).Quarantined, "a node that starts finds it in the store")
 	assert.Equal(t, late.Quarantined(), 1)
 }
 
@@ -183,26 +183,26 @@
 	revision, err := g.held.CompareAndDelete(t.Context(), key, entry.Revision)
 	assert.NilError(t, err)
 	for _, node := range g.nodes {
-		node.Change([]store.Entry{{Key: key, Revision: revision, Deleted: true}})
-		assert.Assert(t, node.Standing(hash).Quarantined)
+		node.ApplyChanges([]store.Entry{{Key: key, Revision: revision, Deleted: true}})
+		assert.Assert(t, node.State(hash).Quarantined)
 	}
 	g.awaitRecord(hash, anyRecord)
 }
 
-func TestOneNodeOfAllMakesATrial(t *testing.T) {
+func TestOnlyOneNodeClaimsTrial(t *testing.T) {
 	g := newGroup(t, 8)
 	hash := numbered(1)
 	g.quarantine(hash)
 	g.awaitRecord(hash, anyRecord)
 	for _, node := range g.nodes {
 		g.follow(node)
-		assert.Assert(t, !node.Standing(hash).TrialDue)
+		assert.Assert(t, !node.State(hash).TrialDue)
 	}
 	g.pass(firstTrialPause)
 	g.away.Store(true)
-	call := OpenCall{Fingerprint: hash, Service: "s", Route: "r"}
+	call := Call{Fingerprint: hash, Service: "s", Route: "r"}
 	for _, node := range g.nodes {
-		assert.Assert(t, node.Standing(hash).TrialDue)
+		assert.Assert(t, node.State(hash).TrialDue)
 		assert.Assert(t, !node.ClaimTrial(t.Context(), call), "none while the store is away")
 	}
 	g.away.Store(false)
@@ -219,7 +219,7 @@
 	assert.Equal(t, claimed.Load(), int32(1))
 	for _, node := range g.nodes {
 		g.follow(node)
-		standing := node.Standing(hash)
+		standing := node.State(hash)
 		assert.Assert(t, standing.Quarantined && !standing.TrialDue)
 		assert.Equal(t, standing.RetryAfter, 2*firstTrialPause, "the next trial comes later")
 	}
@@ -232,14 +232,14 @@
 	g.awaitRecord(hash, anyRecord)
 	g.pass(firstTrialPause)
 	g.follow(g.nodes[2])
-	call := OpenCall{Fingerprint: hash, Service: "s", Route: "r"}
+	call := Call{Fingerprint: hash, Service: "s", Route: "r"}
 	assert.Assert(t, g.nodes[2].ClaimTrial(t.Context(), call))
-	g.nodes[2].Answered(call)
-	g.await("cleared", func(node *Quarantine) bool { return !node.Standing(hash).Quarantined })
+	g.nodes[2].RecordAnswer(call)
+	g.await("cleared", func(node *Quarantine) bool { return !node.State(hash).Quarantined })
 	g.awaitRecord(hash, func(record Record) bool { return record.Lifted })
 	late := g.add([]string{"0", "1", "2", "3"}, 3)
 	g.follow(late)
-	assert.Assert(t, !late.Standing(hash).Quarantined)
+	assert.Assert(t, !late.State(hash).Quarantined)
 }
 
 // TestALiftedVerdictEndsEverywhere has an operator write that a verdict has ended.
@@ -255,7 +255,7 @@
 	assert.NilError(t, err)
 	for _, node := range g.nodes {
 		g.follow(node)
-		assert.Assert(t, !node.Standing(hash).Quarantined)
+		assert.Assert(t, !node.State(hash).Quarantined)
 	}
 }
 
@@ -264,16 +264,16 @@
 	hash := numbered(1)
 	g.crash(0, "i-1", hash)
 	g.crash(0, "i-2", hash)
-	g.await("suspected", func(node *Quarantine) bool { return node.Standing(hash).Isolated() })
-	g.nodes[1].Answered(OpenCall{Fingerprint: hash})
-	g.await("cleared", func(node *Quarantine) bool { return node.Standing(hash) == Standing{Cleared: true} })
+	g.await("suspected", func(node *Quarantine) bool { return node.State(hash).Isolated() })
+	g.nodes[1].RecordAnswer(Call{Fingerprint: hash})
+	g.await("cleared", func(node *Quarantine) bool { return node.State(hash) == State{Cleared: true} })
 	g.nodes[2].HandleNotice(&Notice{Crashes: []Crash{{Instance: "i-2", Suspects: []Suspicion{{Fingerprint: hash, Crashes: 2}}}}})
-	assert.Assert(t, !g.nodes[2].Standing(hash).Suspected(), "a report that comes late says nothing new")
+	assert.Assert(t, !g.nodes[2].State(hash).Suspected(), "a report that comes late says nothing new")
 }
 
 func TestWhatIsNotARecordIsPassedOver(t *testing.T) {
 	g := newGroup(t, 1)
-	g.nodes[0].Change([]store.Entry{
+	g.nodes[0].ApplyChanges([]store.Entry{
 		{Key: testPrefix + "no-fingerprint", Value: Record{}.Encode(), Revision: 1},
 		{Key: testPrefix + numbered(1).String(), Value: []byte("no record"), Revision: 2},
 		{Key: "elsewhere/" + numbered(2).String(), Value: Record{}.Encode(), Revision: 3},
--- a/internal/quarantine/restore_test.go
+++ b/internal/quarantine/restore_test.go
@@ -35,11 +35,11 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &restoredNode{stop: cancel}
 	n.Quarantine = New(Config{
-		Store: held, Prefix: testPrefix, Now: time.Now, Epoch: held.Epoch, Place: func() (int, bool) { return place, true },
-		Spread: SpreadConfig{Address: fmt.Sprint(place), Peers: func() []string { return nil }, Send: func(context.Context, string, *Notice) error { return errors.New("no peer") }},
+		Store: held, Prefix: testPrefix, Now: time.Now, Epoch: held.Epoch, Position: func() (int, bool) { return place, true },
+		Broadcast: BroadcastConfig{Address: fmt.Sprint(place), Peers: func() []string { return nil }, Send: func(context.Context, string, *Notice) error { return errors.New("no peer") }},
 	})
-	copied := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.Change(entries) }, time.Now)
-	keeper := &replica.Keeper{Copy: copied, Store: slowStore{held}, Prefix: testPrefix, Place: func() (int, bool) { return 0, true }, Gather: 800 * time.Millisecond, Now: time.Now}
+	copied := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.ApplyChanges(entries) }, time.Now)
+	keeper := &replica.Syncer{Copy: copied, Store: slowStore{held}, Prefix: testPrefix, Position: func() (int, bool) { return 0, true }, BatchDelay: 800 * time.Millisecond, Now: time.Now}
 	go keeper.Run(ctx)
 	go n.Run(ctx)
 	return n
@@ -48,13 +48,13 @@
 // convict has targets beside a node crash under the request until it is refused.
 func (n *restoredNode) convict(hash fingerprint.Fingerprint) {
 	for i := range quarantineCrashes {
-		n.Crashed(fmt.Sprint("i-", i), []OpenCall{{Fingerprint: hash, Service: "s", Route: "r", Crashes: i + 1}})
+		n.RecordCrash(fmt.Sprint("i-", i), []Call{{Fingerprint: hash, Service: "s", Route: "r", Crashes: i + 1}})
 	}
 }
 
-// TestAVerdictOutlastsARestoredStore has the store lose a verdict: the node that wrote it does
+// TestQuarantineSurvivesStoreRestore has the store lose a verdict: the node that wrote it does
 // so again, or another one if it is gone, and a node that starts later knows it.
-func TestAVerdictOutlastsARestoredStore(t *testing.T) {
+func TestQuarantineSurvivesStoreRestore(t *testing.T) {
 	for _, dies := range []bool{false, true} {
 		virtualtime.Run(t, func(t *testing.T) {
 			held := memory.New(time.Now)
@@ -70,7 +70,7 @@
 			time.Sleep(time.Second)
 			nodes[0].convict(hash)
 			time.Sleep(2 * time.Second)
-			assert.Assert(t, nodes[1].Standing(hash).Quarantined)
+			assert.Assert(t, nodes[1].State(hash).Quarantined)
 			if dies {
 				nodes[0].stop()
 			}
@@ -78,15 +78,15 @@
 			time.Sleep(3 * time.Second)
 			nodes = append(nodes, startRestored(held, 2))
 			time.Sleep(time.Second)
-			assert.Assert(t, nodes[1].Standing(hash).Quarantined)
-			assert.Assert(t, nodes[2].Standing(hash).Quarantined, "the node that wrote the verdict died: %v", dies)
+			assert.Assert(t, nodes[1].State(hash).Quarantined)
+			assert.Assert(t, nodes[2].State(hash).Quarantined, "the node that wrote the verdict died: %v", dies)
 		})
 	}
 }
 
-// TestAReleaseOutlastsARestoredStore has the store come back with the verdict on a request
+// TestLiftSurvivesStoreRestore has the store come back with the verdict on a request
 // that was found to be harmless since.
-func TestAReleaseOutlastsARestoredStore(t *testing.T) {
+func TestLiftSurvivesStoreRestore(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		held := memory.New(time.Now)
 		hash := fingerprint.Fingerprint{1}
@@ -101,18 +101,18 @@
 		nodes[0].convict(hash)
 		time.Sleep(2 * time.Second)
 		copied := held.Backup()
-		nodes[0].Answered(OpenCall{Fingerprint: hash, Service: "s", Route: "r"})
+		nodes[0].RecordAnswer(Call{Fingerprint: hash, Service: "s", Route: "r"})
 		time.Sleep(2 * time.Second)
-		assert.Assert(t, !nodes[1].Standing(hash).Quarantined)
+		assert.Assert(t, !nodes[1].State(hash).Quarantined)
 		held.Restore(copied)
 		for range 300 {
 			time.Sleep(10 * time.Millisecond)
 			for _, n := range nodes {
-				assert.Assert(t, !n.Standing(hash).Quarantined, "a request that was released is refused")
+				assert.Assert(t, !n.State(hash).Quarantined, "a request that was released is refused")
 			}
 		}
 		nodes = append(nodes, startRestored(held, 2))
 		time.Sleep(time.Second)
-		assert.Assert(t, !nodes[2].Standing(hash).Quarantined)
+		assert.Assert(t, !nodes[2].State(hash).Quarantined)
 	})
 }
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -299,12 +299,12 @@
 	}
 }
 
-// TestRandomCrashesConvictHardlyAnybody has targets crash at random, alone and many at
+// TestRandomCrashesRarelyQuarantineHarmlessRequests has targets crash at random, alone and many at
 // once, under requests that are all different and others that come many times a second.
 // The share of false verdicts falls with the third power of the rate of crashes. Of 8 seeds
 // of 120 s: where each target crashes once in a minute none in 589 crashes, every twenty
 // seconds one in 1,401, every seven seconds 16 in 3,015.
-func TestRandomCrashesConvictHardlyAnybody(t *testing.T) {
+func TestRandomCrashesRarelyQuarantineHarmlessRequests(t *testing.T) {
 	const popular, perSecond, lasting = 10, 200.0, 60 * time.Second
 	cases := []struct {
 		perSecond float64
@@ -336,10 +336,10 @@
 	}
 }
 
-// TestAQueryOfDeathEndsFewTargets has one request enter again and again at random nodes,
+// TestQueryOfDeathCrashesFewTargets has one request enter again and again at random nodes,
 // at even distances or at random ones, beside others that are harmless, in fleets of all
 // sizes. What is under way before the first target ends can't be helped.
-func TestAQueryOfDeathEndsFewTargets(t *testing.T) {
+func TestQueryOfDeathCrashesFewTargets(t *testing.T) {
 	cases := []struct {
 		size   int
 		every  time.Duration
--- a/internal/quarantine/spread.go
+++ b/internal/quarantine/spread.go
@@ -32,8 +32,8 @@
 	maxGathered = 256
 )
 
-// SpreadConfig describes the node and its peers.
-type SpreadConfig struct {
+// BroadcastConfig describes the node and its peers.
+type BroadcastConfig struct {
 	// Address is the node's own, as peers reach it.
 	Address string
 	// Peers returns the addresses of all nodes; the own one may be among them.
@@ -44,7 +44,7 @@
 
 // Spread sends what the node learns to all others. It is safe for concurrent use.
 type Spread struct {
-	config SpreadConfig
+	config BroadcastConfig
 	wake   chan struct{}
 	places chan struct{}
 
@@ -53,7 +53,7 @@
 }
 
 // NewSpread returns a spread that sends nothing before Run.
-func NewSpread(config SpreadConfig) *Spread {
+func NewSpread(config BroadcastConfig) *Spread {
 	return &Spread{config: config, wake: make(chan struct{}, 1), places: make(chan struct{}, maxSending)}
 }
 
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -38,8 +38,8 @@
 	longestTrialPause = 8 * time.Minute
 )
 
-// Standing is what is known of a request.
-type Standing struct {
+// State is what is known of a request.
+type State struct {
 	// Crashes is the number of targets in a row that crashed under the request.
 	Crashes int
 	// Quarantined tells that the request is refused, for RetryAfter if nothing changes.
@@ -52,10 +52,10 @@
 }
 
 // Suspected reports whether tries of the request run one after the other.
-func (s Standing) Suspected() bool { return s.Crashes > 0 }
+func (s State) Suspected() bool { return s.Crashes > 0 }
 
 // Isolated reports whether the request runs beside no other suspect.
-func (s Standing) Isolated() bool { return s.Crashes >= isolationCrashes }
+func (s State) Isolated() bool { return s.Crashes >= isolationCrashes }
 
 // Suspicion is a request whose call broke off as a target crashed.
 type Suspicion struct {
@@ -139,15 +139,15 @@
 func (t *Table) Unplaced() uint64 { return t.unplaced.Load() }
 
 // Standing returns what is known of a request.
-func (t *Table) Standing(hash fingerprint.Fingerprint) Standing {
+func (t *Table) Standing(hash fingerprint.Fingerprint) State {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.known[hash]
 	if known == nil || t.expired(known) {
 		_, cleared := t.cleared[hash]
-		return Standing{Cleared: cleared}
+		return State{Cleared: cleared}
 	}
-	standing := Standing{Crashes: known.crashes}
+	standing := State{Crashes: known.crashes}
 	if known.verdict != nil {
 		standing.Quarantined = true
 		standing.RetryAfter = max(known.verdict.nextTrial.Sub(t.now()), 0)
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -32,7 +32,7 @@
 	for i := range 10 {
 		table.Crashed(crashOf(fmt.Sprint("i-", i), 1, 1))
 	}
-	assert.DeepEqual(t, table.Standing(numbered(1)), Standing{Crashes: 1})
+	assert.DeepEqual(t, table.Standing(numbered(1)), State{Crashes: 1})
 }
 
 func TestSuspectsAreForgotten(t *testing.T) {
@@ -43,7 +43,7 @@
 	now = now.Add(remembered - time.Second)
 	assert.Assert(t, table.Standing(numbered(1)).Quarantined)
 	now = now.Add(time.Second)
-	assert.DeepEqual(t, table.Standing(numbered(1)), Standing{})
+	assert.DeepEqual(t, table.Standing(numbered(1)), State{})
 	assert.Assert(t, !table.Empty())
 	table.Expire()
 	assert.Assert(t, table.Empty())
@@ -80,12 +80,12 @@
 // alike be open each time a target crashes, as nodes learned of the crashes late: neither
 // is convicted by that, and the first of them once it ran without the other.
 func TestOfTwoSuspectsNoneIsConvicted(t *testing.T) {
-	guilty, popular := OpenCall{Fingerprint: numbered(1), Crashes: 3}, OpenCall{Fingerprint: numbered(2), Crashes: 3}
+	guilty, popular := Call{Fingerprint: numbered(1), Crashes: 3}, Call{Fingerprint: numbered(2), Crashes: 3}
 	table := NewTable(time.Now)
-	assert.Equal(t, len(table.Crashed(crashReport("i-1", []OpenCall{guilty, popular, popular}))), 0)
+	assert.Equal(t, len(table.Crashed(crashReport("i-1", []Call{guilty, popular, popular}))), 0)
 	assert.Equal(t, table.Standing(numbered(2)).Crashes, isolationCrashes)
-	other := OpenCall{Fingerprint: numbered(3), Crashes: 1}
-	assert.Equal(t, len(table.Crashed(crashReport("i-2", []OpenCall{guilty, guilty, other}))), 1)
+	other := Call{Fingerprint: numbered(3), Crashes: 1}
+	assert.Equal(t, len(table.Crashed(crashReport("i-2", []Call{guilty, guilty, other}))), 1)
 	assert.Assert(t, table.Standing(numbered(1)).Quarantined)
 	assert.Assert(t, !table.Standing(numbered(2)).Quarantined)
 }
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -55,7 +55,7 @@
 
 // issue takes what is needed as far as there is. Ahead it takes only what the bucket holds
 // beyond a part of the burst: near the limit a permit that lapses unused is one too few.
-func (b *bucket) issue(ask *Ask) int {
+func (b *bucket) issue(ask *PermitRequest) int {
 	b.asks++
 	needed := b.take(float64(ask.Needed))
 	ahead := b.take(math.Min(float64(ask.Ahead), b.level-b.burst*sparePart))
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -74,7 +74,7 @@
 }
 
 // Issue answers a node that asks for permits.
-func (i *Issuer) Issue(ask *Ask) *Grant {
+func (i *Issuer) Issue(ask *PermitRequest) *Grant {
 	tenant := i.tenants(ask.Tenant)
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
--- a/internal/ratelimit/keeper.go
+++ b/internal/ratelimit/keeper.go
@@ -57,13 +57,13 @@
 // released reports whether the holder gave the shard up.
 func (h *holding) released() bool { return h.Address == "" }
 
-// KeeperConfig describes the node.
-type KeeperConfig struct {
+// ShardManagerConfig describes the node.
+type ShardManagerConfig struct {
 	// Address is the node's own, and Process tells it from earlier processes there.
 	Address string
 	Process uint32
-	// Datagrams is where the node takes asks as datagrams, empty if it does not.
-	Datagrams string
+	// DatagramAddress is where the node takes asks as datagrams, empty if it does not.
+	DatagramAddress string
 	// Started is when the process started: earlier ones issue nothing since then.
 	Started time.Time
 	// FirstStart tells that there was no process on any machine before.
@@ -78,17 +78,17 @@
 	// Nodes returns the number of nodes that are known; nil stands for as many as there are
 	// shards.
 	Nodes func() int
-	// Needed reports whether any tenant has a limit.
-	Needed func() bool
-	Issuer *Issuer
-	Log    *eventlog.Log
-	Now    func() time.Time
+	// HasLimits reports whether any tenant has a limit.
+	HasLimits func() bool
+	Issuer    *Issuer
+	Log       *eventlog.Log
+	Now       func() time.Time
 }
 
-// Keeper takes shards that nobody holds, keeps those that the node holds, and knows the
+// ShardManager takes shards that nobody holds, keeps those that the node holds, and knows the
 // holders of all. It is safe for concurrent use.
-type Keeper struct {
-	config KeeperConfig
+type ShardManager struct {
+	config ShardManagerConfig
 
 	mutex  sync.Mutex
 	shards [Shards]record
@@ -126,15 +126,15 @@
 	freeAt time.Time
 }
 
-// NewKeeper returns a keeper that knows no holder.
-func NewKeeper(config KeeperConfig) *Keeper {
+// NewShardManager returns a keeper that knows no holder.
+func NewShardManager(config ShardManagerConfig) *ShardManager {
 	if config.Nodes == nil {
 		config.Nodes = func() int { return Shards }
 	}
 	if config.Epoch == nil {
 		config.Epoch = func() store.Epoch { return 0 }
 	}
-	k := &Keeper{config: config, wake: make(chan struct{}, 1)}
+	k := &ShardManager{config: config, wake: make(chan struct{}, 1)}
 	if !config.FirstStart {
 		k.awaitHolders(config.Started)
 	}
@@ -142,15 +142,15 @@
 }
 
 // Holder returns the node that holds the shard, false if none is known.
-func (k *Keeper) Holder(shard int) (holder Holder, known bool) {
+func (k *ShardManager) Holder(shard int) (holder Holder, known bool) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	held := &k.shards[shard]
 	return held.Holder, (held.revision > 0 || held.lost) && !held.released()
 }
 
-// Change takes changes of the store; keys without the prefix are passed over.
-func (k *Keeper) Change(entries []store.Entry) {
+// ApplyChanges takes changes of the store; keys without the prefix are passed over.
+func (k *ShardManager) ApplyChanges(entries []store.Entry) {
 	for _, entry := range entries {
 		if number, ours := k.numberOf(entry.Key); ours {
 			k.note(number, entry)
@@ -158,16 +158,16 @@
 	}
 }
 
-func (k *Keeper) numberOf(key string) (int, bool) {
+func (k *ShardManager) numberOf(key string) (int, bool) {
 	text, found := strings.CutPrefix(key, k.config.Prefix)
 	number, err := strconv.Atoi(text)
 	return number, found && err == nil && number >= 0 && number < Shards
 }
 
-func (k *Keeper) keyOf(number int) string { return k.config.Prefix + strconv.Itoa(number) }
+func (k *ShardManager) keyOf(number int) string { return k.config.Prefix + strconv.Itoa(number) }
 
 // note takes what the store holds of a shard.
-func (k *Keeper) note(number int, entry store.Entry) {
+func (k *ShardManager) note(number int, entry store.Entry) {
 	var held holding
 	if !entry.Deleted {
 		if err := cbor.Unmarshal(entry.Value, &held); err != nil {
@@ -196,7 +196,7 @@
 
 // loses takes what a store that came back from a copy says of a shard, if that is no word of
 // its holder. Who held it before goes on for as long as its lease would have lasted.
-func (k *Keeper) loses(known *record, held *holding, entry store.Entry) bool {
+func (k *ShardManager) loses(known *record, held *holding, entry store.Entry) bool {
 	restored := !entry.Deleted && held.Epoch < entry.Revision.Epoch()
 	absent := entry.Deleted && entry.Revision.Epoch() > known.seen.Epoch()
 	if !restored && !absent {
@@ -228,16 +228,16 @@
 
 // awaitHolders has the node take no shard, but those that it held, before the last lease is
 // over that may have been granted by a moment.
-func (k *Keeper) awaitHolders(moment time.Time) {
+func (k *ShardManager) awaitHolders(moment time.Time) {
 	for number := range k.shards {
 		k.shards[number].freeAt = latest(k.shards[number].freeAt, moment.Add(shardTTL))
 	}
 }
 
-// StoreRestored takes that the store came back from a copy: it may not hold the shards any
+// HandleStoreRestored takes that the store came back from a copy: it may not hold the shards any
 // more that nodes took since the copy was made, and gives out the numbers of their leases
 // again. A shard that nobody is known to hold may have a holder whose word was lost.
-func (k *Keeper) StoreRestored() {
+func (k *ShardManager) HandleStoreRestored() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	now := k.config.Now()
@@ -251,7 +251,7 @@
 	k.signal()
 }
 
-func (k *Keeper) signal() {
+func (k *ShardManager) signal() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
@@ -259,12 +259,12 @@
 }
 
 // free notes that nobody holds the shard.
-func (k *Keeper) free(number int) {
+func (k *ShardManager) free(number int) {
 	k.shards[number] = record{seen: k.shards[number].seen, since: k.config.Now(), freeAt: k.shards[number].freeAt}
 }
 
 // Run takes and keeps shards until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *ShardManager) Run(ctx context.Context) {
 	ticker := time.NewTicker(keeperPeriod)
 	defer ticker.Stop()
 	for {
@@ -279,7 +279,7 @@
 }
 
 // Stop gives up the shards that the node holds, so that others take them at once.
-func (k *Keeper) Stop(ctx context.Context) {
+func (k *ShardManager) Stop(ctx context.Context) {
 	k.mutex.Lock()
 	k.stopped = true
 	shards := k.shards
@@ -299,7 +299,7 @@
 }
 
 // look renews the lease if that is due and takes shards that fall to the node.
-func (k *Keeper) look(ctx context.Context) {
+func (k *ShardManager) look(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	k.renew(ctx)
@@ -312,15 +312,17 @@
 }
 
 // owns reports whether this process holds the shard, as far as the store told.
-func (k *Keeper) owns(held record) bool { return held.revision > 0 && !held.lost && k.wrote(held) }
+func (k *ShardManager) owns(held record) bool {
+	return held.revision > 0 && !held.lost && k.wrote(held)
+}
 
 // wrote reports whether this process was the last that is known to have held the shard.
-func (k *Keeper) wrote(held record) bool {
+func (k *ShardManager) wrote(held record) bool {
 	return held.Address == k.config.Address && held.Process == k.config.Process
 }
 
-// Held returns how many shards the node holds.
-func (k *Keeper) Held() int {
+// HeldCount returns how many shards the node holds.
+func (k *ShardManager) HeldCount() int {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	count := 0
@@ -333,12 +335,12 @@
 }
 
 // renew keeps the lease of the shards that the node holds.
-func (k *Keeper) renew(ctx context.Context) {
+func (k *ShardManager) renew(ctx context.Context) {
 	if k.lease.Epoch < k.config.Epoch() {
 		// Nothing of an earlier epoch is renewed. What the node holds it may hold until then.
 		k.lease = store.NoLease
 	}
-	if k.lease == store.NoLease || k.config.Now().Before(k.renewAt) || k.Held() == 0 {
+	if k.lease == store.NoLease || k.config.Now().Before(k.renewAt) || k.HeldCount() == 0 {
 		return
 	}
 	began := k.config.Now()
@@ -354,7 +356,7 @@
 }
 
 // extend has the issuer hold what the lease covers.
-func (k *Keeper) extend() {
+func (k *ShardManager) extend() {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.stopped {
@@ -368,7 +370,7 @@
 }
 
 // lose notes that the store no longer holds the node's shards for it.
-func (k *Keeper) lose(reason string) {
+func (k *ShardManager) lose(reason string) {
 	k.lease = store.NoLease
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
@@ -381,6 +383,6 @@
 	}
 }
 
-func (k *Keeper) changed(number int, outcome, reason string) {
+func (k *ShardManager) changed(number int, outcome, reason string) {
 	k.config.Log.Record(eventlog.Event{Kind: eventlog.ShardChanged, Count: number, Outcome: outcome, Reason: reason})
 }
--- a/internal/ratelimit/keeper_test.go
+++ b/internal/ratelimit/keeper_test.go
@@ -45,7 +45,7 @@
 
 // testKeeper is the keeper of a node.
 type testKeeper struct {
-	*Keeper
+	*ShardManager
 	store  *refusingStore
 	issuer *Issuer
 	stop   context.CancelFunc
@@ -65,8 +65,8 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	k := &testKeeper{store: &refusingStore{Store: f.store}, stop: cancel}
 	k.issuer = NewIssuer(testBounds, func(string) *routetable.Tenant { return testTenant }, time.Now)
-	k.Keeper = NewKeeper(KeeperConfig{Address: fmt.Sprint("node-", place), Process: process, Started: time.Now(), FirstStart: process == 1, Prefix: "shards/", Store: k.store,
-		Place: func() (int, bool) { return place, true }, Nodes: func() int { return f.size }, Needed: func() bool { return true }, Issuer: k.issuer, Now: time.Now})
+	k.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", place), Process: process, Started: time.Now(), FirstStart: process == 1, Prefix: "shards/", Store: k.store,
+		Place: func() (int, bool) { return place, true }, Nodes: func() int { return f.size }, HasLimits: func() bool { return true }, Issuer: k.issuer, Now: time.Now})
 	go k.Run(ctx)
 	go k.follow(ctx)
 	return k
@@ -78,10 +78,10 @@
 	if err != nil {
 		return
 	}
-	k.Change(snapshot.Entries)
+	k.ApplyChanges(snapshot.Entries)
 	_ = k.store.Watch(ctx, "shards/", snapshot.Revision, func(batch []store.Entry, _ store.Revision) {
 		time.Sleep(300 * time.Millisecond)
-		k.Change(batch)
+		k.ApplyChanges(batch)
 	})
 }
 
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestAnotherNodeTakesAShard has a holder be lost, cut off from the store, and stopped.
-func TestAnotherNodeTakesAShard(t *testing.T) {
+// TestShardFailover has a holder be lost, cut off from the store, and stopped.
+func TestShardFailover(t *testing.T) {
 	for name, test := range map[string]struct {
 		strike func(f *keeperFleet)
 		bound  time.Duration
@@ -190,9 +190,9 @@
 	})
 }
 
-// TestAStoreThatIsAwayLeavesHoldersInPlace has the store refuse everybody for 4 s, and for
+// TestStoreOutageKeepsHolders has the store refuse everybody for 4 s, and for
 // 10 s: a hold lasts no longer than its lease, and all are back soon.
-func TestAStoreThatIsAwayLeavesHoldersInPlace(t *testing.T) {
+func TestStoreOutageKeepsHolders(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newKeeperFleet(t, 20)
 		defer f.end()
@@ -216,8 +216,8 @@
 	})
 }
 
-// TestAnOldEntryDoesNotBringAShardBack has a copy of the store tell of a hold that ended.
-func TestAnOldEntryDoesNotBringAShardBack(t *testing.T) {
+// TestStaleEntryDoesNotRestoreShard has a copy of the store tell of a hold that ended.
+func TestStaleEntryDoesNotRestoreShard(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newKeeperFleet(t, 1)
 		defer f.end()
@@ -226,7 +226,7 @@
 		entry, err := f.store.Get(t.Context(), "shards/3")
 		assert.NilError(t, err)
 		k.Stop(t.Context())
-		k.Change([]store.Entry{entry})
+		k.ApplyChanges([]store.Entry{entry})
 		time.Sleep(3 * time.Second)
 		assert.Assert(t, !k.issuer.Holds(3))
 	})
--- a/internal/ratelimit/leased_test.go
+++ b/internal/ratelimit/leased_test.go
@@ -150,7 +150,7 @@
 		q.asking = false
 		return
 	}
-	ask := &Ask{Share: share, Tenant: l.sim.tenant.Name, Needed: len(q.waiting), Ahead: q.ahead()}
+	ask := &PermitRequest{Share: share, Tenant: l.sim.tenant.Name, Needed: len(q.waiting), Ahead: q.ahead()}
 	if l.aheadNone {
 		ask.Ahead = 0
 	}
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -15,8 +15,8 @@
 const (
 	// Admitted requests have a permit, or need none.
 	Admitted Outcome = iota
-	// Reached means that the tenant has no permit left for the request.
-	Reached
+	// LimitReached means that the tenant has no permit left for the request.
+	LimitReached
 	// Unavailable means that no holder of a share could be asked.
 	Unavailable
 )
@@ -26,8 +26,8 @@
 	Outcome Outcome
 	// RetryAfter is when a permit is likely for a request that was not admitted.
 	RetryAfter time.Duration
-	// Asked is the number of holders that were asked for this request.
-	Asked int
+	// HoldersAsked is the number of holders that were asked for this request.
+	HoldersAsked int
 	// lapses is when the permit lapses, zero if none was needed.
 	lapses time.Time
 }
@@ -35,8 +35,8 @@
 // Holder is a node that holds a shard.
 type Holder struct {
 	Address string
-	// Datagrams is where the node takes asks as datagrams, empty if it does not.
-	Datagrams string
+	// DatagramAddress is where the node takes asks as datagrams, empty if it does not.
+	DatagramAddress string
 }
 
 // Holders tells which node holds each shard.
@@ -46,7 +46,7 @@
 }
 
 // AskFunc asks a holder for permits.
-type AskFunc func(ctx context.Context, holder Holder, ask *Ask) (*Grant, error)
+type AskFunc func(ctx context.Context, holder Holder, ask *PermitRequest) (*Grant, error)
 
 const (
 	// askTimeout bounds one ask. Answers take some milliseconds; a holder that is silent
@@ -197,7 +197,7 @@
 			time.Sleep(pause)
 			continue
 		}
-		ask := &Ask{Share: share, Tenant: tenant, Needed: len(q.waiting), Ahead: q.ahead()}
+		ask := &PermitRequest{Share: share, Tenant: tenant, Needed: len(q.waiting), Ahead: q.ahead()}
 		holder, _ := l.holders.Holder(shardOf(tenant, share))
 		for _, w := range q.waiting {
 			w.asked++
@@ -208,7 +208,7 @@
 }
 
 // askHolder asks the holder of a share and takes what it answers.
-func (l *Limiter) askHolder(q *queue, holder Holder, ask *Ask) {
+func (l *Limiter) askHolder(q *queue, holder Holder, ask *PermitRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), askTimeout)
 	defer cancel()
 	asked := l.now()
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -33,7 +33,7 @@
 
 func (h *holder) Holder(int) (Holder, bool) { return Holder{Address: "holder"}, true }
 
-func (h *holder) ask(ctx context.Context, _ Holder, ask *Ask) (*Grant, error) {
+func (h *holder) ask(ctx context.Context, _ Holder, ask *PermitRequest) (*Grant, error) {
 	h.mutex.Lock()
 	h.asks++
 	failure, silence := h.failure, h.silence
@@ -75,7 +75,7 @@
 					admitted++
 					return
 				}
-				assert.Equal(t, decision.Outcome, Reached)
+				assert.Equal(t, decision.Outcome, LimitReached)
 				assert.Assert(t, decision.RetryAfter >= minAskPause && decision.RetryAfter < 4*maxAskPause, "%s", decision.RetryAfter)
 			})
 		}
@@ -116,7 +116,7 @@
 		decision := limiter.Admit(t.Context(), testTenant)
 		assert.Equal(t, decision.Outcome, Unavailable)
 		assert.Equal(t, time.Since(began), askTimeout)
-		assert.Equal(t, decision.Asked, 1)
+		assert.Equal(t, decision.HoldersAsked, 1)
 		assert.Equal(t, limiter.Admit(t.Context(), testTenant).Outcome, Unavailable)
 		assert.Equal(t, time.Since(began), askTimeout, "a silent holder is not asked again at once")
 		h.silence, h.failure = 0, errors.New("refused")
@@ -130,11 +130,11 @@
 	})
 }
 
-// TestAHolderThatIsBackIsAskedSoon has all holders say that they hold no shard, as right
+// TestRestartedHolderIsRetriedSoon has all holders say that they hold no shard, as right
 // after a restart of the whole fleet. On a day on which all processes were killed requests
 // were refused for a second after the shards were held again, as their limit could not be
 // checked (77 of the sampled refusals in the second after, none later).
-func TestAHolderThatIsBackIsAskedSoon(t *testing.T) {
+func TestRestartedHolderIsRetriedSoon(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newHolder(testTenant)
 		for number := range Shards {
@@ -175,7 +175,7 @@
 		tenant := routetable.Tenant{Name: "tenant", Rate: 100, Burst: 100}
 		h := newHolder(&tenant)
 		time.Sleep(5 * time.Second)
-		ask := &Ask{Tenant: "tenant", Needed: 1000}
+		ask := &PermitRequest{Tenant: "tenant", Needed: 1000}
 		tenant.Rate, tenant.Burst = 10, 10
 		assert.Equal(t, h.issuer.Issue(ask).Issued, 2, "a quarter of the burst")
 		time.Sleep(time.Second)
@@ -192,12 +192,12 @@
 // TestAHolderThatDoesNotKnowTheTenant has the configurations of two nodes differ.
 func TestAHolderThatDoesNotKnowTheTenant(t *testing.T) {
 	h := newHolder(nil)
-	grant := h.issuer.Issue(&Ask{Tenant: "tenant", Needed: 1})
+	grant := h.issuer.Issue(&PermitRequest{Tenant: "tenant", Needed: 1})
 	assert.Assert(t, grant.Held)
 	assert.Equal(t, grant.Issued, 0)
 	assert.Equal(t, grant.RetryAfter, minAskPause)
 	h.issuer.Release(shardOf("tenant", 0))
-	assert.Assert(t, !h.issuer.Issue(&Ask{Tenant: "tenant", Needed: 1}).Held)
+	assert.Assert(t, !h.issuer.Issue(&PermitRequest{Tenant: "tenant", Needed: 1}).Held)
 }
 
 // TestAHoldThatLapsedBeginsWithWhatItGainedSince has the store be away for longer than a hold
@@ -211,7 +211,7 @@
 		number := shardOf(testTenant.Name, 0)
 		issuer.Hold(number, taken, taken.Add(6*time.Second))
 		time.Sleep(6*time.Second - time.Millisecond)
-		ask := &Ask{Tenant: testTenant.Name, Needed: 1000}
+		ask := &PermitRequest{Tenant: testTenant.Name, Needed: 1000}
 		assert.Equal(t, issuer.Issue(ask).Issued, 25)
 		time.Sleep(201 * time.Millisecond)
 		issuer.Hold(number, taken, time.Now().Add(6*time.Second))
--- a/internal/ratelimit/queue.go
+++ b/internal/ratelimit/queue.go
@@ -25,10 +25,10 @@
 func (q *queue) refusal(now time.Time, asked int) Decision {
 	at, closed := q.reopens(now)
 	if !closed {
-		return Decision{Outcome: Unavailable, RetryAfter: unavailableDelay + rand.N(unavailableDelay), Asked: asked}
+		return Decision{Outcome: Unavailable, RetryAfter: unavailableDelay + rand.N(unavailableDelay), HoldersAsked: asked}
 	}
 	wait := max(at.Sub(now), minAskPause)
-	return Decision{Outcome: Reached, RetryAfter: wait + rand.N(wait), Asked: asked}
+	return Decision{Outcome: LimitReached, RetryAfter: wait + rand.N(wait), HoldersAsked: asked}
 }
 
 // serve gives permits to the requests that have waited longest.
@@ -38,7 +38,7 @@
 		if !taken {
 			return
 		}
-		q.waiting[0].decided <- Decision{lapses: lapses, Asked: q.waiting[0].asked}
+		q.waiting[0].decided <- Decision{lapses: lapses, HoldersAsked: q.waiting[0].asked}
 		q.waiting = q.waiting[1:]
 	}
 }
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -85,8 +85,8 @@
 	return min(max(validity-useDelay, minValidity), maxValidity)
 }
 
-// Ask asks the holder of a share of a tenant's limit for permits.
-type Ask struct {
+// PermitRequest asks the holder of a share of a tenant's limit for permits.
+type PermitRequest struct {
 	_      struct{} `cbor:",toarray"`
 	Share  int
 	Tenant string
@@ -96,7 +96,9 @@
 }
 
 // Valid reports whether the ask is one that a node may send.
-func (a *Ask) Valid() bool { return a.Share >= 0 && a.Share < Shares && a.Needed >= 0 && a.Ahead >= 0 }
+func (a *PermitRequest) Valid() bool {
+	return a.Share >= 0 && a.Share < Shares && a.Needed >= 0 && a.Ahead >= 0
+}
 
 // Grant is a holder's answer.
 type Grant struct {
--- a/internal/ratelimit/restore_test.go
+++ b/internal/ratelimit/restore_test.go
@@ -33,7 +33,7 @@
 
 // restoredKeeper is one process with its keeper of shards, kept by a copy of the store.
 type restoredKeeper struct {
-	*Keeper
+	*ShardManager
 	issuer *Issuer
 	away   atomic.Bool
 	stop   context.CancelFunc
@@ -65,11 +65,11 @@
 	epochs := epoch.NewTracker()
 	way := &storetest.Restored{Store: f.store, Epochs: epochs, Refused: func() bool { return k.away.Load() || f.down.Load() }}
 	k.issuer = NewIssuer(testBounds, func(string) *routetable.Tenant { return testTenant }, time.Now)
-	k.Keeper = NewKeeper(KeeperConfig{Address: fmt.Sprint("node-", place), Process: f.started, Started: time.Now(), FirstStart: first, Epoch: epochs.Current,
-		Prefix: "shards/", Store: way, Place: func() (int, bool) { return place, true }, Nodes: func() int { return f.size }, Needed: func() bool { return true }, Issuer: k.issuer, Now: time.Now})
-	epochs.OnChange(func(epoch.Change) { k.StoreRestored() })
-	held := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { k.Change(entries) }, time.Now)
-	keeper := &replica.Keeper{Copy: held, Store: way, Prefix: "shards/", Place: func() (int, bool) { return 0, true }, Gather: 800 * time.Millisecond, Now: time.Now}
+	k.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", place), Process: f.started, Started: time.Now(), FirstStart: first, Epoch: epochs.Current,
+		Prefix: "shards/", Store: way, Place: func() (int, bool) { return place, true }, Nodes: func() int { return f.size }, HasLimits: func() bool { return true }, Issuer: k.issuer, Now: time.Now})
+	epochs.OnChange(func(epoch.Change) { k.HandleStoreRestored() })
+	held := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { k.ApplyChanges(entries) }, time.Now)
+	keeper := &replica.Syncer{Copy: held, Store: way, Prefix: "shards/", Position: func() (int, bool) { return 0, true }, BatchDelay: 800 * time.Millisecond, Now: time.Now}
 	go keeper.Run(ctx)
 	go k.Run(ctx)
 	return k
@@ -128,9 +128,9 @@
 	time.Sleep(time.Minute)
 }
 
-// TestHoldersOutlastARestoredStore has the store lose all shards, or half of them, while nodes
+// TestHoldersSurviveStoreRestore has the store lose all shards, or half of them, while nodes
 // hold them: they go on without a gap, and no other node takes one.
-func TestHoldersOutlastARestoredStore(t *testing.T) {
+func TestHoldersSurviveStoreRestore(t *testing.T) {
 	for _, settled := range []time.Duration{0, 2 * time.Second, 20 * time.Second} {
 		virtualtime.Run(t, func(t *testing.T) {
 			f := newRestoredFleet(t, 17)
@@ -163,11 +163,11 @@
 	})
 }
 
-// TestNoShardHasTwoHoldersBesideARestoredStore plays seeded schedules of a store that comes
+// TestShardHasSingleHolderAfterStoreRestore plays seeded schedules of a store that comes
 // back from copies up to eight seconds old, also twice in a row, while nodes are killed,
 // started and refused: two nodes never issue permits of a shard at once, and all shards have
 // a holder once it is calm.
-func TestNoShardHasTwoHoldersBesideARestoredStore(t *testing.T) {
+func TestShardHasSingleHolderAfterStoreRestore(t *testing.T) {
 	for _, seed := range restoresThatFailed {
 		virtualtime.Run(t, func(t *testing.T) { playShards(t, seed) })
 	}
--- a/internal/ratelimit/take.go
+++ b/internal/ratelimit/take.go
@@ -11,9 +11,9 @@
 )
 
 // mayTake reports whether the node knows its place among others for long enough.
-func (k *Keeper) mayTake() bool {
+func (k *ShardManager) mayTake() bool {
 	now := k.config.Now()
-	if _, known := k.config.Place(); !known || !k.config.Needed() {
+	if _, known := k.config.Place(); !known || !k.config.HasLimits() {
 		k.eligible = time.Time{}
 		return false
 	}
@@ -25,9 +25,9 @@
 
 // falls reports whether the node is to take the shard: an earlier process at its own address
 // holds it, or nobody does and no other node that comes first has taken it.
-func (k *Keeper) falls(number int, settled bool) bool {
+func (k *ShardManager) falls(number int, settled bool) bool {
 	place, _ := k.config.Place()
-	holds := k.Held()
+	holds := k.HeldCount()
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	held := k.shards[number]
@@ -65,7 +65,7 @@
 }
 
 // take writes the node as the shard's holder, under its lease.
-func (k *Keeper) take(ctx context.Context, number int) {
+func (k *ShardManager) take(ctx context.Context, number int) {
 	if k.config.Now().After(k.until) {
 		k.lease = store.NoLease
 	}
@@ -79,7 +79,7 @@
 	k.shards[number].retryAt = k.config.Now().Add(retryPause)
 	k.mutex.Unlock()
 	from := k.idleSince(before)
-	value := encode(holding{Holder: Holder{Address: k.config.Address, Datagrams: k.config.Datagrams}, Process: k.config.Process, Epoch: k.lease.Epoch})
+	value := encode(holding{Holder: Holder{Address: k.config.Address, DatagramAddress: k.config.DatagramAddress}, Process: k.config.Process, Epoch: k.lease.Epoch})
 	revision, err := k.config.Store.CompareAndSwap(ctx, k.keyOf(number), before.revision, value, k.lease)
 	switch {
 	case err == nil:
@@ -108,7 +108,7 @@
 // idleSince returns the moment from which on nobody issued permits of a shard that the node
 // takes in place of what the record says. A shard that was free for long may have had a
 // holder meanwhile whose lease ended; one that was not has none that the swap doesn't find.
-func (k *Keeper) idleSince(before record) time.Time {
+func (k *ShardManager) idleSince(before record) time.Time {
 	now := k.config.Now()
 	switch {
 	case before.lost:
@@ -132,7 +132,7 @@
 }
 
 // grant has the store grant the node's lease.
-func (k *Keeper) grant(ctx context.Context) bool {
+func (k *ShardManager) grant(ctx context.Context) bool {
 	began := k.config.Now()
 	lease, err := k.config.Store.GrantLease(ctx, shardTTL)
 	if err != nil {
@@ -143,7 +143,7 @@
 }
 
 // read reads who holds a shard.
-func (k *Keeper) read(ctx context.Context, number int) {
+func (k *ShardManager) read(ctx context.Context, number int) {
 	entry, err := k.config.Store.Get(ctx, k.keyOf(number))
 	switch {
 	case err == nil:
--- a/internal/ratelimit/ways_test.go
+++ b/internal/ratelimit/ways_test.go
@@ -39,12 +39,12 @@
 	return sum
 }
 
-// TestWaysOfHoldingALimit compares three ways on the same scenarios and seeds: permits (the
+// TestRateLimitStrategies compares three ways on the same scenarios and seeds: permits (the
 // one that stands), permits for waiting requests alone, and counts that a coordinator
 // answers with the part to admit. With counts 1.7 times of what may run runs where 300 nodes
 // suddenly send six times the usual of a small tenant, and 1.4 times where a third of the
 // nodes are cut off while the tenant sends four times its usual.
-func TestWaysOfHoldingALimit(t *testing.T) {
+func TestRateLimitStrategies(t *testing.T) {
 	hot := func(s scenario, times float64) scenario {
 		s.hot, s.hotFrom, s.hotUntil = times, 8*time.Second, 16*time.Second
 		return s
@@ -87,11 +87,11 @@
 	}
 }
 
-// TestNoLimitIsPassed plays seeded schedules: tenants of all sizes that send up to eight
+// TestLimitsAreNotExceeded plays seeded schedules: tenants of all sizes that send up to eight
 // times their usual, from all nodes or a few that change, while nodes are cut off, restarted
 // or lost, holders of shards first, and limits fall to a tenth. In any window no more runs
 // for the tenant than may, over all nodes together.
-func TestNoLimitIsPassed(t *testing.T) {
+func TestLimitsAreNotExceeded(t *testing.T) {
 	for seed := *firstSchedule; seed < *firstSchedule+uint64(*schedules); seed++ {
 		s := randomScenario(seed)
 		for _, burst := range []float64{s.burst, s.burst * smallPart} {
--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -17,8 +17,8 @@
 func startDirectory(t *testing.T, source store.Store) *Directory {
 	t.Helper()
 	d := NewDirectory(homesPrefix, homeAddress, nil, time.Now)
-	keeper := &replica.Keeper{Copy: replica.NewCopy(time.Second, d.ApplyChanges, time.Now), Store: source, Prefix: homesPrefix,
-		Place: func() (int, bool) { return 0, true }, Now: time.Now}
+	keeper := &replica.Syncer{Copy: replica.NewCopy(time.Second, d.ApplyChanges, time.Now), Store: source, Prefix: homesPrefix,
+		Position: func() (int, bool) { return 0, true }, Now: time.Now}
 	go keeper.Run(t.Context())
 	go d.Run(t.Context())
 	return d
--- a/internal/registry/registrar.go
+++ b/internal/registry/registrar.go
@@ -29,9 +29,9 @@
 	Records func(ctx context.Context) ([]store.Entry, error)
 	// Epoch returns the newest known epoch of the store; nil means epoch zero.
 	Epoch func() store.Epoch
-	// Place returns the node's position in an ordering of all nodes, false if it has none; it
+	// Position returns the node's position in an ordering of all nodes, false if it has none; it
 	// may be nil.
-	Place func() (int, bool)
+	Position func() (int, bool)
 	// Peers is used to notify other nodes of departures. Its zero value notifies none.
 	Peers Peers
 }
@@ -77,8 +77,8 @@
 	if config.Epoch == nil {
 		config.Epoch = func() store.Epoch { return 0 }
 	}
-	if config.Place == nil {
-		config.Place = func() (int, bool) { return 0, false }
+	if config.Position == nil {
+		config.Position = func() (int, bool) { return 0, false }
 	}
 	if config.Peers.Addresses == nil {
 		config.Peers.Addresses = func() []string { return nil }
@@ -87,7 +87,7 @@
 	r := &Registrar{config: config, log: log, now: now, departed: make(map[Incarnation]bool), replaced: make(map[Incarnation]bool),
 		latestStart: make(map[string]int64), leaving: make(map[string]leavingTarget), recoveryDone: make(chan struct{})}
 	r.publisher = newPublisher(stores.Record, config.Epoch, config.HomesPrefix+config.Address, log, now)
-	r.departures = newDepartures(config.Address, config.Place, now, r.rewriteDeparture, r.notifyHome)
+	r.departures = newDepartures(config.Address, config.Position, now, r.rewriteDeparture, r.notifyHome)
 	r.foregroundWriter = newDepartureWriter(stores.Departure, config.Epoch, now)
 	r.backgroundWriter = newDepartureWriter(stores.Departure, config.Epoch, now)
 	return r
--- a/internal/replica/copy.go
+++ b/internal/replica/copy.go
@@ -78,13 +78,13 @@
 	return &Copy{now: now, changed: changed, staleAfter: staleAfter, documents: noDocuments{}, entries: make(map[string]store.Entry)}
 }
 
-// OnPassedOver has a function be told entries that a list of the store held and that were
+// OnStaleEntry has a function be told entries that a list of the store held and that were
 // not taken, as the copy holds a higher revision. It is set before the copy is used and must
 // not call the copy.
-func (c *Copy) OnPassedOver(passedOver func(told, held store.Entry)) { c.passedOver = passedOver }
+func (c *Copy) OnStaleEntry(passedOver func(told, held store.Entry)) { c.passedOver = passedOver }
 
-// Filled reports whether the copy was ever complete.
-func (c *Copy) Filled() bool {
+// Initialized reports whether the copy was ever complete.
+func (c *Copy) Initialized() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.filled
@@ -285,9 +285,9 @@
 	c.waiting = nil
 }
 
-// AwaitProved waits until the copy holds everything that the store held at the
+// AwaitCurrent waits until the copy holds everything that the store held at the
 // given moment.
-func (c *Copy) AwaitProved(ctx context.Context, moment time.Time) error {
+func (c *Copy) AwaitCurrent(ctx context.Context, moment time.Time) error {
 	if err := c.await(ctx, func() bool { return c.filled && c.proved.After(moment) }); err != nil {
 		return err
 	}
--- a/internal/replica/copy_test.go
+++ b/internal/replica/copy_test.go
@@ -35,9 +35,9 @@
 	c := newTaken(time.Now)
 	c.takeSnapshot(snapshotOf(9, store.Entry{Key: "a", Value: []byte("new"), Revision: 7}), time.Now())
 	c.takeEvents([]store.Entry{{Key: "a", Value: []byte("old"), Revision: 5}}, 9)
-	c.takeDelta(Delta{Digest: Digest{Through: 8}, Items: []Item{{Key: "a", Value: []byte("older"), Revision: 3}, {Key: "b", Value: []byte("x"), Revision: 8}}}, "peer", time.Now())
+	c.takeDelta(Delta{Digest: Digest{Revision: 8}, Items: []Item{{Key: "a", Value: []byte("older"), Revision: 3}, {Key: "b", Value: []byte("x"), Revision: 8}}}, "peer", time.Now())
 	assert.DeepEqual(t, c.changes, []string{"a=new from store", "b=x from peer"})
-	assert.Equal(t, c.Digest().Through, store.Revision(8))
+	assert.Equal(t, c.Digest().Revision, store.Revision(8))
 }
 
 // TestAPeerThatIsBehindChangesNothing has a peer tell an old state as its whole
@@ -45,9 +45,9 @@
 func TestAPeerThatIsBehindChangesNothing(t *testing.T) {
 	c := newTaken(time.Now)
 	c.takeSnapshot(snapshotOf(9, store.Entry{Key: "a", Value: []byte("1"), Revision: 9}), time.Now())
-	c.takeDelta(Delta{Digest: Digest{Through: 4}, Whole: true}, "peer", time.Now())
+	c.takeDelta(Delta{Digest: Digest{Revision: 4}, Full: true}, "peer", time.Now())
 	assert.Equal(t, len(c.Entries()), 1)
-	c.takeDelta(Delta{Digest: Digest{Through: 12}, Whole: true}, "peer", time.Now())
+	c.takeDelta(Delta{Digest: Digest{Revision: 12}, Full: true}, "peer", time.Now())
 	assert.Equal(t, len(c.Entries()), 0)
 }
 
@@ -55,13 +55,13 @@
 // lacks the rest.
 func TestAnEmptyCopyTakesOnlyAWholeOne(t *testing.T) {
 	c := newTaken(time.Now)
-	c.takeDelta(Delta{Digest: Digest{Through: 4, Age: unknownAge}, Whole: true}, "peer", time.Now())
-	assert.Assert(t, !c.Filled(), "a peer that was never current knows nothing")
-	c.takeDelta(Delta{Digest: Digest{Through: 4}, Items: []Item{{Key: "a", Revision: 4}}}, "peer", time.Now())
-	assert.Assert(t, !c.Filled())
-	assert.Equal(t, c.Digest().Through, store.Revision(0))
-	c.takeDelta(Delta{Digest: Digest{Through: 4}, Whole: true, Items: []Item{{Key: "a", Revision: 4}}}, "peer", time.Now())
-	assert.Assert(t, c.Filled())
+	c.takeDelta(Delta{Digest: Digest{Revision: 4, Age: unknownAge}, Full: true}, "peer", time.Now())
+	assert.Assert(t, !c.Initialized(), "a peer that was never current knows nothing")
+	c.takeDelta(Delta{Digest: Digest{Revision: 4}, Items: []Item{{Key: "a", Revision: 4}}}, "peer", time.Now())
+	assert.Assert(t, !c.Initialized())
+	assert.Equal(t, c.Digest().Revision, store.Revision(0))
+	c.takeDelta(Delta{Digest: Digest{Revision: 4}, Full: true, Items: []Item{{Key: "a", Revision: 4}}}, "peer", time.Now())
+	assert.Assert(t, c.Initialized())
 }
 
 func TestADeltaHoldsWhatTheOtherLacks(t *testing.T) {
@@ -69,15 +69,15 @@
 	full.takeSnapshot(snapshotOf(9, store.Entry{Key: "a", Value: []byte("1"), Revision: 3}, store.Entry{Key: "b", Value: []byte("2"), Revision: 8}), time.Now())
 	full.takeEvents([]store.Entry{{Key: "a", Revision: 12, Deleted: true}}, 12)
 
-	delta := full.Since(Digest{Through: 8, Age: 0})
-	assert.Assert(t, !delta.Whole)
+	delta := full.Since(Digest{Revision: 8, Age: 0})
+	assert.Assert(t, !delta.Full)
 	assert.DeepEqual(t, delta.Items, []Item{{Key: "a", Revision: 12, Deleted: true}})
-	assert.Equal(t, len(full.Since(Digest{Through: 12}).Items), 0)
+	assert.Equal(t, len(full.Since(Digest{Revision: 12}).Items), 0)
 
 	other := newTaken(time.Now)
 	other.takeDelta(full.Since(other.Digest()), "peer", time.Now())
 	assert.DeepEqual(t, other.changes, []string{"b=2 from peer"})
-	assert.Equal(t, other.Digest().Through, store.Revision(12))
+	assert.Equal(t, other.Digest().Revision, store.Revision(12))
 }
 
 // TestForgottenDeletionsAreToldByAbsence has more keys deleted than a copy
@@ -99,7 +99,7 @@
 	full.mutex.Unlock()
 	assert.Assert(t, remembered <= maxDeleted, "%d", remembered)
 	delta := full.Since(other.Digest())
-	assert.Assert(t, delta.Whole)
+	assert.Assert(t, delta.Full)
 	other.takeDelta(delta, "peer", time.Now())
 	assert.Equal(t, len(other.Entries()), 0)
 }
@@ -109,7 +109,7 @@
 func TestAChangeBetweenPagesIsNotSkipped(t *testing.T) {
 	c := newTaken(time.Now)
 	c.takeSnapshot(snapshotOf(5, store.Entry{Key: "a", Revision: 4}, store.Entry{Key: "z", Revision: 8}), time.Now())
-	assert.Equal(t, c.Digest().Through, store.Revision(4), "what changed between 4 and 8 may be missing")
+	assert.Equal(t, c.Digest().Revision, store.Revision(4), "what changed between 4 and 8 may be missing")
 	cursor, filled := c.position()
 	assert.Assert(t, filled)
 	assert.Equal(t, cursor, store.Revision(5))
@@ -121,14 +121,14 @@
 	now := time.Now()
 	c := newTaken(func() time.Time { return now })
 	asked := now
-	c.takeDelta(Delta{Digest: Digest{Through: 4, Age: time.Second}, Whole: true}, "peer", asked)
-	assert.Assert(t, !c.proved.After(asked.Add(-time.Second-LongestWait)))
-	c.heard(Digest{Through: 4, Age: 0}, time.Time{})
-	assert.Assert(t, !c.proved.After(asked.Add(-time.Second-LongestWait)), "how long a call was under way is not known")
+	c.takeDelta(Delta{Digest: Digest{Revision: 4, Age: time.Second}, Full: true}, "peer", asked)
+	assert.Assert(t, !c.proved.After(asked.Add(-time.Second-MaxWatchWait)))
+	c.heard(Digest{Revision: 4, Age: 0}, time.Time{})
+	assert.Assert(t, !c.proved.After(asked.Add(-time.Second-MaxWatchWait)), "how long a call was under way is not known")
 	age, known := c.Age()
 	assert.Assert(t, known)
 	assert.Equal(t, age, time.Duration(0))
-	c.heard(Digest{Through: 3, Age: 0}, now.Add(time.Hour))
+	c.heard(Digest{Revision: 3, Age: 0}, now.Add(time.Hour))
 	assert.Assert(t, c.proved.Before(now), "a peer that holds something else proves nothing")
 }
 
@@ -142,7 +142,7 @@
 	})
 	held := NewCopy(time.Second, func([]store.Entry, string) {}, machine.Now)
 	held.takeSnapshot(store.Snapshot{Revision: 1}, machine.Now())
-	keeper := &Keeper{Copy: held, Place: func() (int, bool) { return watchers, true }, Now: machine.Now}
+	keeper := &Syncer{Copy: held, Position: func() (int, bool) { return watchers, true }, Now: machine.Now}
 	assert.Assert(t, keeper.wait() > 0)
 	suspended = 5 * time.Second
 	age, known := held.Age()
--- a/internal/replica/delta.go
+++ b/internal/replica/delta.go
@@ -9,17 +9,17 @@
 // Digest says how far a copy reaches.
 type Digest struct {
 	_ struct{} `cbor:",toarray"`
-	// Through is a revision: all changes up to it are in the copy.
-	Through store.Revision
+	// Revision is a revision: all changes up to it are in the copy.
+	Revision store.Revision
 	// Age is how long ago the copy was known to hold everything that the store
 	// held; negative if that never was.
 	Age time.Duration
 	// Verified is how long ago some node began to read the store, with the result
 	// that the copy holds what the store held then; negative if that never was.
 	Verified time.Duration
-	// Newest is the version of the newest document that the sender holds, which the store
+	// DocumentVersion is the version of the newest document that the sender holds, which the store
 	// may have lost; zero where documents have no versions.
-	Newest uint64
+	DocumentVersion uint64
 }
 
 // Item is an entry of the store as peers tell it.
@@ -36,15 +36,15 @@
 type Delta struct {
 	_ struct{} `cbor:",toarray"`
 	Digest
-	// Whole tells that keys that are not named don't exist.
-	Whole bool
+	// Full tells that keys that are not named don't exist.
+	Full  bool
 	Items []Item
 	// Beyond is the newest document where the items don't tell it, nil if there is none.
 	Beyond []byte
 }
 
 func (c *Copy) digest() Digest {
-	return Digest{Through: c.through, Age: c.since(c.confirmed), Verified: c.since(c.verified), Newest: c.documents.Version()}
+	return Digest{Revision: c.through, Age: c.since(c.confirmed), Verified: c.since(c.verified), DocumentVersion: c.documents.Version()}
 }
 
 // since returns how long ago a moment was, unknownAge for none.
@@ -60,15 +60,15 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	delta := Delta{Digest: c.digest(), Beyond: c.beyond(other)}
-	empty := other.Through == 0 && other.Age < 0
-	if !c.filled || (other.Through >= c.through && !empty) {
+	empty := other.Revision == 0 && other.Age < 0
+	if !c.filled || (other.Revision >= c.through && !empty) {
 		return delta
 	}
 	// What the other copy holds of an earlier epoch may never have been in this one.
-	earlier := other.Through.Epoch() < c.through.Epoch()
-	delta.Whole = empty || earlier || other.Through < c.horizon
+	earlier := other.Revision.Epoch() < c.through.Epoch()
+	delta.Full = empty || earlier || other.Revision < c.horizon
 	for _, entry := range c.entries {
-		if (delta.Whole && !entry.Deleted) || (!delta.Whole && entry.Revision > other.Through) {
+		if (delta.Full && !entry.Deleted) || (!delta.Full && entry.Revision > other.Revision) {
 			delta.Items = append(delta.Items, Item{Key: entry.Key, Value: entry.Value, Revision: entry.Revision, Lease: entry.Lease, Deleted: entry.Deleted})
 		}
 	}
@@ -80,18 +80,18 @@
 func (c *Copy) behind(other Digest) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return other.Through > c.through || (!c.filled && other.Age >= 0) || c.lacksDocument(other.Newest)
+	return other.Revision > c.through || (!c.filled && other.Age >= 0) || c.lacksDocument(other.DocumentVersion)
 }
 
 // takeDelta takes what a peer told that was asked at the given moment.
 func (c *Copy) takeDelta(delta Delta, peer string, asked time.Time) {
 	c.takeDocument(delta, peer)
 	c.apply(peer, func() []store.Entry {
-		later := delta.Through.Epoch() > c.through.Epoch()
-		if delta.Age < 0 || delta.Through < c.through || (later && !delta.Whole) {
+		later := delta.Revision.Epoch() > c.through.Epoch()
+		if delta.Age < 0 || delta.Revision < c.through || (later && !delta.Full) {
 			return nil
 		}
-		c.enter(delta.Through.Epoch())
+		c.enter(delta.Revision.Epoch())
 		entries := make([]store.Entry, 0, len(delta.Items))
 		present := make(map[string]bool, len(delta.Items))
 		for _, item := range delta.Items {
@@ -99,12 +99,12 @@
 			entries = append(entries, store.Entry{Key: item.Key, Value: item.Value, Revision: item.Revision, Lease: item.Lease, Deleted: item.Deleted})
 		}
 		changes := c.put(entries)
-		if delta.Whole {
-			changes = append(changes, c.removeAbsent(present, delta.Through)...)
+		if delta.Full {
+			changes = append(changes, c.removeAbsent(present, delta.Revision)...)
 		}
-		if delta.Whole || c.filled {
+		if delta.Full || c.filled {
 			c.filled = true
-			c.through = delta.Through
+			c.through = delta.Revision
 			c.cursor = max(c.cursor, c.through)
 			c.confirm(c.now().Add(-delta.Age), asked.Add(-delta.Age-confirmSlack))
 			c.verifyByPeer(delta.Digest, asked)
@@ -119,7 +119,7 @@
 func (c *Copy) heard(digest Digest, asked time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.filled || digest.Age < 0 || digest.Through != c.through {
+	if !c.filled || digest.Age < 0 || digest.Revision != c.through {
 		return
 	}
 	proved := time.Time{}
--- a/internal/replica/document.go
+++ b/internal/replica/document.go
@@ -32,8 +32,8 @@
 // Offer implements Documents.
 func (noDocuments) Offer([]byte, string) {}
 
-// SetDocuments has the copy tell peers of documents. It is called before the copy is used.
-func (c *Copy) SetDocuments(documents Documents) { c.documents = documents }
+// SetDocument has the copy tell peers of documents. It is called before the copy is used.
+func (c *Copy) SetDocument(documents Documents) { c.documents = documents }
 
 // lacksDocument reports whether a peer's newest version is newer and may be of use.
 func (c *Copy) lacksDocument(newest uint64) bool {
@@ -44,10 +44,10 @@
 // entries that it lacks.
 func (c *Copy) beyond(other Digest) []byte {
 	newest := c.documents.Version()
-	if other.Newest >= newest {
+	if other.DocumentVersion >= newest {
 		return nil
 	}
-	if c.filled && other.Through < c.through && c.documents.Stored() == newest {
+	if c.filled && other.Revision < c.through && c.documents.Stored() == newest {
 		return nil
 	}
 	return c.documents.Newest()
@@ -62,7 +62,7 @@
 	c.documents.Offer(delta.Beyond, peer)
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if delta.Newest > c.documents.Version() {
-		c.useless = max(c.useless, delta.Newest)
+	if delta.DocumentVersion > c.documents.Version() {
+		c.useless = max(c.useless, delta.DocumentVersion)
 	}
 }
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -29,7 +29,7 @@
 	*node
 	store  *cutStore
 	copy   *Copy
-	spread *Spread
+	spread *AntiEntropy
 	stop   context.CancelFunc
 	// documents is what the process makes of the values of the key "a", nil where the fleet
 	// has no documents.
@@ -103,19 +103,19 @@
 	changed := func([]store.Entry, string) {}
 	if f.documented {
 		p.documents = newDocuments(f.firstStart)
-		changed = p.documents.feed.Change
+		changed = p.documents.feed.ApplyChanges
 	}
 	p.copy = NewCopy(staleAfter, changed, time.Now)
-	keeper := &Keeper{Copy: p.copy, Store: p.store, Prefix: "k", Now: time.Now, FirstDelay: f.firstDelay, Place: func() (int, bool) { return n.place, true }}
-	config := SpreadConfig{Address: n.address, Now: time.Now, Peers: f.peers, Ask: f.ask, FirstStart: f.firstStart}
+	keeper := &Syncer{Copy: p.copy, Store: p.store, Prefix: "k", Now: time.Now, InitialDelay: f.firstDelay, Position: func() (int, bool) { return n.place, true }}
+	config := AntiEntropyConfig{Address: n.address, Now: time.Now, Peers: f.peers, SendQuery: f.ask, FirstStart: f.firstStart}
 	var verifier *Verifier
 	if f.verifyAfter > 0 {
 		late := *keeper
 		late.Store = &lateStore{Store: p.store, late: f.late}
-		verifier = &Verifier{Keeper: &late, After: f.verifyAfter, Needed: func() bool { return true }}
+		verifier = &Verifier{Syncer: &late, MaxAge: f.verifyAfter, Needed: func() bool { return true }}
 		config.Overdue = verifier.Overdue
 	}
-	p.spread = NewSpread(config, p.copy)
+	p.spread = NewAntiEntropy(config, p.copy)
 	if f.documented {
 		p.documents.follow(ctx, p)
 	}
--- a/internal/replica/keeper.go
+++ b/internal/replica/keeper.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// LongestWait is the longest time that one call of a watch may wait in the
+	// MaxWatchWait is the longest time that one call of a watch may wait in the
 	// store.
-	LongestWait = 4 * time.Second
+	MaxWatchWait = 4 * time.Second
 	// confirmSlack is by how much a process that was paused may have told too late
 	// a moment at which its copy was current: its watch was answered at some time
 	// while it waited.
-	confirmSlack = LongestWait + 200*time.Millisecond
+	confirmSlack = MaxWatchWait + 200*time.Millisecond
 	// watchers is the number of nodes that watch the store. The answers to their
 	// watches come at different times, so that the fleet hears from the store
 	// several times in a longest wait.
@@ -33,25 +33,25 @@
 	minSleep = 20 * time.Millisecond
 )
 
-// Keeper keeps a copy current from the store as far as peers don't.
-type Keeper struct {
+// Syncer keeps a copy current from the store as far as peers don't.
+type Syncer struct {
 	Copy   *Copy
 	Store  store.Store
 	Prefix string
-	// Place returns the node's place in the order in which nodes watch, the same
+	// Position returns the node's place in the order in which nodes watch, the same
 	// on all nodes that know the same; false if it is not known.
-	Place func() (int, bool)
-	// Gather is how long changes are gathered, so that those that come together
+	Position func() (int, bool)
+	// BatchDelay is how long changes are gathered, so that those that come together
 	// cost one call.
-	Gather time.Duration
-	// FirstDelay is how long a node that does not watch waits for peers before it
+	BatchDelay time.Duration
+	// InitialDelay is how long a node that does not watch waits for peers before it
 	// asks the store for the first time.
-	FirstDelay time.Duration
-	Now        func() time.Time
+	InitialDelay time.Duration
+	Now          func() time.Time
 }
 
 // Run keeps the copy until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Syncer) Run(ctx context.Context) {
 	k.awaitPeers(ctx)
 	for ctx.Err() == nil {
 		if wait := k.wait(); wait > 0 {
@@ -66,28 +66,28 @@
 
 // awaitPeers waits until a peer told the copy, the node finds that it is to watch,
 // or the first delay is over.
-func (k *Keeper) awaitPeers(ctx context.Context) {
-	deadline := k.Now().Add(k.FirstDelay)
-	for ctx.Err() == nil && k.Now().Before(deadline) && !k.Copy.Filled() && !k.Watches() {
+func (k *Syncer) awaitPeers(ctx context.Context) {
+	deadline := k.Now().Add(k.InitialDelay)
+	for ctx.Err() == nil && k.Now().Before(deadline) && !k.Copy.Initialized() && !k.IsWatcher() {
 		pause.For(ctx, minSleep)
 	}
 }
 
-// Watches reports whether the node is one of those that watch the store.
-func (k *Keeper) Watches() bool {
-	place, known := k.Place()
+// IsWatcher reports whether the node is one of those that watch the store.
+func (k *Syncer) IsWatcher() bool {
+	place, known := k.Position()
 	return known && place < watchers
 }
 
 // wait returns how long the store needs not be asked, zero if it is to be asked
 // now.
-func (k *Keeper) wait() time.Duration {
+func (k *Syncer) wait() time.Duration {
 	age, known := k.Copy.Age()
-	if !known || k.Watches() {
+	if !known || k.IsWatcher() {
 		return 0
 	}
 	delay := rand.N(maxPlaceDelay)
-	if place, known := k.Place(); known {
+	if place, known := k.Position(); known {
 		delay = min(time.Duration(place)*placeDelay, maxPlaceDelay) + rand.N(delaySpread)
 	}
 	return k.Copy.staleAfter + delay - age
@@ -95,7 +95,7 @@
 
 // ask reads what is new from the store, and goes on watching if the node is one
 // of those that do.
-func (k *Keeper) ask(ctx context.Context) error {
+func (k *Syncer) ask(ctx context.Context) error {
 	cursor, filled := k.Copy.position()
 	if !filled {
 		return k.list(ctx)
@@ -107,7 +107,7 @@
 	return err
 }
 
-func (k *Keeper) list(ctx context.Context) error {
+func (k *Syncer) list(ctx context.Context) error {
 	asked := k.Now()
 	snapshot, err := k.Store.List(ctx, k.Prefix)
 	if err != nil {
@@ -118,19 +118,19 @@
 }
 
 // watch ends without an error once the node is not to watch any longer.
-func (k *Keeper) watch(ctx context.Context, cursor store.Revision) error {
+func (k *Syncer) watch(ctx context.Context, cursor store.Revision) error {
 	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	answered := false
 	err := k.Store.Watch(watchCtx, k.Prefix, cursor, func(events []store.Entry, progress store.Revision) {
 		answered = true
 		k.Copy.takeEvents(events, progress)
-		if !k.Watches() {
+		if !k.IsWatcher() {
 			stop()
 			return
 		}
 		if len(events) > 0 {
-			pause.For(watchCtx, k.Gather)
+			pause.For(watchCtx, k.BatchDelay)
 		}
 	})
 	if answered && watchCtx.Err() != nil {
--- a/internal/replica/restore_test.go
+++ b/internal/replica/restore_test.go
@@ -56,10 +56,10 @@
 
 // follow joins the documents with the copy of a process.
 func (d *documents) follow(ctx context.Context, p *process) {
-	d.proof = configfeed.NewProof(d.feed, p.copy)
-	p.copy.SetDocuments(d.feed)
+	d.proof = configfeed.NewFreshness(d.feed, p.copy)
+	p.copy.SetDocument(d.feed)
 	go func() {
-		p.spread.AwaitSettled(ctx)
+		p.spread.AwaitSynced(ctx)
 		d.feed.Release()
 	}()
 }
@@ -380,13 +380,13 @@
 	c.takeSnapshot(snapshotOf(later, store.Entry{Key: "a", Value: []byte("old"), Revision: store.NewRevision(1, 30)}), time.Now())
 	assert.DeepEqual(t, c.changes[2:], []string{"a=old from store", "b= from store"})
 	// A copy of the epoch before neither wins nor is told a part.
-	assert.Assert(t, !c.behind(Digest{Through: 900, Age: 0}))
-	assert.Assert(t, c.Since(old).Whole)
+	assert.Assert(t, !c.behind(Digest{Revision: 900, Age: 0}))
+	assert.Assert(t, c.Since(old).Full)
 	behind := newTaken(time.Now)
 	behind.takeSnapshot(snapshotOf(90, store.Entry{Key: "c", Value: []byte("never there"), Revision: 90}), time.Now())
 	behind.takeDelta(c.Since(behind.Digest()), "peer", time.Now())
 	assert.DeepEqual(t, behind.changes[1:], []string{"a=old from peer", "c= from peer"})
-	assert.Equal(t, behind.Digest().Through, c.Digest().Through)
+	assert.Equal(t, behind.Digest().Revision, c.Digest().Revision)
 	// What a watch or a list of the epoch before tells late is dropped.
 	c.takeEvents([]store.Entry{{Key: "a", Value: []byte("late"), Revision: 51}}, 51)
 	c.takeSnapshot(snapshotOf(60, store.Entry{Key: "a", Value: []byte("late"), Revision: 60}), time.Now())
--- a/internal/replica/settle.go
+++ b/internal/replica/settle.go
@@ -65,11 +65,11 @@
 
 // Settled reports whether the process has heard what peers know that were there before it,
 // as far as it reaches any.
-func (s *Spread) Settled() bool { return s.settling.ended() }
+func (s *AntiEntropy) Settled() bool { return s.settling.ended() }
 
-// AwaitSettled waits until the process is settled or the context ends. Without any peer it
+// AwaitSynced waits until the process is settled or the context ends. Without any peer it
 // is after a while.
-func (s *Spread) AwaitSettled(ctx context.Context) {
+func (s *AntiEntropy) AwaitSynced(ctx context.Context) {
 	timer := time.NewTimer(settleTimeout)
 	defer timer.Stop()
 	select {
--- a/internal/replica/spread.go
+++ b/internal/replica/spread.go
@@ -55,22 +55,22 @@
 	maxRecent = 16
 )
 
-// SpreadConfig describes the node and its peers.
-type SpreadConfig struct {
+// AntiEntropyConfig describes the node and its peers.
+type AntiEntropyConfig struct {
 	// Address is the node's own, as peers reach it.
 	Address string
 	// Peers returns the addresses of nodes in the order in which they watch the
 	// store; the own one may be among them.
 	Peers func() []string
-	// Ask sends a query to a peer.
-	Ask func(ctx context.Context, address string, query *Query) (*Answer, error)
-	// Heard is told of every peer that called; it may be nil.
-	Heard func(peer string)
-	// Confirmed is told that a peer's copies were current at a moment; it may be
+	// SendQuery sends a query to a peer.
+	SendQuery func(ctx context.Context, address string, query *Query) (*Answer, error)
+	// OnCall is told of every peer that called; it may be nil.
+	OnCall func(peer string)
+	// OnConfirmed is told that a peer's copies were current at a moment; it may be
 	// nil.
-	Confirmed func(at time.Time)
-	// Epoch is told the epoch of the store that a peer's copies are of; it may be nil.
-	Epoch func(epoch store.Epoch, peer string)
+	OnConfirmed func(at time.Time)
+	// OnEpoch is told the epoch of the store that a peer's copies are of; it may be nil.
+	OnEpoch func(epoch store.Epoch, peer string)
 	// Overdue reports whether peers are likely to know something that the node should have
 	// heard by now; it may be nil.
 	Overdue func() bool
@@ -79,9 +79,9 @@
 	Now        func() time.Time
 }
 
-// Spread brings the copies of nodes together. It is safe for concurrent use.
-type Spread struct {
-	config SpreadConfig
+// AntiEntropy brings the copies of nodes together. It is safe for concurrent use.
+type AntiEntropy struct {
+	config AntiEntropyConfig
 	copies []*Copy
 
 	// made is when the spread was made, and heardAt how much later a peer was heard
@@ -97,10 +97,10 @@
 	next   int
 }
 
-// NewSpread returns a spread of the copies, which all nodes hold in the same
+// NewAntiEntropy returns a spread of the copies, which all nodes hold in the same
 // order.
-func NewSpread(config SpreadConfig, copies ...*Copy) *Spread {
-	s := &Spread{config: config, copies: copies, made: config.Now(), settling: newSettling()}
+func NewAntiEntropy(config AntiEntropyConfig, copies ...*Copy) *AntiEntropy {
+	s := &AntiEntropy{config: config, copies: copies, made: config.Now(), settling: newSettling()}
 	if config.FirstStart {
 		s.settling.end()
 	}
@@ -109,17 +109,17 @@
 
 // Digests says how far the node's copies reach, for messages that go anyway. They tell the
 // newest document only where the store has lost it: else it is among the copy's entries.
-func (s *Spread) Digests() []Digest {
+func (s *AntiEntropy) Digests() []Digest {
 	digests := s.wholeDigests()
 	for i, held := range s.copies {
-		if held.documents.Stored() >= digests[i].Newest {
-			digests[i].Newest = 0
+		if held.documents.Stored() >= digests[i].DocumentVersion {
+			digests[i].DocumentVersion = 0
 		}
 	}
 	return digests
 }
 
-func (s *Spread) wholeDigests() []Digest {
+func (s *AntiEntropy) wholeDigests() []Digest {
 	digests := make([]Digest, len(s.copies))
 	for i, held := range s.copies {
 		digests[i] = held.Digest()
@@ -129,24 +129,24 @@
 
 // HandleCallDigests takes the digests of a peer that called. How long they were under way
 // is not known, so that they prove nothing of earlier moments.
-func (s *Spread) HandleCallDigests(peer string, digests []Digest) {
+func (s *AntiEntropy) HandleCallDigests(peer string, digests []Digest) {
 	if peer == "" || peer == s.config.Address {
 		return
 	}
 	s.remember(peer)
-	if s.config.Heard != nil {
-		s.config.Heard(peer)
+	if s.config.OnCall != nil {
+		s.config.OnCall(peer)
 	}
 	s.heard(peer, digests, time.Time{})
 }
 
 // HandleReplyDigests takes the digests that a peer told on a reply to a message of the
 // given moment.
-func (s *Spread) HandleReplyDigests(peer string, digests []Digest, asked time.Time) {
+func (s *AntiEntropy) HandleReplyDigests(peer string, digests []Digest, asked time.Time) {
 	s.heard(peer, digests, asked)
 }
 
-func (s *Spread) heard(peer string, digests []Digest, asked time.Time) {
+func (s *AntiEntropy) heard(peer string, digests []Digest, asked time.Time) {
 	if len(digests) != len(s.copies) {
 		return
 	}
@@ -163,7 +163,7 @@
 
 // AnswerQuery answers a peer's query and learns from it that the peer is there and
 // what it has.
-func (s *Spread) AnswerQuery(query *Query) *Answer {
+func (s *AntiEntropy) AnswerQuery(query *Query) *Answer {
 	answer := &Answer{Deltas: make([]Delta, len(s.copies)), Settled: s.Settled()}
 	for i, held := range s.copies {
 		if i < len(query.Digests) {
@@ -176,7 +176,7 @@
 
 // Run asks peers while the node's copies are empty and whenever no message told of
 // any, until the context ends.
-func (s *Spread) Run(ctx context.Context) {
+func (s *AntiEntropy) Run(ctx context.Context) {
 	asking := make(chan struct{}, maxAsking)
 	for ctx.Err() == nil {
 		if s.quietFor() > askAfter || s.aged() || s.overdue() || !s.Settled() {
@@ -188,7 +188,7 @@
 }
 
 // askOne asks a peer without awaiting its answer, unless too many are being asked.
-func (s *Spread) askOne(ctx context.Context, asking chan struct{}) {
+func (s *AntiEntropy) askOne(ctx context.Context, asking chan struct{}) {
 	peer := s.pick()
 	if peer == "" {
 		return
@@ -205,7 +205,7 @@
 }
 
 // period returns the mean time until the next question.
-func (s *Spread) period() time.Duration {
+func (s *AntiEntropy) period() time.Duration {
 	switch {
 	case !s.filled() || !s.Settled():
 		return unfilledPeriod
@@ -217,7 +217,7 @@
 }
 
 // justStale reports whether a copy became stale a short while ago.
-func (s *Spread) justStale() bool {
+func (s *AntiEntropy) justStale() bool {
 	for _, held := range s.copies {
 		if age, known := held.Age(); known && age > held.staleAfter && age < held.staleAfter+staleSpan {
 			return true
@@ -226,9 +226,9 @@
 	return false
 }
 
-func (s *Spread) filled() bool {
+func (s *AntiEntropy) filled() bool {
 	for _, held := range s.copies {
-		if !held.Filled() {
+		if !held.Initialized() {
 			return false
 		}
 	}
@@ -236,12 +236,12 @@
 }
 
 // quietFor returns how long ago a peer was heard.
-func (s *Spread) quietFor() time.Duration {
+func (s *AntiEntropy) quietFor() time.Duration {
 	return s.config.Now().Sub(s.made) - time.Duration(s.heardAt.Load())
 }
 
 // aged reports whether a copy is empty or so old that a peer should be asked.
-func (s *Spread) aged() bool {
+func (s *AntiEntropy) aged() bool {
 	for _, held := range s.copies {
 		if age, known := held.Age(); !known || age > held.staleAfter/2 {
 			return true
@@ -250,9 +250,9 @@
 	return false
 }
 
-func (s *Spread) overdue() bool { return s.config.Overdue != nil && s.config.Overdue() }
+func (s *AntiEntropy) overdue() bool { return s.config.Overdue != nil && s.config.Overdue() }
 
-func (s *Spread) behind(digests []Digest) bool {
+func (s *AntiEntropy) behind(digests []Digest) bool {
 	for i, held := range s.copies {
 		if held.behind(digests[i]) {
 			return true
@@ -261,32 +261,32 @@
 	return false
 }
 
-func (s *Spread) noteConfirmed(digests []Digest) {
-	if s.config.Confirmed == nil {
+func (s *AntiEntropy) noteConfirmed(digests []Digest) {
+	if s.config.OnConfirmed == nil {
 		return
 	}
 	for _, digest := range digests {
 		if digest.Age >= 0 {
-			s.config.Confirmed(s.config.Now().Add(-digest.Age))
+			s.config.OnConfirmed(s.config.Now().Add(-digest.Age))
 		}
 	}
 }
 
 // noteEpochs tells which epochs of the store a peer's copies are of. A copy that holds
 // nothing is of none.
-func (s *Spread) noteEpochs(digests []Digest, peer string) {
-	if s.config.Epoch == nil {
+func (s *AntiEntropy) noteEpochs(digests []Digest, peer string) {
+	if s.config.OnEpoch == nil {
 		return
 	}
 	for _, digest := range digests {
-		if digest.Through != 0 {
-			s.config.Epoch(digest.Through.Epoch(), peer)
+		if digest.Revision != 0 {
+			s.config.OnEpoch(digest.Revision.Epoch(), peer)
 		}
 	}
 }
 
 // fetch asks a peer that has something newer, unless another one is being asked.
-func (s *Spread) fetch(peer string) {
+func (s *AntiEntropy) fetch(peer string) {
 	if !s.fetching.CompareAndSwap(false, true) {
 		return
 	}
@@ -297,11 +297,11 @@
 	}()
 }
 
-func (s *Spread) ask(ctx context.Context, peer string) {
+func (s *AntiEntropy) ask(ctx context.Context, peer string) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	asked := s.config.Now()
-	answer, err := s.config.Ask(ctx, peer, &Query{From: s.config.Address, Digests: s.wholeDigests()})
+	answer, err := s.config.SendQuery(ctx, peer, &Query{From: s.config.Address, Digests: s.wholeDigests()})
 	if err != nil || len(answer.Deltas) != len(s.copies) {
 		return
 	}
@@ -317,7 +317,7 @@
 }
 
 // knownPeers returns the number of peers that have a record.
-func (s *Spread) knownPeers() int {
+func (s *AntiEntropy) knownPeers() int {
 	known := 0
 	for _, peer := range s.config.Peers() {
 		if peer != s.config.Address {
@@ -329,7 +329,7 @@
 
 // pick returns a peer at random, of those that are known or were heard. A node
 // whose copies are still empty asks those that watch the store every other time.
-func (s *Spread) pick() string {
+func (s *AntiEntropy) pick() string {
 	s.mutex.Lock()
 	candidates := slices.Clone(s.recent[:])
 	s.mutex.Unlock()
@@ -345,7 +345,7 @@
 	return candidates[rand.IntN(len(candidates))]
 }
 
-func (s *Spread) remember(peer string) {
+func (s *AntiEntropy) remember(peer string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	if slices.Contains(s.recent[:], peer) {
--- a/internal/replica/spread_test.go
+++ b/internal/replica/spread_test.go
@@ -116,7 +116,7 @@
 		time.Sleep(5 * time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		assert.ErrorIs(t, f.nodes[0].process.Load().copy.AwaitProved(ctx, time.Now().Add(-5*time.Second)), context.DeadlineExceeded)
+		assert.ErrorIs(t, f.nodes[0].process.Load().copy.AwaitCurrent(ctx, time.Now().Add(-5*time.Second)), context.DeadlineExceeded)
 	})
 }
 
@@ -156,7 +156,7 @@
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
 		p := n.process.Load()
-		assert.NilError(t, p.copy.AwaitProved(ctx, started))
+		assert.NilError(t, p.copy.AwaitCurrent(ctx, started))
 		assert.Equal(t, p.value("a"), "2")
 		t.Logf("proved after %s", time.Since(started))
 	})
--- a/internal/replica/verify.go
+++ b/internal/replica/verify.go
@@ -31,9 +31,9 @@
 // whenever no node did so for a while. A watch proves nothing of the kind, as one that
 // waits hears nothing of changes in history that the store drops.
 type Verifier struct {
-	Keeper *Keeper
-	// After is the age from which the copy is verified anew.
-	After time.Duration
+	Syncer *Syncer
+	// MaxAge is the age from which the copy is verified anew.
+	MaxAge time.Duration
 	// Needed reports whether anything rests on the verification now.
 	Needed func() bool
 }
@@ -54,10 +54,10 @@
 // wait returns how long no read is due.
 func (v *Verifier) wait(delay time.Duration) time.Duration {
 	if !v.Needed() {
-		return v.After
+		return v.MaxAge
 	}
-	verified := v.Keeper.Copy.VerifiedAt()
-	return v.After + delay - v.Keeper.Now().Sub(verified)
+	verified := v.Syncer.Copy.VerifiedAt()
+	return v.MaxAge + delay - v.Syncer.Now().Sub(verified)
 }
 
 // Overdue reports whether the verification has just become so old that most peers are likely
@@ -66,14 +66,14 @@
 	if !v.Needed() {
 		return false
 	}
-	age := v.Keeper.Now().Sub(v.Keeper.Copy.VerifiedAt()) - v.After - overdueAfter
+	age := v.Syncer.Now().Sub(v.Syncer.Copy.VerifiedAt()) - v.MaxAge - overdueAfter
 	return age > 0 && age < staleSpan
 }
 
 // placeDelay returns by how much later than the first node this one verifies.
 func (v *Verifier) placeDelay() time.Duration {
 	delay := maxVerifyPlaceDelay
-	if place, known := v.Keeper.Place(); known {
+	if place, known := v.Syncer.Position(); known {
 		delay = min(time.Duration(place)*verifyPlaceDelay, maxVerifyPlaceDelay)
 	}
 	return delay + rand.N(verifySpread)
@@ -82,7 +82,7 @@
 func (v *Verifier) read(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, verifyTimeout)
 	defer cancel()
-	if err := v.Keeper.list(ctx); err != nil {
+	if err := v.Syncer.list(ctx); err != nil {
 		pause.For(ctx, failurePause/2+rand.N(failurePause))
 	}
 }
--- a/internal/replica/verify_test.go
+++ b/internal/replica/verify_test.go
@@ -62,14 +62,14 @@
 	read := time.Now()
 	c.takeSnapshot(snapshotOf(3, store.Entry{Key: "a", Value: []byte("1"), Revision: 3}), read)
 	asked := read.Add(10 * time.Second)
-	c.heard(Digest{Through: 4, Age: 0, Verified: 0}, asked)
-	c.heard(Digest{Through: 2, Age: 0, Verified: 0}, asked)
-	c.heard(Digest{Through: 3, Age: 0, Verified: 0}, time.Time{})
-	c.heard(Digest{Through: 3, Age: 0, Verified: unknownAge}, asked)
+	c.heard(Digest{Revision: 4, Age: 0, Verified: 0}, asked)
+	c.heard(Digest{Revision: 2, Age: 0, Verified: 0}, asked)
+	c.heard(Digest{Revision: 3, Age: 0, Verified: 0}, time.Time{})
+	c.heard(Digest{Revision: 3, Age: 0, Verified: unknownAge}, asked)
 	assert.Equal(t, c.VerifiedAt(), read)
-	c.heard(Digest{Through: 3, Age: 0, Verified: 4 * time.Second}, asked)
+	c.heard(Digest{Revision: 3, Age: 0, Verified: 4 * time.Second}, asked)
 	assert.Equal(t, c.VerifiedAt(), read.Add(6*time.Second))
-	c.takeDelta(Delta{Digest: Digest{Through: 7, Age: 0, Verified: time.Second}, Items: []Item{{Key: "a", Revision: 7}}}, "peer", asked)
+	c.takeDelta(Delta{Digest: Digest{Revision: 7, Age: 0, Verified: time.Second}, Items: []Item{{Key: "a", Revision: 7}}}, "peer", asked)
 	assert.Equal(t, c.VerifiedAt(), read.Add(9*time.Second))
 }
 
@@ -79,7 +79,7 @@
 	var c *Copy
 	var seen []time.Time
 	c = NewCopy(staleAfter, func([]store.Entry, string) {
-		c.heard(Digest{Through: 9, Age: 0, Verified: 0}, time.Now().Add(time.Hour))
+		c.heard(Digest{Revision: 9, Age: 0, Verified: 0}, time.Now().Add(time.Hour))
 		seen = append(seen, c.VerifiedAt())
 	}, time.Now)
 	c.takeSnapshot(snapshotOf(9, store.Entry{Key: "a", Revision: 9}), time.Now())
--- a/internal/sidecar/copies.go
+++ b/internal/sidecar/copies.go
@@ -42,7 +42,7 @@
 	// Calls of watches wait for so long at most. Together the nodes that watch are
 	// answered more often than copies get stale.
 	configurationWait = 2 * time.Second
-	recordsWait       = replica.LongestWait
+	recordsWait       = replica.MaxWatchWait
 	// configurationDelay is how long a node that starts waits for a peer that knows
 	// the configuration before it asks the store.
 	configurationDelay = 400 * time.Millisecond
@@ -60,9 +60,9 @@
 // copies are the node's copies of what lies in the store, with what keeps them.
 type copies struct {
 	configuration, records         *replica.Copy
-	keepConfiguration, keepRecords *replica.Keeper
+	keepConfiguration, keepRecords *replica.Syncer
 	verify                         *replica.Verifier
-	spread                         *replica.Spread
+	spread                         *replica.AntiEntropy
 }
 
 // provisionStore makes the store with its accounts and its gate.
@@ -72,14 +72,14 @@
 	n.epochs = epoch.NewTracker()
 	n.epochs.OnChange(n.epochChanged)
 	n.store = platform.NewStore(n.settings.Store, recordsWait, n.calls, n.epochs)
-	n.gate = reachability.NewGate(n.probePause, gateLog{n.log}, clock.Now)
+	n.gate = reachability.NewCircuitBreaker(n.probePause, gateLog{n.log}, clock.Now)
 }
 
 // epochChanged takes that the store came back from a copy.
 func (n *Node) epochChanged(change epoch.Change) {
 	n.log.Record(eventlog.Event{Kind: eventlog.StoreRestored, Peer: change.Source, Previous: uint64(change.From), Version: uint64(change.To)})
 	n.registrar.HandleStoreRestored()
-	n.limits.keeper.StoreRestored()
+	n.limits.keeper.HandleStoreRestored()
 }
 
 // passedOver notes that the store told less than a copy holds.
@@ -89,7 +89,7 @@
 
 // probePause bounds the pauses between probes of a store that doesn't answer.
 func (n *Node) probePause() time.Duration {
-	if n.copies.keepRecords.Watches() {
+	if n.copies.keepRecords.IsWatcher() {
 		return watcherMaxPause
 	}
 	return maxPause
@@ -98,32 +98,32 @@
 // provisionCopies makes the copies of the configuration and of the records.
 func (n *Node) provisionCopies() {
 	c := &n.copies
-	c.configuration = replica.NewCopy(configurationStale, n.feed.Change, clock.Now)
-	c.configuration.SetDocuments(n.feed)
+	c.configuration = replica.NewCopy(configurationStale, n.feed.ApplyChanges, clock.Now)
+	c.configuration.SetDocument(n.feed)
 	if !n.settings.FirstStart {
 		n.feed.Hold()
 	}
 	c.records = replica.NewCopy(recordsStale, n.recordsChanged, clock.Now)
-	c.configuration.OnPassedOver(n.passedOver)
-	c.records.OnPassedOver(n.passedOver)
+	c.configuration.OnStaleEntry(n.passedOver)
+	c.records.OnStaleEntry(n.passedOver)
 	configurationFirst, recordsFirst := configurationDelay, time.Duration(0)
 	if n.settings.FirstStart {
 		recordsFirst = firstStartDelay + rand.N(firstStartSpread)
 		configurationFirst = recordsFirst
 	}
-	c.keepConfiguration = &replica.Keeper{Copy: c.configuration, Store: n.gate.Wrap(n.store.WithPurpose(purposeConfiguration).WithWatchWait(configurationWait)), Prefix: platform.ConfigurationKey,
-		Place: n.directory.Place, Gather: configurationGather, FirstDelay: configurationFirst, Now: clock.Now}
-	c.keepRecords = &replica.Keeper{Copy: c.records, Store: n.gate.Wrap(n.store.WithPurpose(purposeRecords)), Prefix: platform.RecordsPrefix,
-		Place: n.directory.Place, Gather: recordsGather, FirstDelay: recordsFirst, Now: clock.Now}
-	c.verify = &replica.Verifier{Keeper: c.keepConfiguration, After: verifyAfter, Needed: n.hasTenants}
-	c.spread = replica.NewSpread(replica.SpreadConfig{
-		Address:   n.settings.advertised(),
-		Peers:     n.directory.Addresses,
-		Ask:       n.askPeer,
-		Heard:     func(peer string) { n.forwarder.PeerAlive(peer) },
-		Confirmed: n.gate.Hint,
-		Overdue:   c.verify.Overdue,
-		Epoch:     func(heard store.Epoch, peer string) { n.epochs.Observe(heard, peer) },
+	c.keepConfiguration = &replica.Syncer{Copy: c.configuration, Store: n.gate.Wrap(n.store.WithPurpose(purposeConfiguration).WithWatchWait(configurationWait)), Prefix: platform.ConfigurationKey,
+		Position: n.directory.Place, BatchDelay: configurationGather, InitialDelay: configurationFirst, Now: clock.Now}
+	c.keepRecords = &replica.Syncer{Copy: c.records, Store: n.gate.Wrap(n.store.WithPurpose(purposeRecords)), Prefix: platform.RecordsPrefix,
+		Position: n.directory.Place, BatchDelay: recordsGather, InitialDelay: recordsFirst, Now: clock.Now}
+	c.verify = &replica.Verifier{Syncer: c.keepConfiguration, MaxAge: verifyAfter, Needed: n.hasTenants}
+	c.spread = replica.NewAntiEntropy(replica.AntiEntropyConfig{
+		Address:     n.settings.advertised(),
+		Peers:       n.directory.Addresses,
+		SendQuery:   n.askPeer,
+		OnCall:      func(peer string) { n.forwarder.PeerAlive(peer) },
+		OnConfirmed: n.gate.Hint,
+		Overdue:     c.verify.Overdue,
+		OnEpoch:     func(heard store.Epoch, peer string) { n.epochs.Observe(heard, peer) },
 
 		FirstStart: n.settings.FirstStart,
 		Now:        clock.Now,
@@ -133,8 +133,8 @@
 func (n *Node) recordsChanged(entries []store.Entry, source string) {
 	n.directory.ApplyChanges(entries, source)
 	n.registrar.ApplyChanges(entries)
-	n.suspects.Change(entries)
-	n.limits.keeper.Change(entries)
+	n.suspects.ApplyChanges(entries)
+	n.limits.keeper.ApplyChanges(entries)
 }
 
 func (n *Node) askPeer(ctx context.Context, address string, query *replica.Query) (*replica.Answer, error) {
@@ -143,7 +143,7 @@
 
 // recall returns the records as they were after the node started.
 func (n *Node) recall(ctx context.Context) ([]store.Entry, error) {
-	if err := n.copies.records.AwaitProved(ctx, n.started); err != nil {
+	if err := n.copies.records.AwaitCurrent(ctx, n.started); err != nil {
 		return nil, err
 	}
 	return n.copies.records.Entries(), nil
@@ -158,7 +158,7 @@
 	}
 }
 
-var _ peering.AntiEntropy = (*replica.Spread)(nil)
+var _ peering.AntiEntropy = (*replica.AntiEntropy)(nil)
 
 // gateLog logs when the store stops answering and when it answers again.
 type gateLog struct{ log *eventlog.Log }
--- a/internal/sidecar/gauges.go
+++ b/internal/sidecar/gauges.go
@@ -21,9 +21,9 @@
 		{"records_copy_revision", "Revision up to which the copy of the records is complete.", func() float64 { return revisionOf(n.copies.records) }},
 		{"configuration_copy_age_seconds", "Time since the copy of the configuration was known to be current.", func() float64 { return ageOf(n.copies.configuration) }},
 		{"records_copy_age_seconds", "Time since the copy of the records was known to be current.", func() float64 { return ageOf(n.copies.records) }},
-		{"store_watched", "Whether the node is one of those that watch the store, 1 or 0.", func() float64 { return truth(n.copies.keepRecords.Watches()) }},
+		{"store_watched", "Whether the node is one of those that watch the store, 1 or 0.", func() float64 { return truth(n.copies.keepRecords.IsWatcher()) }},
 		{"configuration_verified_age_seconds", "Time since a read of the store began by which the configuration is known to be current; API keys rest on it.", func() float64 { return verifiedAgeOf(n.copies.configuration) }},
-		{"limit_shards_held", "Shards of tenants' limits that the node holds.", func() float64 { return float64(n.limits.keeper.Held()) }},
+		{"limit_shards_held", "Shards of tenants' limits that the node holds.", func() float64 { return float64(n.limits.keeper.HeldCount()) }},
 		{"homes_known", "Homes with a ready target that the node knows.", func() float64 { return float64(n.directory.Count()) }},
 		{"homes_suspected", "Homes that are passed over.", func() float64 { return float64(n.forwarder.Suspected()) }},
 		{"requests_quarantined", "Requests that are refused as targets crash under them.", func() float64 { return float64(n.suspects.Quarantined()) }},
@@ -40,7 +40,7 @@
 	}
 }
 
-func revisionOf(held *replica.Copy) float64 { return float64(held.Digest().Through.Number()) }
+func revisionOf(held *replica.Copy) float64 { return float64(held.Digest().Revision.Number()) }
 
 // ageOf is negative for a copy that was never current.
 func ageOf(held *replica.Copy) float64 {
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -71,7 +71,7 @@
 	process   uint32
 	store     *platform.Store
 	calls     *storeCalls
-	gate      *reachability.Gate
+	gate      *reachability.CircuitBreaker
 	epochs    *epoch.Tracker
 	copies    copies
 	routes    *routetable.Holder
@@ -132,7 +132,7 @@
 		OnRefused:        n.metrics.heartbeatRefused,
 		Records:          n.recall,
 		Epoch:            n.epochs.Current,
-		Place:            n.directory.Place,
+		Position:         n.directory.Place,
 		Peers:            registry.Peers{Addresses: n.directory.Addresses, Notify: n.tellDeparture},
 		FirstStart:       settings.FirstStart,
 	}, n.registrarStores(), n.log, clock.Now)
@@ -168,20 +168,20 @@
 
 func (n *Node) newQuarantine() *quarantine.Quarantine {
 	return quarantine.New(quarantine.Config{
-		Spread: quarantine.SpreadConfig{
+		Broadcast: quarantine.BroadcastConfig{
 			Address: n.settings.advertised(),
 			Peers:   n.directory.Addresses,
 			Send: func(ctx context.Context, address string, notice *quarantine.Notice) error {
 				return n.peers.SendQuarantineNotice(ctx, address, notice)
 			},
 		},
-		Store:     n.gate.Wrap(n.store.WithPurpose(purposeQuarantine)),
-		Prefix:    platform.QuarantinePrefix,
-		Epoch:     n.epochs.Current,
-		Place:     n.directory.Place,
-		OnVerdict: func(hash fingerprint.Fingerprint) { n.guard.CancelQuarantined(hash) },
-		Log:       n.log,
-		Now:       clock.Now,
+		Store:        n.gate.Wrap(n.store.WithPurpose(purposeQuarantine)),
+		Prefix:       platform.QuarantinePrefix,
+		Epoch:        n.epochs.Current,
+		Position:     n.directory.Place,
+		OnQuarantine: func(hash fingerprint.Fingerprint) { n.guard.CancelQuarantined(hash) },
+		Log:          n.log,
+		Now:          clock.Now,
 	})
 }
 
@@ -210,7 +210,7 @@
 		Policies:   n.policies,
 		Levels:     n.levels,
 		Quarantine: n.suspects,
-		Keys:       apikey.NewChecker(n.routes, configfeed.NewProof(n.feed, n.copies.configuration), n.settings.Tenants.revoke()),
+		Keys:       apikey.NewChecker(n.routes, configfeed.NewFreshness(n.feed, n.copies.configuration), n.settings.Tenants.revoke()),
 		Limits:     n.limits.limiter,
 		Peers:      n.peers,
 		Observer:   n.metrics,
@@ -245,7 +245,7 @@
 
 // ready reports whether the node takes work.
 func (n *Node) ready() bool {
-	return !n.stopping.Load() && n.routes.Current() != nil && n.copies.records.Filled()
+	return !n.stopping.Load() && n.routes.Current() != nil && n.copies.records.Initialized()
 }
 
 // Run serves until the context ends and then stops in order.
@@ -288,7 +288,7 @@
 
 // settle puts the store's configuration in force once peers had time to tell a newer one.
 func (n *Node) settle(ctx context.Context) {
-	n.copies.spread.AwaitSettled(ctx)
+	n.copies.spread.AwaitSynced(ctx)
 	n.feed.Release()
 }
 
--- a/internal/sidecar/quarantine.go
+++ b/internal/sidecar/quarantine.go
@@ -16,7 +16,7 @@
 const purposeOperator store.Purpose = "operator"
 
 // ListQuarantined returns the requests that are quarantined by the store at the address.
-func ListQuarantined(ctx context.Context, address string) ([]quarantine.Listed, error) {
+func ListQuarantined(ctx context.Context, address string) ([]quarantine.Entry, error) {
 	listed, err := quarantine.List(ctx, operatorStore(address), platform.QuarantinePrefix)
 	if err != nil {
 		return nil, oops.In("sidecar").With("step", "list quarantined requests").With("peer", address).Wrap(err)
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -15,9 +15,9 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// TestANodeServesOnWhileTheStoreIsAway has a node stop while its store answers and
+// TestStoppingNodeAdmitsCallsWhileStoreIsUnavailable has a node stop while its store answers and
 // while it does not: in the second case it still admits calls that end in time.
-func TestANodeServesOnWhileTheStoreIsAway(t *testing.T) {
+func TestStoppingNodeAdmitsCallsWhileStoreIsUnavailable(t *testing.T) {
 	settings := Settings{Name: "n", Zone: "z", Service: "s", Target: "127.0.0.1:1", Store: "127.0.0.1:1", Retries: RetrySettings{WindowSeconds: 10}}
 	n, err := New(settings, io.Discard)
 	assert.NilError(t, err)
@@ -45,9 +45,9 @@
 	return store.Entry{}, store.ErrUnavailable
 }
 
-// TestARequestAtTheLastMomentIsAnswered has the node end while a request that has
+// TestShutdownAnswersRequestInFlight has the node end while a request that has
 // just come is worked on.
-func TestARequestAtTheLastMomentIsAnswered(t *testing.T) {
+func TestShutdownAnswersRequestInFlight(t *testing.T) {
 	come := make(chan struct{})
 	slow, err := newServer("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(come)
@@ -74,11 +74,11 @@
 	assert.Assert(t, err != nil, "nothing is taken any more")
 }
 
-// TestWaitingConnectionsAreAnsweredAtTheEnd has callers connect and send their requests before
+// TestShutdownServesAcceptQueue has callers connect and send their requests before
 // the node accepts any of them, and the node end. A listener that closes resets what waits to
 // be accepted: of 32,000 connections beside listeners that closed, one caller got a reset after
 // it had sent its request, and could not know whether it had run.
-func TestWaitingConnectionsAreAnsweredAtTheEnd(t *testing.T) {
+func TestShutdownServesAcceptQueue(t *testing.T) {
 	const callers = 100
 	quick, err := newServer("127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "whole")
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -13,7 +13,7 @@
 // limits are what holds tenants to their limits.
 type limits struct {
 	issuer  *ratelimit.Issuer
-	keeper  *ratelimit.Keeper
+	keeper  *ratelimit.ShardManager
 	limiter *ratelimit.Limiter
 	// datagrams is nil where asks come over connections alone.
 	datagrams *peering.PermitSocket
@@ -22,35 +22,35 @@
 // provisionLimits makes the parts that hold tenants to their limits.
 func (n *Node) provisionLimits() {
 	n.limits.issuer = ratelimit.NewIssuer(n.settings.Tenants.bounds(), n.tenant, clock.Now)
-	n.limits.keeper = ratelimit.NewKeeper(ratelimit.KeeperConfig{
-		Address:   n.settings.advertised(),
-		Process:   n.process,
-		Datagrams: n.settings.Listen.Permits,
-		Started:   n.started,
+	n.limits.keeper = ratelimit.NewShardManager(ratelimit.ShardManagerConfig{
+		Address:         n.settings.advertised(),
+		Process:         n.process,
+		DatagramAddress: n.settings.Listen.Permits,
+		Started:         n.started,
 
 		FirstStart: n.settings.FirstStart,
 		Epoch:      n.epochs.Current,
 
-		Prefix: platform.ShardsPrefix,
-		Store:  n.gate.Wrap(n.store.WithPurpose(purposeShards)),
-		Place:  n.directory.Place,
-		Nodes:  func() int { return len(n.directory.Addresses()) },
-		Needed: n.hasLimits,
-		Issuer: n.limits.issuer,
-		Log:    n.log,
-		Now:    clock.Now,
+		Prefix:    platform.ShardsPrefix,
+		Store:     n.gate.Wrap(n.store.WithPurpose(purposeShards)),
+		Place:     n.directory.Place,
+		Nodes:     func() int { return len(n.directory.Addresses()) },
+		HasLimits: n.hasLimits,
+		Issuer:    n.limits.issuer,
+		Log:       n.log,
+		Now:       clock.Now,
 	})
 	n.limits.limiter = ratelimit.NewLimiter(n.limits.keeper, n.askPermits, clock.Now)
 }
 
 // askPermits asks a holder, which may be the node itself. Where a datagram or its answer is
 // lost the holder is asked over a connection.
-func (n *Node) askPermits(ctx context.Context, holder ratelimit.Holder, ask *ratelimit.Ask) (*ratelimit.Grant, error) {
+func (n *Node) askPermits(ctx context.Context, holder ratelimit.Holder, ask *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	if holder.Address == n.settings.advertised() {
 		return n.limits.issuer.Issue(ask), nil
 	}
-	if n.limits.datagrams != nil && holder.Datagrams != "" {
-		grant, err := n.limits.datagrams.Request(ctx, holder.Datagrams, ask)
+	if n.limits.datagrams != nil && holder.DatagramAddress != "" {
+		grant, err := n.limits.datagrams.Request(ctx, holder.DatagramAddress, ask)
 		if err == nil || ctx.Err() != nil {
 			return grant, err
 		}
--- a/internal/store/reachability/gate.go
+++ b/internal/store/reachability/gate.go
@@ -35,8 +35,8 @@
 	StoreRegained(after time.Duration)
 }
 
-// Gate lets calls to the store pass. It is safe for concurrent use.
-type Gate struct {
+// CircuitBreaker lets calls to the store pass. It is safe for concurrent use.
+type CircuitBreaker struct {
 	now      func() time.Time
 	maxPause func() time.Duration
 	observer Observer
@@ -52,14 +52,14 @@
 	changed chan struct{}
 }
 
-// NewGate returns a gate that lets all calls pass until one fails. The observer
+// NewCircuitBreaker returns a gate that lets all calls pass until one fails. The observer
 // may be nil. maxPause bounds the pauses between probes.
-func NewGate(maxPause func() time.Duration, observer Observer, now func() time.Time) *Gate {
-	return &Gate{now: now, maxPause: maxPause, observer: observer, changed: make(chan struct{})}
+func NewCircuitBreaker(maxPause func() time.Duration, observer Observer, now func() time.Time) *CircuitBreaker {
+	return &CircuitBreaker{now: now, maxPause: maxPause, observer: observer, changed: make(chan struct{})}
 }
 
 // Reachable reports whether the store answered the last time.
-func (g *Gate) Reachable() bool {
+func (g *CircuitBreaker) Reachable() bool {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	return g.lostAt.IsZero()
@@ -67,7 +67,7 @@
 
 // Hint tells that another process was answered by the store at the given moment.
 // Where that is after the last failure the next probe is made soon.
-func (g *Gate) Hint(answered time.Time) {
+func (g *CircuitBreaker) Hint(answered time.Time) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.lostAt.IsZero() || !answered.After(g.failedAt) {
@@ -81,7 +81,7 @@
 }
 
 // enter waits until a call may be made. It reports whether the call is a probe.
-func (g *Gate) enter(ctx context.Context, urgent bool) (bool, error) {
+func (g *CircuitBreaker) enter(ctx context.Context, urgent bool) (bool, error) {
 	for {
 		wait, probe, changed := g.turn(urgent)
 		if wait <= 0 {
@@ -104,7 +104,7 @@
 
 // turn returns how long to wait before looking again, zero if the call may be
 // made, and then whether it is a probe.
-func (g *Gate) turn(urgent bool) (time.Duration, bool, <-chan struct{}) {
+func (g *CircuitBreaker) turn(urgent bool) (time.Duration, bool, <-chan struct{}) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.lostAt.IsZero() {
@@ -125,7 +125,7 @@
 }
 
 // leave takes what became of a call that passed.
-func (g *Gate) leave(probe bool, err error) {
+func (g *CircuitBreaker) leave(probe bool, err error) {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if probe {
@@ -143,7 +143,7 @@
 	g.lost(probe, err)
 }
 
-func (g *Gate) regained() {
+func (g *CircuitBreaker) regained() {
 	if g.lostAt.IsZero() {
 		return
 	}
@@ -154,7 +154,7 @@
 	g.wake()
 }
 
-func (g *Gate) lost(probe bool, err error) {
+func (g *CircuitBreaker) lost(probe bool, err error) {
 	now := g.now()
 	first := g.lostAt.IsZero()
 	if !first && !probe {
@@ -177,7 +177,7 @@
 	g.wake()
 }
 
-func (g *Gate) wake() {
+func (g *CircuitBreaker) wake() {
 	close(g.changed)
 	g.changed = make(chan struct{})
 }
--- a/internal/store/reachability/gate_test.go
+++ b/internal/store/reachability/gate_test.go
@@ -52,8 +52,8 @@
 
 const longestPause = 2 * time.Second
 
-func newTestGate(observer Observer) *Gate {
-	return NewGate(func() time.Duration { return longestPause }, observer, time.Now)
+func newTestGate(observer Observer) *CircuitBreaker {
+	return NewCircuitBreaker(func() time.Duration { return longestPause }, observer, time.Now)
 }
 
 // keepCalling has callers use the store until the context ends.
--- a/internal/store/reachability/store.go
+++ b/internal/store/reachability/store.go
@@ -10,7 +10,7 @@
 // Store makes calls to a store as its gate lets them pass. Its watches end with
 // the first failure, as those of every store.
 type Store struct {
-	gate   *Gate
+	gate   *CircuitBreaker
 	inner  store.Store
 	urgent bool
 }
@@ -18,11 +18,11 @@
 var _ store.Store = (*Store)(nil)
 
 // Wrap returns the store behind the gate.
-func (g *Gate) Wrap(inner store.Store) *Store { return &Store{gate: g, inner: inner} }
+func (g *CircuitBreaker) Wrap(inner store.Store) *Store { return &Store{gate: g, inner: inner} }
 
 // WrapUrgent returns the store behind the gate for calls that must not wait long:
 // while the store does not answer they probe it more often.
-func (g *Gate) WrapUrgent(inner store.Store) *Store {
+func (g *CircuitBreaker) WrapUrgent(inner store.Store) *Store {
 	return &Store{gate: g, inner: inner, urgent: true}
 }
 
