--- a/internal/claim/coordinator.go
+++ b/internal/claim/coordinator.go
@@ -133,8 +133,8 @@
 	return c.outcome
 }
 
-// GiveUp refuses a pending claim, so that it can never be granted.
-func (c *Coordinator) GiveUp() Outcome {
+// Abort refuses a pending claim, so that it can never be granted.
+func (c *Coordinator) Abort() Outcome {
 	if c.outcome == Pending {
 		c.outcome = c.refusedOutcome()
 	}
--- a/internal/claim/manager.go
+++ b/internal/claim/manager.go
@@ -60,9 +60,9 @@
 	Retention time.Duration
 	// Interval is the reconciliation interval; zero means DefaultInterval.
 	Interval time.Duration
-	// Settle is the minimum time after the start before the first roster is
+	// SettleTime is the minimum time after the start before the first roster is
 	// created, so that nodes can join.
-	Settle time.Duration
+	SettleTime time.Duration
 }
 
 // Manager keeps a node's roster up to date, makes roster changes and copies
--- a/internal/claim/votecollector.go
+++ b/internal/claim/votecollector.go
@@ -50,10 +50,10 @@
 			v.outcome = v.handleReply(r)
 		case <-ctx.Done():
 			v.lastError = ctx.Err()
-			v.outcome = v.coordinator.GiveUp()
+			v.outcome = v.coordinator.Abort()
 		case <-v.claimer.baseContext.Done():
 			v.lastError = ErrClosed
-			v.outcome = v.coordinator.GiveUp()
+			v.outcome = v.coordinator.Abort()
 		}
 	}
 	return v.outcome
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -117,10 +117,10 @@
 	return &Client{self: self, ledger: ledger, http: client}
 }
 
-// Ask requests one retry from the request's ingress node. If it returns an
+// RequestRetry requests one retry from the request's ingress node. If it returns an
 // error, no valid answer was received: the retry is not granted, but may have
 // been spent.
-func (c *Client) Ask(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error) {
+func (c *Client) RequestRetry(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error) {
 	token := NewToken()
 	if ingress == c.self {
 		return c.ledger.Grant(request, token), nil
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -65,7 +65,7 @@
 	ingress := serve(t, ledger, unmodified)
 	client := NewClient(selfAddress, own, http.DefaultClient)
 	for _, want := range []bool{true, true, false} {
-		granted, err := client.Ask(t.Context(), ingress, callcontext.NewRequestID())
+		granted, err := client.RequestRetry(t.Context(), ingress, callcontext.NewRequestID())
 		assert.NilError(t, err)
 		assert.Equal(t, granted, want)
 	}
@@ -76,7 +76,7 @@
 	own := newBudget(1)
 	client := NewClient(selfAddress, own, &http.Client{Transport: noNetwork{t}})
 	for _, want := range []bool{true, false} {
-		granted, err := client.Ask(t.Context(), selfAddress, callcontext.NewRequestID())
+		granted, err := client.RequestRetry(t.Context(), selfAddress, callcontext.NewRequestID())
 		assert.NilError(t, err)
 		assert.Equal(t, granted, want)
 	}
@@ -119,7 +119,7 @@
 			ledger := newBudget(1)
 			ingress := serve(t, ledger, corruptAnswers(corrupt))
 			client := NewClient(selfAddress, newBudget(1), &http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
-			granted, err := client.Ask(t.Context(), ingress, callcontext.NewRequestID())
+			granted, err := client.RequestRetry(t.Context(), ingress, callcontext.NewRequestID())
 			assert.Assert(t, err != nil && !granted)
 			assert.ErrorContains(t, err, ingress.String())
 			assert.Equal(t, ledger.remaining(), 0, "a lost grant was not spent")
@@ -129,14 +129,14 @@
 
 func TestUnreachableIngress(t *testing.T) {
 	granted, err := NewClient(selfAddress, newBudget(1), http.DefaultClient).
-		Ask(t.Context(), netip.MustParseAddrPort("127.0.0.1:9"), callcontext.NewRequestID())
+		RequestRetry(t.Context(), netip.MustParseAddrPort("127.0.0.1:9"), callcontext.NewRequestID())
 	assert.Assert(t, err != nil && !granted)
 }
 
 func TestCanceledContextEndsRequest(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	granted, err := NewClient(selfAddress, newBudget(1), http.DefaultClient).Ask(ctx, serve(t, newBudget(1), unmodified), callcontext.NewRequestID())
+	granted, err := NewClient(selfAddress, newBudget(1), http.DefaultClient).RequestRetry(ctx, serve(t, newBudget(1), unmodified), callcontext.NewRequestID())
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.Assert(t, !granted)
 }
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -66,9 +66,9 @@
 	Queue scheduler.Config
 	// MaxBuffered is the size in bytes up to which an answer is fully buffered.
 	MaxBuffered int64
-	// Acting reports whether this node may act as a home now. It is called
+	// MayServe reports whether this node may act as a home now. It is called
 	// right before a call is sent. Nil means always.
-	Acting func() bool
+	MayServe func() bool
 	// FixedLimit keeps the limit at the declared slots, for experiments.
 	FixedLimit bool
 }
@@ -130,7 +130,7 @@
 	return s.exchange(ctx, service, permit, call, m.now)
 }
 
-func (m *Manager) mayServe() bool { return m.settings.Acting == nil || m.settings.Acting() }
+func (m *Manager) mayServe() bool { return m.settings.MayServe == nil || m.settings.MayServe() }
 
 func refusalProblem(target *catalog.Target, err error) *problem.Problem {
 	var refusal *scheduler.Refusal
@@ -159,7 +159,7 @@
 		permit.Release(limit.Sample{Outcome: limit.Overload})
 		return nil, refusal
 	}
-	StripHop(answer.Header)
+	StripHopHeaders(answer.Header)
 	markProblemUnknown(s.target, answer)
 	if answer.Remainder != nil {
 		answer.Remainder = &permitReleaser{ReadCloser: answer.Remainder, release: permit.Release}
--- a/internal/home/peer.go
+++ b/internal/home/peer.go
@@ -238,9 +238,9 @@
 	}
 }
 
-// StripHop removes hop-by-hop headers and the headers that are reserved for
+// StripHopHeaders removes hop-by-hop headers and the headers that are reserved for
 // nodes, which callers or targets could forge.
-func StripHop(header http.Header) {
+func StripHopHeaders(header http.Header) {
 	for _, listed := range header.Values("Connection") {
 		for name := range strings.SplitSeq(listed, ",") {
 			header.Del(strings.TrimSpace(name))
