--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -17,33 +17,33 @@
 	"github.com/lugspur/lugspur/internal/settings"
 )
 
-// rosterSettle is how long a node that finds no roster in the store waits for
-// other nodes before it creates the first one.
-const rosterSettle = 2 * time.Second
+// rosterSettleDelay is how long a node that finds no roster in the store waits
+// for other nodes to join before it creates the first roster.
+const rosterSettleDelay = 2 * time.Second
 
-// rosterInterval is how often a node looks whether the roster needs a change; a
-// replica that died is replaced within a few of them.
-const rosterInterval = 500 * time.Millisecond
+// rosterCheckInterval is the interval at which a node checks whether the roster
+// needs a change. A failed replica is replaced within a few intervals.
+const rosterCheckInterval = 500 * time.Millisecond
 
-// claimRetryAfter is told when a claim could not be decided and nothing better
-// is known.
+// claimRetryAfter is the minimum retry delay sent to a caller whose claim could
+// not be decided.
 const claimRetryAfter = time.Second
 
-// claims joins the gateway to the claim replicas.
+// claims connects the gateway to the claim replicas.
 type claims struct {
 	node    string
 	members *membership.Membership
 	client  *http.Client
 	log     *logrus.Entry
-	// newer holds the peer address of a node that knows a newer roster.
-	newer   chan string
-	service *claim.Service
-	claimer *claim.Claimer
-	manager *claim.Manager
+	// newerRosterPeers holds the address of a peer that has a newer roster.
+	newerRosterPeers chan string
+	service          *claim.Service
+	claimer          *claim.Claimer
+	manager          *claim.Manager
 }
 
-// bootIDOf returns a member's boot id as claim replicas know it. The
-// membership draws 64 random bits at each start.
+// bootIDOf converts the boot ID of a member to the form that claim replicas use.
+// The membership generates 64 random bits at each start.
 func bootIDOf(member membership.Member) claim.BootID {
 	var id claim.BootID
 	binary.BigEndian.PutUint64(id[:], member.BootID)
@@ -55,39 +55,39 @@
 	service := claim.NewService(claim.ServiceConfig{Self: claim.Identity{Name: self.Name, Boot: bootIDOf(self)}})
 	size := n.settings.Claims.Replicas
 	if n.settings.Store.Kind == settings.StoreMemory {
-		// A node with an embedded store is alone.
+		// The in-memory store supports a single node only.
 		size = 1
 	}
 	return &claims{
-		node:    n.settings.Name,
-		members: n.members,
-		client:  n.peerClient,
-		log:     n.log.WithField("step", "claim"),
-		newer:   make(chan string, 1),
-		service: service,
-		claimer: claim.NewClaimer(claim.ClaimerConfig{Service: service, Client: n.peerClient}),
+		node:             n.settings.Name,
+		members:          n.members,
+		client:           n.peerClient,
+		log:              n.log.WithField("step", "claim"),
+		newerRosterPeers: make(chan string, 1),
+		service:          service,
+		claimer:          claim.NewClaimer(claim.ClaimerConfig{Service: service, Client: n.peerClient}),
 		manager: claim.NewManager(claim.ManagerConfig{
 			Service:   service,
 			Store:     n.store,
-			Members:   claimMembers{n.members},
+			Members:   claimMembership{n.members},
 			Client:    n.peerClient,
 			Logger:    n.log.WithField("step", "claim"),
 			Size:      size,
 			Retention: n.settings.Claims.Retention.Duration(),
-			Settle:    rosterSettle,
-			Interval:  rosterInterval,
+			Settle:    rosterSettleDelay,
+			Interval:  rosterCheckInterval,
 		}),
 	}
 }
 
-// claimMembers shows the membership as the claim replicas see nodes.
-type claimMembers struct{ members *membership.Membership }
+// claimMembership adapts the membership to package claim.
+type claimMembership struct{ members *membership.Membership }
 
-// Members returns the nodes known now.
-func (v claimMembers) Members() []claim.Node {
-	known := v.members.Members()
-	nodes := make([]claim.Node, 0, len(known))
-	for _, member := range known {
+// Members returns all known nodes, including those that are not alive.
+func (m claimMembership) Members() []claim.Node {
+	members := m.members.Members()
+	nodes := make([]claim.Node, 0, len(members))
+	for _, member := range members {
 		nodes = append(nodes, claim.Node{
 			Name:        member.Name,
 			BootID:      bootIDOf(member),
@@ -104,22 +104,22 @@
 	mux.HandleFunc("GET "+rosterPath, c.serveRoster)
 }
 
-// run keeps the roster up to date until the context ends.
+// run maintains the roster until the context is cancelled.
 func (c *claims) run(ctx context.Context) {
-	var learning sync.WaitGroup
-	learning.Go(func() { c.learnRosters(ctx) })
+	var fetcher sync.WaitGroup
+	fetcher.Go(func() { c.fetchNewerRosters(ctx) })
 	c.manager.Run(ctx)
 	c.claimer.Close()
-	learning.Wait()
+	fetcher.Wait()
 }
 
-// epoch returns the epoch of the roster that the node knows, zero without one.
+// epoch returns the epoch of the node's roster, or zero if it has none.
 func (c *claims) epoch() uint64 {
 	roster, _ := c.service.Roster()
 	return roster.Epoch
 }
 
-// Claim claims the key.
+// Claim acquires the claim for an idempotency key, which allows the call to run.
 func (c *claims) Claim(ctx context.Context, scope, key string) (gateway.Claim, *problem.Problem) {
 	decision, err := c.claimer.Claim(ctx, scope, key, claim.NewAttemptID())
 	switch {
@@ -137,11 +137,11 @@
 	}
 }
 
-// grantedClaim is a claim that was granted.
+// grantedClaim is a granted claim that can be released.
 type grantedClaim struct {
 	claimer  *claim.Claimer
 	decision claim.Decision
 }
 
-// Release gives the claim up.
+// Release releases the claim.
 func (g grantedClaim) Release() { g.claimer.Release(g.decision) }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -12,15 +12,16 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// gossipInterval is how often the payload of the gossip is made anew.
+// gossipInterval is the interval at which the gossip payload is regenerated.
 const gossipInterval = 100 * time.Millisecond
 
-// keepGossiping keeps the payload up to date.
-func (n *Node) keepGossiping(ctx context.Context) {
+// runGossipLoop updates the gossip payload periodically until the context is
+// cancelled.
+func (n *Node) runGossipLoop(ctx context.Context) {
 	ticker := time.NewTicker(gossipInterval)
 	defer ticker.Stop()
 	for {
-		n.updateGossip()
+		n.updateGossipPayload()
 		select {
 		case <-ctx.Done():
 			return
@@ -29,7 +30,7 @@
 	}
 }
 
-func (n *Node) updateGossip() {
+func (n *Node) updateGossipPayload() {
 	payload, err := gossip.Payload{
 		Digest:     n.spreader.Digest(),
 		Version:    uint64(time.Now().UnixMilli()),
@@ -40,81 +41,85 @@
 		err = n.members.SetPayload(payload)
 	}
 	if err != nil {
-		n.log.WithField("step", "gossip").WithError(err).Error("gossip payload not sent")
+		n.log.WithField("step", "gossip").WithError(err).Error("failed to update the gossip payload")
 	}
 }
 
-// levelMemory remembers when targets last had a shed level, so that its end is
-// told for as long as others might hold on to it.
-type levelMemory struct {
-	shedAt map[string]time.Time
+// shedLevelTracker records when each target last had a shed level, so that the
+// end of shedding is announced until the entries of other nodes have expired.
+type shedLevelTracker struct {
+	lastShed map[string]time.Time
 }
 
-func newLevelMemory() levelMemory { return levelMemory{shedAt: map[string]time.Time{}} }
+func newShedLevelTracker() shedLevelTracker {
+	return shedLevelTracker{lastShed: map[string]time.Time{}}
+}
 
-// tells reports whether the target's threshold has to be told now.
-func (m levelMemory) tells(target string, threshold uint16, now time.Time) bool {
+// mustAnnounce reports whether the target's threshold belongs in the gossip
+// payload now.
+func (t shedLevelTracker) mustAnnounce(target string, threshold uint16, now time.Time) bool {
 	if threshold < shed.None {
-		m.shedAt[target] = now
+		t.lastShed[target] = now
 		return true
 	}
-	at, known := m.shedAt[target]
-	if known && now.Sub(at) > shed.DefaultExpiry {
-		delete(m.shedAt, target)
+	last, found := t.lastShed[target]
+	if found && now.Sub(last) > shed.DefaultExpiry {
+		delete(t.lastShed, target)
 		return false
 	}
-	return known
+	return found
 }
 
-// shedLevels returns the strictest shed levels of the targets that this node
-// guards, and of those that had one lately. This node's own table learns them
-// here as well: calls that it refuses bring no answers that would tell them.
+// shedLevels returns the strictest shed levels of the targets whose home is this
+// node, including those that stopped shedding recently. It also updates the
+// node's own table, because calls that the node itself refuses produce no
+// answer that would carry the level.
 func (n *Node) shedLevels() []gossip.Level {
 	now := time.Now()
 	var levels []gossip.Level
 	for name, load := range n.homes.Loads() {
-		if !n.levels.tells(name, load.Threshold, now) {
+		if !n.shedTracker.mustAnnounce(name, load.Threshold, now) {
 			continue
 		}
 		level := gossip.Level{Target: gateway.TargetHash(name), Threshold: load.Threshold}
 		levels = append(levels, level)
-		n.takeLevel(n.settings.Name, load.Version, level)
+		n.updateShedLevel(n.settings.Name, load.Version, level)
 	}
 	return gossip.Strictest(levels)
 }
 
-// takeGossip takes in another node's payload.
-func (n *Node) takeGossip(from membership.Member, payload []byte) {
+// handleGossip processes the gossip payload of another node.
+func (n *Node) handleGossip(from membership.Member, payload []byte) {
 	received, err := gossip.Decode(payload)
 	if err != nil {
-		n.log.WithField("step", "gossip").WithField("peer", from.PeerAddress).WithError(err).Debug("malformed gossip")
+		n.log.WithField("step", "gossip").WithField("peer", from.PeerAddress).WithError(err).Debug("ignored a malformed gossip payload")
 		return
 	}
-	n.digests.set(from.Name, received.Digest.Floor)
-	n.noteCaughtUp(received.Digest.Floor)
+	n.peerFloors.set(from.Name, received.Digest.Floor)
+	n.markIfCaughtUp(received.Digest.Floor)
 	n.spreader.HandleDigest(gossip.MemberOf(from), received.Digest)
-	n.claims.heardOf(received.ClaimEpoch, from.PeerAddress)
+	n.claims.handleRosterEpoch(received.ClaimEpoch, from.PeerAddress)
 	for _, level := range received.Levels {
-		n.takeLevel(from.Name, received.Version, level)
+		n.updateShedLevel(from.Name, received.Version, level)
 	}
 }
 
-// noteCaughtUp ends the time after a pause in which the node does not act, once
-// it has the configuration of a node that it heard since, and its view is built
-// from it.
-func (n *Node) noteCaughtUp(floor store.Revision) {
+// markIfCaughtUp lets the node act as a home again after a pause, once its view
+// includes the configuration revision that another node has advertised since.
+func (n *Node) markIfCaughtUp(floor store.Revision) {
 	if n.viewFloor.Load() >= int64(floor) {
 		n.liveness.MarkCaughtUp(time.Now())
 	}
 }
 
-// takeLevel takes in the shed level of a target as its home, origin, tells it.
-func (n *Node) takeLevel(origin string, version uint64, level gossip.Level) {
+// updateShedLevel records the shed level that origin, the home of the target,
+// advertises.
+func (n *Node) updateShedLevel(origin string, version uint64, level gossip.Level) {
 	target := n.router.TargetByHash(level.Target)
 	if target == nil {
 		return
 	}
-	n.shedding.Update(shed.Entry{
+	n.shedTable.Update(shed.Entry{
 		Service:   target.Service,
 		Target:    target.Name,
 		Origin:    origin,
@@ -124,26 +129,26 @@
 	}, time.Now())
 }
 
-// digestTable holds how far the configuration of other nodes is.
-type digestTable struct {
+// floorTable stores the configuration floor of each other node.
+type floorTable struct {
 	mutex  sync.Mutex
 	floors map[string]store.Revision
 }
 
-// maxDigests bounds the table; a name beyond it is not taken in.
-const maxDigests = 8192
+// maxFloors bounds the table; nodes beyond it are not recorded.
+const maxFloors = 8192
 
-func newDigestTable() *digestTable { return &digestTable{floors: map[string]store.Revision{}} }
+func newFloorTable() *floorTable { return &floorTable{floors: map[string]store.Revision{}} }
 
-func (t *digestTable) set(node string, floor store.Revision) {
+func (t *floorTable) set(node string, floor store.Revision) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if _, known := t.floors[node]; known || len(t.floors) < maxDigests {
+	if _, found := t.floors[node]; found || len(t.floors) < maxFloors {
 		t.floors[node] = floor
 	}
 }
 
-func (t *digestTable) get(node string) store.Revision {
+func (t *floorTable) get(node string) store.Revision {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.floors[node]
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts the parts of a node together: it provisions them from the
-// settings, runs them, and stops them in an order that cuts off no call.
+// Package node assembles a node: it creates the components from the settings,
+// runs them, and shuts them down in an order that interrupts no call.
 package node
 
 import (
@@ -25,42 +25,42 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Node is one running instance of lugspur.
+// Node is a running lugspur instance.
 type Node struct {
-	settings settings.Node
-	log      *logrus.Entry
-	started  time.Time
+	settings  settings.Node
+	log       *logrus.Entry
+	startedAt time.Time
 
 	sockets    sockets
 	store      store.Store
 	closeStore func()
 	peerClient *http.Client
 
-	members  *membership.Membership
-	replica  *configuration.Replica
-	spreader *configuration.Spreader
-	machines *machines.Follower
-	router   *gateway.Router
-	homes    *home.Manager
-	peers    *home.Client
-	shedding *shed.Table
-	gateway  *gateway.Gateway
-	claims   *claims
-	metrics  *metrics.Metrics
-	digests  *digestTable
-	levels   levelMemory
-	liveness *liveness.Monitor
-	view     *catalog.View
-	built    viewInputs
-	// viewFloor is a revision up to which the view holds every change.
-	viewFloor   atomic.Int64
-	rebuild     chan struct{}
-	stopping    atomic.Bool
-	faultLogged sync.Map
+	members     *membership.Membership
+	replica     *configuration.Replica
+	spreader    *configuration.Spreader
+	machines    *machines.Follower
+	router      *gateway.Router
+	homes       *home.Manager
+	peers       *home.Client
+	shedTable   *shed.Table
+	gateway     *gateway.Gateway
+	claims      *claims
+	metrics     *metrics.Metrics
+	peerFloors  *floorTable
+	shedTracker shedLevelTracker
+	liveness    *liveness.Monitor
+	view        *catalog.View
+	lastInputs  viewInputs
+	// viewFloor is the revision up to which the view contains every change.
+	viewFloor       atomic.Int64
+	rebuildRequests chan struct{}
+	stopping        atomic.Bool
+	loggedFaults    sync.Map
 }
 
-// Run provisions a node, runs it until the context ends, and then stops it as
-// planned: calls in flight are finished within settings.Drain.Timeout.
+// Run runs a node until the context is cancelled and then shuts it down
+// gracefully: calls in flight have settings.Drain.Timeout to complete.
 func Run(ctx context.Context, node settings.Node, log *logrus.Entry) error {
 	n, err := provision(node, log)
 	if err != nil {
@@ -69,44 +69,45 @@
 	return n.run(ctx)
 }
 
-// provision opens the listeners and makes the parts. Nothing runs yet.
+// provision opens the listeners and creates the components without starting
+// them.
 func provision(node settings.Node, log *logrus.Entry) (*Node, error) {
 	n := &Node{
-		settings: node,
-		log:      log.WithField("node", node.Name).WithField("zone", node.Zone),
-		started:  time.Now(),
-		rebuild:  make(chan struct{}, 1),
-		view:     catalog.Empty(),
-		digests:  newDigestTable(),
-		levels:   newLevelMemory(),
-		liveness: liveness.NewMonitor(time.Now),
-		metrics:  metrics.New(),
+		settings:        node,
+		log:             log.WithField("node", node.Name).WithField("zone", node.Zone),
+		startedAt:       time.Now(),
+		rebuildRequests: make(chan struct{}, 1),
+		view:            catalog.Empty(),
+		peerFloors:      newFloorTable(),
+		shedTracker:     newShedLevelTracker(),
+		liveness:        liveness.NewMonitor(time.Now),
+		metrics:         metrics.New(),
 	}
 	if err := n.sockets.open(node.Listen); err != nil {
 		return nil, err
 	}
-	if err := n.provisionParts(); err != nil {
+	if err := n.provisionComponents(); err != nil {
 		n.sockets.close()
 		return nil, err
 	}
 	return n, nil
 }
 
-// run starts everything, waits for the end of the context or a failure, and
-// stops.
+// run starts all components, waits until the context is cancelled or a listener
+// fails, and shuts down.
 func (n *Node) run(ctx context.Context) error {
-	running, cancel := context.WithCancel(context.WithoutCancel(ctx))
+	backgroundCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var background sync.WaitGroup
 	start := func(work func(context.Context)) {
-		background.Go(func() { work(running) })
+		background.Go(func() { work(backgroundCtx) })
 	}
 	start(func(ctx context.Context) { _ = n.members.Run(ctx) })
 	start(n.liveness.Run)
 	start(n.spreader.Run)
 	start(n.homes.Maintain)
-	start(n.keepRebuilding)
-	start(n.keepGossiping)
+	start(n.runRebuildLoop)
+	start(n.runGossipLoop)
 	start(n.claims.run)
 	if n.machines != nil {
 		start(n.machines.Run)
@@ -129,9 +130,9 @@
 	return err
 }
 
-// paused is told that the process stood still. Others may have taken over its
-// targets meanwhile, so it forgets what it held as their home.
-func (n *Node) paused(pause time.Duration) {
-	n.log.WithField("step", "membership").WithField("pause_ms", pause.Milliseconds()).Warn("the node was paused")
+// handlePause runs after the process was suspended. Other nodes may have become
+// the homes of its targets in the meantime, so it discards its home state.
+func (n *Node) handlePause(pause time.Duration) {
+	n.log.WithField("step", "membership").WithField("pause_ms", pause.Milliseconds()).Warn("process was paused; discarding home state")
 	n.homes.Reset()
 }
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -18,8 +18,8 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// freeSettings are the settings of a node alone, on free ports.
-func freeSettings(t *testing.T) settings.Node {
+// testSettings returns the settings of a single node on free ports.
+func testSettings(t *testing.T) settings.Node {
 	t.Helper()
 	node := settings.Default()
 	node.Name, node.Zone, node.Store.Kind = "node-1", "z", settings.StoreMemory
@@ -32,13 +32,13 @@
 	return node
 }
 
-func quiet() *logrus.Entry {
+func discardLogger() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
 }
 
-func status(address, path string) int {
+func getStatus(address, path string) int {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + address + path)
 	if err != nil {
@@ -48,34 +48,34 @@
 	return response.StatusCode
 }
 
-func TestNodeRunsAndStopsWithNothingLeft(t *testing.T) {
+func TestRunStopsWithoutLeaks(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	node := freeSettings(t)
+	node := testSettings(t)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
-	go func() { done <- Run(ctx, node, quiet()) }()
+	go func() { done <- Run(ctx, node, discardLogger()) }()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if status(node.Listen.Admin, "/readyz") == 200 {
+		if getStatus(node.Listen.Admin, "/readyz") == 200 {
 			return poll.Success()
 		}
 		return poll.Continue("readiness")
 	}, poll.WithDelay(10*time.Millisecond), poll.WithTimeout(10*time.Second))
-	assert.Equal(t, status(node.Listen.Edge, "/nobody/x"), 404)
-	assert.Equal(t, status(node.Listen.Mesh, "/nobody/x"), 404)
+	assert.Equal(t, getStatus(node.Listen.Edge, "/nobody/x"), 404)
+	assert.Equal(t, getStatus(node.Listen.Mesh, "/nobody/x"), 404)
 	cancel()
 	assert.NilError(t, <-done)
 	for _, address := range []string{node.Listen.Edge, node.Listen.Mesh, node.Listen.Peer, node.Listen.Admin} {
-		assert.Equal(t, status(address, "/"), 0, "%s is still open", address)
+		assert.Equal(t, getStatus(address, "/"), 0, "%s is still open", address)
 	}
 }
 
-func TestAllListenersAreOpenOrNone(t *testing.T) {
+func TestRunClosesListenersAfterListenFailure(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
-	node := freeSettings(t)
-	taken, err := net.Listen("tcp", node.Listen.Admin)
+	node := testSettings(t)
+	occupied, err := net.Listen("tcp", node.Listen.Admin)
 	assert.NilError(t, err)
-	defer func() { _ = taken.Close() }()
-	assert.ErrorContains(t, Run(t.Context(), node, quiet()), node.Listen.Admin)
+	defer func() { _ = occupied.Close() }()
+	assert.ErrorContains(t, Run(t.Context(), node, discardLogger()), node.Listen.Admin)
 	for _, address := range []string{node.Listen.Edge, node.Listen.Mesh, node.Listen.Peer} {
 		listener, err := net.Listen("tcp", address)
 		assert.NilError(t, err, "%s was left open", address)
@@ -93,20 +93,20 @@
 	assert.Assert(t, queueConfig(node).FirstInFirstOut)
 }
 
-func TestRatio(t *testing.T) {
+func TestNewRetryRatio(t *testing.T) {
 	for name, c := range map[string]struct {
 		percent     int
-		on          bool
+		enabled     bool
 		least, most int
 	}{
-		"off":       {10, false, 1000, 1000},
-		"none":      {0, true, 0, 0},
-		"a reserve": {10, true, 1, 20},
+		"off":             {10, false, 1000, 1000},
+		"none":            {0, true, 0, 0},
+		"initial reserve": {10, true, 1, 20},
 	} {
 		t.Run(name, func(t *testing.T) {
 			node := settings.Default()
-			node.Retries.RatioPercent, node.Features.RetryRatio = c.percent, c.on
-			ratio := (&Node{settings: node}).newRatio()
+			node.Retries.RatioPercent, node.Features.RetryRatio = c.percent, c.enabled
+			ratio := (&Node{settings: node}).newRetryRatio()
 			allowed := 0
 			for range 1000 {
 				if ratio.Allow() {
@@ -118,13 +118,13 @@
 	}
 }
 
-func TestDigestsAreBounded(t *testing.T) {
-	table := newDigestTable()
-	for i := range maxDigests + 10 {
+func TestFloorTableIsBounded(t *testing.T) {
+	table := newFloorTable()
+	for i := range maxFloors + 10 {
 		table.set(fmt.Sprint(i), store.Revision(i+1))
 	}
-	assert.Equal(t, len(table.floors), maxDigests)
+	assert.Equal(t, len(table.floors), maxFloors)
 	table.set("0", 77)
 	assert.Equal(t, table.get("0"), store.Revision(77))
-	assert.Equal(t, table.get(fmt.Sprint(maxDigests)), store.Revision(0))
+	assert.Equal(t, table.get(fmt.Sprint(maxFloors)), store.Revision(0))
 }
--- a/internal/node/profiles.go
+++ b/internal/node/profiles.go
@@ -6,20 +6,20 @@
 	"net/http/pprof"
 )
 
-// registerProfiles adds the runtime's profiles to the administration listener,
-// for whoever shows the token of its writes. Without a token there are none.
-func registerProfiles(mux *http.ServeMux, token string) {
-	guarded := func(serve http.HandlerFunc) http.HandlerFunc {
+// registerProfiling adds the pprof handlers to the administration listener. They
+// require the token of its write operations and are disabled without one.
+func registerProfiling(mux *http.ServeMux, token string) {
+	requireToken := func(serve http.HandlerFunc) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
-			shown := r.Header.Get("Authorization")
-			if token == "" || subtle.ConstantTimeCompare([]byte(shown), []byte("Bearer "+token)) != 1 {
+			authorization := r.Header.Get("Authorization")
+			if token == "" || subtle.ConstantTimeCompare([]byte(authorization), []byte("Bearer "+token)) != 1 {
 				http.Error(w, "the administration token is required", http.StatusUnauthorized)
 				return
 			}
 			serve(w, r)
 		}
 	}
-	mux.HandleFunc("GET /debug/pprof/", guarded(pprof.Index))
-	mux.HandleFunc("GET /debug/pprof/profile", guarded(pprof.Profile))
-	mux.HandleFunc("GET /debug/pprof/trace", guarded(pprof.Trace))
+	mux.HandleFunc("GET /debug/pprof/", requireToken(pprof.Index))
+	mux.HandleFunc("GET /debug/pprof/profile", requireToken(pprof.Profile))
+	mux.HandleFunc("GET /debug/pprof/trace", requireToken(pprof.Trace))
 }
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -24,7 +24,7 @@
 	"github.com/lugspur/lugspur/internal/store/memory"
 )
 
-func (n *Node) provisionParts() error {
+func (n *Node) provisionComponents() error {
 	n.peerClient = newPeerClient()
 	if err := n.openStore(); err != nil {
 		return err
@@ -40,8 +40,8 @@
 	return nil
 }
 
-// newPeerClient returns the client for what nodes ask each other, apart from
-// calls.
+// newPeerClient returns the HTTP client for requests between nodes other than
+// forwarded calls.
 func newPeerClient() *http.Client {
 	const (
 		dialTimeout     = time.Second
@@ -58,9 +58,9 @@
 	}}
 }
 
-// watchIdleTimeout is the silence after which a watch of the store is taken for
-// dead. It counts towards the time in which a change is in force in a zone that
-// is cut off from the others.
+// watchIdleTimeout is how long a store watch may be idle before it is considered
+// broken. It is part of the time that a change takes to reach a zone that is
+// partitioned from the others.
 const watchIdleTimeout = 4 * time.Second
 
 func (n *Node) openStore() error {
@@ -88,8 +88,8 @@
 		Name:        n.settings.Name,
 		Zone:        n.settings.Zone,
 		Region:      n.settings.Region,
-		PeerAddress: firstOf(n.settings.Advertise.Peer, n.settings.Listen.Peer),
-		MeshAddress: firstOf(n.settings.Advertise.Mesh, n.settings.Listen.Mesh),
+		PeerAddress: firstNonEmpty(n.settings.Advertise.Peer, n.settings.Listen.Peer),
+		MeshAddress: firstNonEmpty(n.settings.Advertise.Mesh, n.settings.Listen.Mesh),
 	}
 	members, err := membership.New(membership.Config{
 		ClusterName: n.settings.Cluster,
@@ -98,8 +98,8 @@
 		Period:      n.settings.Membership.Period.Duration(),
 		Transport:   n.sockets.gossip,
 		Exchange:    membership.HTTPExchange(n.peerClient, n.settings.Cluster),
-		OnPause:     n.paused,
-		OnPayload:   n.takeGossip,
+		OnPause:     n.handlePause,
+		OnPayload:   n.handleGossip,
 		Logger:      n.log,
 	})
 	if err != nil {
@@ -110,9 +110,9 @@
 	return nil
 }
 
-func firstOf(preferred, fallback string) string {
-	if preferred != "" {
-		return preferred
+func firstNonEmpty(value, fallback string) string {
+	if value != "" {
+		return value
 	}
 	return fallback
 }
@@ -141,13 +141,13 @@
 		return oops.In("node").With("step", "peer address").Wrapf(err, "peer address %s", n.members.Self().PeerAddress)
 	}
 	limits := n.settings.Limits
-	n.shedding = shed.NewTable(shed.TableConfig{})
+	n.shedTable = shed.NewTable(shed.TableConfig{})
 	n.router = gateway.NewRouter(gateway.RouterConfig{
 		Node:   n.settings.Name,
 		Zone:   n.settings.Zone,
 		Homes:  n.settings.Features.Homes,
 		Warmup: n.settings.Features.Warmup,
-		Shed:   n.shedding,
+		Shed:   n.shedTable,
 		Now:    time.Now,
 	})
 	n.homes = home.NewManager(home.Settings{
@@ -175,20 +175,21 @@
 		Router:   n.router,
 		Homes:    n.homes,
 		Peers:    n.peers,
-		Shed:     n.shedding,
+		Shed:     n.shedTable,
 		Budgets:  ledger,
 		Grants:   grant.NewClient(peer, ledger, n.peerClient),
-		Ratio:    n.newRatio(),
+		Ratio:    n.newRetryRatio(),
 		Claims:   n.claims,
 		Observer: n.metrics,
 		Log:      n.log,
 		Now:      time.Now,
 	})
-	n.serve(ledger)
+	n.registerHandlers(ledger)
 	return nil
 }
 
-// queueConfig returns the bounds of the queues in front of targets.
+// queueConfig returns the limits of the queues in front of targets. A length of
+// zero in the settings disables queueing.
 func queueConfig(node settings.Node) scheduler.Config {
 	const noQueue = -1
 	length := node.Queue.MaxLength
@@ -202,13 +203,13 @@
 	}
 }
 
-// fixedRatio allows every retry or none.
+// fixedRatio is a retry ratio that allows all retries or none.
 type fixedRatio bool
 
 func (fixedRatio) Success()      {}
 func (r fixedRatio) Allow() bool { return bool(r) }
 
-func (n *Node) newRatio() gateway.Ratio {
+func (n *Node) newRetryRatio() gateway.Ratio {
 	if !n.settings.Features.RetryRatio {
 		return fixedRatio(true)
 	}
@@ -218,8 +219,8 @@
 	return retrybudget.NewRatio(retrybudget.RatioConfig{Share: float64(n.settings.Retries.RatioPercent) / 100}, time.Now)
 }
 
-// serve registers the handlers of the four listeners.
-func (n *Node) serve(ledger grant.Ledger) {
+// registerHandlers registers the HTTP handlers of the four listeners.
+func (n *Node) registerHandlers(ledger grant.Ledger) {
 	peerMux := http.NewServeMux()
 	n.spreader.Register(peerMux)
 	grant.Register(peerMux, ledger)
@@ -237,9 +238,9 @@
 		Log:       n.log,
 	}).Register(adminMux)
 	adminMux.Handle("GET /metrics", n.metrics.Handler())
-	registerProfiles(adminMux, n.settings.Admin.Token)
+	registerProfiling(adminMux, n.settings.Admin.Token)
 
-	n.sockets.serve(n.settings.Limits, n.log, handlers{
+	n.sockets.createServers(n.settings.Limits, n.log, handlers{
 		edge:  n.gateway.Handler(gateway.Edge),
 		mesh:  n.gateway.Handler(gateway.Mesh),
 		peer:  n.gateway.PeerHandler(peerMux),
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -13,25 +13,26 @@
 	"github.com/lugspur/lugspur/internal/pause"
 )
 
-// rosterPath is where a node tells others the roster of claim replicas that it
-// knows, so that a node that starts while the store is down learns it as well.
+// rosterPath serves the node's current roster of claim replicas, so that a node
+// that starts during a store outage can fetch it from a peer.
 const rosterPath = "/peer/claim/roster"
 
 const (
-	// learnTimeout bounds one question.
-	learnTimeout = time.Second
-	// handoverTimeout bounds the time that a stopping replica waits for another
-	// node to take its seat.
+	// rosterFetchTimeout bounds one request for a roster.
+	rosterFetchTimeout = time.Second
+	// handoverTimeout bounds the time that a stopping claim replica waits to be
+	// replaced in the roster.
 	handoverTimeout = 15 * time.Second
-	// handoverPoll is how often that is looked at.
-	handoverPoll = 100 * time.Millisecond
-	// maxRosterBytes bounds an encoded roster.
+	// handoverPollInterval is the interval at which the roster is checked during
+	// the wait.
+	handoverPollInterval = 100 * time.Millisecond
+	// maxRosterBytes bounds an encoded roster, in bytes.
 	maxRosterBytes = claim.MaximumMessageBytes
 )
 
 func (c *claims) serveRoster(w http.ResponseWriter, _ *http.Request) {
-	roster, known := c.service.Roster()
-	if !known {
+	roster, found := c.service.Roster()
+	if !found {
 		http.Error(w, "no roster known", http.StatusNotFound)
 		return
 	}
@@ -43,29 +44,32 @@
 	_, _ = w.Write(encoded)
 }
 
-// heardOf notes that a node knows the roster of an epoch. It does not block.
-func (c *claims) heardOf(epoch uint64, peer string) {
+// handleRosterEpoch schedules a fetch of the peer's roster if the peer
+// advertises a newer epoch. It does not block.
+func (c *claims) handleRosterEpoch(epoch uint64, peer string) {
 	if epoch <= c.epoch() {
 		return
 	}
 	select {
-	case c.newer <- peer:
+	case c.newerRosterPeers <- peer:
 	default:
-		// The peer, or another one, is heard again soon.
+		// A fetch is pending already. Gossip repeats the epoch, so a later
+		// payload schedules the next one.
 	}
 }
 
-// learnRosters fetches newer rosters from the nodes that are heard to know
-// them, until the context ends. Replicas tell coordinators of newer rosters as
-// well, but not when those who know them do not vote any more.
-func (c *claims) learnRosters(ctx context.Context) {
+// fetchNewerRosters fetches rosters from the peers that advertise a newer epoch,
+// until the context is cancelled. Claim replicas also report newer rosters to
+// coordinators, but not if the replicas that have the newer roster no longer
+// vote.
+func (c *claims) fetchNewerRosters(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case peer := <-c.newer:
+		case peer := <-c.newerRosterPeers:
 			if err := c.fetchRoster(ctx, peer); err != nil {
-				c.log.WithError(err).Debug("roster not learnt")
+				c.log.WithError(err).Debug("failed to fetch the roster from a peer")
 			}
 		}
 	}
@@ -73,7 +77,7 @@
 
 func (c *claims) fetchRoster(ctx context.Context, peer string) error {
 	failure := oops.In("node").With("step", "learn roster").With("peer", peer)
-	ctx, cancel := context.WithTimeout(ctx, learnTimeout)
+	ctx, cancel := context.WithTimeout(ctx, rosterFetchTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+peer+rosterPath, nil)
 	if err != nil {
@@ -99,32 +103,32 @@
 	return nil
 }
 
-// awaitHandover waits until this node has no seat in the roster any more, if it
-// has one and another node could take it.
+// awaitHandover waits until this node is no longer a claim replica, if it is one
+// and another node can replace it.
 func (c *claims) awaitHandover(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, handoverTimeout)
 	defer cancel()
-	for ctx.Err() == nil && c.handoverDue() {
-		pause.For(ctx, handoverPoll)
+	for ctx.Err() == nil && c.handoverPending() {
+		pause.For(ctx, handoverPollInterval)
 	}
 }
 
-// handoverDue reports whether this node has a seat in the roster and there is a
-// live node that has none, or that is about to take this node's.
-func (c *claims) handoverDue() bool {
-	roster, known := c.service.Roster()
-	if !known {
+// handoverPending reports whether this node is a claim replica and a live node
+// exists that is not one and can replace it.
+func (c *claims) handoverPending() bool {
+	roster, found := c.service.Roster()
+	if !found {
 		return false
 	}
-	holders := map[string]bool{}
+	replicas := map[string]bool{}
 	for _, seat := range roster.Seats {
-		holders[seat.Holder.Identity.Name] = true
+		replicas[seat.Holder.Identity.Name] = true
 	}
-	if !holders[c.node] {
+	if !replicas[c.node] {
 		return false
 	}
 	for _, member := range c.members.Live("") {
-		if !holders[member.Name] {
+		if !replicas[member.Name] {
 			return true
 		}
 	}
--- a/internal/node/roster_test.go
+++ b/internal/node/roster_test.go
@@ -12,16 +12,16 @@
 	"github.com/lugspur/lugspur/internal/claim"
 )
 
-func claimsOf(name string) *claims {
+func newTestClaims(name string) *claims {
 	identity := claim.Identity{Name: name, Boot: claim.NewBootID()}
 	return &claims{node: name, client: http.DefaultClient, service: claim.NewService(claim.ServiceConfig{Self: identity})}
 }
 
-// A node that starts while the store is down learns the roster from a peer;
-// what is no roster changes nothing.
-func TestRosterIsLearntFromAPeer(t *testing.T) {
-	knowing, fresh := claimsOf("a"), claimsOf("b")
-	server := httptest.NewServer(http.HandlerFunc(knowing.serveRoster))
+// A node that starts during a store outage fetches the roster from a peer. An
+// answer that is not a roster must be rejected.
+func TestFetchRosterFromPeer(t *testing.T) {
+	source, fresh := newTestClaims("a"), newTestClaims("b")
+	server := httptest.NewServer(http.HandlerFunc(source.serveRoster))
 	defer server.Close()
 	peer := strings.TrimPrefix(server.URL, "http://")
 
@@ -31,12 +31,12 @@
 	members := []claim.Member{{Identity: claim.Identity{Name: "a", Boot: claim.NewBootID()}, Zone: "z", Address: peer}}
 	roster, err := claim.NewGenesis(10*time.Minute, members)
 	assert.NilError(t, err)
-	assert.Assert(t, knowing.service.Adopt(roster))
+	assert.Assert(t, source.service.Adopt(roster))
 	assert.NilError(t, fresh.fetchRoster(t.Context(), peer))
-	assert.Equal(t, fresh.epoch(), knowing.epoch())
+	assert.Equal(t, fresh.epoch(), source.epoch())
 	assert.Assert(t, fresh.epoch() > 0)
 
-	stranger := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) }))
-	defer stranger.Close()
-	assert.Assert(t, claimsOf("c").fetchRoster(t.Context(), strings.TrimPrefix(stranger.URL, "http://")) != nil)
+	invalidServer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("hello")) }))
+	defer invalidServer.Close()
+	assert.Assert(t, newTestClaims("c").fetchRoster(t.Context(), strings.TrimPrefix(invalidServer.URL, "http://")) != nil)
 }
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -17,11 +17,11 @@
 	"github.com/lugspur/lugspur/internal/settings"
 )
 
-// idleTimeout is how long a caller's idle connection is kept.
+// idleTimeout is how long an idle client connection is kept open.
 const idleTimeout = 90 * time.Second
 
-// writeGrace is how long a caller may take to read an answer that came at the
-// last moment.
+// writeGrace is the time for a caller to read an answer that is sent right at
+// the call's deadline.
 const writeGrace = 10 * time.Second
 
 // listener is one of the node's HTTP listeners.
@@ -38,14 +38,14 @@
 	errorLog                io.Closer
 }
 
-// handlers are what the listeners serve.
+// handlers are the HTTP handlers of the listeners.
 type handlers struct {
 	edge, mesh, peer, admin http.Handler
 }
 
 func (s *sockets) all() []*listener { return []*listener{&s.edge, &s.mesh, &s.peer, &s.admin} }
 
-// open opens the sockets; either all are open or none.
+// open opens all sockets. On an error none is left open.
 func (s *sockets) open(listen settings.Listen) error {
 	s.edge.name, s.mesh.name, s.peer.name, s.admin.name = "edge", "mesh", "peer", "admin"
 	for i, address := range []string{listen.Edge, listen.Mesh, listen.Peer, listen.Admin} {
@@ -65,8 +65,8 @@
 	return nil
 }
 
-// serve makes the servers.
-func (s *sockets) serve(limits settings.Limits, log *logrus.Entry, handlers handlers) {
+// createServers creates the HTTP servers of the listeners.
+func (s *sockets) createServers(limits settings.Limits, log *logrus.Entry, handlers handlers) {
 	errorLog := log.WithField("step", "serve").WriterLevel(logrus.DebugLevel)
 	s.errorLog = errorLog
 	for i, handler := range []http.Handler{handlers.edge, handlers.mesh, handlers.peer, handlers.admin} {
@@ -75,17 +75,19 @@
 			ReadHeaderTimeout: limits.ReadHeaderTimeout.Duration(),
 			MaxHeaderBytes:    limits.MaxHeaderBytes,
 			IdleTimeout:       idleTimeout,
-			// A call takes no longer than its longest timeout after its body;
-			// profiles of the administration listener fit as well.
+			// A call ends within the maximum timeout after its body was read. This
+			// also leaves enough time for profiles on the administration listener.
 			WriteTimeout: limits.ReadBodyTimeout.Duration() + limits.MaxTimeout.Duration() + writeGrace,
 			ErrorLog:     stdlog.New(errorLog, "", 0),
 		}
 	}
-	// Calls have deadlines of their own for their bodies.
+	// The gateway sets a read deadline for the body of each call, so only the
+	// administration listener needs a timeout here.
 	s.admin.server.ReadTimeout = limits.ReadHeaderTimeout.Duration() + limits.ReadBodyTimeout.Duration()
 }
 
-// start serves all listeners and returns a channel of what made one end.
+// start serves all listeners and returns a channel that receives the error of
+// a listener that fails.
 func (s *sockets) start() <-chan error {
 	listeners := s.all()
 	failed := make(chan error, len(listeners))
@@ -99,12 +101,12 @@
 	return failed
 }
 
-// stopAccepting refuses new connections; those that are open, or wait to be
-// accepted, are served on.
+// stopAccepting refuses new connections. Open connections and those already in
+// the accept queue are still served.
 func (l *listener) stopAccepting() { l.socket.StopAccepting() }
 
-// shutdown stops the listener and waits for its calls; those still there when
-// the context ends are cut off.
+// shutdown stops the listener and waits for its calls. Calls that are still
+// running when the context ends are aborted.
 func (l *listener) shutdown(ctx context.Context) error {
 	err := l.server.Shutdown(ctx)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
@@ -114,7 +116,7 @@
 	return nil
 }
 
-// close closes whatever is still open.
+// close closes all sockets that are still open.
 func (s *sockets) close() {
 	for _, l := range s.all() {
 		if l.server != nil {
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -15,7 +15,7 @@
 
 var errTooManyDrains = errors.New("too many emergency drains, or not the name of a drain")
 
-// Readiness tells whether the node may be sent calls.
+// Readiness reports whether the node accepts calls, with the reasons if not.
 func (n *Node) Readiness() admin.Readiness {
 	var reasons []string
 	if !n.gateway.Ready() {
@@ -27,7 +27,7 @@
 	return admin.Readiness{Ready: len(reasons) == 0, Reasons: reasons}
 }
 
-// Status tells what the node does and knows.
+// Status returns the state of the node, its view of the cluster and its load.
 func (n *Node) Status() admin.Status {
 	view := n.router.View()
 	return admin.Status{
@@ -50,7 +50,7 @@
 		Readiness:          n.Readiness(),
 		Stopping:           n.stopping.Load(),
 		ConfigurationFloor: n.replica.Floor(),
-		UptimeSeconds:      int64(time.Since(n.started).Seconds()),
+		UptimeSeconds:      int64(time.Since(n.startedAt).Seconds()),
 		ClaimEpoch:         n.claims.epoch(),
 		InFlight:           int(n.gateway.InFlight()),
 	}
@@ -58,13 +58,13 @@
 
 func (n *Node) storeStatus() admin.StoreStatus {
 	status := n.spreader.Status()
-	silent := time.Since(n.started)
+	sinceContact := time.Since(n.startedAt)
 	if !status.StoreContact.IsZero() {
-		silent = time.Since(status.StoreContact)
+		sinceContact = time.Since(status.StoreContact)
 	}
 	return admin.StoreStatus{
 		Reachable:     !status.StoreContact.IsZero() && status.StoreError == "",
-		SilentSeconds: silent.Seconds(),
+		SilentSeconds: sinceContact.Seconds(),
 		LastError:     status.StoreError,
 	}
 }
@@ -72,7 +72,7 @@
 func (n *Node) memberStatus() []admin.MemberStatus {
 	var members []admin.MemberStatus
 	for _, member := range n.members.Members() {
-		floor := n.digests.get(member.Name)
+		floor := n.peerFloors.get(member.Name)
 		if member.Name == n.settings.Name {
 			floor = n.replica.Floor()
 		}
@@ -152,7 +152,7 @@
 		services = append(services, admin.ServiceStatus{
 			Name:      name,
 			Targets:   len(service.Targets),
-			ShedLevel: shedLevel(n.shedding.Threshold(name, time.Now())),
+			ShedLevel: shedLevel(n.shedTable.Threshold(name, time.Now())),
 		})
 	}
 	slices.SortFunc(services, func(a, b admin.ServiceStatus) int { return strings.Compare(a.Name, b.Name) })
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -9,41 +9,44 @@
 )
 
 const (
-	// announcement is how long a stopping node goes on taking calls while every
-	// answer asks its caller to close the connection, so that callers leave
-	// before their connections do.
-	announcement = time.Second
-	// leavingTime is how long no call must have come before the connections of
-	// callers are closed: a call that comes on one at that moment would be lost.
-	leavingTime = time.Second
-	// leavingLimit bounds the wait for that.
-	leavingLimit = 10 * time.Second
-	// quietTime is how long the mesh must have been without calls before its
-	// listener stops: chains in flight elsewhere still call through it.
-	quietTime = 300 * time.Millisecond
-	// quietPoll is how often that is looked at.
-	quietPoll = 20 * time.Millisecond
+	// closeNoticePeriod is how long a stopping node continues to accept calls
+	// while every answer asks its caller to close the connection, so that callers
+	// move to other nodes before their connections are closed.
+	closeNoticePeriod = time.Second
+	// edgeQuietPeriod is how long no call must have arrived before the callers'
+	// connections are closed: a call that arrives on a connection while it is
+	// being closed would be lost.
+	edgeQuietPeriod = time.Second
+	// edgeQuietTimeout bounds the wait for edgeQuietPeriod.
+	edgeQuietTimeout = 10 * time.Second
+	// idlePeriod is how long no call must have been in flight before the mesh
+	// listener stops: requests in flight on other nodes may still send calls
+	// through it.
+	idlePeriod = 300 * time.Millisecond
+	// idlePollInterval is the interval of the checks for both periods.
+	idlePollInterval = 20 * time.Millisecond
 )
 
-// stop ends the node as planned. The others are told first. A claim replica
-// waits for its successor, so that planned stops never cost a majority, and the
-// node goes on serving meanwhile. The listener for strangers takes no further
-// connections then and stops when callers have left, the mesh when the chains that use it are done, and the
-// peer listener last, because other nodes may still wait for targets that this
-// node is the home of.
+// stop shuts the node down gracefully. It first announces the departure to the
+// other nodes. A claim replica then waits until it is replaced, so that planned
+// stops never cost the majority, and the node continues to serve meanwhile. The
+// edge listener then accepts no new connections and stops when callers have
+// left. The mesh listener stops when the call chains that use it have completed,
+// and the peer listener after it, because other nodes may still have calls
+// queued for targets whose home is this node.
 func (n *Node) stop() error {
-	n.log.WithField("step", "stop").WithField("in_flight", n.gateway.InFlight()).Info("node stops")
+	n.log.WithField("step", "stop").WithField("in_flight", n.gateway.InFlight()).Info("node is shutting down")
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.Drain.Timeout.Duration())
 	defer cancel()
 	n.stopping.Store(true)
 	n.gateway.SetClosing()
 	n.members.Leave()
-	pause.For(ctx, announcement)
+	pause.For(ctx, closeNoticePeriod)
 	n.claims.awaitHandover(ctx)
 	n.sockets.edge.stopAccepting()
-	n.awaitLeaving(ctx)
+	n.awaitEdgeQuiet(ctx)
 	edgeErr := n.sockets.edge.shutdown(ctx)
-	n.awaitQuiet(ctx)
+	n.awaitIdle(ctx)
 	meshErr := n.sockets.mesh.shutdown(ctx)
 	peerErr := n.sockets.peer.shutdown(ctx)
 	n.members.Close()
@@ -51,24 +54,24 @@
 	return errors.Join(edgeErr, meshErr, peerErr, adminErr)
 }
 
-// awaitLeaving waits until callers have left: no call has come for leavingTime.
-// Every answer closes its connection, so that each caller comes at most once
-// more on each connection that it holds.
-func (n *Node) awaitLeaving(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, leavingLimit)
+// awaitEdgeQuiet waits until callers have left, which is when no call has arrived
+// for edgeQuietPeriod. Every answer closes its connection, so each open
+// connection carries at most one more call.
+func (n *Node) awaitEdgeQuiet(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, edgeQuietTimeout)
 	defer cancel()
-	for ctx.Err() == nil && time.Since(n.gateway.LastArrival()) < leavingTime {
-		pause.For(ctx, quietPoll)
+	for ctx.Err() == nil && time.Since(n.gateway.LastArrival()) < edgeQuietPeriod {
+		pause.For(ctx, idlePollInterval)
 	}
 }
 
-// awaitQuiet waits until no call has been in the node for quietTime.
-func (n *Node) awaitQuiet(ctx context.Context) {
-	quietSince := time.Now()
-	for ctx.Err() == nil && time.Since(quietSince) < quietTime {
+// awaitIdle waits until no call has been in flight in the node for idlePeriod.
+func (n *Node) awaitIdle(ctx context.Context) {
+	idleSince := time.Now()
+	for ctx.Err() == nil && time.Since(idleSince) < idlePeriod {
 		if n.gateway.InFlight() > 0 || n.homes.InFlight() > 0 {
-			quietSince = time.Now()
+			idleSince = time.Now()
 		}
-		pause.For(ctx, quietPoll)
+		pause.For(ctx, idlePollInterval)
 	}
 }
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -13,10 +13,11 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// emergencyDrains lets the administration API mark drains without the store.
+// emergencyDrains lets the administration API drain targets and machines when
+// the store is unavailable.
 type emergencyDrains struct{ spreader *configuration.Spreader }
 
-// EmergencyDrain marks what the drain of that name marks.
+// EmergencyDrain drains the target or machine that the name of the drain denotes.
 func (e emergencyDrains) EmergencyDrain(name string) error {
 	if !e.spreader.MarkDrain(name) {
 		return errTooManyDrains
@@ -24,69 +25,72 @@
 	return nil
 }
 
-// EmergencyDrained reports whether such a mark holds.
+// EmergencyDrained reports whether an emergency drain of that name is active.
 func (e emergencyDrains) EmergencyDrained(name string) bool {
 	return e.spreader.EmergencyDrains().Drained(name)
 }
 
-// marks are the drains besides the operators' objects. Each source only adds.
-type marks struct{ node *Node }
+// nonStoreDrains are the drains that are not stored as objects: emergency drains
+// and those of the machine list. A source can add drains but not remove those of
+// another.
+type nonStoreDrains struct{ node *Node }
 
-// Drained reports whether any source marks what the drain's name says.
-func (m marks) Drained(name string) bool {
-	if m.node.spreader.EmergencyDrains().Drained(name) {
+// Drained reports whether any source has a drain of that name.
+func (d nonStoreDrains) Drained(name string) bool {
+	if d.node.spreader.EmergencyDrains().Drained(name) {
 		return true
 	}
-	return m.node.machines != nil && m.node.machines.Drained(name)
+	return d.node.machines != nil && d.node.machines.Drained(name)
 }
 
-// configurationChanged is told of every change of the replica.
+// configurationChanged is the subscriber to changes of the replica.
 func (n *Node) configurationChanged([]resource.Versioned) {
 	n.requestRebuild()
 }
 
-// requestRebuild has the view of the configuration built anew soon. It does not
+// requestRebuild schedules a rebuild of the configuration view. It does not
 // block.
 func (n *Node) requestRebuild() {
 	select {
-	case n.rebuild <- struct{}{}:
+	case n.rebuildRequests <- struct{}{}:
 	default:
 	}
 }
 
-// rebuildInterval is how often the view is built anew without a known change:
-// emergency drains expire.
+// rebuildInterval is the interval of rebuilds without a notified change. They
+// are needed because emergency drains expire.
 const rebuildInterval = time.Second
 
-// rebuildPause is the least time between two builds, so that the loss of many
-// nodes at once costs a bounded share of the processor.
-const rebuildPause = 50 * time.Millisecond
+// minRebuildInterval is the minimum time between two rebuilds. It bounds the CPU
+// time spent on rebuilds when many nodes fail at once.
+const minRebuildInterval = 50 * time.Millisecond
 
-func (n *Node) keepRebuilding(ctx context.Context) {
+func (n *Node) runRebuildLoop(ctx context.Context) {
 	ticker := time.NewTicker(rebuildInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		n.rebuildView()
-		pause.For(ctx, rebuildPause)
+		pause.For(ctx, minRebuildInterval)
 		if !n.gateway.Ready() {
-			// A view may become complete without any change.
+			// The configuration may become complete without a change that triggers
+			// a rebuild.
 			continue
 		}
 		select {
 		case <-ctx.Done():
-		case <-n.rebuild:
+		case <-n.rebuildRequests:
 		case <-ticker.C:
 		}
 	}
 }
 
-// viewInputs is what a view is built from, in constant size. The same inputs
-// give the same view.
+// viewInputs is a fixed-size summary of the state that a view is built from.
+// Equal inputs yield equal views.
 type viewInputs struct {
 	objects    uint64
 	tombstones uint64
 	members    uint64
-	live       int
+	liveCount  int
 	suspects   uint64
 	drains     uint64
 	machines   uint64
@@ -98,8 +102,8 @@
 		objects:    digest.Sum,
 		tombstones: digest.Tombstones,
 		members:    n.members.Digest(),
-		live:       len(live),
-		suspects:   suspectsOf(live),
+		liveCount:  len(live),
+		suspects:   suspectHash(live),
 		drains:     n.spreader.EmergencyDrains().Sum(),
 	}
 	if n.machines != nil {
@@ -108,8 +112,9 @@
 	return inputs
 }
 
-// suspectsOf returns a hash of the members that are suspected to have failed.
-func suspectsOf(live []membership.Member) uint64 {
+// suspectHash returns an order-independent hash of the names of suspected
+// members.
+func suspectHash(live []membership.Member) uint64 {
 	var sum uint64
 	for _, member := range live {
 		if member.State == membership.Suspect {
@@ -120,22 +125,22 @@
 }
 
 func (n *Node) rebuildView() {
-	// Whether there is a complete view is read before and told after the build,
-	// so that no call is decided on an older one.
+	// Readiness is read before the build and published after it, so that no call
+	// is routed by a view that is older than the complete configuration.
 	ready := n.spreader.Ready()
 	defer n.gateway.SetReady(ready)
 	floor := n.replica.Floor()
 	defer n.viewFloor.Store(int64(floor))
 	live := n.members.Live("")
 	inputs := n.viewInputs(live)
-	if inputs == n.built {
+	if inputs == n.lastInputs {
 		return
 	}
-	n.built = inputs
-	view, faults := catalog.Build(n.replica, marks{n}, n.view)
+	n.lastInputs = inputs
+	view, faults := catalog.Build(n.replica, nonStoreDrains{n}, n.view)
 	for _, fault := range faults {
-		if _, logged := n.faultLogged.LoadOrStore(fault.Error(), true); !logged {
-			n.log.WithField("step", "configuration").WithError(fault).Error("a policy was not taken over")
+		if _, logged := n.loggedFaults.LoadOrStore(fault.Error(), true); !logged {
+			n.log.WithField("step", "configuration").WithError(fault).Error("policy does not compile; the service keeps its previous or the default policy")
 		}
 	}
 	n.view = view
