--- a/internal/callcontext/callcontext.go
+++ b/internal/callcontext/callcontext.go
@@ -1,10 +1,11 @@
-// Package callcontext carries what every node of a chain must know about the
-// request that a call belongs to.
+// Package callcontext propagates the context of a request, such as its deadline
+// and criticality, to every node of its call chain.
 //
-// The context travels in the W3C baggage header, as the member named "lugspur",
-// because targets that forward trace headers forward that one already. Its
-// value is versioned, URL-safe base64 of a CBOR array. The edge listener drops
-// an incoming member and makes a new context; the mesh listener believes it.
+// The context is sent in the W3C baggage header, as the member named "lugspur",
+// because targets that forward trace headers already forward that header. Its
+// value is a version prefix followed by the URL-safe base64 encoding of a CBOR
+// array. The edge listener drops an incoming member and creates a new context;
+// the mesh listener trusts the incoming one.
 package callcontext
 
 import (
@@ -27,13 +28,13 @@
 const (
 	// BaggageHeader carries the context, in the member MemberName.
 	BaggageHeader = "Baggage"
-	// RequestIDHeader tells targets and callers the id of the request.
+	// RequestIDHeader carries the request ID to targets and callers.
 	RequestIDHeader = "Lugspur-Request-Id"
-	// TimeoutHeader tells targets the milliseconds left until the deadline.
+	// TimeoutHeader carries the milliseconds left until the deadline to targets.
 	TimeoutHeader = "Lugspur-Timeout-Ms"
-	// CallerHeader names the caller, as policies see it.
+	// CallerHeader names the caller for policies.
 	CallerHeader = "Lugspur-Caller"
-	// IdempotencyKeyHeader marks a call that must run at most once.
+	// IdempotencyKeyHeader marks a call that must be executed at most once.
 	IdempotencyKeyHeader = "Idempotency-Key"
 )
 
@@ -42,36 +43,39 @@
 
 // Limits of a context on the wire.
 const (
-	// MaxBaggageLength bounds the whole baggage header, in bytes; W3C allows 8192.
+	// MaxBaggageLength bounds the whole baggage header, in bytes. W3C Baggage
+	// requires that at least 8192 bytes are propagated.
 	MaxBaggageLength = 8192
 	// MaxEncodedLength bounds the member's value, in bytes.
 	MaxEncodedLength = 512
-	// MaxHops bounds how often a request may pass through a node.
+	// MaxHops bounds the number of nodes that a request passes through, counting
+	// repeated visits.
 	MaxHops = 64
 
 	maxCallerLength = 128
-	version         = "v1."
+	versionPrefix   = "v1."
 )
 
-// Errors of decoding.
+// Errors returned by FromHeader and Decode.
 var (
 	// ErrAbsent means that the header has no lugspur member.
 	ErrAbsent = errors.New("no call context in baggage")
-	// ErrMalformed means that the member is there and can't be understood.
+	// ErrMalformed means that the member is present but can't be decoded.
 	ErrMalformed = errors.New("malformed call context")
 )
 
-// RequestID names a request: one call at the edge with the whole chain below.
+// RequestID identifies a request: a call at the edge and all calls made for it
+// downstream.
 type RequestID [16]byte
 
-// NewRequestID returns a random id.
+// NewRequestID returns a random request ID.
 func NewRequestID() RequestID {
 	var id RequestID
 	_, _ = rand.Read(id[:])
 	return id
 }
 
-// ParseRequestID reads an id as String writes it.
+// ParseRequestID parses an ID in the format of String.
 func ParseRequestID(text string) (RequestID, error) {
 	var id RequestID
 	if len(text) != hex.EncodedLen(len(id)) {
@@ -81,44 +85,45 @@
 	return id, err
 }
 
-// String returns the id in hexadecimal.
+// String returns the ID in hexadecimal.
 func (i RequestID) String() string { return hex.EncodeToString(i[:]) }
 
-// SpanID names one sending of a call to a target, so that the calls which the
-// target makes for it can be told from those of another sending.
+// SpanID identifies one attempt to send a call to a target. It distinguishes the
+// calls that the target makes for this attempt from those for another attempt.
 type SpanID [4]byte
 
-// NewSpanID returns a random id.
+// NewSpanID returns a random span ID.
 func NewSpanID() SpanID {
 	var id SpanID
 	_, _ = rand.Read(id[:])
 	return id
 }
 
-// Context is what a chain's nodes know of the request. It is a value; nodes
-// change a copy.
+// Context is the request state that the nodes of a call chain share. It is passed
+// by value; each node modifies its own copy.
 type Context struct {
-	// RequestID names the request across the chain.
+	// RequestID identifies the request across the chain.
 	RequestID RequestID
-	// Ingress is the peer address of the node that the request entered by and
-	// that holds its retry budget.
+	// Ingress is the peer address of the node through which the request entered.
+	// That node manages the retry budget of the request.
 	Ingress netip.AddrPort
-	// Deadline is the moment after which nobody waits for the answer, to the
-	// millisecond, by the clocks of the machines.
+	// Deadline is the time after which the caller no longer waits for the answer,
+	// as wall-clock time with millisecond precision.
 	Deadline time.Time
-	// Rank is the request's place in the order of shedding.
+	// Rank is the request's position in the order of load shedding.
 	Rank criticality.Rank
-	// Hops counts the nodes that the request has passed on its way here.
+	// Hops is the number of nodes that the request has passed through so far.
 	Hops uint8
 	// Caller names the caller at the edge.
 	Caller string
-	// Span names the sending of the call above, whose target makes this call;
-	// it is zero at the edge.
+	// Span identifies the attempt of the parent call whose target makes this
+	// call. It is zero at the edge.
 	Span SpanID
 }
 
-// wire is the CBOR form of a context: an array, so that it stays short.
-type wire struct {
+// wireContext is the CBOR encoding of a context. It is an array to keep the header
+// short.
+type wireContext struct {
 	_              struct{} `cbor:",toarray"`
 	RequestID      []byte
 	IngressAddress []byte
@@ -129,9 +134,9 @@
 	Span           []byte
 }
 
-var decoding = mustDecoding()
+var decodeMode = mustDecodeMode()
 
-func mustDecoding() cbor.DecMode {
+func mustDecodeMode() cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		MaxNestedLevels:   4,
 		MaxArrayElements:  16,
@@ -146,13 +151,13 @@
 	return mode
 }
 
-// Encode returns the member's value.
+// Encode returns the value of the baggage member.
 func (c Context) Encode() (string, error) {
 	ingress, err := c.Ingress.MarshalBinary()
 	if err != nil {
 		return "", fmt.Errorf("encode ingress address: %w", err)
 	}
-	encoded, err := cbor.Marshal(wire{
+	encoded, err := cbor.Marshal(wireContext{
 		RequestID:      c.RequestID[:],
 		IngressAddress: ingress,
 		DeadlineMillis: c.Deadline.UnixMilli(),
@@ -164,15 +169,15 @@
 	if err != nil {
 		return "", fmt.Errorf("encode call context: %w", err)
 	}
-	return version + base64.RawURLEncoding.EncodeToString(encoded), nil
+	return versionPrefix + base64.RawURLEncoding.EncodeToString(encoded), nil
 }
 
-// Decode reads a member's value. Its errors wrap ErrMalformed.
+// Decode decodes the value of the baggage member. Its errors wrap ErrMalformed.
 func Decode(value string) (Context, error) {
 	if len(value) > MaxEncodedLength {
 		return Context{}, fmt.Errorf("%w: %d bytes, allowed are %d", ErrMalformed, len(value), MaxEncodedLength)
 	}
-	text, ok := strings.CutPrefix(value, version)
+	text, ok := strings.CutPrefix(value, versionPrefix)
 	if !ok {
 		return Context{}, fmt.Errorf("%w: unknown version", ErrMalformed)
 	}
@@ -180,14 +185,14 @@
 	if err != nil {
 		return Context{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
-	var w wire
-	if err := decoding.Unmarshal(encoded, &w); err != nil {
+	var w wireContext
+	if err := decodeMode.Unmarshal(encoded, &w); err != nil {
 		return Context{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 	}
 	return w.context()
 }
 
-func (w wire) context() (Context, error) {
+func (w wireContext) context() (Context, error) {
 	c := Context{
 		Deadline: time.UnixMilli(w.DeadlineMillis),
 		Hops:     w.Hops,
@@ -217,8 +222,8 @@
 	return c, nil
 }
 
-// FromHeader reads the context of a call. It returns ErrAbsent when there is
-// none and an error that wraps ErrMalformed when it can't be read.
+// FromHeader decodes the context in the header of a call. It returns ErrAbsent if
+// there is none and an error that wraps ErrMalformed if it can't be decoded.
 func FromHeader(header http.Header) (Context, error) {
 	length := 0
 	for _, line := range header[BaggageHeader] {
@@ -244,24 +249,25 @@
 	if len(lines) == 0 {
 		return
 	}
-	var kept []string
+	var others []string
 	for _, line := range lines {
 		for member := range strings.SplitSeq(line, ",") {
 			member = strings.TrimSpace(member)
 			name, _, _ := strings.Cut(member, "=")
 			if member != "" && strings.TrimSpace(name) != MemberName {
-				kept = append(kept, member)
+				others = append(others, member)
 			}
 		}
 	}
-	if len(kept) == 0 {
+	if len(others) == 0 {
 		header.Del(BaggageHeader)
 		return
 	}
-	header[BaggageHeader] = []string{strings.Join(kept, ",")}
+	header[BaggageHeader] = []string{strings.Join(others, ",")}
 }
 
-// SetHeader writes the context to a call in place of any that is there.
+// SetHeader sets the context in the header of a call and replaces an existing
+// one.
 func (c Context) SetHeader(header http.Header) error {
 	value, err := c.Encode()
 	if err != nil {
@@ -269,7 +275,7 @@
 	}
 	Strip(header)
 	member := MemberName + "=" + value
-	// The caller's own members give way when there is no room for both.
+	// The caller's own members are dropped if both do not fit into the header.
 	if others := header[BaggageHeader]; len(others) > 0 && len(member)+1+len(others[0]) <= MaxBaggageLength {
 		member += "," + others[0]
 	}
@@ -277,8 +283,8 @@
 	return nil
 }
 
-// CallerName returns the caller's name as the context carries it: valid UTF-8,
-// cut to the length that contexts allow.
+// CallerName returns the caller's name in the form that a context can carry: valid
+// UTF-8, truncated to the maximum length.
 func CallerName(name string) string {
 	if len(name) > maxCallerLength {
 		name = name[:maxCallerLength]
--- a/internal/callcontext/callcontext_test.go
+++ b/internal/callcontext/callcontext_test.go
@@ -16,7 +16,7 @@
 	"github.com/lugspur/lugspur/internal/criticality"
 )
 
-func example() Context {
+func newTestContext() Context {
 	return Context{
 		RequestID: NewRequestID(),
 		Span:      NewSpanID(),
@@ -28,14 +28,14 @@
 	}
 }
 
-func encoded(t *testing.T, c Context) string {
+func mustEncode(t *testing.T, c Context) string {
 	t.Helper()
 	value, err := c.Encode()
 	assert.NilError(t, err)
 	return value
 }
 
-func sameContext(t *testing.T, got, want Context) {
+func assertSameContext(t *testing.T, got, want Context) {
 	t.Helper()
 	assert.Check(t, got.Deadline.Equal(want.Deadline), "deadline %s, not %s", got.Deadline, want.Deadline)
 	got.Deadline = want.Deadline
@@ -43,46 +43,46 @@
 }
 
 func TestRoundTrip(t *testing.T) {
-	lowest, ipv6 := example(), example()
+	lowest, ipv6 := newTestContext(), newTestContext()
 	lowest.Rank, lowest.Caller, lowest.Hops = criticality.Lowest, strings.Repeat("é", maxCallerLength/2), MaxHops
 	ipv6.Ingress = netip.MustParseAddrPort("[fe80::1]:1")
-	for name, want := range map[string]Context{"plain": example(), "bounds": lowest, "IPv6": ipv6} {
+	for name, want := range map[string]Context{"plain": newTestContext(), "bounds": lowest, "IPv6": ipv6} {
 		t.Run(name, func(t *testing.T) {
-			got, err := Decode(encoded(t, want))
+			got, err := Decode(mustEncode(t, want))
 			assert.NilError(t, err)
-			sameContext(t, got, want)
+			assertSameContext(t, got, want)
 		})
 	}
 }
 
-func wireOf(change func(*wire)) string {
+func encodeWire(modify func(*wireContext)) string {
 	id := NewRequestID()
 	ingress, _ := netip.MustParseAddrPort("10.0.0.1:7402").MarshalBinary()
 	span := NewSpanID()
-	w := wire{RequestID: id[:], IngressAddress: ingress, Span: span[:]}
-	change(&w)
-	content, _ := cbor.Marshal(w)
-	return version + base64.RawURLEncoding.EncodeToString(content)
+	w := wireContext{RequestID: id[:], IngressAddress: ingress, Span: span[:]}
+	modify(&w)
+	encoded, _ := cbor.Marshal(w)
+	return versionPrefix + base64.RawURLEncoding.EncodeToString(encoded)
 }
 
-func TestDecodeRejectsWhatIsMalformed(t *testing.T) {
-	valid := wireOf(func(*wire) {})
+func TestDecodeRejectsMalformedValue(t *testing.T) {
+	valid := encodeWire(func(*wireContext) {})
 	_, err := Decode(valid)
 	assert.NilError(t, err)
 	for name, value := range map[string]string{
 		"empty":           "",
-		"other version":   "v2." + strings.TrimPrefix(valid, version),
-		"not base64":      version + "!!!",
-		"not CBOR":        version + "____",
+		"other version":   "v2." + strings.TrimPrefix(valid, versionPrefix),
+		"not base64":      versionPrefix + "!!!",
+		"not CBOR":        versionPrefix + "____",
 		"cut":             valid[:len(valid)-4],
-		"more behind":     valid + "AAAA",
-		"too long":        wireOf(func(w *wire) { w.Caller = strings.Repeat("x", MaxEncodedLength) }),
-		"short id":        wireOf(func(w *wire) { w.RequestID = w.RequestID[:15] }),
-		"ingress address": wireOf(func(w *wire) { w.IngressAddress = []byte{1, 2, 3} }),
-		"short span":      wireOf(func(w *wire) { w.Span = w.Span[:3] }),
-		"rank":            wireOf(func(w *wire) { w.Rank = criticality.RankCount }),
-		"hops":            wireOf(func(w *wire) { w.Hops = MaxHops + 1 }),
-		"caller":          wireOf(func(w *wire) { w.Caller = strings.Repeat("x", maxCallerLength+1) }),
+		"trailing data":   valid + "AAAA",
+		"too long":        encodeWire(func(w *wireContext) { w.Caller = strings.Repeat("x", MaxEncodedLength) }),
+		"short id":        encodeWire(func(w *wireContext) { w.RequestID = w.RequestID[:15] }),
+		"ingress address": encodeWire(func(w *wireContext) { w.IngressAddress = []byte{1, 2, 3} }),
+		"short span":      encodeWire(func(w *wireContext) { w.Span = w.Span[:3] }),
+		"rank":            encodeWire(func(w *wireContext) { w.Rank = criticality.RankCount }),
+		"hops":            encodeWire(func(w *wireContext) { w.Hops = MaxHops + 1 }),
+		"caller":          encodeWire(func(w *wireContext) { w.Caller = strings.Repeat("x", maxCallerLength+1) }),
 	} {
 		t.Run(name, func(t *testing.T) {
 			_, err := Decode(value)
@@ -92,8 +92,8 @@
 }
 
 func TestFromHeader(t *testing.T) {
-	want := example()
-	value := encoded(t, want)
+	want := newTestContext()
+	value := mustEncode(t, want)
 	for name, c := range map[string]struct {
 		lines []string
 		err   error
@@ -113,7 +113,7 @@
 				return
 			}
 			assert.NilError(t, err)
-			sameContext(t, got, want)
+			assertSameContext(t, got, want)
 		})
 	}
 }
@@ -142,9 +142,9 @@
 	}
 }
 
-// What a caller itself may send, at most MaxBaggageLength, must not make the
-// context unreadable that a node adds to it.
-func TestSetHeaderCanAlwaysBeRead(t *testing.T) {
+// Baggage of a caller, even of the maximum length, must not prevent a context that
+// a node adds to it from being decoded.
+func TestSetHeaderRoundTrip(t *testing.T) {
 	for name, others := range map[string][]string{
 		"none":             nil,
 		"one":              {"a=1"},
@@ -153,7 +153,7 @@
 		"larger, in lines": {"a=" + strings.Repeat("x", MaxBaggageLength-2), "b=" + strings.Repeat("x", 100)},
 	} {
 		t.Run(name, func(t *testing.T) {
-			want := example()
+			want := newTestContext()
 			header := http.Header{}
 			if others != nil {
 				header[BaggageHeader] = others
@@ -161,7 +161,7 @@
 			assert.NilError(t, want.SetHeader(header))
 			got, err := FromHeader(header)
 			assert.NilError(t, err)
-			sameContext(t, got, want)
+			assertSameContext(t, got, want)
 		})
 	}
 }
@@ -177,35 +177,35 @@
 	}
 }
 
-func TestCallerNameIsCut(t *testing.T) {
-	long := example()
+func TestCallerNameIsTruncated(t *testing.T) {
+	long := newTestContext()
 	long.Caller = CallerName(strings.Repeat("é", maxCallerLength))
-	_, err := Decode(encoded(t, long))
-	assert.NilError(t, err, "a name cut to the allowed length can't be decoded")
+	_, err := Decode(mustEncode(t, long))
+	assert.NilError(t, err, "a name truncated to the maximum length can't be decoded")
 	long.Caller = CallerName("x" + strings.Repeat("é", maxCallerLength))
-	_, err = Decode(encoded(t, long))
-	assert.NilError(t, err, "a name cut inside a character can't be decoded")
+	_, err = Decode(mustEncode(t, long))
+	assert.NilError(t, err, "a name truncated inside a character can't be decoded")
 }
 
 func FuzzDecode(f *testing.F) {
-	value, err := example().Encode()
+	value, err := newTestContext().Encode()
 	assert.NilError(f, err)
 	f.Add(value)
-	f.Add(version + "hA")
+	f.Add(versionPrefix + "hA")
 	f.Fuzz(func(t *testing.T, value string) {
 		decoded, err := Decode(value)
 		if err != nil {
 			assert.ErrorIs(t, err, ErrMalformed)
 			return
 		}
-		again, err := Decode(encoded(t, decoded))
+		again, err := Decode(mustEncode(t, decoded))
 		assert.NilError(t, err)
-		sameContext(t, again, decoded)
+		assertSameContext(t, again, decoded)
 	})
 }
 
 func FuzzFromHeader(f *testing.F) {
-	value, err := example().Encode()
+	value, err := newTestContext().Encode()
 	assert.NilError(f, err)
 	f.Add("a=1, lugspur="+value+";p", "b=2")
 	f.Add("lugspur = x,lugspur", ",=")
