--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -45,17 +45,17 @@
 	}
 }
 
-func TestValidateNamesTheFault(t *testing.T) {
-	target := func(change func(*Target)) Envelope {
+func TestValidateReportsField(t *testing.T) {
+	target := func(modify func(*Target)) Envelope {
 		e := Envelope{ID: ID{KindTarget, "t"}, Target: validTarget()}
-		change(e.Target)
+		modify(e.Target)
 		return e
 	}
 	service := func(s Service) Envelope { return Envelope{ID: ID{KindService, "s"}, Service: &s} }
-	tooMany := 21
+	tooManyRetries := 21
 	for name, c := range map[string]struct {
 		envelope Envelope
-		says     string
+		wantErr  string
 	}{
 		"no service":       {target(func(t *Target) { t.Service = "" }), "service"},
 		"no zone":          {target(func(t *Target) { t.Zone = "" }), "zone"},
@@ -66,12 +66,12 @@
 		"connections":      {target(func(t *Target) { t.Connections = 100001 }), "connections"},
 		"warm-up":          {target(func(t *Target) { t.WarmupSeconds = -1 }), "warmup_seconds"},
 		"timeout":          {service(Service{TimeoutMillis: -1}), "timeout_ms"},
-		"retries":          {service(Service{MaxRetries: &tooMany}), "max_retries"},
+		"retries":          {service(Service{MaxRetries: &tooManyRetries}), "max_retries"},
 		"empty call":       {service(Service{Calls: []string{""}}), "calls"},
 		"drain":            {Envelope{ID: ID{KindDrain, "cropcal-1"}, Drain: &Drain{}}, "must start with"},
 		"drain of nothing": {Envelope{ID: ID{KindDrain, "target"}, Drain: &Drain{}}, "must start with"},
 		"no specification": {Envelope{ID: ID{KindTarget, "t"}}, "no specification"},
-		"another kind's":   {Envelope{ID: ID{KindTarget, "t"}, Service: &Service{}}, "no specification"},
+		"wrong kind":       {Envelope{ID: ID{KindTarget, "t"}, Service: &Service{}}, "no specification"},
 		"kind":             {Envelope{ID: ID{"node", "t"}}, "unknown kind"},
 		"upper case":       {Envelope{ID: ID{KindTarget, "T"}, Target: validTarget()}, "name"},
 		"slash":            {Envelope{ID: ID{KindTarget, "a/b"}, Target: validTarget()}, "name"},
@@ -79,11 +79,11 @@
 		"long name":        {Envelope{ID: ID{KindTarget, strings.Repeat("a", MaxNameLength+1)}, Target: validTarget()}, "name"},
 		"empty name":       {Envelope{ID: ID{KindTarget, ""}, Deleted: true}, "name"},
 	} {
-		t.Run(name, func(t *testing.T) { assert.ErrorContains(t, c.envelope.Validate(), c.says) })
+		t.Run(name, func(t *testing.T) { assert.ErrorContains(t, c.envelope.Validate(), c.wantErr) })
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestParseKey(t *testing.T) {
 	for _, e := range validEnvelopes() {
 		parsed, err := ParseKey(e.ID.Key())
 		assert.NilError(t, err)
@@ -95,8 +95,8 @@
 	}
 }
 
-// An operator must be able to drain whatever target and machine there may be.
-func TestWhatIsValidCanBeDrained(t *testing.T) {
+// Every target and every machine with a valid name must have a valid drain name.
+func TestValidNamesCanBeDrained(t *testing.T) {
 	for name, c := range map[string]struct{ target, machine string }{
 		"usual":            {"cropcal-1", "m-1"},
 		"longest target":   {strings.Repeat("a", MaxNameLength), ""},
@@ -129,13 +129,13 @@
 	assert.Equal(t, len(e.History), HistoryLength)
 	assert.Equal(t, e.History[0].ID, fmt.Sprint(HistoryLength+4))
 	assert.Assert(t, e.HasChange(fmt.Sprint(HistoryLength)))
-	assert.Assert(t, !e.HasChange("0"), "the oldest change is still there")
+	assert.Assert(t, !e.HasChange("0"), "the oldest change was not removed")
 	deleted := e.Successor(Envelope{}, Change{ID: "d", Deleted: true})
 	assert.Assert(t, deleted.Deleted)
 	assert.NilError(t, deleted.Validate())
 }
 
-func TestSizeIsBounded(t *testing.T) {
+func TestEncodedSizeIsBounded(t *testing.T) {
 	large := Envelope{ID: ID{KindPolicy, "p"}, Policy: &Policy{Admit: strings.Repeat("x", MaxObjectSize)}}
 	_, err := large.Encode()
 	assert.ErrorContains(t, err, "bytes")
--- a/internal/resource/validate.go
+++ b/internal/resource/validate.go
@@ -11,34 +11,34 @@
 	"github.com/go-playground/validator/v10"
 )
 
-var checks = newChecks()
+var validate = newValidator()
 
-func newChecks() *validator.Validate {
-	checks := validator.New(validator.WithRequiredStructEnabled())
-	checks.RegisterTagNameFunc(func(field reflect.StructField) string {
+func newValidator() *validator.Validate {
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(func(field reflect.StructField) string {
 		name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 		return name
 	})
-	err := checks.RegisterValidation("ip_port", func(level validator.FieldLevel) bool {
+	err := validate.RegisterValidation("ip_port", func(level validator.FieldLevel) bool {
 		address, err := netip.ParseAddrPort(level.Field().String())
 		return err == nil && address.Port() != 0
 	})
 	if err != nil {
 		panic(err)
 	}
-	err = checks.RegisterValidation("object_name", func(level validator.FieldLevel) bool {
+	err = validate.RegisterValidation("object_name", func(level validator.FieldLevel) bool {
 		name := level.Field().String()
 		return len(name) <= MaxNameLength && namePattern.MatchString(name)
 	})
 	if err != nil {
 		panic(err)
 	}
-	return checks
+	return validate
 }
 
-// Validate checks the envelope's form: its name, that it has the one
-// specification of its kind, and every field of it. Policies are checked for
-// form only; package policy checks their programs.
+// Validate checks the envelope's name, that it has a specification of its kind,
+// and the fields of the specification. The expressions of a policy are not
+// compiled here; package policy does that.
 func (e Envelope) Validate() error {
 	if err := e.ID.Validate(); err != nil {
 		return err
@@ -50,8 +50,8 @@
 	if err != nil {
 		return err
 	}
-	if err := checks.Struct(specification); err != nil {
-		return describe(err)
+	if err := validate.Struct(specification); err != nil {
+		return describeErrors(err)
 	}
 	if e.ID.Kind == KindDrain {
 		return validateDrainName(e.ID.Name)
@@ -77,29 +77,29 @@
 
 func validateDrainName(name string) error {
 	for _, prefix := range []string{DrainTargetPrefix, DrainMachinePrefix} {
-		if rest, ok := strings.CutPrefix(name, prefix); ok && rest != "" {
+		if drained, ok := strings.CutPrefix(name, prefix); ok && drained != "" {
 			return nil
 		}
 	}
 	return fmt.Errorf("drain %q: the name must start with %s or %s", name, DrainTargetPrefix, DrainMachinePrefix)
 }
 
-// describe turns the validator's errors into one that names every field, the
-// rule that it breaks and what is allowed.
-func describe(err error) error {
-	var faults validator.ValidationErrors
-	if !errors.As(err, &faults) {
+// describeErrors converts the validator's errors to one error that names every
+// invalid field, its value and the violated rule.
+func describeErrors(err error) error {
+	var fieldErrors validator.ValidationErrors
+	if !errors.As(err, &fieldErrors) {
 		return err
 	}
-	described := make([]error, 0, len(faults))
-	for _, fault := range faults {
-		described = append(described, fmt.Errorf("%s: value %v breaks the rule %s", fault.Field(), fault.Value(), ruleOf(fault)))
+	described := make([]error, 0, len(fieldErrors))
+	for _, fieldError := range fieldErrors {
+		described = append(described, fmt.Errorf("%s: value %v breaks the rule %s", fieldError.Field(), fieldError.Value(), ruleDescription(fieldError)))
 	}
 	return errors.Join(described...)
 }
 
-func ruleOf(fault validator.FieldError) string {
-	switch fault.Tag() {
+func ruleDescription(fieldError validator.FieldError) string {
+	switch fieldError.Tag() {
 	case "ip_port":
 		return "IP address and port, such as 10.0.0.1:8080"
 	case "object_name":
@@ -107,10 +107,10 @@
 	case "required":
 		return "must be given"
 	}
-	return strings.TrimSuffix(fault.Tag()+" "+fault.Param(), " ")
+	return strings.TrimSuffix(fieldError.Tag()+" "+fieldError.Param(), " ")
 }
 
-// Encode returns the envelope as the store holds it.
+// Encode returns the CBOR encoding in which the envelope is stored.
 func (e Envelope) Encode() ([]byte, error) {
 	encoded, err := cbor.Marshal(e)
 	if err != nil {
@@ -122,7 +122,7 @@
 	return encoded, nil
 }
 
-// DecodeEnvelope reads an envelope as the store holds it.
+// DecodeEnvelope decodes and validates a stored envelope.
 func DecodeEnvelope(encoded []byte) (Envelope, error) {
 	var e Envelope
 	if len(encoded) > MaxObjectSize {
