--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,29 +11,28 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// MaxNameLength bounds the names of nodes, zones, regions and clusters, in
-// bytes.
+// MaxNameLength bounds the names of nodes, zones, regions and clusters, in bytes.
 const MaxNameLength = 64
 
 const (
-	ipPortWords = "IP address and port, such as 10.0.0.1:7400"
-	nameWords   = "1 to 64 of a-z, 0-9, '.' and '-', starting and ending with a letter or digit"
+	ipPortFormat = "IP address and port, such as 10.0.0.1:7400"
+	nameFormat   = "1 to 64 of a-z, 0-9, '.' and '-', starting and ending with a letter or digit"
 )
 
 var namePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$`)
 
-var checks = newChecks()
+var validate = newValidator()
 
-func newChecks() *validator.Validate {
-	checks := validator.New(validator.WithRequiredStructEnabled())
-	checks.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("toml") })
-	mustRegister(checks, "ip_port", isIPPort)
-	mustRegister(checks, "node_name", isName)
-	return checks
+func newValidator() *validator.Validate {
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(func(field reflect.StructField) string { return field.Tag.Get("toml") })
+	mustRegister(validate, "ip_port", isIPPort)
+	mustRegister(validate, "node_name", isName)
+	return validate
 }
 
-func mustRegister(checks *validator.Validate, tag string, check validator.Func) {
-	if err := checks.RegisterValidation(tag, check); err != nil {
+func mustRegister(validate *validator.Validate, tag string, check validator.Func) {
+	if err := validate.RegisterValidation(tag, check); err != nil {
 		panic(err)
 	}
 }
@@ -48,45 +47,45 @@
 	return len(name) <= MaxNameLength && namePattern.MatchString(name)
 }
 
-// check returns every fault of the settings, without sources.
+// check returns all faults of the settings, without their sources.
 func check(node Node) []Fault {
 	faults := checkFields(node)
 	faults = append(faults, checkStore(node.Store)...)
 	faults = append(faults, checkListeners(node.Listen)...)
 	faults = append(faults, checkAdvertise(node)...)
-	faults = append(faults, checkTimes(node)...)
+	faults = append(faults, checkTimeouts(node)...)
 	return faults
 }
 
 func checkFields(node Node) []Fault {
-	var broken validator.ValidationErrors
-	if !errors.As(checks.Struct(node), &broken) {
+	var fieldErrors validator.ValidationErrors
+	if !errors.As(validate.Struct(node), &fieldErrors) {
 		return nil
 	}
 	allowed := make(map[string]string)
 	for _, key := range Keys() {
 		allowed[key.Name] = key.Allowed
 	}
-	faults := make([]Fault, 0, len(broken))
-	for _, field := range broken {
-		_, path, _ := strings.Cut(field.Namespace(), ".")
+	faults := make([]Fault, 0, len(fieldErrors))
+	for _, fieldError := range fieldErrors {
+		_, path, _ := strings.Cut(fieldError.Namespace(), ".")
 		key, _, _ := strings.Cut(path, "[")
-		faults = append(faults, Fault{Key: key, Message: messageOf(field, key), Allowed: allowed[key]})
+		faults = append(faults, Fault{Key: key, Message: faultMessage(fieldError, key), Allowed: allowed[key]})
 	}
 	return faults
 }
 
-func messageOf(field validator.FieldError, key string) string {
-	if field.Tag() == "required" {
+func faultMessage(fieldError validator.FieldError, key string) string {
+	if fieldError.Tag() == "required" {
 		return "must be given"
 	}
 	if key == "admin.token" {
 		return "value does not have the allowed form"
 	}
-	if value, ok := field.Value().(string); ok {
+	if value, ok := fieldError.Value().(string); ok {
 		return fmt.Sprintf("value %q is not allowed", value)
 	}
-	return fmt.Sprintf("value %v is not allowed", field.Value())
+	return fmt.Sprintf("value %v is not allowed", fieldError.Value())
 }
 
 func checkStore(store Store) []Fault {
@@ -96,12 +95,12 @@
 	return []Fault{{
 		Key:     "store.endpoints",
 		Message: "must be given when store.kind is etcd",
-		Allowed: "at least one " + ipPortWords,
+		Allowed: "at least one " + ipPortFormat,
 	}}
 }
 
-// checkListeners finds listeners that would take the same port: an unspecified
-// IP address takes the port of every other.
+// checkListeners reports listeners whose addresses conflict. An unspecified IP
+// address conflicts with every address on the same port.
 func checkListeners(listen Listen) []Fault {
 	listeners := []struct{ key, address string }{
 		{"listen.edge", listen.Edge},
@@ -110,14 +109,14 @@
 		{"listen.admin", listen.Admin},
 	}
 	var faults []Fault
-	for i, later := range listeners {
+	for i, current := range listeners {
 		for _, earlier := range listeners[:i] {
-			if !overlap(earlier.address, later.address) {
+			if !addressesOverlap(earlier.address, current.address) {
 				continue
 			}
 			faults = append(faults, Fault{
-				Key:     later.key,
-				Message: fmt.Sprintf("address %s is taken by %s (%s)", later.address, earlier.key, earlier.address),
+				Key:     current.key,
+				Message: fmt.Sprintf("address %s is taken by %s (%s)", current.address, earlier.key, earlier.address),
 				Allowed: "an address and port that no other listener has",
 			})
 			break
@@ -126,7 +125,7 @@
 	return faults
 }
 
-func overlap(first, second string) bool {
+func addressesOverlap(first, second string) bool {
 	a, errFirst := netip.ParseAddrPort(first)
 	b, errSecond := netip.ParseAddrPort(second)
 	if errFirst != nil || errSecond != nil || a.Port() != b.Port() {
@@ -135,7 +134,7 @@
 	return a.Addr().Unmap() == b.Addr().Unmap() || a.Addr().IsUnspecified() || b.Addr().IsUnspecified()
 }
 
-// checkAdvertise finds addresses that no other node could call.
+// checkAdvertise reports advertised addresses that other nodes could not reach.
 func checkAdvertise(node Node) []Fault {
 	var faults []Fault
 	for _, advertised := range []struct{ key, address string }{
@@ -154,7 +153,7 @@
 	return faults
 }
 
-func checkTimes(node Node) []Fault {
+func checkTimeouts(node Node) []Fault {
 	var faults []Fault
 	if node.Limits.DefaultTimeout > node.Limits.MaxTimeout {
 		faults = append(faults, Fault{
@@ -173,7 +172,7 @@
 	return faults
 }
 
-// AdvertisedMesh returns the address under which others reach the mesh listener.
+// AdvertisedMesh returns the address at which other nodes reach the mesh listener.
 func (n Node) AdvertisedMesh() string {
 	if n.Advertise.Mesh != "" {
 		return n.Advertise.Mesh
@@ -181,7 +180,7 @@
 	return n.Listen.Mesh
 }
 
-// AdvertisedPeer returns the address under which others reach the peer listener.
+// AdvertisedPeer returns the address at which other nodes reach the peer listener.
 func (n Node) AdvertisedPeer() string {
 	if n.Advertise.Peer != "" {
 		return n.Advertise.Peer
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,8 +1,8 @@
-// Package settings reads what one node is told when it starts: a TOML file and
-// the flags that override it.
+// Package settings reads the settings of a node at startup: a TOML file and the
+// flags that override it.
 //
-// The doc comments of the fields are the reference of the keys; docs/SETTINGS.md
-// lists them with their defaults and what is allowed. Settings are checked as a
-// whole: every fault is reported at once, with its key, its line where the file
-// gives one, and what is allowed. A key that is not known is a fault.
+// The doc comments of the fields document the keys; docs/SETTINGS.md lists the
+// keys with their defaults and allowed values. The settings are validated as a
+// whole: all faults are reported at once, each with its key, its line in the file
+// if there is one, and the allowed values. An unknown key is a fault.
 package settings
--- a/internal/settings/fault.go
+++ b/internal/settings/fault.go
@@ -5,22 +5,22 @@
 	"strings"
 )
 
-// Fault is one thing that is wrong with the settings.
+// Fault is an error in the settings.
 type Fault struct {
-	// Key is the key at fault; empty when the file itself can't be read.
+	// Key is the invalid key; empty if the file itself can't be parsed.
 	Key string `json:"key,omitempty"`
-	// Source is where the value came from: the file's path, "flag -NAME", or
-	// empty for a default or a key that is missing.
+	// Source is the origin of the value: the path of the file, "flag -NAME", or
+	// empty for a default value or a missing key.
 	Source string `json:"source,omitempty"`
-	// Line is the line in the file, from one; zero where there is none.
+	// Line is the line number in the file, starting at one; zero if there is none.
 	Line int `json:"line,omitempty"`
-	// Message says what is wrong.
+	// Message describes the fault.
 	Message string `json:"message"`
-	// Allowed says what would be right; empty where Message says it all.
+	// Allowed describes the allowed values; empty if Message is sufficient.
 	Allowed string `json:"allowed,omitempty"`
 }
 
-// String returns the fault in one line.
+// String returns the fault on one line.
 func (f Fault) String() string {
 	var text strings.Builder
 	if f.Source != "" {
@@ -40,12 +40,12 @@
 	return text.String()
 }
 
-// Error holds every fault of the settings.
+// Error reports all faults of the settings.
 type Error struct {
 	Faults []Fault
 }
 
-// Error returns the faults, one a line.
+// Error returns the faults, one per line.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Faults)+1)
 	lines = append(lines, "settings are not valid:")
--- a/internal/settings/flags.go
+++ b/internal/settings/flags.go
@@ -6,28 +6,28 @@
 	"strconv"
 )
 
-// Override is one value that a flag gives over the file.
+// Override is a value from a flag that overrides the file.
 type Override struct {
-	// Flag is the flag's name, without the dash.
+	// Flag is the name of the flag, without the dash.
 	Flag string
-	// Value is the value as text; a list has commas between its items.
+	// Value is the value as text; the items of a list are separated by commas.
 	Value string
 }
 
-// Overrides are the values that flags give, in the order of the command line;
-// the last one of a flag holds.
+// Overrides are the values from flags in command-line order. The last value of a
+// repeated flag applies.
 type Overrides []Override
 
-// Register adds a flag for every key that has one.
+// Register adds the flags of all keys that have one to the flag set.
 func (o *Overrides) Register(flags *flag.FlagSet) {
 	for _, key := range Keys() {
 		if key.Flag != "" {
-			flags.Var(&override{overrides: o, key: key}, key.Flag, usageOf(key))
+			flags.Var(&overrideFlag{overrides: o, key: key}, key.Flag, flagUsage(key))
 		}
 	}
 }
 
-func usageOf(key Key) string {
+func flagUsage(key Key) string {
 	usage := fmt.Sprintf("override `%s`", key.Name)
 	if key.Default != "" {
 		usage += "; default " + key.Default
@@ -35,20 +35,21 @@
 	return usage + "; allowed: " + key.Allowed
 }
 
-// override is the flag.Value of one key.
-type override struct {
+// overrideFlag implements flag.Value for one key.
+type overrideFlag struct {
 	overrides *Overrides
 	key       Key
 }
 
-// String returns nothing, so that usage texts don't show a second default.
-func (o *override) String() string { return "" }
+// String returns the empty string: the usage text already includes the default.
+func (o *overrideFlag) String() string { return "" }
 
-// IsBoolFlag lets a boolean be set by the flag alone.
-func (o *override) IsBoolFlag() bool { return o.key.Type == "boolean" }
+// IsBoolFlag allows a boolean flag without a value.
+func (o *overrideFlag) IsBoolFlag() bool { return o.key.Type == "boolean" }
 
-// Set notes the value. A value of the wrong type is a usage error at once.
-func (o *override) Set(text string) error {
+// Set records the value. A value of the wrong type is reported immediately, as a
+// usage error.
+func (o *overrideFlag) Set(text string) error {
 	var scratch Node
 	if err := o.key.set(&scratch, text); err != nil {
 		return err
@@ -57,8 +58,7 @@
 	return nil
 }
 
-// apply puts the overrides over the settings and returns the flag that set each
-// key.
+// apply sets the overridden keys and returns the flag that set each of them.
 func (o Overrides) apply(node *Node) (map[string]string, []Fault) {
 	keys := make(map[string]Key)
 	for _, key := range Keys() {
@@ -66,14 +66,14 @@
 	}
 	sources := make(map[string]string)
 	var faults []Fault
-	for _, given := range o {
-		key, ok := keys[given.Flag]
-		if !ok || given.Flag == "" {
-			faults = append(faults, Fault{Source: "flag -" + given.Flag, Message: "unknown flag " + strconv.Quote(given.Flag)})
+	for _, override := range o {
+		key, ok := keys[override.Flag]
+		if !ok || override.Flag == "" {
+			faults = append(faults, Fault{Source: "flag -" + override.Flag, Message: "unknown flag " + strconv.Quote(override.Flag)})
 			continue
 		}
-		sources[key.Name] = "flag -" + given.Flag
-		if err := key.set(node, given.Value); err != nil {
+		sources[key.Name] = "flag -" + override.Flag
+		if err := key.set(node, override.Value); err != nil {
 			faults = append(faults, Fault{Key: key.Name, Source: sources[key.Name], Message: err.Error(), Allowed: key.Allowed})
 		}
 	}
--- a/internal/settings/key.go
+++ b/internal/settings/key.go
@@ -7,24 +7,25 @@
 	"strings"
 )
 
-// Key describes one key of the settings.
+// Key describes a key of the settings.
 type Key struct {
-	// Name is the key as the file writes it, sections before a dot.
+	// Name is the key as in the file, prefixed with its section and a dot if it
+	// belongs to one.
 	Name string
 	// Type is "string", "integer", "boolean" or "list of strings".
 	Type string
-	// Default is the value without a setting, empty where there is none.
+	// Default is the default value; empty if there is none.
 	Default string
-	// Allowed says which values are taken.
+	// Allowed describes the allowed values.
 	Allowed string
-	// Flag is the flag that overrides the key, without the dash; empty where
-	// there is none.
+	// Flag is the name of the flag that overrides the key, without the dash;
+	// empty if there is none.
 	Flag string
 
 	index []int
 }
 
-// Keys lists every key, in the order of the sections.
+// Keys returns all keys, in the order of the sections.
 func Keys() []Key {
 	return collectKeys(reflect.ValueOf(Default()), "", nil)
 }
@@ -34,18 +35,18 @@
 	for i := range section.NumField() {
 		field := section.Type().Field(i)
 		name := prefix + field.Tag.Get("toml")
-		at := append(append([]int(nil), index...), i)
+		path := append(append([]int(nil), index...), i)
 		if field.Type.Kind() == reflect.Struct {
-			keys = append(keys, collectKeys(section.Field(i), name+".", at)...)
+			keys = append(keys, collectKeys(section.Field(i), name+".", path)...)
 			continue
 		}
-		keys = append(keys, newKey(field, section.Field(i), name, at))
+		keys = append(keys, newKey(field, section.Field(i), name, path))
 	}
 	return keys
 }
 
 func newKey(field reflect.StructField, value reflect.Value, name string, index []int) Key {
-	key := Key{Name: name, Allowed: allowedOf(field), Default: textOf(value), index: index}
+	key := Key{Name: name, Allowed: describeAllowed(field), Default: formatValue(value), index: index}
 	key.Type = typeNames[field.Type.Kind()]
 	if field.Tag.Get("flag") != "none" {
 		key.Flag = strings.NewReplacer(".", "-", "_", "-").Replace(name)
@@ -61,29 +62,29 @@
 	reflect.Slice:  "list of strings",
 }
 
-func textOf(value reflect.Value) string {
+func formatValue(value reflect.Value) string {
 	if value.Kind() == reflect.Slice {
 		return strings.Join(value.Interface().([]string), ",")
 	}
 	return fmt.Sprint(value.Interface())
 }
 
-// allowedOf puts a field's rules into words.
-func allowedOf(field reflect.StructField) string {
-	rules := rulesOf(field.Tag.Get("validate"))
+// describeAllowed describes the validation rules of a field.
+func describeAllowed(field reflect.StructField) string {
+	rules := parseRules(field.Tag.Get("validate"))
 	var words []string
 	if rules["omitempty"] != nil {
 		words = append(words, "empty, or")
 	}
 	switch {
 	case rules["dive"] != nil:
-		words = append(words, "up to", *rules["max"], "times", ipPortWords)
+		words = append(words, "up to", *rules["max"], "times", ipPortFormat)
 	case rules["ip_port"] != nil:
-		words = append(words, ipPortWords)
+		words = append(words, ipPortFormat)
 	case rules["oneof"] != nil:
 		words = append(words, strings.Join(strings.Fields(*rules["oneof"]), ", "))
 	case rules["node_name"] != nil:
-		words = append(words, nameWords)
+		words = append(words, nameFormat)
 	case rules["printascii"] != nil:
 		words = append(words, *rules["min"], "to", *rules["max"], "printable ASCII characters")
 	case rules["min"] != nil:
@@ -94,8 +95,8 @@
 	return strings.Join(words, " ")
 }
 
-// rulesOf splits a validate tag into its rules and their parameters.
-func rulesOf(tag string) map[string]*string {
+// parseRules splits a validate tag into its rules and their parameters.
+func parseRules(tag string) map[string]*string {
 	rules := make(map[string]*string)
 	for rule := range strings.SplitSeq(tag, ",") {
 		name, parameter, _ := strings.Cut(rule, "=")
@@ -104,7 +105,7 @@
 	return rules
 }
 
-// set gives the key a value written as text, as flags do.
+// set parses the text of a flag and assigns the value to the key.
 func (k Key) set(node *Node, text string) error {
 	field := reflect.ValueOf(node).Elem().FieldByIndex(k.index)
 	switch field.Kind() {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -17,9 +17,9 @@
 // MaxFileBytes bounds a settings file, in bytes.
 const MaxFileBytes = 1 << 20
 
-// Load reads the settings file, puts the overrides over it and checks the
-// whole. An empty path means no file. Faults are returned together, as *Error;
-// a file that can't be read is another error.
+// Load reads the settings file, applies the overrides and validates the result.
+// An empty path means no file. All faults are returned in one *Error; if the file
+// can't be read, another error is returned.
 func Load(path string, overrides Overrides) (Node, error) {
 	if path == "" {
 		return Parse("", nil, overrides)
@@ -47,15 +47,15 @@
 	return document, nil
 }
 
-// Parse does as Load does, with the file's contents; the path is for faults.
+// Parse is Load with the contents of the file. The path is only used in faults.
 func Parse(path string, document []byte, overrides Overrides) (Node, error) {
 	node := Default()
 	faults, decoded := decode(path, document, &node)
 	flagSources, flagFaults := overrides.apply(&node)
 	faults = append(faults, flagFaults...)
 	if decoded {
-		located := locate(check(node), path, lines(document), flagSources)
-		faults = append(faults, withoutKeys(located, flagFaults)...)
+		located := locate(check(node), path, keyLines(document), flagSources)
+		faults = append(faults, excludeKeys(located, flagFaults)...)
 	}
 	if len(faults) > 0 {
 		return Node{}, &Error{Faults: faults}
@@ -64,61 +64,61 @@
 	return node, nil
 }
 
-// withoutKeys leaves out the faults whose key already has one.
-func withoutKeys(faults, known []Fault) []Fault {
+// excludeKeys removes the faults of keys that already have a fault in known.
+func excludeKeys(faults, known []Fault) []Fault {
 	return slices.DeleteFunc(faults, func(fault Fault) bool {
 		return slices.ContainsFunc(known, func(k Fault) bool { return k.Key == fault.Key })
 	})
 }
 
-// decode reads the document and reports whether all of its known keys were
-// taken over; they are when unknown keys are the only faults.
+// decode parses the document and reports whether all of its known keys were
+// decoded, which is also the case if unknown keys are the only faults.
 func decode(path string, document []byte, node *Node) (faults []Fault, decoded bool) {
 	decoder := toml.NewDecoder(bytes.NewReader(document)).DisallowUnknownFields()
 	err := decoder.Decode(node)
 	if err == nil {
 		return nil, true
 	}
-	var unknown *toml.StrictMissingError
-	if errors.As(err, &unknown) {
-		return unknownKeys(path, unknown), true
+	var strictErr *toml.StrictMissingError
+	if errors.As(err, &strictErr) {
+		return unknownKeys(path, strictErr), true
 	}
 	return []Fault{decodeFault(path, err)}, false
 }
 
 func decodeFault(path string, err error) Fault {
-	var broken *toml.DecodeError
-	if !errors.As(err, &broken) {
+	var decodeErr *toml.DecodeError
+	if !errors.As(err, &decodeErr) {
 		return Fault{Source: path, Message: err.Error()}
 	}
-	line, _ := broken.Position()
-	key := strings.Join(broken.Key(), ".")
+	line, _ := decodeErr.Position()
+	key := strings.Join(decodeErr.Key(), ".")
 	return Fault{
 		Key:     key,
 		Source:  path,
 		Line:    line,
-		Message: strings.TrimPrefix(broken.Error(), "toml: "),
-		Allowed: allowedFor(key),
+		Message: strings.TrimPrefix(decodeErr.Error(), "toml: "),
+		Allowed: allowedValues(key),
 	}
 }
 
-func unknownKeys(path string, unknown *toml.StrictMissingError) []Fault {
-	faults := make([]Fault, 0, len(unknown.Errors))
-	for i := range unknown.Errors {
-		missing := &unknown.Errors[i]
-		line, _ := missing.Position()
+func unknownKeys(path string, strictErr *toml.StrictMissingError) []Fault {
+	faults := make([]Fault, 0, len(strictErr.Errors))
+	for i := range strictErr.Errors {
+		keyErr := &strictErr.Errors[i]
+		line, _ := keyErr.Position()
 		faults = append(faults, Fault{
-			Key:     strings.Join(missing.Key(), "."),
+			Key:     strings.Join(keyErr.Key(), "."),
 			Source:  path,
 			Line:    line,
 			Message: "unknown key",
-			Allowed: siblings(missing.Key()),
+			Allowed: siblingKeys(keyErr.Key()),
 		})
 	}
 	return faults
 }
 
-func allowedFor(name string) string {
+func allowedValues(name string) string {
 	for _, key := range Keys() {
 		if key.Name == name {
 			return key.Type + ": " + key.Allowed
@@ -127,9 +127,9 @@
 	return ""
 }
 
-// siblings lists the keys that the section of an unknown key has; without such
-// a section, the keys and sections of the file.
-func siblings(unknown toml.Key) string {
+// siblingKeys lists the keys of the section that contains an unknown key. If there
+// is no such section, it lists the top-level keys and sections.
+func siblingKeys(unknown toml.Key) string {
 	section := ""
 	if len(unknown) > 1 {
 		section = unknown[0] + "."
@@ -143,12 +143,12 @@
 		}
 	}
 	if len(names) == 0 {
-		return siblings(unknown[:1])
+		return siblingKeys(unknown[:1])
 	}
 	return strings.Join(names, ", ")
 }
 
-// locate says where the value of each fault came from.
+// locate sets the source and the line of each fault.
 func locate(faults []Fault, path string, lines map[string]int, flagSources map[string]string) []Fault {
 	for i := range faults {
 		fault := &faults[i]
@@ -163,40 +163,41 @@
 	return faults
 }
 
-// lines returns the line of every key of a document that decodes.
-func lines(document []byte) map[string]int {
-	found := make(map[string]int)
+// keyLines returns the line number of each key of a valid document.
+func keyLines(document []byte) map[string]int {
+	lines := make(map[string]int)
 	var parser unstable.Parser
 	parser.Reset(document)
 	section := ""
 	for parser.NextExpression() {
 		expression := parser.Expression()
-		name, line := position(&parser, expression)
+		name, line := keyPosition(&parser, expression)
 		switch expression.Kind {
 		case unstable.Table, unstable.ArrayTable:
 			section = name + "."
 		case unstable.KeyValue:
-			noteKeys(&parser, expression, section, name, line, found)
+			recordKeyLines(&parser, expression, section, name, line, lines)
 		}
 	}
-	return found
+	return lines
 }
 
-// noteKeys notes a key's line, and those of an inline table's keys.
-func noteKeys(parser *unstable.Parser, pair *unstable.Node, section, name string, line int, found map[string]int) {
-	found[section+name] = line
+// recordKeyLines records the line of a key and, if its value is an inline table,
+// of the keys in the table.
+func recordKeyLines(parser *unstable.Parser, pair *unstable.Node, section, name string, line int, lines map[string]int) {
+	lines[section+name] = line
 	value := pair.Value()
 	if value.Kind != unstable.InlineTable {
 		return
 	}
 	inner := value.Children()
 	for inner.Next() {
-		innerName, innerLine := position(parser, inner.Node())
-		noteKeys(parser, inner.Node(), section+name+".", innerName, innerLine, found)
+		innerName, innerLine := keyPosition(parser, inner.Node())
+		recordKeyLines(parser, inner.Node(), section+name+".", innerName, innerLine, lines)
 	}
 }
 
-func position(parser *unstable.Parser, expression *unstable.Node) (name string, line int) {
+func keyPosition(parser *unstable.Parser, expression *unstable.Node) (name string, line int) {
 	parts := expression.Key()
 	var names []string
 	for parts.Next() {
--- a/internal/settings/node.go
+++ b/internal/settings/node.go
@@ -14,17 +14,16 @@
 // Duration returns the duration.
 func (s Seconds) Duration() time.Duration { return time.Duration(s) * time.Second }
 
-// Node is everything that one node is told when it starts. It is not changed
-// after Load.
+// Node holds the settings of a node. It is not modified after Load.
 type Node struct {
-	// Name names the node; no two nodes of a cluster share one.
+	// Name is the name of the node, unique in its cluster.
 	Name string `toml:"name" validate:"required,node_name"`
 	// Zone is the zone that the node runs in.
 	Zone string `toml:"zone" validate:"required,node_name"`
 	// Region is the region that the zone belongs to.
 	Region string `toml:"region" validate:"required,node_name"`
-	// Cluster names the set of nodes that work together; nodes of another
-	// cluster are ignored.
+	// Cluster is the name of the node's cluster; nodes of other clusters are
+	// ignored.
 	Cluster string `toml:"cluster" validate:"required,node_name"`
 
 	Listen      Listen      `toml:"listen"`
@@ -44,160 +43,164 @@
 
 // Listen holds the addresses that the node listens on.
 type Listen struct {
-	// Edge takes calls of strangers; the context that they bring is dropped.
+	// Edge accepts calls from untrusted clients. Their call context is dropped.
 	Edge string `toml:"edge" validate:"ip_port"`
-	// Mesh takes calls of targets and nodes; the context that they bring is
-	// believed.
+	// Mesh accepts calls from targets and nodes. Their call context is trusted.
 	Mesh string `toml:"mesh" validate:"ip_port"`
-	// Peer takes what nodes tell each other, over UDP and TCP.
+	// Peer accepts messages from other nodes, over UDP and TCP.
 	Peer string `toml:"peer" validate:"ip_port"`
-	// Admin takes the administration API, the health checks and the metrics.
+	// Admin serves the administration API, the health checks and the metrics.
 	Admin string `toml:"admin" validate:"ip_port"`
 }
 
-// Advertise holds the addresses under which other nodes reach this one.
+// Advertise holds the addresses at which other nodes reach this one.
 type Advertise struct {
-	// Mesh is the address of the mesh listener as others reach it; empty means
+	// Mesh is the address of the mesh listener for other nodes; empty means
 	// listen.mesh.
 	Mesh string `toml:"mesh" validate:"omitempty,ip_port"`
-	// Peer is the address of the peer listener as others reach it; empty means
+	// Peer is the address of the peer listener for other nodes; empty means
 	// listen.peer.
 	Peer string `toml:"peer" validate:"omitempty,ip_port"`
 }
 
 // The kinds of stores.
 const (
-	// StoreEtcd is a service that speaks the JSON form of the etcd v3 API.
+	// StoreEtcd is a service that implements the JSON API of etcd v3.
 	StoreEtcd = "etcd"
-	// StoreMemory keeps everything in the node's memory: for one node alone.
+	// StoreMemory keeps all data in memory. It supports a single node only.
 	StoreMemory = "memory"
 )
 
-// Store tells how the platform's key-value service is reached.
+// Store configures access to the platform's key-value store.
 type Store struct {
-	// Kind is the kind of the store: etcd, or memory for one node alone.
+	// Kind is the kind of the store: etcd, or memory for a single node.
 	Kind string `toml:"kind" validate:"oneof=etcd memory"`
-	// Endpoints are the addresses of the store, tried in turn.
+	// Endpoints are the addresses of the store. They are tried in turn.
 	Endpoints []string `toml:"endpoints" validate:"max=16,dive,ip_port"`
-	// RequestsPerSecond bounds the node's requests to the store, in requests a
-	// second.
+	// RequestsPerSecond limits the rate of the node's requests to the store.
 	RequestsPerSecond int `toml:"requests_per_second" validate:"min=1,max=10000"`
-	// RequestTimeout bounds one request to the store, in milliseconds.
+	// RequestTimeout is the timeout of a request to the store, in milliseconds.
 	RequestTimeout Millis `toml:"request_timeout_ms" validate:"min=10,max=60000"`
 }
 
-// Membership tells how the node finds the others.
+// Membership configures the discovery of other nodes.
 type Membership struct {
-	// Seeds are peer addresses of some nodes, asked until others are known.
+	// Seeds are peer addresses of some nodes, contacted until other nodes have
+	// been discovered.
 	Seeds []string `toml:"seeds" validate:"max=64,dive,ip_port"`
-	// Period is the time between two heartbeats, in milliseconds.
+	// Period is the heartbeat interval, in milliseconds.
 	Period Millis `toml:"period_ms" validate:"min=20,max=60000"`
 }
 
-// MachineList tells how the platform's list of machines is read.
+// MachineList configures polling of the platform's list of machines.
 type MachineList struct {
-	// Address is where the list of machines is served; empty means that there
-	// is none.
+	// Address is the address of the server of the list; empty means that there
+	// is no list.
 	Address string `toml:"address" validate:"omitempty,ip_port"`
-	// Poll is the time between two readings of the list, in milliseconds.
+	// Poll is the polling interval, in milliseconds.
 	Poll Millis `toml:"poll_ms" validate:"min=50,max=600000"`
 }
 
-// Admin tells who may use the administration API.
+// Admin configures access to the administration API.
 type Admin struct {
-	// Token is what writes must show; empty means that this node takes no
-	// writes. It is a secret, so that no flag sets it.
+	// Token is the token that write requests must present; empty means that the
+	// node accepts no writes. No flag sets it, because it is a secret.
 	Token string `toml:"token" flag:"none" validate:"omitempty,min=16,max=256,printascii"`
 }
 
-// Limits bounds what one node takes on.
+// Limits bounds the resource use of the node.
 type Limits struct {
-	// MaxBodyBytes bounds the body of a call, in bytes.
+	// MaxBodyBytes is the maximum size of the body of a call, in bytes.
 	MaxBodyBytes int64 `toml:"max_body_bytes" validate:"min=1024,max=1073741824"`
-	// MaxAnswerBufferBytes is how much of an answer is held before its status
+	// MaxAnswerBufferBytes is how much of an answer is buffered before its status
 	// is sent, in bytes.
 	MaxAnswerBufferBytes int64 `toml:"max_answer_buffer_bytes" validate:"min=1024,max=67108864"`
-	// MaxHeaderBytes bounds the header of a call, in bytes.
+	// MaxHeaderBytes is the maximum size of the header of a call, in bytes.
 	MaxHeaderBytes int `toml:"max_header_bytes" validate:"min=1024,max=1048576"`
-	// MaxConcurrentCalls bounds the calls that are in the node at one time. Each
-	// criticality level leaves a tenth of it to the levels above; calls of targets
-	// may come to twice as many.
+	// MaxConcurrentCalls is the maximum number of calls in flight in the node.
+	// Each criticality level leaves a tenth of it to the levels above. Twice as
+	// many calls from targets are allowed.
 	MaxConcurrentCalls int `toml:"max_concurrent_calls" validate:"min=1,max=1000000"`
-	// ReadHeaderTimeout bounds the time to read a call's header, in
+	// ReadHeaderTimeout is the timeout for reading the header of a call, in
 	// milliseconds.
 	ReadHeaderTimeout Millis `toml:"read_header_timeout_ms" validate:"min=10,max=600000"`
-	// ReadBodyTimeout bounds the time to read a call's body, in milliseconds.
+	// ReadBodyTimeout is the timeout for reading the body of a call, in
+	// milliseconds.
 	ReadBodyTimeout Millis `toml:"read_body_timeout_ms" validate:"min=10,max=600000"`
-	// DefaultTimeout bounds a call for which neither the caller nor the service
-	// gives a time, in milliseconds.
+	// DefaultTimeout is the timeout of a call if neither the caller nor the
+	// service sets one, in milliseconds.
 	DefaultTimeout Millis `toml:"default_timeout_ms" validate:"min=1,max=600000"`
-	// MaxTimeout bounds every call, whatever the caller asks for, in
-	// milliseconds.
+	// MaxTimeout is the maximum timeout of a call, even if the caller requests a
+	// longer one, in milliseconds.
 	MaxTimeout Millis `toml:"max_timeout_ms" validate:"min=1,max=600000"`
 }
 
-// Retries bounds the retries.
+// Retries limits the retries.
 type Retries struct {
-	// MaxPerRequest bounds the retries of one request across the whole chain.
+	// MaxPerRequest is the maximum number of retries of a request across its whole
+	// call chain.
 	MaxPerRequest int `toml:"max_per_request" validate:"min=0,max=20"`
-	// RatioPercent bounds the node's retries, in percent of its successes.
+	// RatioPercent limits the node's retries to a percentage of its successful
+	// calls.
 	RatioPercent int `toml:"ratio_percent" validate:"min=0,max=100"`
 }
 
-// Queue bounds the queue of calls that wait for a target.
+// Queue limits the queues of calls that wait for a target.
 type Queue struct {
-	// MaxLength bounds the calls that wait for one target.
+	// MaxLength is the maximum number of calls that wait for one target.
 	MaxLength int `toml:"max_length" validate:"min=0,max=100000"`
-	// MaxWait bounds the time that a call waits, in milliseconds. One of the
-	// highest criticality may wait for a third of its time if that is longer.
+	// MaxWait is the maximum time that a call waits, in milliseconds. A call of
+	// the highest criticality may wait for a third of its remaining time if that is
+	// longer.
 	MaxWait Millis `toml:"max_wait_ms" validate:"min=0,max=600000"`
 }
 
-// Drain tells how the node stops.
+// Drain configures the shutdown of the node.
 type Drain struct {
-	// Timeout bounds the time that a stopping node gives its calls in flight,
-	// in milliseconds.
+	// Timeout is the maximum time for calls in flight to complete during a
+	// shutdown, in milliseconds.
 	Timeout Millis `toml:"timeout_ms" validate:"min=0,max=3600000"`
 }
 
-// Log tells what is logged.
+// Log configures logging.
 type Log struct {
-	// Level is the least severe level that is logged.
+	// Level is the lowest severity that is logged.
 	Level string `toml:"level" validate:"oneof=error warn info debug"`
 }
 
-// Claims tells how calls that are not repeatable are claimed.
+// Claims configures the claims that make calls with an idempotency key run at
+// most once.
 type Claims struct {
-	// Replicas is how many nodes hold a claim; a majority must agree. A cluster
-	// with fewer nodes gets a smaller roster, of three at least.
+	// Replicas is the number of nodes that store a claim; a majority must grant
+	// it. A cluster with fewer nodes uses a smaller roster, of at least three.
 	Replicas int `toml:"replicas" validate:"oneof=1 3 5 7"`
-	// Retention is how long a claim is held, in seconds.
+	// Retention is how long a claim is stored, in seconds.
 	Retention Seconds `toml:"retention_s" validate:"min=20,max=86400"`
 }
 
-// Features turns mechanisms off for experiments that measure what each brings.
-// A node that serves callers has all of them on.
+// Features allows experiments to disable mechanisms in order to measure the effect
+// of each. All of them are enabled in production.
 type Features struct {
-	// Homes lets one home node guard each target; off, every node limits on its
-	// own.
+	// Homes assigns each target a home node that limits its concurrency; if
+	// disabled, every node applies its own limit.
 	Homes bool `toml:"homes"`
-	// ShedLevels passes shed levels up the chain, so that the edge refuses
-	// first.
+	// ShedLevels propagates shed levels up the call chain, so that overload is
+	// shed at the edge first.
 	ShedLevels bool `toml:"shed_levels"`
-	// AdaptiveLimit adapts a target's limit to its measured delay; off, the
-	// limit is the target's declared slots.
+	// AdaptiveLimit adapts a target's limit to its measured delay; if disabled,
+	// the limit is the target's declared number of slots.
 	AdaptiveLimit bool `toml:"adaptive_limit"`
-	// PriorityQueue orders waiting calls by criticality; off, the queue is first
-	// in, first out.
+	// PriorityQueue orders waiting calls by criticality; if disabled, the queue is
+	// first in, first out.
 	PriorityQueue bool `toml:"priority_queue"`
-	// RetryRatio holds retries to retries.ratio_percent.
+	// RetryRatio limits retries to retries.ratio_percent.
 	RetryRatio bool `toml:"retry_ratio"`
-	// Warmup raises the limit of a target that joins step by step.
+	// Warmup raises the limit of a new target gradually.
 	Warmup bool `toml:"warmup"`
 }
 
-// Default returns the settings that hold where neither the file nor a flag says
-// otherwise. They lack a name and a zone.
+// Default returns the default settings. They have no name and no zone, which the
+// file or a flag must set.
 func Default() Node {
 	return Node{
 		Region:  "default",
