--- a/cmd/lugspur-lab/main.go
+++ b/cmd/lugspur-lab/main.go
@@ -1,6 +1,6 @@
-// Command lugspur-lab holds everything around lugspur: stand-ins for the
-// systems that it serves, faults, load, experiments and reports. It is no part
-// of the product.
+// Command lugspur-lab is the test environment of lugspur: emulators of the systems
+// around it, fault injection, load generation, experiments and reports. It is not
+// part of the product.
 package main
 
 import (
--- a/cmd/lugspur-sidecar/main.go
+++ b/cmd/lugspur-sidecar/main.go
@@ -1,5 +1,5 @@
 // Command lugspur-sidecar runs a node of the overload control layer beside a
-// target on the platform, checks its settings, and explains its logs.
+// target on the platform, validates its settings, and explains its logs.
 package main
 
 import (
--- a/cmd/lugspur/main.go
+++ b/cmd/lugspur/main.go
@@ -1,5 +1,5 @@
-// Command lugspur is the overload control layer for service call graphs: the
-// node itself and the operator's verbs.
+// Command lugspur is the overload control layer for service call graphs. It runs
+// a node and provides the operator's commands.
 package main
 
 import (
@@ -22,14 +22,14 @@
 	os.Exit(code)
 }
 
-// runNode runs a node that logs JSON lines to the error stream.
-func runNode(ctx context.Context, configured settings.Node) error {
-	level, err := logrus.ParseLevel(configured.Log.Level)
+// runNode runs a node that logs JSON lines to standard error.
+func runNode(ctx context.Context, nodeSettings settings.Node) error {
+	level, err := logrus.ParseLevel(nodeSettings.Log.Level)
 	if err != nil {
 		return err
 	}
 	log := logrus.New()
 	log.SetLevel(level)
 	log.SetFormatter(&logrus.JSONFormatter{})
-	return node.Run(ctx, configured, logrus.NewEntry(log))
+	return node.Run(ctx, nodeSettings, logrus.NewEntry(log))
 }
