--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -76,16 +76,16 @@
 }
 
 func (c *claims) fetchRoster(ctx context.Context, peer string) error {
-	failure := oops.In("node").With("step", "learn roster").With("peer", peer)
+	errorBuilder := oops.In("node").With("step", "learn roster").With("peer", peer)
 	ctx, cancel := context.WithTimeout(ctx, rosterFetchTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+peer+rosterPath, nil)
 	if err != nil {
-		return failure.Wrap(err)
+		return errorBuilder.Wrap(err)
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return failure.Wrap(err)
+		return errorBuilder.Wrap(err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxRosterBytes))
@@ -93,11 +93,11 @@
 		err = fmt.Errorf("status %d", response.StatusCode)
 	}
 	if err != nil {
-		return failure.Wrap(err)
+		return errorBuilder.Wrap(err)
 	}
 	roster, err := claim.DecodeRoster(body)
 	if err != nil {
-		return failure.Wrap(err)
+		return errorBuilder.Wrap(err)
 	}
 	c.service.Adopt(roster)
 	return nil
