--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -81,8 +81,8 @@
 			ErrorLog:     stdlog.New(errorLog, "", 0),
 		}
 	}
-	// The gateway sets a read deadline for the body of each call, so only the
-	// administration listener needs a timeout here.
+	// The other listeners have no ReadTimeout, because the gateway sets a read
+	// deadline for the body of each call.
 	s.admin.server.ReadTimeout = limits.ReadHeaderTimeout.Duration() + limits.ReadBodyTimeout.Duration()
 }
 
