--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -67,7 +67,7 @@
 		return c, failure
 	}
 	c.message = transport.Call{Method: r.Method, RequestURI: a.requestURI, Header: r.Header, Body: body}
-	home.StripHop(c.message.Header)
+	home.StripHopHeaders(c.message.Header)
 	c.message.Header.Set(callcontext.RequestIDHeader, c.context.RequestID.String())
 	return c, nil
 }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -97,7 +97,7 @@
 	}
 	n.peerFloors.set(from.Name, received.Digest.Floor)
 	n.markIfCaughtUp(received.Digest.Floor)
-	n.spreader.HandleDigest(gossip.MemberOf(from), received.Digest)
+	n.spreader.HandleDigest(gossip.ConfigurationMember(from), received.Digest)
 	n.claims.handleRosterEpoch(received.ClaimEpoch, from.PeerAddress)
 	for _, level := range received.Levels {
 		n.updateShedLevel(from.Name, received.Version, level)
