--- a/internal/configuration/poll.go
+++ b/internal/configuration/poll.go
@@ -10,7 +10,7 @@
 )
 
 // pollPrefix holds no keys: listing it tells the store's revision and no more.
-const pollPrefix = resource.Prefix + "revision-probe/"
+const pollPrefix = resource.KeyPrefix + "revision-probe/"
 
 // maxPollStretch bounds how far polls that found nothing are spaced out.
 const maxPollStretch = 16
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -107,7 +107,7 @@
 	deadline := started.Add(timeout)
 	c.key = r.Header.Get(callcontext.IdempotencyKeyHeader)
 	if c.listener == Edge {
-		callcontext.Strip(r.Header)
+		callcontext.RemoveFromHeader(r.Header)
 		c.context = g.newContext(r, started, deadline)
 		return nil
 	}
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -29,8 +29,8 @@
 // OperatorKinds returns the kinds that operators can write.
 func OperatorKinds() []Kind { return []Kind{KindTarget, KindService, KindPolicy, KindDrain} }
 
-// Prefix is the prefix of all object keys in the store.
-const Prefix = "/lugspur/v1/"
+// KeyPrefix is the prefix of all object keys in the store.
+const KeyPrefix = "/lugspur/v1/"
 
 // MaxNameLength bounds the name of an object, in bytes. The name of a drain may be
 // longer by its prefix, so that everything with a valid name can be drained.
@@ -48,13 +48,13 @@
 func (i ID) String() string { return string(i.Kind) + "/" + i.Name }
 
 // Key returns the object's key in the store.
-func (i ID) Key() string { return Prefix + string(i.Kind) + "/" + i.Name }
+func (i ID) Key() string { return KeyPrefix + string(i.Kind) + "/" + i.Name }
 
 // ParseKey returns the ID of the object with the given store key.
 func ParseKey(key string) (ID, error) {
-	path, ok := strings.CutPrefix(key, Prefix)
+	path, ok := strings.CutPrefix(key, KeyPrefix)
 	if !ok {
-		return ID{}, fmt.Errorf("key %q does not start with %s", key, Prefix)
+		return ID{}, fmt.Errorf("key %q does not start with %s", key, KeyPrefix)
 	}
 	kind, name, ok := strings.Cut(path, "/")
 	if !ok {
