--- a/internal/configuration/cluster_test.go
+++ b/internal/configuration/cluster_test.go
@@ -20,27 +20,26 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// cluster is a set of nodes in one process, with real listeners and a gossip
-// of digests.
+// cluster is a set of nodes in one process with real listeners, which exchange
+// digests by simulated gossip.
 type cluster struct {
-	// startupGrace is how long a node that starts waits for peers before it asks the
-	// store.
+	// startupGrace is Options.StartupGrace of the nodes added afterwards.
 	startupGrace time.Duration
 	t            testing.TB
 	backing      *faultyStore
-	// silent stops the gossip.
-	silent atomic.Bool
+	// gossipPaused suspends the gossip.
+	gossipPaused atomic.Bool
 
 	mu    sync.Mutex
 	nodes []*testNode
-	// cut separates the zones from each other.
-	cut bool
+	// partitioned drops all traffic between zones.
+	partitioned bool
 }
 
 type testNode struct {
 	cluster  *cluster
 	self     Member
-	spreader *Spreader
+	syncer   *Spreader
 	writer   *Writer
 	server   *httptest.Server
 	stop     context.CancelFunc
@@ -81,28 +80,30 @@
 	if a.isolated.Load() || b.isolated.Load() {
 		return a == b
 	}
-	return !c.cut || a.self.Zone == b.self.Zone
+	return !c.partitioned || a.self.Zone == b.self.Zone
 }
 
-var errCutOff = errors.New("cut off")
+var errPartitioned = errors.New("nodes are partitioned")
 
-// RoundTrip loses requests between separated nodes, and the answers to requests that were
-// under way when the nodes were separated: on a busy machine these are made, and tell what
-// happened, after the cut.
+// RoundTrip drops requests between partitioned nodes. It also drops responses
+// that arrive after the nodes were partitioned: on a busy machine a request that
+// was sent before the partition may be processed after it and return newer
+// state.
 func (n *testNode) RoundTrip(request *http.Request) (*http.Response, error) {
-	if n.separated(request.URL.Host) {
-		return nil, errCutOff
+	if n.unreachable(request.URL.Host) {
+		return nil, errPartitioned
 	}
 	response, err := http.DefaultTransport.RoundTrip(request)
-	if err == nil && n.separated(request.URL.Host) {
+	if err == nil && n.unreachable(request.URL.Host) {
 		_ = response.Body.Close()
-		return nil, errCutOff
+		return nil, errPartitioned
 	}
 	return response, err
 }
 
-// separated reports whether nothing passes between the node and the one at the address.
-func (n *testNode) separated(address string) bool {
+// unreachable reports whether the node at the address is dead or partitioned
+// from this one.
+func (n *testNode) unreachable(address string) bool {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
 	for _, other := range n.cluster.nodes {
@@ -113,7 +114,7 @@
 	return false
 }
 
-// add starts a node that knows the members so far, or the seeds alone.
+// add starts a node with the given seeds and adds it to the cluster.
 func (c *cluster) add(zone string, seeds ...string) *testNode {
 	c.mu.Lock()
 	name := fmt.Sprintf("node-%d", len(c.nodes))
@@ -123,14 +124,14 @@
 	n.server = httptest.NewServer(mux)
 	address := strings.TrimPrefix(n.server.URL, "http://")
 	n.self = Member{Name: name, Zone: zone, PeerAddress: address, Live: true}
-	n.spreader = NewSpreader(Options{
-		Self: n.self, Store: c.backing, Membership: n, Seeds: seeds, Client: &http.Client{Transport: n}, Log: quietLog(),
-		DutyInterval: 20 * time.Millisecond, StartupGrace: c.startupGrace, MinBackoff: 10 * time.Millisecond,
+	n.syncer = NewSpreader(Options{
+		Self: n.self, Store: c.backing, Membership: n, Seeds: seeds, Client: &http.Client{Transport: n}, Log: discardLog(),
+		WatcherCheckInterval: 20 * time.Millisecond, StartupGrace: c.startupGrace, MinBackoff: 10 * time.Millisecond,
 		MaxBackoff: 100 * time.Millisecond, PollInterval: time.Hour, PullInterval: 20 * time.Millisecond,
 		FullPullInterval: 50 * time.Millisecond, PullBytesPerSecond: 1 << 30, PollGrace: 20 * time.Millisecond,
 	}, NewReplica(time.Now))
-	n.spreader.Register(mux)
-	n.writer = NewWriter(c.backing, n.spreader.Replica(), n.spreader.Announce, time.Now)
+	n.syncer.Register(mux)
+	n.writer = NewWriter(c.backing, n.syncer.Replica(), n.syncer.Announce, time.Now)
 	c.mu.Lock()
 	c.nodes = append(c.nodes, n)
 	c.mu.Unlock()
@@ -144,7 +145,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		n.spreader.Run(ctx)
+		n.syncer.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
@@ -166,25 +167,27 @@
 		c.mu.Unlock()
 		for _, n := range nodes {
 			other := nodes[rand.IntN(len(nodes))]
-			// It is made first, so that what crosses no cut is not younger than the cut.
-			digest := n.spreader.Digest()
+			// Taken before the check, so that a digest that passes it does not contain
+			// changes made after a partition.
+			digest := n.syncer.Digest()
 			c.mu.Lock()
-			reachable := !c.silent.Load() && n != other && c.reachable(n, other) && !n.dead.Load() && !other.dead.Load()
+			reachable := !c.gossipPaused.Load() && n != other && c.reachable(n, other) && !n.dead.Load() && !other.dead.Load()
 			c.mu.Unlock()
 			if reachable {
-				other.spreader.HandleDigest(n.self, digest)
+				other.syncer.HandleDigest(n.self, digest)
 			}
 		}
 	}
 }
 
-func (c *cluster) setCut(cut bool) {
+func (c *cluster) setPartitioned(partitioned bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.cut = cut
+	c.partitioned = partitioned
 }
 
-// takeStoreDown returns when no watch can deliver anything more.
+// takeStoreDown makes the store unavailable and returns when all watches have
+// ended.
 func (c *cluster) takeStoreDown() {
 	c.t.Helper()
 	c.backing.setDown(true)
@@ -200,12 +203,12 @@
 
 func (c *cluster) awaitReady() {
 	c.t.Helper()
-	c.awaitAll("ready", func(n *testNode) bool { return n.spreader.Ready() })
+	c.awaitAll("ready", func(n *testNode) bool { return n.syncer.Ready() })
 }
 
-func (c *cluster) awaitAll(what string, condition func(n *testNode) bool) {
+func (c *cluster) awaitAll(description string, condition func(n *testNode) bool) {
 	c.t.Helper()
-	eventually(c.t, what, func() bool {
+	eventually(c.t, description, func() bool {
 		c.mu.Lock()
 		nodes := c.nodes
 		c.mu.Unlock()
@@ -221,8 +224,8 @@
 func (c *cluster) awaitRevision(written resource.Versioned) {
 	c.t.Helper()
 	c.awaitAll(fmt.Sprint(written.ID, " at ", written.Revision), func(n *testNode) bool {
-		held, _ := n.spreader.Replica().Get(written.ID)
-		return held.Revision >= written.Revision
+		current, _ := n.syncer.Replica().Get(written.ID)
+		return current.Revision >= written.Revision
 	})
 }
 
@@ -233,14 +236,14 @@
 	return written
 }
 
-// TestPushAloneReachesAlmostAllNodes checks that few nodes are left to the
-// slower comparison of digests: with the gossip silenced, changes reach all but
-// a small share of the nodes.
+// TestPushAloneReachesAlmostAllNodes checks that few nodes depend on the slower
+// comparison of digests: with gossip paused, pushes miss at most 24 of 1200
+// deliveries.
 func TestPushAloneReachesAlmostAllNodes(t *testing.T) {
 	const nodes, changes, missesAllowed = 60, 20, 24
 	c := newCluster(t)
 	c.addMany(nodes, "zone-a", "zone-b", "zone-c", "zone-d", "zone-e")
-	c.silent.Store(true)
+	c.gossipPaused.Store(true)
 	for number := range changes {
 		writer := c.nodes[number*7%nodes]
 		_, err := writer.writer.Write(t.Context(), service(fmt.Sprintf("service-%d", number), 1000), 0, resource.Change{ID: "create"})
@@ -249,9 +252,9 @@
 	missed := func() int {
 		missed := 0
 		for _, n := range c.nodes {
-			missed += changes - int(n.spreader.Digest().Count)
+			missed += changes - int(n.syncer.Digest().Count)
 		}
 		return missed
 	}
-	eventually(t, "spread by push", func() bool { return missed() <= missesAllowed })
+	eventually(t, "delivery by push", func() bool { return missed() <= missesAllowed })
 }
--- a/internal/configuration/delta.go
+++ b/internal/configuration/delta.go
@@ -8,20 +8,20 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Delta is a part of a replica's versions in order of revision, tombstones
-// included, with the replica's state at the time.
+// Delta is a subset of a replica's versions in revision order, tombstones
+// included, with the replica's digest at the same time.
 type Delta struct {
 	Versions []resource.Versioned
 	// Digest and Ready describe the whole replica.
 	Digest Digest
 	Ready  bool
-	// More says that versions of higher revisions were left out.
+	// More is set if versions of higher revisions were omitted.
 	More bool
 }
 
 // Since returns the versions above the floor, lowest revisions first, at most
-// limit of them; zero means no limit. It brings a replica of that floor up to
-// date only if the floor is not below the digest's Collected.
+// limit of them; zero means no limit. It is sufficient to update a replica with
+// that floor only if the floor is not below the digest's Collected.
 func (r *Replica) Since(floor store.Revision, limit int) Delta {
 	r.mu.RLock()
 	delta := Delta{Digest: r.digest, Ready: r.ready}
@@ -38,14 +38,14 @@
 	return delta
 }
 
-// compareVersions orders versions by revision and then by key: tombstones that
-// a complete view led to share their revision.
+// compareVersions orders versions by revision and then by key, because all
+// tombstones derived from one full view have the same revision.
 func compareVersions(a, b resource.Versioned) int {
 	return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.ID.Key(), b.ID.Key()))
 }
 
-// skip leaves out the versions up to a revision and key.
-func (d *Delta) skip(revision store.Revision, key string) {
+// skipThrough removes the versions up to and including a revision and key.
+func (d *Delta) skipThrough(revision store.Revision, key string) {
 	d.Versions = slices.DeleteFunc(d.Versions, func(version resource.Versioned) bool {
 		return cmp.Or(cmp.Compare(version.Revision, revision), cmp.Compare(version.ID.Key(), key)) <= 0
 	})
@@ -54,8 +54,9 @@
 // Snapshot returns all versions, tombstones included, in order of revision.
 func (r *Replica) Snapshot() Delta { return r.Since(0, 0) }
 
-// truncate keeps at most limit versions, but never splits versions of one
-// revision, so that the next part can start above the last one of this.
+// truncate keeps limit versions, or more if the last ones share a revision: a
+// revision is never split, so that the next page can start above the last
+// revision of this one.
 func (d *Delta) truncate(limit int) {
 	end := limit
 	for end < len(d.Versions) && d.Versions[end].Revision == d.Versions[end-1].Revision {
@@ -65,8 +66,8 @@
 	d.Versions = d.Versions[:end]
 }
 
-// newest returns the highest revision held.
-func (r *Replica) newest() store.Revision {
+// newestRevision returns the highest revision in the replica.
+func (r *Replica) newestRevision() store.Revision {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	newest := store.Revision(0)
--- a/internal/configuration/digest.go
+++ b/internal/configuration/digest.go
@@ -9,34 +9,35 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Digest describes a replica in constant size. Nodes send it with their gossip
-// and compare it to find out who misses what.
+// Digest is a constant-size summary of a replica. Nodes send it with their
+// gossip and compare digests to detect missing versions.
 type Digest struct {
 	// Floor is the revision up to which the replica is complete.
 	Floor store.Revision `cbor:"1,keyasint"`
 	// Count is the number of objects that are not deleted.
 	Count uint32 `cbor:"2,keyasint"`
-	// Sum is the exclusive or of the hashes of all objects that are not
-	// deleted, each with its revision.
+	// Sum is the XOR of the hashes of all objects that are not deleted; each
+	// hash covers the object's identity and revision.
 	Sum uint64 `cbor:"3,keyasint"`
-	// Tombstones is the same sum over the deleted objects still remembered.
+	// Tombstones is the same sum over the tombstones that are still retained.
 	Tombstones uint64 `cbor:"4,keyasint"`
-	// Collected is the highest revision whose tombstone may be forgotten: a
-	// replica with a lower floor cannot catch up by a delta from this one.
+	// Collected is the highest revision whose tombstone may have been garbage
+	// collected: a replica with a lower floor cannot catch up by a delta from
+	// this one.
 	Collected store.Revision `cbor:"5,keyasint"`
-	// Drains is the exclusive or of the hashes of the emergency drains' names.
+	// Drains is the XOR of the hashes of the names of the emergency drains.
 	Drains uint64 `cbor:"6,keyasint"`
 }
 
-// sameObjects reports whether both digests cover the same objects in force at
-// the same revisions.
+// sameObjects reports whether both digests cover the same objects, not counting
+// deleted ones, at the same revisions.
 func (d Digest) sameObjects(other Digest) bool {
 	return d.Count == other.Count && d.Sum == other.Sum
 }
 
-// wants reports whether a replica with digest d may learn something from one
-// with the digest other.
-func (d Digest) wants(other Digest) bool {
+// shouldPull reports whether a pull from a replica with the digest other may
+// return versions or drains that the replica with digest d lacks.
+func (d Digest) shouldPull(other Digest) bool {
 	if other.Floor > d.Floor || other.Drains != d.Drains {
 		return true
 	}
--- a/internal/configuration/doc.go
+++ b/internal/configuration/doc.go
@@ -1,16 +1,16 @@
-// Package configuration keeps every node's replica of the operators' objects
-// and carries accepted revisions from the store to all nodes.
+// Package configuration replicates the operators' objects from the store to
+// every node.
 //
-// The store is the only place where a change is accepted, by compare-and-swap.
-// The Writer makes such changes and never misstates their outcome. The Replica
-// holds the newest known version of every object and takes only higher
-// revisions; a deletion is a version too. The Spreader keeps the replica up to
-// date: a few nodes in each zone watch the store, every node passes news on to
-// random peers (push), and nodes compare constant-size digests and fetch what
-// they miss from each other (pull). The store therefore serves a number of
-// watches that depends on the number of zones and not on the number of nodes.
+// A change is accepted only by the store, by compare-and-swap. The Writer
+// submits changes and reports a definite outcome only when it is certain. The
+// Replica holds the newest known version of every object and applies only
+// higher revisions; a deletion is a version too. The Spreader keeps the replica
+// up to date: a few nodes in each zone watch the store, every node forwards new
+// versions to random peers (push), and nodes compare constant-size digests and
+// fetch missing versions from each other (pull). The number of watches on the
+// store therefore depends on the number of zones, not on the number of nodes.
 //
-// The floor of a replica is the revision up to which it is known to be
-// complete: of every object it then holds the version in force at the floor or
-// a later one, or nothing when the object did not exist.
+// The floor of a replica is the revision up to which it is complete: for every
+// object it holds the version current at the floor or a later one, or nothing
+// if the object did not exist.
 package configuration
--- a/internal/configuration/members.go
+++ b/internal/configuration/members.go
@@ -7,7 +7,7 @@
 	"github.com/lugspur/lugspur/internal/rendezvous"
 )
 
-// Member is a node as the membership sees it.
+// Member is a node in the membership.
 type Member struct {
 	Name string
 	Zone string
@@ -16,29 +16,30 @@
 	Live        bool
 }
 
-// Membership tells the nodes that are known now, this one included or not. It
+// Membership returns the currently known nodes, which may include this one. It
 // is safe for concurrent use.
 type Membership interface {
 	Members() []Member
 }
 
-// watchDutyKey is the key that the nodes of a zone are ranked for.
-const watchDutyKey = "configuration-watch"
+// watcherRankKey is the rendezvous key that selects the watchers of a zone.
+const watcherRankKey = "configuration-watch"
 
-// OnDuty reports whether a node is one of the count live members of its zone
-// that watch the store: those with the highest rendezvous hash. The node
+// IsWatcher reports whether a node is one of the count live members of its zone
+// that watch the store: those with the highest rendezvous weights. The node
 // itself counts as live.
-func OnDuty(self Member, members []Member, count int) bool {
+func IsWatcher(self Member, members []Member, count int) bool {
 	names := []string{self.Name}
 	for _, member := range members {
 		if member.Live && member.Zone == self.Zone && member.Name != self.Name {
 			names = append(names, member.Name)
 		}
 	}
-	return slices.Contains(rendezvous.TopN(watchDutyKey, names, count), self.Name)
+	return slices.Contains(rendezvous.TopN(watcherRankKey, names, count), self.Name)
 }
 
-// livePeers returns the live members other than the node itself, shuffled.
+// livePeers returns the live members other than the node itself, in random
+// order.
 func livePeers(self string, members []Member) []Member {
 	peers := slices.DeleteFunc(slices.Clone(members), func(member Member) bool {
 		return !member.Live || member.Name == self || member.PeerAddress == ""
@@ -47,10 +48,10 @@
 	return peers
 }
 
-// spreadOverZones reorders peers so that the first ones are one from each zone
-// other than the own one.
-func spreadOverZones(ownZone string, peers []Member) []Member {
-	seen := map[string]bool{ownZone: true}
+// otherZonesFirst reorders peers so that one peer of each other zone comes
+// first.
+func otherZonesFirst(localZone string, peers []Member) []Member {
+	seen := map[string]bool{localZone: true}
 	var first, rest []Member
 	for _, peer := range peers {
 		if seen[peer.Zone] {
--- a/internal/configuration/messages.go
+++ b/internal/configuration/messages.go
@@ -18,63 +18,65 @@
 	PathPush  = "/peer/configuration/push"
 )
 
-// Bounds of the messages between nodes.
+// Limits of the messages between nodes.
 const (
-	// MaxMessageSize bounds a message's body, in bytes.
+	// MaxMessageSize limits a message's body, in bytes.
 	MaxMessageSize = 512 << 10
-	// maxPageSize bounds the encoded envelopes in one message, in bytes, except
-	// that one envelope always fits.
+	// maxPageSize limits the encoded envelopes in one message, in bytes; a
+	// single envelope may exceed it.
 	maxPageSize = 192 << 10
-	// maxPageEntries bounds the envelopes in one message.
+	// maxPageEntries limits the number of envelopes in one message.
 	maxPageEntries = 512
 
 	contentType = "application/cbor"
 )
 
-// entry is a version on its way between nodes, encoded as in the store.
+// entry is the wire form of a version; the envelope is encoded as in the store.
 type entry struct {
 	Revision store.Revision `cbor:"1,keyasint"`
 	Envelope []byte         `cbor:"2,keyasint"`
 }
 
-// mark is an emergency drain on its way between nodes.
-type mark struct {
+// drainEntry is the wire form of an emergency drain.
+type drainEntry struct {
 	Name string `cbor:"1,keyasint"`
 	// Expiry is in milliseconds since the Unix epoch.
 	Expiry int64 `cbor:"2,keyasint"`
 }
 
-// sinceRequest asks for what a replica lacks.
+// sinceRequest requests the versions that a replica lacks.
 type sinceRequest struct {
-	// Floor is the asking replica's floor.
+	// Floor is the requesting replica's floor.
 	Floor store.Revision `cbor:"1,keyasint"`
-	// After and AfterKey are the revision and key that the last page ended with.
+	// After and AfterKey are the revision and key of the last entry of the
+	// previous page.
 	After    store.Revision `cbor:"2,keyasint"`
 	AfterKey string         `cbor:"6,keyasint,omitempty"`
-	// Full asks for everything, whatever the floor.
+	// Full requests all versions, regardless of the floor.
 	Full bool `cbor:"3,keyasint,omitempty"`
-	// Max bounds the entries of the answer; zero leaves it to the peer.
-	Max    int    `cbor:"4,keyasint,omitempty"`
-	Drains []mark `cbor:"5,keyasint,omitempty"`
+	// Max limits the entries of the response; zero leaves the limit to the peer.
+	Max    int          `cbor:"4,keyasint,omitempty"`
+	Drains []drainEntry `cbor:"5,keyasint,omitempty"`
 }
 
-// sinceResponse is one page of an answer.
+// sinceResponse is one page of the response to a sinceRequest.
 type sinceResponse struct {
 	Entries []entry `cbor:"1,keyasint,omitempty"`
 	Digest  Digest  `cbor:"2,keyasint"`
 	Ready   bool    `cbor:"3,keyasint"`
 	More    bool    `cbor:"4,keyasint,omitempty"`
-	// FullRequired says that a delta cannot bring the asking replica up to date.
-	FullRequired bool   `cbor:"5,keyasint,omitempty"`
-	Drains       []mark `cbor:"6,keyasint,omitempty"`
+	// FullRequired is set if a delta cannot bring the requesting replica up to
+	// date.
+	FullRequired bool         `cbor:"5,keyasint,omitempty"`
+	Drains       []drainEntry `cbor:"6,keyasint,omitempty"`
 }
 
-// pushMessage passes news on.
+// pushMessage carries new versions and drains to a peer.
 type pushMessage struct {
 	Entries []entry `cbor:"1,keyasint,omitempty"`
-	// Hops counts the nodes that the news has passed.
-	Hops   int    `cbor:"2,keyasint,omitempty"`
-	Drains []mark `cbor:"3,keyasint,omitempty"`
+	// Hops counts the nodes that have forwarded the message.
+	Hops   int          `cbor:"2,keyasint,omitempty"`
+	Drains []drainEntry `cbor:"3,keyasint,omitempty"`
 }
 
 var messageDecoder = newMessageDecoder()
@@ -93,7 +95,8 @@
 	return mode
 }
 
-// decodeMessage reads a bounded body into a message.
+// decodeMessage decodes a body of at most MaxMessageSize bytes and returns the
+// number of bytes read.
 func decodeMessage(body io.Reader, message any) (size int, err error) {
 	encoded, err := io.ReadAll(io.LimitReader(body, MaxMessageSize+1))
 	if err != nil {
@@ -105,7 +108,7 @@
 	return len(encoded), messageDecoder.Unmarshal(encoded, message)
 }
 
-// writeMessage answers with a message and returns its size.
+// writeMessage writes a message as the response and returns its size.
 func writeMessage(w http.ResponseWriter, message any) (size int) {
 	encoded, err := cbor.Marshal(message)
 	if err != nil {
@@ -118,7 +121,7 @@
 }
 
 // encodeVersions encodes as many versions as fit in a message, in order, and
-// returns how many.
+// returns their number.
 func encodeVersions(versions []resource.Versioned) (entries []entry, count int, err error) {
 	size := 0
 	for _, version := range versions {
@@ -136,7 +139,8 @@
 	return entries, count, nil
 }
 
-// decodeEntries validates what a peer sent; one bad entry spoils all.
+// decodeEntries decodes and validates the entries of a peer's message. One
+// invalid entry rejects the whole message.
 func decodeEntries(entries []entry) ([]resource.Versioned, error) {
 	versions := make([]resource.Versioned, 0, len(entries))
 	for _, received := range entries {
@@ -152,7 +156,7 @@
 	return versions, nil
 }
 
-// decodeEntry reads a version from an entry of the store.
+// decodeEntry decodes a version from an entry of the store.
 func decodeEntry(stored store.Entry) (resource.Versioned, error) {
 	envelope, err := resource.DecodeEnvelope(stored.Value)
 	if err == nil && envelope.ID.Key() != stored.Key {
@@ -164,18 +168,18 @@
 	return resource.Versioned{Envelope: envelope, Revision: stored.Revision}, nil
 }
 
-func encodeMarks(marks map[string]time.Time) []mark {
-	encoded := make([]mark, 0, len(marks))
-	for name, expiry := range marks {
-		encoded = append(encoded, mark{Name: name, Expiry: expiry.UnixMilli()})
+func encodeDrains(expiries map[string]time.Time) []drainEntry {
+	encoded := make([]drainEntry, 0, len(expiries))
+	for name, expiry := range expiries {
+		encoded = append(encoded, drainEntry{Name: name, Expiry: expiry.UnixMilli()})
 	}
 	return encoded
 }
 
-func decodeMarks(encoded []mark) map[string]time.Time {
-	marks := make(map[string]time.Time, len(encoded))
+func decodeDrains(encoded []drainEntry) map[string]time.Time {
+	expiries := make(map[string]time.Time, len(encoded))
 	for _, received := range encoded {
-		marks[received.Name] = time.UnixMilli(received.Expiry)
+		expiries[received.Name] = time.UnixMilli(received.Expiry)
 	}
-	return marks
+	return expiries
 }
--- a/internal/configuration/messages_test.go
+++ b/internal/configuration/messages_test.go
@@ -14,15 +14,15 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-type noMembers struct{}
+type emptyMembership struct{}
 
-func (noMembers) Members() []Member { return nil }
+func (emptyMembership) Members() []Member { return nil }
 
-func newIdleSpreader() (*Spreader, *http.ServeMux) {
-	spreader := NewSpreader(Options{Membership: noMembers{}, Log: quietLog()}, NewReplica(time.Now))
+func newIdleSyncer() (*Spreader, *http.ServeMux) {
+	syncer := NewSpreader(Options{Membership: emptyMembership{}, Log: discardLog()}, NewReplica(time.Now))
 	mux := http.NewServeMux()
-	spreader.Register(mux)
-	return spreader, mux
+	syncer.Register(mux)
+	return syncer, mux
 }
 
 func postBody(mux *http.ServeMux, path string, body []byte) *httptest.ResponseRecorder {
@@ -54,20 +54,20 @@
 	}
 	for name, body := range cases {
 		t.Run(name, func(t *testing.T) {
-			spreader, mux := newIdleSpreader()
+			syncer, mux := newIdleSyncer()
 			assert.Equal(t, postBody(mux, PathPush, body).Code, http.StatusBadRequest)
-			assert.Equal(t, spreader.Digest(), Digest{})
+			assert.Equal(t, syncer.Digest(), Digest{})
 		})
 	}
 }
 
 func TestPullsBeyondBoundAreRefused(t *testing.T) {
-	spreader, mux := newIdleSpreader()
-	for range maxServing {
-		spreader.serving <- struct{}{}
+	syncer, mux := newIdleSyncer()
+	for range maxConcurrentPulls {
+		syncer.pullSlots <- struct{}{}
 	}
 	assert.Equal(t, postBody(mux, PathSince, encode(t, sinceRequest{})).Code, http.StatusServiceUnavailable)
-	<-spreader.serving
+	<-syncer.pullSlots
 	assert.Equal(t, postBody(mux, PathSince, encode(t, sinceRequest{})).Code, http.StatusOK)
 }
 
@@ -86,41 +86,41 @@
 	assert.Assert(t, size < MaxMessageSize, "%d bytes", size)
 }
 
-func TestNewsStopsAfterMaxHops(t *testing.T) {
+func TestPushStopsAfterMaxHops(t *testing.T) {
 	encoded, err := version("a", 1, false).Encode()
 	assert.NilError(t, err)
-	for hops, passedOn := range map[int]bool{0: true, maxHops - 2: true, maxHops - 1: false, maxHops: false} {
-		spreader, mux := newIdleSpreader()
+	for hops, forwarded := range map[int]bool{0: true, maxHops - 2: true, maxHops - 1: false, maxHops: false} {
+		syncer, mux := newIdleSyncer()
 		message := pushMessage{Entries: []entry{{Revision: 1, Envelope: encoded}}, Hops: hops}
 		assert.Equal(t, postBody(mux, PathPush, encode(t, message)).Code, http.StatusNoContent)
-		assert.Equal(t, len(spreader.news.take().versions) == 1, passedOn, "after %d hops", hops)
+		assert.Equal(t, len(syncer.pushQueue.takeBatch().versions) == 1, forwarded, "after %d hops", hops)
 		assert.Equal(t, postBody(mux, PathPush, encode(t, message)).Code, http.StatusNoContent)
-		assert.Equal(t, len(spreader.news.take().versions), 0, "no news the second time")
+		assert.Equal(t, len(syncer.pushQueue.takeBatch().versions), 0, "repeated push is not forwarded")
 	}
 }
 
 func FuzzPeerMessages(f *testing.F) {
 	encoded, err := version("a", 7, false).Encode()
 	assert.NilError(f, err)
-	drains := []mark{{Name: "target.a", Expiry: time.Now().UnixMilli()}}
+	drains := []drainEntry{{Name: "target.a", Expiry: time.Now().UnixMilli()}}
 	f.Add(encode(f, pushMessage{Entries: []entry{{Revision: 7, Envelope: encoded}}, Hops: 1, Drains: drains}))
 	f.Add(encode(f, sinceRequest{Floor: 3, After: 4, AfterKey: "k", Full: true, Max: 2, Drains: drains}))
 	f.Add(encode(f, sinceResponse{Entries: []entry{{Revision: 7, Envelope: encoded}}, More: true}))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		spreader, mux := newIdleSpreader()
+		syncer, mux := newIdleSyncer()
 		before := version("a", 5, false)
-		spreader.replica.ApplyComplete([]resource.Versioned{before}, 5)
+		syncer.replica.ApplyComplete([]resource.Versioned{before}, 5)
 		push := postBody(mux, PathPush, body)
 		since := postBody(mux, PathSince, body)
 		assert.Assert(t, push.Code == http.StatusNoContent || push.Code == http.StatusBadRequest)
 		assert.Assert(t, since.Code == http.StatusOK || since.Code == http.StatusBadRequest)
-		held, known := spreader.replica.Get(before.ID)
-		assert.Assert(t, known && held.Revision >= 5)
-		assert.Equal(t, spreader.replica.Floor(), store.Revision(5), "messages do not raise the floor")
-		var answer sinceResponse
-		if _, err := decodeMessage(bytes.NewReader(body), &answer); err == nil {
-			var result pulled
-			_ = result.add(answer)
+		current, known := syncer.replica.Get(before.ID)
+		assert.Assert(t, known && current.Revision >= 5)
+		assert.Equal(t, syncer.replica.Floor(), store.Revision(5), "messages must not raise the floor")
+		var response sinceResponse
+		if _, err := decodeMessage(bytes.NewReader(body), &response); err == nil {
+			var result pullResult
+			_ = result.add(response)
 		}
 	})
 }
--- a/internal/configuration/options_test.go
+++ b/internal/configuration/options_test.go
@@ -7,13 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// inForce is the time in which an accepted change is promised to be in force
-// everywhere.
-const inForce = 8 * time.Second
+// maxPropagation is the maximum time until an accepted change takes effect on all
+// nodes.
+const maxPropagation = 8 * time.Second
 
-// A zone that is cut off from the others depends on its own watchers: the
-// longest pause between their attempts must leave time for the watch itself.
-func TestWatchersComeBackInTime(t *testing.T) {
+// A zone that is partitioned from the others depends on its own watchers: the
+// maximum delay between their attempts must leave time for the watch itself.
+func TestWatchBackoffLeavesTimeToPropagate(t *testing.T) {
 	options := Options{}.withDefaults()
-	assert.Assert(t, options.MaxBackoff <= inForce/2, "%s", options.MaxBackoff)
+	assert.Assert(t, options.MaxBackoff <= maxPropagation/2, "%s", options.MaxBackoff)
 }
--- a/internal/configuration/peer.go
+++ b/internal/configuration/peer.go
@@ -9,30 +9,31 @@
 	"github.com/samber/oops"
 )
 
-// post sends a message to a peer and decodes the answer unless it is nil.
-func (s *Spreader) post(ctx context.Context, address, path string, encoded []byte, answer any) error {
+// post sends a message to a peer and decodes the response into result, unless
+// result is nil.
+func (s *Spreader) post(ctx context.Context, address, path string, encoded []byte, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, s.options.PeerTimeout)
 	defer cancel()
-	fault := oops.In("configuration").With("step", path).With("peer", address)
+	errContext := oops.In("configuration").With("step", path).With("peer", address)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(encoded))
 	if err != nil {
-		return fault.Wrap(err)
+		return errContext.Wrap(err)
 	}
 	request.Header.Set("Content-Type", contentType)
 	s.counters.sentBytes.Add(int64(len(encoded)))
 	response, err := s.options.Client.Do(request)
 	if err != nil {
-		return fault.Wrap(err)
+		return errContext.Wrap(err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode >= http.StatusMultipleChoices {
 		_, _ = io.CopyN(io.Discard, response.Body, 1<<10)
-		return fault.Errorf("peer answered %s", response.Status)
+		return errContext.Errorf("peer returned status %s", response.Status)
 	}
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
-	size, err := decodeMessage(response.Body, answer)
+	size, err := decodeMessage(response.Body, result)
 	s.counters.receivedBytes.Add(int64(size))
-	return fault.Wrapf(err, "decode answer")
+	return errContext.Wrapf(err, "decode response")
 }
--- a/internal/configuration/poll.go
+++ b/internal/configuration/poll.go
@@ -9,58 +9,60 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// pollPrefix holds no keys: listing it tells the store's revision and no more.
+// pollPrefix contains no keys: listing it returns only the store's revision.
 const pollPrefix = resource.Prefix + "revision-probe/"
 
-// maxPollStretch bounds how far polls that found nothing are spaced out.
-const maxPollStretch = 16
+// maxPollBackoff limits the factor by which the poll interval grows while lists
+// after a lagging poll find no missed changes.
+const maxPollBackoff = 16
 
-// pollLoop compares the store's revision with the floor now and then. It finds
-// watches that hang and watchers that cannot reach the store.
+// pollLoop periodically compares the store's revision with the floor. It
+// detects watches that hang and watchers that cannot reach the store.
 func (s *Spreader) pollLoop(ctx context.Context) {
-	stretch := 1
-	for pause.For(ctx, s.pollPause(stretch)) {
+	factor := 1
+	for pause.For(ctx, s.pollPause(factor)) {
 		if !s.replica.Ready() {
 			continue
 		}
 		missed, listed := s.pollOnce(ctx)
 		switch {
 		case missed:
-			stretch = 1
+			factor = 1
 		case listed:
-			stretch = min(2*stretch, maxPollStretch)
+			factor = min(2*factor, maxPollBackoff)
 		}
 	}
 }
 
-// pollPause is random around the interval that gives this node its share of
-// all nodes' polls.
-func (s *Spreader) pollPause(stretch int) time.Duration {
+// pollPause returns a random pause around the interval that gives this node its
+// share of the polls of all nodes.
+func (s *Spreader) pollPause(factor int) time.Duration {
 	members := len(livePeers(s.options.Self.Name, s.options.Membership.Members())) + 1
 	interval := max(s.options.PollInterval, time.Duration(members)*s.options.PollShare)
-	interval *= time.Duration(stretch)
+	interval *= time.Duration(factor)
 	return interval/2 + jitter(interval)
 }
 
-// pollOnce reports whether the floor lagged behind so that the node listed the
-// store, and whether the list held anything new.
+// pollOnce lists the store if the floor lags behind the store's revision. It
+// reports whether the list contained changes that the replica had missed, and
+// whether the store was listed.
 func (s *Spreader) pollOnce(ctx context.Context) (missed, listed bool) {
 	revision, err := s.storeRevision(ctx)
 	if err != nil {
-		s.noteStoreError(err)
+		s.recordStoreError(err)
 		return false, false
 	}
-	if s.caughtUp(ctx, revision) {
+	if s.awaitFloor(ctx, revision) {
 		return false, false
 	}
 	before := s.replica.Digest()
 	if err := s.list(ctx); err != nil {
-		s.noteStoreError(err)
+		s.recordStoreError(err)
 		return false, false
 	}
 	missed = !before.sameObjects(s.replica.Digest())
 	if missed {
-		s.signalRelist()
+		s.requestRelist()
 	}
 	return missed, true
 }
@@ -77,12 +79,13 @@
 	if snapshot.Revision < known {
 		return 0, s.storeError("poll", errStoreBehind)
 	}
-	s.noteStoreContact()
+	s.recordStoreContact()
 	return snapshot.Revision, nil
 }
 
-// caughtUp waits for the floor to reach the revision by the usual ways.
-func (s *Spreader) caughtUp(ctx context.Context, revision store.Revision) bool {
+// awaitFloor waits up to PollGrace for watches and pulls to raise the floor to
+// the revision. It also returns true if the context ends.
+func (s *Spreader) awaitFloor(ctx context.Context, revision store.Revision) bool {
 	const steps = 10
 	for range steps {
 		if s.replica.Floor() >= revision {
@@ -95,10 +98,10 @@
 	return s.replica.Floor() >= revision
 }
 
-// signalRelist makes the watch of this node, if it has one, start anew.
-func (s *Spreader) signalRelist() {
+// requestRelist restarts the watch of this node, if it has one, with a list.
+func (s *Spreader) requestRelist() {
 	select {
-	case s.relist <- struct{}{}:
+	case s.relistSignal <- struct{}{}:
 	default:
 	}
 }
--- a/internal/configuration/pull.go
+++ b/internal/configuration/pull.go
@@ -15,28 +15,27 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// maxPullPages bounds the pages of one pull.
+// maxPullPages limits the pages of one pull.
 const maxPullPages = 2048
 
 // errFullRequired means that the peer cannot serve a delta from this floor.
-var errFullRequired = errors.New("peer has forgotten tombstones above the floor")
+var errFullRequired = errors.New("peer has collected tombstones above the floor")
 
-// HandleDigest compares a peer's digest, received with its gossip, with the own
-// one and has the difference fetched if the peer has something to offer. It
-// does not block.
+// HandleDigest compares a peer's digest, received by gossip, with the local one
+// and schedules a pull if the peer may have newer versions. It does not block.
 func (s *Spreader) HandleDigest(from Member, digest Digest) {
 	if from.Name == s.options.Self.Name || from.PeerAddress == "" {
 		return
 	}
-	s.replica.Adopt(digest)
-	if s.Digest().wants(digest) {
+	s.replica.AdoptFloor(digest)
+	if s.Digest().shouldPull(digest) {
 		s.sources.add(from, digest)
 	}
 }
 
-// pullLoop fetches from peers, one at a time and paced.
+// pullLoop pulls from one peer at a time and limits the rate of pulls.
 func (s *Spreader) pullLoop(ctx context.Context) {
-	for s.awaitReason(ctx) {
+	for s.awaitPullTrigger(ctx) {
 		if !pause.For(ctx, jitter(s.options.PullInterval/4)) {
 			return
 		}
@@ -50,9 +49,10 @@
 	}
 }
 
-// awaitReason waits for a source or, while the node has no configuration, for
-// the time of the next attempt. It returns false when the context ends.
-func (s *Spreader) awaitReason(ctx context.Context) bool {
+// awaitPullTrigger waits for a source or, while the node has no
+// configuration, for the time of the next attempt. It returns false when the
+// context ends.
+func (s *Spreader) awaitPullTrigger(ctx context.Context) bool {
 	var retry <-chan time.Time
 	if !s.replica.Ready() {
 		timer := time.NewTimer(s.options.PullInterval / 2)
@@ -81,7 +81,7 @@
 	full := !s.replica.Ready()
 	result, err := s.fetch(ctx, address, full)
 	if errors.Is(err, errFullRequired) {
-		if !s.mayPullAll() {
+		if !s.allowFullPull() {
 			return nil
 		}
 		full = true
@@ -91,22 +91,22 @@
 		return err
 	}
 	if full {
-		s.takeComplete(result)
+		s.applyFull(result)
 		return nil
 	}
-	s.takeDelta(result)
+	s.applyDelta(result)
 	if s.diverged(result) {
 		return s.repair(ctx, address)
 	}
 	return nil
 }
 
-// choosePeer returns the peer to pull from: a source, or while the node has no
-// configuration any peer or seed.
+// choosePeer returns the peer to pull from: a source or, while the node has no
+// configuration, any peer or seed.
 func (s *Spreader) choosePeer() (address string, found bool) {
 	if chosen, ok := s.sources.choose(s.Digest()); ok {
 		if s.sources.pending() {
-			s.sources.wake()
+			s.sources.notify()
 		}
 		return chosen.member.PeerAddress, true
 	}
@@ -124,27 +124,28 @@
 	return addresses[rand.IntN(len(addresses))], true
 }
 
-// pulled is what a pull brought, in one or more pages.
-type pulled struct {
-	// since is the floor that was asked from.
-	since    store.Revision
+// pullResult is the result of a pull, which may span several pages.
+type pullResult struct {
+	// base is the floor that the request was sent with.
+	base     store.Revision
 	versions []resource.Versioned
-	// digest is the peer's at the first page. Versions that the peer learnt
-	// below a later page's start are missing, so only the first floor holds.
+	// digest is the peer's digest in the first page. A version that the peer
+	// received later may lie below the start of a later page and be missed, so
+	// only the floor of the first page is valid for the result.
 	digest Digest
-	// ready says that the peer's floor means anything.
+	// ready is set if the peer was ready, that is, if its floor is valid.
 	ready bool
 	pages int
 }
 
-// fetch asks a peer for all versions or those above the own floor.
-func (s *Spreader) fetch(ctx context.Context, address string, full bool) (pulled, error) {
+// fetch requests all versions, or those above the local floor, from a peer.
+func (s *Spreader) fetch(ctx context.Context, address string, full bool) (pullResult, error) {
 	s.counters.pulls.Add(1)
 	if full {
 		s.counters.fullPulls.Add(1)
 	}
-	result := pulled{since: s.replica.Floor()}
-	request := sinceRequest{Floor: result.since, Full: full, Max: maxPageEntries}
+	result := pullResult{base: s.replica.Floor()}
+	request := sinceRequest{Floor: result.base, Full: full, Max: maxPageEntries}
 	for more := true; more; {
 		page, err := s.fetchPage(ctx, address, request)
 		if err != nil {
@@ -166,7 +167,7 @@
 }
 
 func (s *Spreader) fetchPage(ctx context.Context, address string, request sinceRequest) (sinceResponse, error) {
-	request.Drains = encodeMarks(s.drains.Marks())
+	request.Drains = encodeDrains(s.drains.Expiries())
 	var page sinceResponse
 	encoded, err := cbor.Marshal(request)
 	if err != nil {
@@ -179,13 +180,13 @@
 	return page, nil
 }
 
-func (p *pulled) add(page sinceResponse) error {
+func (p *pullResult) add(page sinceResponse) error {
 	versions, err := decodeEntries(page.Entries)
 	if err != nil {
 		return err
 	}
 	if page.More && len(versions) == 0 {
-		return oops.Errorf("page without entries before the last")
+		return oops.Errorf("page without entries before the last page")
 	}
 	if p.pages == 0 {
 		p.digest = page.Digest
@@ -193,47 +194,47 @@
 	}
 	p.pages++
 	if p.pages > maxPullPages || len(p.versions)+len(versions) > 4*MaxObjects {
-		return oops.Errorf("answer too long")
+		return oops.Errorf("response exceeds the page or entry limit")
 	}
 	p.digest.Collected = max(p.digest.Collected, page.Digest.Collected)
 	p.versions = append(p.versions, versions...)
 	return nil
 }
 
-// takeDelta applies what a peer held above the own floor. The peer's floor
-// holds for this node as well then.
-func (s *Spreader) takeDelta(result pulled) {
+// applyDelta applies the versions of a peer above the local floor. Afterwards
+// the peer's floor is valid for this replica too.
+func (s *Spreader) applyDelta(result pullResult) {
 	changed := s.replica.Apply(result.versions...)
 	if result.ready {
 		s.replica.SetFloor(result.digest.Floor)
 	}
-	s.passOn(changed)
+	s.forward(changed)
 }
 
-// takeComplete applies all that a peer held.
-func (s *Spreader) takeComplete(result pulled) {
+// applyFull applies all versions of a peer.
+func (s *Spreader) applyFull(result pullResult) {
 	if !result.ready {
 		s.replica.Apply(result.versions...)
 		return
 	}
-	first := !s.replica.Ready()
-	s.replica.ForgetTombstonesBelow(result.digest.Collected)
+	initial := !s.replica.Ready()
+	s.replica.RaiseCollected(result.digest.Collected)
 	changed := s.replica.ApplyComplete(result.versions, result.digest.Floor)
-	if !first {
-		s.passOn(changed)
+	if !initial {
+		s.forward(changed)
 	}
 }
 
-// passOn tells peers what a pull brought, which carries news over the border
-// of a cut that has healed.
-func (s *Spreader) passOn(changed []resource.Versioned) {
-	if len(changed) <= maxAnnouncedList {
-		s.news.addVersions(changed, 1)
+// forward pushes the versions from a pull to peers, so that changes spread
+// quickly after a network partition has healed.
+func (s *Spreader) forward(changed []resource.Versioned) {
+	if len(changed) <= maxForwardedVersions {
+		s.pushQueue.addVersions(changed, 1)
 	}
 }
 
-// mayPullAll spaces complete pulls out.
-func (s *Spreader) mayPullAll() bool {
+// allowFullPull limits the rate of full pulls.
+func (s *Spreader) allowFullPull() bool {
 	now := s.options.Now()
 	if s.replica.Ready() && now.Sub(s.lastFullPull) < s.options.FullPullInterval {
 		return false
@@ -243,22 +244,22 @@
 }
 
 // diverged reports, after a delta was applied, whether this replica and the
-// peer's are complete up to the same floor and hold the same versions above
-// the floor that was asked from, and yet differ below it.
-func (s *Spreader) diverged(result pulled) bool {
-	own := s.replica.Since(result.since, 0)
-	if !result.ready || result.pages != 1 || own.Digest.Floor != result.digest.Floor || own.Digest.sameObjects(result.digest) {
+// peer's have the same floor and the same versions above the requested floor,
+// but differ below it.
+func (s *Spreader) diverged(result pullResult) bool {
+	local := s.replica.Since(result.base, 0)
+	if !result.ready || result.pages != 1 || local.Digest.Floor != result.digest.Floor || local.Digest.sameObjects(result.digest) {
 		return false
 	}
-	return slices.EqualFunc(own.Versions, result.versions, func(a, b resource.Versioned) bool {
+	return slices.EqualFunc(local.Versions, result.versions, func(a, b resource.Versioned) bool {
 		return compareVersions(a, b) == 0
 	})
 }
 
-// repair takes over whatever the peer holds and this replica lacks, and has
-// the store listed anew if this node watches it.
+// repair fetches and applies all versions of the peer that this replica lacks.
+// If this node watches the store, it also lists the store again.
 func (s *Spreader) repair(ctx context.Context, address string) error {
-	if !s.mayPullAll() {
+	if !s.allowFullPull() {
 		return nil
 	}
 	s.options.Log.WithField("peer", address).Error("replicas of the same floor differ; fetching all objects")
@@ -266,7 +267,7 @@
 	if err != nil {
 		return err
 	}
-	s.passOn(s.replica.Repair(result.versions))
-	s.signalRelist()
+	s.forward(s.replica.Repair(result.versions))
+	s.requestRelist()
 	return nil
 }
--- a/internal/configuration/push.go
+++ b/internal/configuration/push.go
@@ -8,56 +8,56 @@
 )
 
 const (
-	// maxHops bounds how many nodes news passes.
+	// maxHops limits how many times a push is forwarded.
 	maxHops = 12
-	// maxSending bounds the pushes in flight; a push beyond it is dropped.
-	maxSending = 16
+	// maxConcurrentPushes limits the pushes in flight; further pushes are dropped.
+	maxConcurrentPushes = 16
 )
 
-// pushLoop passes news on as it arises.
+// pushLoop pushes queued versions and drains to peers.
 func (s *Spreader) pushLoop(ctx context.Context) {
-	var sending sync.WaitGroup
-	defer sending.Wait()
+	var inFlight sync.WaitGroup
+	defer inFlight.Wait()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-s.news.signal:
-			s.push(ctx, &sending, s.news.take())
+		case <-s.pushQueue.signal:
+			s.push(ctx, &inFlight, s.pushQueue.takeBatch())
 		}
 	}
 }
 
-// push sends news to a few random live peers without waiting for them.
-func (s *Spreader) push(ctx context.Context, sending *sync.WaitGroup, taken news) {
-	targets := s.pushTargets(taken.hops)
-	for _, message := range s.pushMessages(taken) {
+// push sends a batch to a few random live peers without waiting for them.
+func (s *Spreader) push(ctx context.Context, inFlight *sync.WaitGroup, batch pushBatch) {
+	targets := s.pushTargets(batch.hops)
+	for _, message := range s.pushMessages(batch) {
 		encoded, err := cbor.Marshal(message)
 		if err != nil {
 			s.options.Log.WithError(err).Error("cannot encode a push")
 			continue
 		}
 		for _, target := range targets {
-			s.send(ctx, sending, target, encoded)
+			s.send(ctx, inFlight, target, encoded)
 		}
 	}
 }
 
-// pushTargets chooses the peers: the first node of a change takes one in each
-// other zone first, the nodes after it any.
+// pushTargets chooses the peers of a push. The node where a change originates
+// prefers one peer in each other zone; forwarding nodes choose any peers.
 func (s *Spreader) pushTargets(hops int) []Member {
 	peers := livePeers(s.options.Self.Name, s.options.Membership.Members())
 	if hops == 0 {
-		peers = spreadOverZones(s.options.Self.Zone, peers)
+		peers = otherZonesFirst(s.options.Self.Zone, peers)
 	}
 	return peers[:min(len(peers), s.options.Fanout)]
 }
 
-// pushMessages splits news into messages of bounded size.
-func (s *Spreader) pushMessages(taken news) []pushMessage {
-	drains := encodeMarks(s.drains.Marks())
+// pushMessages splits a batch into messages of bounded size.
+func (s *Spreader) pushMessages(batch pushBatch) []pushMessage {
+	drains := encodeDrains(s.drains.Expiries())
 	var messages []pushMessage
-	for versions := taken.versions; len(versions) > 0; {
+	for versions := batch.versions; len(versions) > 0; {
 		entries, count, err := encodeVersions(versions)
 		if err != nil {
 			s.options.Log.WithError(err).Error("cannot encode a version")
@@ -65,25 +65,25 @@
 			continue
 		}
 		versions = versions[count:]
-		messages = append(messages, pushMessage{Entries: entries, Hops: taken.hops, Drains: drains})
+		messages = append(messages, pushMessage{Entries: entries, Hops: batch.hops, Drains: drains})
 	}
-	if len(messages) == 0 && taken.drains {
-		messages = append(messages, pushMessage{Hops: taken.hops, Drains: drains})
+	if len(messages) == 0 && batch.drains {
+		messages = append(messages, pushMessage{Hops: batch.hops, Drains: drains})
 	}
 	return messages
 }
 
-// send posts one message, or drops it when too many are in flight already; the
-// peer then finds out by comparing digests.
-func (s *Spreader) send(ctx context.Context, sending *sync.WaitGroup, target Member, encoded []byte) {
+// send posts one message, or drops it if too many are in flight; the peer then
+// gets the versions by comparing digests.
+func (s *Spreader) send(ctx context.Context, inFlight *sync.WaitGroup, target Member, encoded []byte) {
 	select {
-	case s.sending <- struct{}{}:
+	case s.pushSlots <- struct{}{}:
 	default:
 		s.counters.dropped.Add(1)
 		return
 	}
-	sending.Go(func() {
-		defer func() { <-s.sending }()
+	inFlight.Go(func() {
+		defer func() { <-s.pushSlots }()
 		s.counters.pushes.Add(1)
 		if err := s.post(ctx, target.PeerAddress, PathPush, encoded, nil); err != nil {
 			s.options.Log.WithError(err).Debug("push of configuration failed")
--- a/internal/configuration/replica.go
+++ b/internal/configuration/replica.go
@@ -10,18 +10,18 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// TombstoneRetention is how long a replica remembers a deleted object at least.
+// TombstoneRetention is the minimum time that a replica keeps a tombstone.
 const TombstoneRetention = 24 * time.Hour
 
 // Replica holds the newest known version of every object in memory. It is safe
-// for concurrent use. Versions handed in and out share their specifications
-// and histories and must not be changed.
+// for concurrent use. Versions passed in and returned share their
+// specifications and histories and must not be modified.
 type Replica struct {
-	// applying serializes changes together with the calls of subscribers.
-	applying sync.Mutex
+	// updateMu serializes updates including the calls of subscribers.
+	updateMu sync.Mutex
 
 	mu          sync.RWMutex
-	objects     map[resource.ID]held
+	objects     map[resource.ID]replicaEntry
 	digest      Digest
 	ready       bool
 	subscribers []func(changed []resource.Versioned)
@@ -29,68 +29,69 @@
 	now func() time.Time
 }
 
-// held is a version with the time at which this replica learnt it.
-type held struct {
+// replicaEntry is a version with the time at which this replica applied it.
+type replicaEntry struct {
 	resource.Versioned
-	learned time.Time
+	appliedAt time.Time
 }
 
 // NewReplica returns an empty replica that is not ready.
 func NewReplica(now func() time.Time) *Replica {
-	return &Replica{objects: make(map[resource.ID]held), now: now}
+	return &Replica{objects: make(map[resource.ID]replicaEntry), now: now}
 }
 
-// Subscribe adds a function that is called from Apply and its kin with the
-// versions that changed the replica, in order and never two calls at once. The
-// function may read the replica, but it must not change it and should be fast.
+// Subscribe adds a function that is called with the versions of each update of
+// the replica. Calls are made in order and never concurrently. The function may
+// read the replica, but must not update it and should return quickly.
 func (r *Replica) Subscribe(subscriber func(changed []resource.Versioned)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.subscribers = append(slices.Clone(r.subscribers), subscriber)
 }
 
-// Apply takes those versions that are news: of a higher revision than the one
-// held and above the floor. It returns the versions taken.
+// Apply stores those versions whose revision is above the floor and higher than
+// that of the replica's version. It returns the versions that were stored.
 func (r *Replica) Apply(versions ...resource.Versioned) (changed []resource.Versioned) {
-	return r.change(func() []resource.Versioned { return r.takeAll(versions, false) })
+	return r.update(func() []resource.Versioned { return r.applyVersions(versions, false) })
 }
 
-// ApplyComplete takes a complete view: all objects as they stood at the floor,
-// or later. Objects held at or below the floor that the view lacks are deleted.
-// A view older than the replica's own floor is applied like any versions.
+// ApplyComplete applies a complete view: all objects as of the floor or later.
+// Objects below the floor that the view lacks are deleted. A view older than
+// the replica's floor is applied as by Apply.
 func (r *Replica) ApplyComplete(versions []resource.Versioned, floor store.Revision) (changed []resource.Versioned) {
-	return r.change(func() []resource.Versioned {
+	return r.update(func() []resource.Versioned {
 		if r.ready && floor < r.digest.Floor {
-			return r.takeAll(versions, false)
+			return r.applyVersions(versions, false)
 		}
-		taken := r.takeAll(versions, true)
-		taken = append(taken, r.deleteAbsent(versions, floor)...)
-		r.raise(floor)
-		return taken
+		applied := r.applyVersions(versions, true)
+		applied = append(applied, r.deleteAbsent(versions, floor)...)
+		r.raiseFloor(floor)
+		return applied
 	})
 }
 
-// Repair takes versions at or below the floor as well. It mends a replica that
-// differs from another one of the same floor.
+// Repair applies versions like Apply, but also those at or below the floor. It
+// repairs a replica that differs from another one with the same floor.
 func (r *Replica) Repair(versions []resource.Versioned) (changed []resource.Versioned) {
-	return r.change(func() []resource.Versioned { return r.takeAll(versions, true) })
+	return r.update(func() []resource.Versioned { return r.applyVersions(versions, true) })
 }
 
-// Remove records that the store no longer holds the object since the revision.
+// Remove records that the object was removed from the store at the revision.
 func (r *Replica) Remove(id resource.ID, revision store.Revision) (changed []resource.Versioned) {
-	return r.change(func() []resource.Versioned {
+	return r.update(func() []resource.Versioned {
 		current, known := r.objects[id]
 		if !known || current.Deleted || revision <= current.Revision {
 			return nil
 		}
-		return []resource.Versioned{r.bury(current.Versioned, revision)}
+		return []resource.Versioned{r.putTombstone(current.Versioned, revision)}
 	})
 }
 
-// change runs a step that changes objects and tells the subscribers.
-func (r *Replica) change(step func() []resource.Versioned) []resource.Versioned {
-	r.applying.Lock()
-	defer r.applying.Unlock()
+// update runs a step that modifies objects and calls the subscribers with the
+// versions that it returns.
+func (r *Replica) update(step func() []resource.Versioned) []resource.Versioned {
+	r.updateMu.Lock()
+	defer r.updateMu.Unlock()
 	r.mu.Lock()
 	changed := step()
 	subscribers := r.subscribers
@@ -104,22 +105,22 @@
 	return changed
 }
 
-func (r *Replica) takeAll(versions []resource.Versioned, complete bool) []resource.Versioned {
-	var taken []resource.Versioned
+func (r *Replica) applyVersions(versions []resource.Versioned, complete bool) []resource.Versioned {
+	var applied []resource.Versioned
 	for _, version := range versions {
 		if !r.accepts(version, complete) {
 			continue
 		}
 		r.put(version)
-		taken = append(taken, version)
+		applied = append(applied, version)
 	}
-	return taken
+	return applied
 }
 
-// accepts decides on one version. A replica that is complete up to its floor
-// already holds what was in force there, so a version at or below the floor is
-// either held or was replaced; the one that replaced it may be a tombstone that
-// is forgotten by now. Only a complete view can show otherwise.
+// accepts reports whether a version is to be stored. The replica is complete up
+// to its floor, so a version at or below the floor is either present or was
+// replaced, possibly by a tombstone that has been collected since. Such a
+// version is accepted only from a complete view.
 func (r *Replica) accepts(version resource.Versioned, complete bool) bool {
 	if current, known := r.objects[version.ID]; known && version.Revision <= current.Revision {
 		return false
@@ -127,14 +128,15 @@
 	if version.Revision > r.digest.Floor {
 		return true
 	}
-	forgotten := version.Deleted && version.Revision <= r.digest.Collected
-	return complete && version.Revision > 0 && !forgotten
+	collected := version.Deleted && version.Revision <= r.digest.Collected
+	return complete && version.Revision > 0 && !collected
 }
 
-// deleteAbsent buries the objects that a complete view at the floor lacks. A
-// tombstone older than the version held counts as lacking: the view would hold
-// that version or a later one, had the object not been deleted by a tombstone
-// that is forgotten there.
+// deleteAbsent replaces the objects that a complete view at the floor lacks by
+// tombstones. An object for which the view has only a tombstone older than the
+// replica's version counts as absent: the view would contain that version or a
+// later one if the object had not been deleted by a tombstone that the view's
+// source has collected.
 func (r *Replica) deleteAbsent(view []resource.Versioned, floor store.Revision) []resource.Versioned {
 	present := make(map[resource.ID]struct{}, len(view))
 	for _, version := range view {
@@ -142,20 +144,20 @@
 			present[version.ID] = struct{}{}
 		}
 	}
-	var buried []resource.Versioned
+	var deleted []resource.Versioned
 	for id, current := range r.objects {
 		_, found := present[id]
 		if found || current.Deleted || current.Revision >= floor {
 			continue
 		}
-		buried = append(buried, r.bury(current.Versioned, floor))
+		deleted = append(deleted, r.putTombstone(current.Versioned, floor))
 	}
-	return buried
+	return deleted
 }
 
-// bury replaces an object by a tombstone without a history: nobody knows the
-// changes that led to it.
-func (r *Replica) bury(current resource.Versioned, revision store.Revision) resource.Versioned {
+// putTombstone replaces an object by a tombstone without a history, because the
+// changes that led to the deletion are not known.
+func (r *Replica) putTombstone(current resource.Versioned, revision store.Revision) resource.Versioned {
 	tombstone := resource.Versioned{Revision: revision}
 	tombstone.ID = current.ID
 	tombstone.Deleted = true
@@ -163,17 +165,17 @@
 	return tombstone
 }
 
-// put stores a version and keeps the digest in step.
+// put stores a version and updates the digest.
 func (r *Replica) put(version resource.Versioned) {
 	if current, known := r.objects[version.ID]; known {
-		r.toggle(current.Versioned, -1)
+		r.updateDigest(current.Versioned, -1)
 	}
-	r.objects[version.ID] = held{Versioned: version, learned: r.now()}
-	r.toggle(version, 1)
+	r.objects[version.ID] = replicaEntry{Versioned: version, appliedAt: r.now()}
+	r.updateDigest(version, 1)
 }
 
-// toggle adds a version to the digest (count 1) or takes it out (count -1).
-func (r *Replica) toggle(version resource.Versioned, count int) {
+// updateDigest adds a version to the digest (count 1) or removes it (count -1).
+func (r *Replica) updateDigest(version resource.Versioned, count int) {
 	hash := hashVersion(version.ID, version.Revision)
 	if version.Deleted {
 		r.digest.Tombstones ^= hash
@@ -183,23 +185,25 @@
 	r.digest.Count = uint32(int(r.digest.Count) + count)
 }
 
-// raise lifts the floor; it never falls.
-func (r *Replica) raise(floor store.Revision) {
+// raiseFloor raises the floor and makes the replica ready. A lower floor is
+// ignored.
+func (r *Replica) raiseFloor(floor store.Revision) {
 	r.digest.Floor = max(r.digest.Floor, floor)
 	r.ready = true
 }
 
-// SetFloor records that the replica is complete up to the revision, which
-// makes it ready. A lower floor than the present one is ignored.
+// SetFloor records that the replica is complete up to the revision and makes it
+// ready. A floor below the current one is ignored.
 func (r *Replica) SetFloor(floor store.Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.raise(floor)
+	r.raiseFloor(floor)
 }
 
-// Adopt raises the floor to that of another replica when both hold exactly the
-// same versions, which spares fetching a delta. It reports whether it did.
-func (r *Replica) Adopt(other Digest) bool {
+// AdoptFloor raises the floor to that of another replica if both have exactly
+// the same versions, which avoids fetching a delta. It reports whether the floor
+// was raised.
+func (r *Replica) AdoptFloor(other Digest) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.ready || other.Floor <= r.digest.Floor || other.Collected > r.digest.Floor {
@@ -209,33 +213,33 @@
 		return false
 	}
 	r.digest.Collected = max(r.digest.Collected, other.Collected)
-	r.raise(other.Floor)
+	r.raiseFloor(other.Floor)
 	return true
 }
 
-// ForgetTombstonesBelow records that tombstones up to the revision may be
-// missing, because the view that the replica was filled from may have lacked
-// them. Replicas with a lower floor then need a complete view from this one.
-func (r *Replica) ForgetTombstonesBelow(revision store.Revision) {
+// RaiseCollected records that tombstones up to the revision may be missing,
+// because the replica was initialized from a view that may have lacked them.
+// Replicas with a lower floor then need a complete view from this one.
+func (r *Replica) RaiseCollected(revision store.Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.digest.Collected = max(r.digest.Collected, revision)
 }
 
-// Collect forgets tombstones at or below the floor that are older than
-// TombstoneRetention and returns how many.
-func (r *Replica) Collect() int {
-	r.applying.Lock()
-	defer r.applying.Unlock()
+// CollectTombstones removes tombstones at or below the floor that are older than
+// TombstoneRetention and returns their number.
+func (r *Replica) CollectTombstones() int {
+	r.updateMu.Lock()
+	defer r.updateMu.Unlock()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	oldest := r.now().Add(-TombstoneRetention)
 	collected := 0
 	for id, current := range r.objects {
-		if !current.Deleted || current.Revision > r.digest.Floor || current.learned.After(oldest) {
+		if !current.Deleted || current.Revision > r.digest.Floor || current.appliedAt.After(oldest) {
 			continue
 		}
-		r.toggle(current.Versioned, -1)
+		r.updateDigest(current.Versioned, -1)
 		delete(r.objects, id)
 		r.digest.Collected = max(r.digest.Collected, current.Revision)
 		collected++
@@ -243,7 +247,7 @@
 	return collected
 }
 
-// Get returns the version held of an object, which may be a tombstone.
+// Get returns the newest version of an object, which may be a tombstone.
 func (r *Replica) Get(id resource.ID) (resource.Versioned, bool) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/configuration/replica_test.go
+++ b/internal/configuration/replica_test.go
@@ -12,20 +12,21 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// history is a store's past: every version of every object, in order.
+// history contains every version of every object that the store has accepted, by
+// revision.
 type history []resource.Versioned
 
 func drawHistory(t *rapid.T) history {
-	var past history
+	var drawn history
 	length := rapid.IntRange(1, 40).Draw(t, "length")
 	for revision := 1; revision <= length; revision++ {
 		name := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name")
-		past = append(past, version(name, store.Revision(revision), rapid.IntRange(0, 3).Draw(t, "kind") == 0))
+		drawn = append(drawn, version(name, store.Revision(revision), rapid.IntRange(0, 3).Draw(t, "kind") == 0))
 	}
-	return past
+	return drawn
 }
 
-// at returns what the store holds at a revision, tombstones included.
+// at returns the store's content at a revision, tombstones included.
 func (h history) at(revision store.Revision) map[resource.ID]resource.Versioned {
 	current := make(map[resource.ID]resource.Versioned)
 	for _, change := range h {
@@ -38,22 +39,22 @@
 
 func values(current map[resource.ID]resource.Versioned) []resource.Versioned {
 	var versions []resource.Versioned
-	for _, held := range current {
-		versions = append(versions, held)
+	for _, version := range current {
+		versions = append(versions, version)
 	}
 	return versions
 }
 
-// checkNeverOlder fails when the replica shows a version that is below its
-// floor's truth.
-func (h history) checkNeverOlder(t *rapid.T, replica *Replica) {
-	for id, truth := range h.at(replica.Floor()) {
-		held, known := replica.Get(id)
-		live := known && !held.Deleted
-		if live && held.Revision < truth.Revision {
-			t.Fatalf("%s at %d, though %d was in force at the floor %d", id, held.Revision, truth.Revision, replica.Floor())
+// checkNotStale fails if the replica has an older version of an object than the
+// store had at the replica's floor.
+func (h history) checkNotStale(t *rapid.T, replica *Replica) {
+	for id, expected := range h.at(replica.Floor()) {
+		actual, known := replica.Get(id)
+		live := known && !actual.Deleted
+		if live && actual.Revision < expected.Revision {
+			t.Fatalf("%s at revision %d, expected at least %d at floor %d", id, actual.Revision, expected.Revision, replica.Floor())
 		}
-		if !live && !truth.Deleted && (!known || held.Revision < truth.Revision) {
+		if !live && !expected.Deleted && (!known || actual.Revision < expected.Revision) {
 			t.Fatalf("%s is missing at floor %d", id, replica.Floor())
 		}
 	}
@@ -61,7 +62,7 @@
 
 func TestMergeStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		past := drawHistory(t)
+		accepted := drawHistory(t)
 		clock := time.Unix(1_700_000_000, 0)
 		now := func() time.Time { return clock }
 		replicas := []*Replica{NewReplica(now), NewReplica(now), NewReplica(now)}
@@ -72,56 +73,56 @@
 			replica.Subscribe(func(changed []resource.Versioned) {
 				for _, version := range changed {
 					if version.Revision <= revisions[version.ID] {
-						t.Fatalf("%s went from %d to %d", version.ID, revisions[version.ID], version.Revision)
+						t.Fatalf("%s changed from revision %d to %d", version.ID, revisions[version.ID], version.Revision)
 					}
 					revisions[version.ID] = version.Revision
 				}
 			})
 		}
-		pick := func() *Replica { return rapid.SampledFrom(replicas).Draw(t, "replica") }
+		drawReplica := func() *Replica { return rapid.SampledFrom(replicas).Draw(t, "replica") }
 		t.Repeat(map[string]func(*rapid.T){
 			"push": func(t *rapid.T) {
-				pick().Apply(rapid.SliceOfN(rapid.SampledFrom(past), 1, 5).Draw(t, "versions")...)
+				drawReplica().Apply(rapid.SliceOfN(rapid.SampledFrom(accepted), 1, 5).Draw(t, "versions")...)
 			},
 			"list": func(t *rapid.T) {
-				revision := rapid.SampledFrom(past).Draw(t, "at").Revision
-				pick().ApplyComplete(values(past.at(revision)), revision)
+				revision := rapid.SampledFrom(accepted).Draw(t, "at").Revision
+				drawReplica().ApplyComplete(values(accepted.at(revision)), revision)
 			},
 			"list without tombstones": func(t *rapid.T) {
-				revision := rapid.SampledFrom(past).Draw(t, "at").Revision
-				replica := pick()
-				view := past.at(revision)
+				revision := rapid.SampledFrom(accepted).Draw(t, "at").Revision
+				replica := drawReplica()
+				view := accepted.at(revision)
 				for id, version := range view {
 					if version.Deleted {
 						delete(view, id)
 					}
 				}
-				replica.ForgetTombstonesBelow(revision)
+				replica.RaiseCollected(revision)
 				replica.ApplyComplete(values(view), revision)
 			},
-			"pull": func(t *rapid.T) { pullInMemory(pick(), pick()) },
+			"pull": func(t *rapid.T) { pullInMemory(drawReplica(), drawReplica()) },
 			"adopt": func(t *rapid.T) {
-				pick().Adopt(pick().Digest())
+				drawReplica().AdoptFloor(drawReplica().Digest())
 			},
 			"collect": func(*rapid.T) {
 				clock = clock.Add(TombstoneRetention)
-				pick().Collect()
+				drawReplica().CollectTombstones()
 			},
 			"": func(t *rapid.T) {
 				for _, replica := range replicas {
-					past.checkNeverOlder(t, replica)
+					accepted.checkNotStale(t, replica)
 					checkDigest(t, replica)
 				}
 			},
 		})
 		for _, replica := range replicas {
-			end := past[len(past)-1].Revision
-			replica.ApplyComplete(values(past.at(end)), end)
-			for id, truth := range past.at(end) {
-				held, known := replica.Get(id)
-				assert.Equal(t, known && !held.Deleted, !truth.Deleted, "%s", id)
-				if !truth.Deleted {
-					assert.Equal(t, held.Revision, truth.Revision)
+			end := accepted[len(accepted)-1].Revision
+			replica.ApplyComplete(values(accepted.at(end)), end)
+			for id, expected := range accepted.at(end) {
+				actual, known := replica.Get(id)
+				assert.Equal(t, known && !actual.Deleted, !expected.Deleted, "%s", id)
+				if !expected.Deleted {
+					assert.Equal(t, actual.Revision, expected.Revision)
 				}
 			}
 			assert.Assert(t, replica.Digest().sameObjects(replicas[0].Digest()))
@@ -129,7 +130,7 @@
 	})
 }
 
-// pullInMemory does what a pull over the network does.
+// pullInMemory does the same as a pull over the network.
 func pullInMemory(from, to *Replica) {
 	if to.Ready() && canServeDelta(from.Digest(), to.Floor()) {
 		delta := from.Since(to.Floor(), 0)
@@ -144,23 +145,23 @@
 		to.Apply(delta.Versions...)
 		return
 	}
-	to.ForgetTombstonesBelow(delta.Digest.Collected)
+	to.RaiseCollected(delta.Digest.Collected)
 	to.ApplyComplete(delta.Versions, delta.Digest.Floor)
 }
 
 func checkDigest(t *rapid.T, replica *Replica) {
-	var want Digest
+	var expected Digest
 	for _, version := range replica.Snapshot().Versions {
 		hash := hashVersion(version.ID, version.Revision)
 		if version.Deleted {
-			want.Tombstones ^= hash
+			expected.Tombstones ^= hash
 			continue
 		}
-		want.Sum ^= hash
-		want.Count++
+		expected.Sum ^= hash
+		expected.Count++
 	}
-	got := replica.Digest()
-	assert.Assert(t, got.sameObjects(want) && got.Tombstones == want.Tombstones)
+	actual := replica.Digest()
+	assert.Assert(t, actual.sameObjects(expected) && actual.Tombstones == expected.Tombstones)
 }
 
 func TestDeletionsStay(t *testing.T) {
@@ -169,10 +170,10 @@
 	replica.Apply(version("a", 3, true))
 	assert.Equal(t, len(replica.Apply(version("a", 2, false))), 0)
 	clock = clock.Add(2 * TombstoneRetention)
-	assert.Equal(t, replica.Collect(), 0, "above the floor")
+	assert.Equal(t, replica.CollectTombstones(), 0, "above the floor")
 	replica.SetFloor(5)
-	assert.Equal(t, replica.Collect(), 1)
-	assert.Equal(t, len(replica.Apply(version("a", 2, false))), 0, "still refused once forgotten")
+	assert.Equal(t, replica.CollectTombstones(), 1)
+	assert.Equal(t, len(replica.Apply(version("a", 2, false))), 0, "still rejected after the tombstone was collected")
 	assert.Equal(t, len(replica.Apply(version("a", 6, false))), 1)
 	assert.Equal(t, len(replica.List(resource.KindService)), 1)
 }
@@ -198,28 +199,28 @@
 	build := func(floor, collected store.Revision, versions ...resource.Versioned) *Replica {
 		replica := NewReplica(time.Now)
 		replica.ApplyComplete(versions, floor)
-		replica.ForgetTombstonesBelow(collected)
+		replica.RaiseCollected(collected)
 		return replica
 	}
-	live, dead := version("a", 1, false), version("b", 2, true)
+	live, deleted := version("a", 1, false), version("b", 2, true)
 	cases := []struct {
-		name  string
-		other *Replica
-		want  bool
+		name    string
+		other   *Replica
+		adopted bool
 	}{
-		{"same versions", build(9, 0, live, dead), true},
-		{"same versions, older tombstones forgotten", build(9, 4, live, dead), true},
-		{"tombstones above the floor forgotten", build(9, 6, live, dead), false},
-		{"another tombstone", build(9, 0, live, dead, version("c", 3, true)), false},
-		{"another object", build(9, 0, live, dead, version("c", 3, false)), false},
-		{"lower floor", build(4, 0, live, dead), false},
+		{"same versions", build(9, 0, live, deleted), true},
+		{"same versions, older tombstones collected", build(9, 4, live, deleted), true},
+		{"tombstones above the floor collected", build(9, 6, live, deleted), false},
+		{"another tombstone", build(9, 0, live, deleted, version("c", 3, true)), false},
+		{"another object", build(9, 0, live, deleted, version("c", 3, false)), false},
+		{"lower floor", build(4, 0, live, deleted), false},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			replica := build(5, 0, live, dead)
-			assert.Equal(t, replica.Adopt(test.other.Digest()), test.want)
-			assert.Equal(t, replica.Floor() == 9, test.want)
-			if test.want {
+			replica := build(5, 0, live, deleted)
+			assert.Equal(t, replica.AdoptFloor(test.other.Digest()), test.adopted)
+			assert.Equal(t, replica.Floor() == 9, test.adopted)
+			if test.adopted {
 				assert.Equal(t, replica.Digest().Collected, test.other.Digest().Collected)
 			}
 		})
@@ -248,17 +249,17 @@
 	now := func() time.Time { return clock }
 	drains := NewEmergencyDrains(now)
 	assert.Assert(t, drains.Mark("target.a"))
-	assert.Assert(t, !drains.Mark("a"), "not a drain's name")
+	assert.Assert(t, !drains.Mark("a"), "invalid drain name")
 	clock = clock.Add(EmergencyDrainTTL / 2)
-	assert.Assert(t, !drains.Merge(map[string]time.Time{"target.a": clock.Add(time.Minute)}), "known already")
-	assert.Equal(t, drains.Marks()["target.a"], clock.Add(EmergencyDrainTTL/2), "the later expiry holds")
+	assert.Assert(t, !drains.Merge(map[string]time.Time{"target.a": clock.Add(time.Minute)}), "not a new name")
+	assert.Equal(t, drains.Expiries()["target.a"], clock.Add(EmergencyDrainTTL/2), "the later expiry wins")
 	assert.Assert(t, drains.Merge(map[string]time.Time{"machine.m": clock.Add(time.Hour), "target.old": clock}))
-	assert.Equal(t, drains.Marks()["machine.m"], clock.Add(EmergencyDrainTTL), "clipped")
+	assert.Equal(t, drains.Expiries()["machine.m"], clock.Add(EmergencyDrainTTL), "clipped")
 	assert.Assert(t, !drains.Drained("target.old"))
 	clock = clock.Add(EmergencyDrainTTL)
 	assert.Assert(t, !drains.Drained("target.a") && drains.Sum() == 0)
 	for number := range 2 * MaxEmergencyDrains {
 		drains.Mark(fmt.Sprint("target.t", number))
 	}
-	assert.Equal(t, len(drains.Marks()), MaxEmergencyDrains)
+	assert.Equal(t, len(drains.Expiries()), MaxEmergencyDrains)
 }
--- a/internal/configuration/resolve.go
+++ b/internal/configuration/resolve.go
@@ -10,31 +10,32 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Resolution says what is certain about a change.
+// Resolution is the known outcome of a change.
 type Resolution string
 
 // The resolutions of a change.
 const (
 	// Accepted: the change was accepted; later changes may have replaced it.
 	Accepted Resolution = "accepted"
-	// Refused: the change is not in force and can never take effect.
+	// Refused: the change did not take effect and never will.
 	Refused Resolution = "refused"
-	// Undetermined: nothing is certain; the change may still take effect, or the
-	// object's history no longer reaches back to it.
+	// Undetermined: the outcome is not known; the change may still take effect,
+	// or the object's history no longer reaches back to it.
 	Undetermined Resolution = "undetermined"
 )
 
-// Resolve says what became of a change that was made against the expected
-// revision, by reading the store. Give UnknownError.Expected, if there was one,
-// and else the revision that the write was given. The revision returned is that
-// of the accepted change. With the expected revision zero, a refusal is certain
-// provided that no node still works on the write, that is, once the write's
-// call has returned or its deadline has passed; with any other revision it is
-// certain at once. The error says that the store was not read; the resolution
-// then rests on the replica alone.
+// Resolve determines the outcome of a change that was made against the expected
+// revision, from the replica or else by reading the store. Pass
+// UnknownError.Expected if the write returned one, and otherwise the revision
+// that was passed to the write. The returned revision is that of the accepted
+// change. With an expected revision of zero, Refused is final only if no node
+// still processes the write, that is, once the call has returned or its deadline
+// has passed; with any other revision it is final at once. An error means that
+// the store could not be read and the replica alone did not determine the
+// outcome.
 func (w *Writer) Resolve(ctx context.Context, id resource.ID, changeID string, expected store.Revision) (Resolution, store.Revision, error) {
-	if known, ok := w.replica.Get(id); ok {
-		if resolution, revision := judge(known, changeID, expected); resolution != Undetermined {
+	if cached, ok := w.replica.Get(id); ok {
+		if resolution, revision := resolveFromHistory(cached, changeID, expected); resolution != Undetermined {
 			return resolution, revision, nil
 		}
 	}
@@ -42,21 +43,21 @@
 	if err != nil {
 		return Undetermined, 0, oops.In("configuration").With("step", "resolve change").With("change", changeID).Wrap(err)
 	}
-	resolution, revision := judge(current, changeID, expected)
+	resolution, revision := resolveFromHistory(current, changeID, expected)
 	return resolution, revision, nil
 }
 
-// judge decides from an object's accepted version. Every entry of the history
-// names the revision that it replaced, so the entry that replaced the expected
-// revision is the one that won it: the store accepts one change against a
-// revision and no more. When the entry is another change's, this change has
-// lost for good; when the history does not reach back to it, nothing is certain.
-func judge(current resource.Versioned, changeID string, expected store.Revision) (Resolution, store.Revision) {
+// resolveFromHistory determines the outcome of a change from an object's accepted
+// version. Every entry of the history contains the revision that it replaced,
+// and the store accepts at most one change against a revision. If another change
+// replaced the expected revision, this change can never take effect; if the
+// history does not reach back to that revision, the outcome is undetermined.
+func resolveFromHistory(current resource.Versioned, changeID string, expected store.Revision) (Resolution, store.Revision) {
 	if revision, found := acceptedAt(current, changeID); found {
 		return Accepted, revision
 	}
 	if expected == 0 {
-		return judgeCreation(current), 0
+		return resolveCreation(current), 0
 	}
 	for _, change := range current.History {
 		if change.Replaces == expected {
@@ -66,25 +67,25 @@
 	return Undetermined, 0
 }
 
-// judgeCreation decides on a change that creates an object and is not in the
-// history. It was made against no version or against a deletion; while the
-// object exists, no such revision is the object's current one.
-func judgeCreation(current resource.Versioned) Resolution {
+// resolveCreation determines the outcome of a change that creates an object and is
+// not in the history. It was made against no version or against a deletion,
+// neither of which is the current version while the object exists.
+func resolveCreation(current resource.Versioned) Resolution {
 	exists := current.Revision != 0 && !current.Deleted
-	if exists && wholeHistory(current) {
+	if exists && isHistoryComplete(current) {
 		return Refused
 	}
 	return Undetermined
 }
 
-// wholeHistory reports whether no change has been cut off the history.
-func wholeHistory(current resource.Versioned) bool {
+// isHistoryComplete reports whether the history has not been truncated.
+func isHistoryComplete(current resource.Versioned) bool {
 	length := len(current.History)
 	return length > 0 && current.History[length-1].Replaces == 0
 }
 
 // acceptedAt returns the revision at which a change in the history was
-// accepted: the one that its successor replaced.
+// accepted, which is the revision that the next change replaced.
 func acceptedAt(current resource.Versioned, changeID string) (store.Revision, bool) {
 	for index, change := range current.History {
 		if change.ID != changeID {
--- a/internal/configuration/server.go
+++ b/internal/configuration/server.go
@@ -2,9 +2,9 @@
 
 import "net/http"
 
-// maxServing bounds the pulls served at the same time; the others are refused
-// and go to another peer.
-const maxServing = 8
+// maxConcurrentPulls limits the pulls served concurrently; further pulls are
+// rejected and can be sent to another peer.
+const maxConcurrentPulls = 8
 
 // Register adds the peer endpoints to the mux of the peer listener.
 func (s *Spreader) Register(mux *http.ServeMux) {
@@ -14,8 +14,8 @@
 
 func (s *Spreader) serveSince(w http.ResponseWriter, r *http.Request) {
 	select {
-	case s.serving <- struct{}{}:
-		defer func() { <-s.serving }()
+	case s.pullSlots <- struct{}{}:
+		defer func() { <-s.pullSlots }()
 	default:
 		w.Header().Set("Retry-After", "1")
 		http.Error(w, "too many pulls", http.StatusServiceUnavailable)
@@ -26,7 +26,7 @@
 		return
 	}
 	s.mergeDrains(request.Drains, 0)
-	response, err := s.answer(request)
+	response, err := s.sinceResponse(request)
 	if err != nil {
 		s.options.Log.WithError(err).Error("cannot serve a pull")
 		http.Error(w, "cannot encode versions", http.StatusInternalServerError)
@@ -49,7 +49,7 @@
 	}
 	changed := s.replica.Apply(versions...)
 	if next := max(message.Hops, 0) + 1; next < maxHops {
-		s.news.addVersions(changed, next)
+		s.pushQueue.addVersions(changed, next)
 	}
 	s.mergeDrains(message.Drains, max(message.Hops, 0)+1)
 	w.WriteHeader(http.StatusNoContent)
@@ -64,36 +64,36 @@
 	return err == nil
 }
 
-// answer makes one page for a pull.
-func (s *Spreader) answer(request sinceRequest) (sinceResponse, error) {
+// sinceResponse returns one page of the response to a pull.
+func (s *Spreader) sinceResponse(request sinceRequest) (sinceResponse, error) {
 	base := request.Floor
 	if request.Full {
 		base = 0
 	}
 	delta := s.replica.Since(max(base, request.After-1), 0)
-	delta.skip(request.After, request.AfterKey)
-	response := sinceResponse{Digest: delta.Digest, Ready: delta.Ready, Drains: encodeMarks(s.drains.Marks())}
+	delta.skipThrough(request.After, request.AfterKey)
+	response := sinceResponse{Digest: delta.Digest, Ready: delta.Ready, Drains: encodeDrains(s.drains.Expiries())}
 	response.Digest.Drains = s.drains.Sum()
 	if !request.Full && !canServeDelta(delta.Digest, request.Floor) {
 		response.FullRequired = true
 		return response, nil
 	}
-	left := len(delta.Versions)
+	remaining := len(delta.Versions)
 	if request.Max > 0 {
-		delta.Versions = delta.Versions[:min(left, request.Max)]
+		delta.Versions = delta.Versions[:min(remaining, request.Max)]
 	}
 	entries, count, err := encodeVersions(delta.Versions)
 	response.Entries = entries
-	response.More = count < left
+	response.More = count < remaining
 	return response, err
 }
 
-// mergeDrains takes marks from a peer and passes new ones on.
-func (s *Spreader) mergeDrains(marks []mark, hops int) {
-	if len(marks) > MaxEmergencyDrains {
+// mergeDrains merges the emergency drains of a peer and forwards new ones.
+func (s *Spreader) mergeDrains(drains []drainEntry, hops int) {
+	if len(drains) > MaxEmergencyDrains {
 		return
 	}
-	if s.drains.Merge(decodeMarks(marks)) && hops < maxHops {
-		s.news.addDrains(hops)
+	if s.drains.Merge(decodeDrains(drains)) && hops < maxHops {
+		s.pushQueue.addDrains(hops)
 	}
 }
--- a/internal/configuration/source.go
+++ b/internal/configuration/source.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// maxSources bounds the peers remembered as sources.
+	// maxSources limits the number of sources.
 	maxSources = 64
-	// sourceLifetime is how long a received digest is worth a pull.
+	// sourceLifetime is how long a received digest may trigger a pull.
 	sourceLifetime = 15 * time.Second
 )
 
-// source is a peer whose digest showed something to learn.
+// source is a peer whose digest showed that it may have newer versions.
 type source struct {
-	member Member
-	digest Digest
-	seen   time.Time
+	member     Member
+	digest     Digest
+	receivedAt time.Time
 }
 
-// sourceSet remembers the peers to pull from. It is safe for concurrent use.
+// sourceSet holds the peers to pull from. It is safe for concurrent use.
 type sourceSet struct {
 	signal chan struct{}
 	now    func() time.Time
@@ -35,33 +35,33 @@
 	return &sourceSet{signal: make(chan struct{}, 1), now: now, sources: make(map[string]source)}
 }
 
-// add remembers a peer, if there is room or it is known already.
+// add adds or updates a peer. A new peer is dropped if the set is full.
 func (s *sourceSet) add(member Member, digest Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, known := s.sources[member.Name]; !known && len(s.sources) >= maxSources {
 		return
 	}
-	s.sources[member.Name] = source{member: member, digest: digest, seen: s.now()}
-	s.wake()
+	s.sources[member.Name] = source{member: member, digest: digest, receivedAt: s.now()}
+	s.notify()
 }
 
-func (s *sourceSet) wake() {
+func (s *sourceSet) notify() {
 	select {
 	case s.signal <- struct{}{}:
 	default:
 	}
 }
 
-// choose takes out a random source that still has something to learn. Sources
-// that can serve a delta go first.
-func (s *sourceSet) choose(own Digest) (source, bool) {
+// choose removes and returns a random source that may still have newer versions.
+// Sources that can serve a delta are preferred.
+func (s *sourceSet) choose(local Digest) (source, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.expire(own)
+	s.expire(local)
 	var delta, complete []source
 	for _, candidate := range s.sources {
-		if canServeDelta(candidate.digest, own.Floor) {
+		if canServeDelta(candidate.digest, local.Floor) {
 			delta = append(delta, candidate)
 			continue
 		}
@@ -78,18 +78,18 @@
 	return chosen, true
 }
 
-// expire drops sources that are old or have nothing to learn any more.
-func (s *sourceSet) expire(own Digest) {
+// expire removes sources that are too old or no longer have newer versions.
+func (s *sourceSet) expire(local Digest) {
 	oldest := s.now().Add(-sourceLifetime)
 	for name, candidate := range s.sources {
-		if candidate.seen.Before(oldest) || !own.wants(candidate.digest) {
+		if candidate.receivedAt.Before(oldest) || !local.shouldPull(candidate.digest) {
 			delete(s.sources, name)
 		}
 	}
 }
 
 // canServeDelta reports whether a replica still has all tombstones above a
-// floor.
+// floor, so that a delta is sufficient.
 func canServeDelta(digest Digest, floor store.Revision) bool { return digest.Collected <= floor }
 
 // pending reports whether sources are left.
--- a/internal/configuration/status.go
+++ b/internal/configuration/status.go
@@ -7,7 +7,7 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// counters count the spreader's work since its start.
+// counters are the counters of Traffic.
 type counters struct {
 	lists, watches, polls    atomic.Int64
 	pulls, fullPulls, served atomic.Int64
@@ -15,36 +15,36 @@
 	sentBytes, receivedBytes atomic.Int64
 }
 
-// watchStatus is what the node knows of the store.
+// watchStatus is the state of this node's connection to the store.
 type watchStatus struct {
-	watching bool
-	lastErr  string
-	contact  time.Time
+	watching    bool
+	lastErr     string
+	lastContact time.Time
 }
 
-// Status is the state of a node's configuration, for operators.
+// Status is the state of a node's configuration as shown to operators.
 type Status struct {
-	// Ready says that the node has had a complete view.
+	// Ready is set once the node has had a complete view.
 	Ready bool `json:"ready"`
 	// Floor is the revision up to which the replica is complete.
 	Floor store.Revision `json:"floor"`
-	// Newest is the highest revision held.
+	// Newest is the highest revision in the replica.
 	Newest store.Revision `json:"newest"`
-	// Objects counts the objects in force.
+	// Objects is the number of objects that are not deleted.
 	Objects int `json:"objects"`
-	// Watching says that this node is one of its zone's watchers of the store.
+	// Watching is set if this node is one of its zone's watchers of the store.
 	Watching bool `json:"watching"`
-	// StoreContact is when this node last heard from the store; zero if never.
+	// StoreContact is the time of the store's last successful response to this
+	// node; zero if there was none.
 	StoreContact time.Time `json:"store_contact"`
-	// StoreError is the last error since then; empty if none.
+	// StoreError is the last error since StoreContact; empty if there was none.
 	StoreError string `json:"store_error,omitempty"`
-	// EmergencyDrains are the names marked without the store, with expiries.
+	// EmergencyDrains are the names of the emergency drains with their expiries.
 	EmergencyDrains map[string]time.Time `json:"emergency_drains,omitempty"`
-	// Traffic counts the work since the node's start.
-	Traffic Traffic `json:"traffic"`
+	Traffic         Traffic              `json:"traffic"`
 }
 
-// Traffic counts a spreader's requests and bytes since its start.
+// Traffic counts the requests and bytes of a Spreader since its start.
 type Traffic struct {
 	StoreLists    int64 `json:"store_lists"`
 	StoreWatches  int64 `json:"store_watches"`
@@ -60,7 +60,6 @@
 	ReceivedBytes int64 `json:"received_bytes"`
 }
 
-// Status returns the node's state.
 func (s *Spreader) Status() Status {
 	digest := s.replica.Digest()
 	s.mu.Lock()
@@ -69,12 +68,12 @@
 	return Status{
 		Ready:           s.replica.Ready(),
 		Floor:           digest.Floor,
-		Newest:          s.replica.newest(),
+		Newest:          s.replica.newestRevision(),
 		Objects:         int(digest.Count),
 		Watching:        watch.watching,
-		StoreContact:    watch.contact,
+		StoreContact:    watch.lastContact,
 		StoreError:      watch.lastErr,
-		EmergencyDrains: s.drains.Marks(),
+		EmergencyDrains: s.drains.Expiries(),
 		Traffic:         s.counters.traffic(),
 	}
 }
@@ -101,15 +100,16 @@
 	s.status.watching = watching
 }
 
-func (s *Spreader) noteStoreContact() {
+func (s *Spreader) recordStoreContact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.status.contact = s.options.Now()
+	s.status.lastContact = s.options.Now()
 	s.status.lastErr = ""
 }
 
-// noteStoreError logs an error of the store when it is not the last one again.
-func (s *Spreader) noteStoreError(err error) {
+// recordStoreError records an error of the store and logs it unless it equals
+// the previous one.
+func (s *Spreader) recordStoreError(err error) {
 	if err == nil {
 		return
 	}
@@ -118,6 +118,6 @@
 	s.status.lastErr = err.Error()
 	s.mu.Unlock()
 	if !repeated {
-		s.options.Log.WithError(err).Warn("configuration store not usable; the replica stays in force")
+		s.options.Log.WithError(err).Warn("configuration store unavailable; continuing with the replica")
 	}
 }
--- a/internal/configuration/store_test.go
+++ b/internal/configuration/store_test.go
@@ -15,40 +15,41 @@
 	"github.com/lugspur/lugspur/internal/store/memory"
 )
 
-// lostAnswer says what a compare-and-swap whose answer is lost does.
-type lostAnswer int
+// swapFault is the fault that is injected into a compare-and-swap.
+type swapFault int
 
 const (
-	answered lostAnswer = iota
-	lostWithEffect
-	lostWithoutEffect
-	lostWithLateEffect
-	refusedUnavailable
+	noFault swapFault = iota
+	lostAfterApply
+	lostBeforeApply
+	appliedLate
+	notSent
 )
 
-// faultyStore is a memory store that can be taken down and that loses answers.
+// faultyStore is an in-memory store that can be made unavailable and that injects
+// faults into requests.
 type faultyStore struct {
 	store.Store
 	lists, polls, gets, swaps, watches, watching atomic.Int64
 
-	mu       sync.Mutex
-	faults   []lostAnswer
-	late     []func()
-	down     bool
-	loseGets bool
-	goneDown chan struct{}
+	mu           sync.Mutex
+	faults       []swapFault
+	delayedSwaps []func()
+	down         bool
+	failGets     bool
+	downSignal   chan struct{}
 }
 
 func newFaultyStore() *faultyStore {
-	return &faultyStore{Store: memory.New(time.Now), goneDown: make(chan struct{})}
+	return &faultyStore{Store: memory.New(time.Now), downSignal: make(chan struct{})}
 }
 
 func (f *faultyStore) setDown(down bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if down && !f.down {
-		close(f.goneDown)
-		f.goneDown = make(chan struct{})
+		close(f.downSignal)
+		f.downSignal = make(chan struct{})
 	}
 	f.down = down
 }
@@ -56,49 +57,49 @@
 func (f *faultyStore) state() (down bool, goneDown chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.down, f.goneDown
+	return f.down, f.downSignal
 }
 
-func (f *faultyStore) lose(faults ...lostAnswer) {
+func (f *faultyStore) injectFaults(faults ...swapFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = append(f.faults, faults...)
 }
 
-func (f *faultyStore) setLoseGets(lose bool) {
+func (f *faultyStore) setFailGets(fail bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loseGets = lose
+	f.failGets = fail
 }
 
-func (f *faultyStore) nextFault() lostAnswer {
+func (f *faultyStore) nextFault() swapFault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.faults) == 0 {
-		return answered
+		return noFault
 	}
 	fault := f.faults[0]
 	f.faults = f.faults[1:]
 	return fault
 }
 
-// runLate lets the writes whose effect is late take effect now.
-func (f *faultyStore) runLate() {
+// runDelayedSwaps applies the delayed compare-and-swaps.
+func (f *faultyStore) runDelayedSwaps() {
 	f.mu.Lock()
-	late := f.late
-	f.late = nil
+	delayed := f.delayedSwaps
+	f.delayedSwaps = nil
 	f.mu.Unlock()
-	for _, run := range late {
-		run()
+	for _, swap := range delayed {
+		swap()
 	}
 }
 
 func (f *faultyStore) Get(ctx context.Context, key string) (store.Entry, error) {
 	f.gets.Add(1)
 	f.mu.Lock()
-	lost := f.loseGets || f.down
+	unavailable := f.failGets || f.down
 	f.mu.Unlock()
-	if lost {
+	if unavailable {
 		return store.Entry{}, store.ErrUnavailable
 	}
 	return f.Store.Get(ctx, key)
@@ -122,17 +123,17 @@
 		return 0, store.ErrUnavailable
 	}
 	switch f.nextFault() {
-	case lostWithEffect:
+	case lostAfterApply:
 		_, _ = f.Store.CompareAndSwap(ctx, key, expected, value, lease)
 		return 0, store.ErrUnknownOutcome
-	case lostWithoutEffect:
+	case lostBeforeApply:
 		return 0, store.ErrUnknownOutcome
-	case refusedUnavailable:
+	case notSent:
 		return 0, store.ErrUnavailable
-	case lostWithLateEffect:
+	case appliedLate:
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.late = append(f.late, func() {
+		f.delayedSwaps = append(f.delayedSwaps, func() {
 			_, _ = f.Store.CompareAndSwap(context.Background(), key, expected, value, lease)
 		})
 		return 0, store.ErrUnknownOutcome
@@ -164,20 +165,20 @@
 	return err
 }
 
-// quietLog drops the log.
-func quietLog() logrus.FieldLogger {
+// discardLog discards all entries.
+func discardLog() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
 	return log
 }
 
-// eventually polls a condition up to a generous deadline.
-func eventually(t testing.TB, what string, condition func() bool) {
+// eventually polls a condition and fails the test after 30 s.
+func eventually(t testing.TB, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(30 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not reached: %s", what)
+			t.Fatalf("condition not reached: %s", description)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
@@ -187,7 +188,8 @@
 	return resource.ID{Kind: resource.KindService, Name: name}
 }
 
-// service returns an envelope that tells versions apart by their timeout.
+// service returns an envelope of a service; different timeouts distinguish
+// versions.
 func service(name string, timeout int) resource.Envelope {
 	return resource.Envelope{ID: serviceID(name), Service: &resource.Service{TimeoutMillis: timeout}}
 }
--- /dev/null
+++ b/internal/configuration/syncer.go
@@ -0,0 +1,96 @@
+package configuration
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/lugspur/lugspur/internal/pause"
+	"github.com/lugspur/lugspur/internal/resource"
+)
+
+// collectInterval is the interval of the garbage collection of tombstones.
+const collectInterval = 10 * time.Minute
+
+// Spreader keeps a replica in sync with the store and with peers, and pushes
+// new versions to peers. It is safe for concurrent use.
+type Spreader struct {
+	options      Options
+	replica      *Replica
+	drains       *EmergencyDrains
+	pushQueue    *pushQueue
+	sources      *sourceSet
+	pullSlots    chan struct{}
+	pushSlots    chan struct{}
+	relistSignal chan struct{}
+
+	counters counters
+
+	mu     sync.Mutex
+	status watchStatus
+	// lastFullPull is used only by the goroutine of pullLoop.
+	lastFullPull time.Time
+}
+
+// NewSpreader returns a Spreader that is inactive until Run is called.
+func NewSpreader(options Options, replica *Replica) *Spreader {
+	options = options.withDefaults()
+	return &Spreader{
+		options:      options,
+		replica:      replica,
+		drains:       NewEmergencyDrains(options.Now),
+		pushQueue:    newPushQueue(),
+		sources:      newSourceSet(options.Now),
+		pullSlots:    make(chan struct{}, maxConcurrentPulls),
+		pushSlots:    make(chan struct{}, maxConcurrentPushes),
+		relistSignal: make(chan struct{}, 1),
+	}
+}
+
+func (s *Spreader) Replica() *Replica { return s.replica }
+
+// Ready reports whether the node has ever had a complete view of the
+// configuration.
+func (s *Spreader) Ready() bool { return s.replica.Ready() }
+
+// EmergencyDrains returns the emergency drains replicated between nodes.
+func (s *Spreader) EmergencyDrains() *EmergencyDrains { return s.drains }
+
+// MarkDrain adds an emergency drain of a target or machine without using the
+// store, and pushes it to peers at once. It reports whether the drain was added.
+func (s *Spreader) MarkDrain(name string) bool {
+	added := s.drains.Mark(name)
+	if added {
+		s.pushQueue.addDrains(0)
+	}
+	return added
+}
+
+// Digest returns the digest to send by gossip, including the emergency drains.
+func (s *Spreader) Digest() Digest {
+	digest := s.replica.Digest()
+	digest.Drains = s.drains.Sum()
+	return digest
+}
+
+// Announce queues versions that were accepted by or read from the store for the
+// next push to peers. It does not block.
+func (s *Spreader) Announce(versions ...resource.Versioned) {
+	s.pushQueue.addVersions(versions, 0)
+}
+
+// Run synchronizes the replica until the context ends. It returns when all its
+// goroutines have ended.
+func (s *Spreader) Run(ctx context.Context) {
+	var running sync.WaitGroup
+	for _, loop := range []func(context.Context){s.superviseWatch, s.pullLoop, s.pushLoop, s.pollLoop, s.collectLoop} {
+		running.Go(func() { loop(ctx) })
+	}
+	running.Wait()
+}
+
+func (s *Spreader) collectLoop(ctx context.Context) {
+	for pause.For(ctx, collectInterval) {
+		s.replica.CollectTombstones()
+	}
+}
--- a/internal/configuration/watch.go
+++ b/internal/configuration/watch.go
@@ -12,30 +12,31 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// maxAnnouncedList bounds how many versions out of one list are passed on; a
-// longer list is left to pulls.
-const maxAnnouncedList = 64
+// maxForwardedVersions limits how many versions of one list or pull are pushed
+// to peers; peers get larger sets by pulling.
+const maxForwardedVersions = 64
 
-// errStoreBehind means that the store's revision is below what the node
-// already knows to be in force: it was restored from an old copy.
+// errStoreBehind means that the store's revision is below the replica's floor,
+// because the store was restored from an old backup.
 var errStoreBehind = errors.New("store revision is behind the accepted configuration")
 
-// superviseWatch starts and stops the watch as the node's duty changes.
+// superviseWatch starts the watch when the node becomes a watcher and stops it
+// when the node no longer is one.
 func (s *Spreader) superviseWatch(ctx context.Context) {
 	started := s.options.Now()
 	stop := func() {}
 	watching := false
 	for {
-		onDuty := s.onDuty(started)
-		if onDuty != watching {
+		isWatcher := s.shouldWatch(started)
+		if isWatcher != watching {
 			stop()
 			stop = func() {}
 		}
-		if onDuty && !watching {
+		if isWatcher && !watching {
 			stop = s.startWatch(ctx)
 		}
-		watching = onDuty
-		interval := s.options.DutyInterval/2 + jitter(s.options.DutyInterval/2)
+		watching = isWatcher
+		interval := s.options.WatcherCheckInterval/2 + jitter(s.options.WatcherCheckInterval/2)
 		if !pause.For(ctx, interval) {
 			stop()
 			return
@@ -43,20 +44,20 @@
 	}
 }
 
-// onDuty reports whether the node must watch the store now. A node that has no
-// configuration yet and knows peers tries them first, so that a mesh that
-// starts as a whole does not fall upon the store.
-func (s *Spreader) onDuty(started time.Time) bool {
+// shouldWatch reports whether the node is to watch the store now. A node that
+// has no configuration yet tries its peers first, if it has any, so that a mesh
+// whose nodes all start at once does not overload the store.
+func (s *Spreader) shouldWatch(started time.Time) bool {
 	members := s.options.Membership.Members()
-	if !OnDuty(s.options.Self, members, s.options.WatchersPerZone) {
+	if !IsWatcher(s.options.Self, members, s.options.WatchersPerZone) {
 		return false
 	}
-	alone := len(s.options.Seeds) == 0 && len(livePeers(s.options.Self.Name, members)) == 0
-	return alone || s.replica.Ready() || s.options.Now().Sub(started) >= s.options.StartupGrace
+	noPeers := len(s.options.Seeds) == 0 && len(livePeers(s.options.Self.Name, members)) == 0
+	return noPeers || s.replica.Ready() || s.options.Now().Sub(started) >= s.options.StartupGrace
 }
 
-// startWatch runs the watch until the returned function is called, which
-// waits for its end.
+// startWatch starts the watch. The returned function stops it and waits for its
+// end.
 func (s *Spreader) startWatch(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
@@ -73,7 +74,7 @@
 func (s *Spreader) watchLoop(ctx context.Context) {
 	s.setWatching(true)
 	defer s.setWatching(false)
-	pause := newBackoff(s.options.MinBackoff, s.options.MaxBackoff)
+	retry := newBackoff(s.options.MinBackoff, s.options.MaxBackoff)
 	list := !s.replica.Ready()
 	for ctx.Err() == nil {
 		started := time.Now()
@@ -81,22 +82,22 @@
 		if ctx.Err() != nil {
 			return
 		}
-		s.noteStoreError(err)
+		s.recordStoreError(err)
 		list = !s.replica.Ready() || errors.Is(err, store.ErrCompacted) || errors.Is(err, errRelist)
 		if time.Since(started) > s.options.MaxBackoff || errors.Is(err, errRelist) {
-			pause.reset()
+			retry.reset()
 		}
-		if pause.wait(ctx) != nil {
+		if retry.wait(ctx) != nil {
 			return
 		}
 	}
 }
 
-// errRelist ends a watch that has missed something.
+// errRelist ends a watch that has missed changes.
 var errRelist = errors.New("watch lags behind the store")
 
-// watchOnce lists if asked to and then watches until an error. A ready replica
-// watches from its floor: it is complete up to there.
+// watchOnce lists the store if requested and then watches it until an error
+// occurs. The watch starts at the floor, up to which the replica is complete.
 func (s *Spreader) watchOnce(ctx context.Context, list bool) error {
 	if list {
 		if err := s.list(ctx); err != nil {
@@ -115,14 +116,14 @@
 	return s.storeError("watch", err)
 }
 
-// cancelOnRelist ends the watch when the safety poll found it lagging.
+// cancelOnRelist cancels the watch with errRelist when a relist is requested.
 func (s *Spreader) cancelOnRelist(ctx context.Context, cancel context.CancelCauseFunc) (stop func()) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
 		select {
 		case <-ctx.Done():
-		case <-s.relist:
+		case <-s.relistSignal:
 			cancel(errRelist)
 		}
 	}()
@@ -134,41 +135,41 @@
 
 func (s *Spreader) handleBatch(batch []store.Entry, progress store.Revision) {
 	for _, stored := range batch {
-		s.handleStored(stored)
+		s.handleEntry(stored)
 	}
 	if progress != 0 {
 		s.replica.SetFloor(progress)
 	}
-	s.noteStoreContact()
+	s.recordStoreContact()
 }
 
-func (s *Spreader) handleStored(stored store.Entry) {
+func (s *Spreader) handleEntry(stored store.Entry) {
 	if stored.Deleted {
-		s.handleRemoved(stored)
+		s.handleRemoval(stored)
 		return
 	}
 	version, err := decodeEntry(stored)
 	if err != nil {
-		s.rejectStored(err)
+		s.skipInvalid(err)
 		return
 	}
 	s.Announce(s.replica.Apply(version)...)
 }
 
-// handleRemoved deals with a key that was removed from outside: the writer
-// itself leaves tombstones.
-func (s *Spreader) handleRemoved(stored store.Entry) {
+// handleRemoval handles a key that was deleted by another program: a Writer
+// stores tombstones instead.
+func (s *Spreader) handleRemoval(stored store.Entry) {
 	id, err := resource.ParseKey(stored.Key)
 	if err != nil {
-		s.rejectStored(err)
+		s.skipInvalid(err)
 		return
 	}
 	s.Announce(s.replica.Remove(id, stored.Revision)...)
 }
 
-func (s *Spreader) rejectStored(err error) {
+func (s *Spreader) skipInvalid(err error) {
 	s.counters.invalid.Add(1)
-	s.options.Log.WithError(err).Error("the store holds an invalid object; it is passed over")
+	s.options.Log.WithError(err).Error("the store holds an invalid object; skipping it")
 }
 
 // list reads all objects from the store.
@@ -185,7 +186,7 @@
 		return s.storeError("list", errStoreBehind)
 	}
 	s.applyList(snapshot)
-	s.noteStoreContact()
+	s.recordStoreContact()
 	return nil
 }
 
@@ -194,17 +195,17 @@
 	for _, stored := range snapshot.Entries {
 		version, err := decodeEntry(stored)
 		if err != nil {
-			s.rejectStored(err)
+			s.skipInvalid(err)
 			continue
 		}
 		versions = append(versions, version)
 	}
-	first := !s.replica.Ready()
+	initial := !s.replica.Ready()
 	changed := s.replica.ApplyComplete(versions, snapshot.Revision)
-	if first {
-		s.replica.ForgetTombstonesBelow(snapshot.Revision)
+	if initial {
+		s.replica.RaiseCollected(snapshot.Revision)
 	}
-	if !first && len(changed) <= maxAnnouncedList {
+	if !initial && len(changed) <= maxForwardedVersions {
 		s.Announce(changed...)
 	}
 }
--- a/internal/configuration/writer.go
+++ b/internal/configuration/writer.go
@@ -12,13 +12,14 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Bounds of writes.
+// Limits of writes.
 const (
-	// MaxObjects bounds the objects in force that writers may create.
+	// MaxObjects limits the objects, not counting deleted ones. A write that
+	// would create another one is rejected.
 	MaxObjects = 10_000
-	// MaxChangeIDLength bounds a change's id and author, in bytes.
+	// MaxChangeIDLength limits a change's ID and author, in bytes.
 	MaxChangeIDLength = 128
-	// DefaultWriteTimeout bounds a write whose context has no earlier deadline.
+	// DefaultWriteTimeout limits a write whose context has no earlier deadline.
 	DefaultWriteTimeout = 10 * time.Second
 
 	minWritePause = 20 * time.Millisecond
@@ -34,43 +35,43 @@
 	now      func() time.Time
 }
 
-// NewWriter returns a writer. Announce is called with versions that are news
-// to this node; it must not block.
+// NewWriter returns a writer. The function announce is called with versions that
+// are new to this node; it must not block.
 func NewWriter(store store.Store, replica *Replica, announce func(versions ...resource.Versioned), now func() time.Time) *Writer {
 	return &Writer{store: store, replica: replica, announce: announce, now: now}
 }
 
-// write is one call of Write.
+// write holds the arguments of a call of Write.
 type write struct {
 	next     resource.Envelope
 	expected store.Revision
 	change   resource.Change
 }
 
-// Write changes an object to the specification of next, or deletes it if the
-// change says so, provided that the object is at the expected revision; zero
-// means that it does not exist or is deleted. The change needs an id, unique
-// among the object's changes: a write whose change was accepted before returns
-// the accepted version. Errors: *InvalidError, *ConflictError, ErrUnavailable,
-// ErrTooManyObjects and ErrChangeIDReused mean that the call has no effect, now
-// or later; *UnknownError that it, or an earlier call with the same change, may
-// have one.
+// Write changes an object to the specification of next, or deletes it if
+// change.Deleted is set, provided that the object is at the expected revision;
+// zero means that it does not exist or is deleted. The change needs an ID that
+// is unique among the object's changes: a write whose change was accepted before
+// returns the accepted version. The errors *InvalidError, *ConflictError,
+// ErrUnavailable, ErrTooManyObjects and ErrChangeIDReused mean that the call has
+// no effect, now or later; *UnknownError means that it, or an earlier call with
+// the same change, may have one.
 func (w *Writer) Write(ctx context.Context, next resource.Envelope, expected store.Revision, change resource.Change) (resource.Versioned, error) {
 	ctx, cancel := context.WithTimeout(ctx, DefaultWriteTimeout)
 	defer cancel()
-	request := write{next: next, expected: expected, change: w.complete(change)}
+	request := write{next: next, expected: expected, change: w.withTimestamp(change)}
 	if change.Deleted {
 		request.next = resource.Envelope{ID: next.ID, Deleted: true}
 	}
 	if err := request.validate(); err != nil {
 		return resource.Versioned{}, &InvalidError{Cause: err}
 	}
-	current, err := w.current(ctx, request)
+	current, err := w.currentVersion(ctx, request)
 	if err != nil {
 		return resource.Versioned{}, err
 	}
 	if _, found := acceptedAt(current, change.ID); found {
-		return request.acceptedIn(current)
+		return request.acceptedVersion(current)
 	}
 	if visibleRevision(current) != expected {
 		return resource.Versioned{}, &ConflictError{Current: current}
@@ -81,8 +82,9 @@
 	return w.submit(ctx, request, current)
 }
 
-// complete fills in the time of the change, in the precision that is stored.
-func (w *Writer) complete(change resource.Change) resource.Change {
+// withTimestamp sets the time of the change if it is zero and truncates it to
+// the precision that is stored.
+func (w *Writer) withTimestamp(change resource.Change) resource.Change {
 	if change.At.IsZero() {
 		change.At = w.now()
 	}
@@ -103,29 +105,32 @@
 	return r.next.Validate()
 }
 
-// current returns the version to write against: the replica's if it answers
-// the request's expectation, and else the store's.
-func (w *Writer) current(ctx context.Context, request write) (resource.Versioned, error) {
-	held, known := w.replica.Get(request.next.ID)
+// currentVersion returns the version to write against: the replica's if it is at
+// the expected revision or contains the change, and otherwise the store's. If
+// the store is unavailable, a replica's version above the expected revision is
+// returned, which is sufficient to report a conflict.
+func (w *Writer) currentVersion(ctx context.Context, request write) (resource.Versioned, error) {
+	cached, known := w.replica.Get(request.next.ID)
 	if known {
-		_, found := acceptedAt(held, request.change.ID)
-		if found || !held.Deleted && held.Revision == request.expected {
-			return held, nil
+		_, found := acceptedAt(cached, request.change.ID)
+		if found || !cached.Deleted && cached.Revision == request.expected {
+			return cached, nil
 		}
 	}
-	fresh, err := w.read(ctx, request.next.ID)
+	stored, err := w.read(ctx, request.next.ID)
 	if err == nil {
-		w.learn(fresh)
-		return fresh, nil
+		w.applyAndAnnounce(stored)
+		return stored, nil
 	}
-	if request.expected != 0 && held.Revision > request.expected {
-		return held, nil
+	if request.expected != 0 && cached.Revision > request.expected {
+		return cached, nil
 	}
 	return resource.Versioned{}, unavailable("read current version", request.next.ID, err)
 }
 
-// submit sends the change until its outcome is certain. Sending it again is
-// safe: the store accepts one change against a revision and no more.
+// submit sends the change and retries until its outcome is certain or the
+// context ends. Retries are safe: the store accepts at most one change against a
+// revision.
 func (w *Writer) submit(ctx context.Context, request write, base resource.Versioned) (resource.Versioned, error) {
 	request.change.Replaces = base.Revision
 	encoded, err := base.Envelope.Successor(request.next, request.change).Encode()
@@ -134,26 +139,26 @@
 	}
 	key := request.next.ID.Key()
 	uncertain := false
-	pause := newBackoff(minWritePause, maxWritePause)
+	retry := newBackoff(minWritePause, maxWritePause)
 	for {
 		revision, err := w.store.CompareAndSwap(ctx, key, base.Revision, encoded, store.NoLease)
 		switch {
 		case err == nil:
-			return w.accept(encoded, revision)
+			return w.applyAccepted(encoded, revision)
 		case errors.Is(err, store.ErrConflict):
-			return w.lost(ctx, request, base, uncertain)
+			return w.handleConflict(ctx, request, base, uncertain)
 		case isUncertain(err):
 			uncertain = true
 		case errors.Is(err, store.ErrUnavailable) && !uncertain:
 			return resource.Versioned{}, unavailable("compare-and-swap", request.next.ID, err)
 		}
-		if pause.wait(ctx) != nil {
-			return resource.Versioned{}, request.unresolved(base, uncertain, err)
+		if retry.wait(ctx) != nil {
+			return resource.Versioned{}, request.unresolvedError(base, uncertain, err)
 		}
 	}
 }
 
-// isUncertain reports whether a compare-and-swap that ended with the error may
+// isUncertain reports whether a compare-and-swap that returned the error may
 // have an effect, now or later.
 func isUncertain(err error) bool {
 	if errors.Is(err, store.ErrUnknownOutcome) {
@@ -162,51 +167,53 @@
 	return !errors.Is(err, store.ErrUnavailable) && !errors.Is(err, store.ErrRateLimited)
 }
 
-// unresolved is the error of a write that ran out of time.
-func (r write) unresolved(base resource.Versioned, uncertain bool, cause error) error {
+// unresolvedError returns the error of a write that could not be completed:
+// ErrUnavailable if none of its attempts can take effect, otherwise an
+// *UnknownError.
+func (r write) unresolvedError(base resource.Versioned, uncertain bool, cause error) error {
 	if !uncertain {
 		return unavailable("compare-and-swap", r.next.ID, cause)
 	}
 	return &UnknownError{ChangeID: r.change.ID, Expected: base.Revision, Cause: cause}
 }
 
-// accept takes the accepted version into the replica and announces it.
-func (w *Writer) accept(encoded []byte, revision store.Revision) (resource.Versioned, error) {
+// applyAccepted applies the accepted version to the replica and announces it.
+func (w *Writer) applyAccepted(encoded []byte, revision store.Revision) (resource.Versioned, error) {
 	envelope, err := resource.DecodeEnvelope(encoded)
 	if err != nil {
 		return resource.Versioned{}, oops.In("configuration").With("step", "decode accepted version").Wrap(err)
 	}
 	accepted := resource.Versioned{Envelope: envelope, Revision: revision}
-	w.learn(accepted)
+	w.applyAndAnnounce(accepted)
 	return accepted, nil
 }
 
-// lost decides after the store refused: either another change won the
-// revision, or an earlier attempt of this one whose answer was lost, in this
-// call or in one before.
-func (w *Writer) lost(ctx context.Context, request write, base resource.Versioned, uncertain bool) (resource.Versioned, error) {
+// handleConflict determines the result after the store reported a conflict: the
+// revision was replaced either by another change, or by an earlier attempt of
+// this change, in this call or a previous one, whose response was lost.
+func (w *Writer) handleConflict(ctx context.Context, request write, base resource.Versioned, uncertain bool) (resource.Versioned, error) {
 	current, err := w.read(ctx, request.next.ID)
 	if err != nil {
-		return resource.Versioned{}, request.unresolved(base, true, err)
+		return resource.Versioned{}, request.unresolvedError(base, true, err)
 	}
-	w.learn(current)
-	resolution, _ := judge(current, request.change.ID, base.Revision)
+	w.applyAndAnnounce(current)
+	resolution, _ := resolveFromHistory(current, request.change.ID, base.Revision)
 	switch {
 	case resolution == Accepted:
-		return request.acceptedIn(current)
+		return request.acceptedVersion(current)
 	case resolution == Undetermined && uncertain:
-		return resource.Versioned{}, request.unresolved(base, uncertain, errHistoryTooShort)
+		return resource.Versioned{}, request.unresolvedError(base, uncertain, errHistoryTruncated)
 	}
 	return resource.Versioned{}, &ConflictError{Current: current}
 }
 
-// errHistoryTooShort means that an object's history does not reach back to a
-// change any longer.
-var errHistoryTooShort = errors.New("history does not reach back to the change")
+// errHistoryTruncated means that an object's history no longer reaches back to a
+// change.
+var errHistoryTruncated = errors.New("history does not reach back to the change")
 
-// acceptedIn returns the version that the change led to, out of a version
-// whose history has it.
-func (r write) acceptedIn(current resource.Versioned) (resource.Versioned, error) {
+// acceptedVersion returns the version that the change produced, given a version
+// whose history contains the change.
+func (r write) acceptedVersion(current resource.Versioned) (resource.Versioned, error) {
 	revision, _ := acceptedAt(current, r.change.ID)
 	if revision == current.Revision {
 		if !sameSpecification(current.Envelope, r.next) {
@@ -223,7 +230,8 @@
 	return accepted, nil
 }
 
-// sameSpecification compares two envelopes without their histories.
+// sameSpecification reports whether two envelopes are equal apart from their
+// histories.
 func sameSpecification(a, b resource.Envelope) bool {
 	a.History, b.History = nil, nil
 	encodedA, errA := a.Encode()
@@ -231,8 +239,9 @@
 	return errA == nil && errB == nil && bytes.Equal(encodedA, encodedB)
 }
 
-// learn takes a version read from or accepted by the store into the replica.
-func (w *Writer) learn(version resource.Versioned) {
+// applyAndAnnounce applies a version read from or accepted by the store to the
+// replica and announces it if it is new.
+func (w *Writer) applyAndAnnounce(version resource.Versioned) {
 	if version.Revision == 0 {
 		return
 	}
--- a/internal/configuration/writer_test.go
+++ b/internal/configuration/writer_test.go
@@ -14,45 +14,45 @@
 )
 
 func TestWriteUnderLostAnswers(t *testing.T) {
-	cases := map[string][]lostAnswer{
-		"effect":                    {lostWithEffect},
-		"no effect":                 {lostWithoutEffect},
-		"late effect":               {lostWithLateEffect},
-		"several of them":           {lostWithoutEffect, lostWithLateEffect, lostWithEffect},
-		"effect, then an outage":    {lostWithEffect, refusedUnavailable},
-		"late effect, effect twice": {lostWithLateEffect, lostWithEffect, lostWithEffect},
+	cases := map[string][]swapFault{
+		"effect":                    {lostAfterApply},
+		"no effect":                 {lostBeforeApply},
+		"late effect":               {appliedLate},
+		"several faults":            {lostBeforeApply, appliedLate, lostAfterApply},
+		"effect, then an outage":    {lostAfterApply, notSent},
+		"late effect, effect twice": {appliedLate, lostAfterApply, lostAfterApply},
 	}
 	for name, faults := range cases {
 		t.Run(name, func(t *testing.T) {
 			backing := newFaultyStore()
 			writer, replica := newTestWriter(backing)
-			backing.lose(faults...)
+			backing.injectFaults(faults...)
 			written := mustWrite(t, writer, "a", 0, resource.Change{ID: "c1"})
-			backing.runLate()
+			backing.runDelayedSwaps()
 			entry, err := backing.Get(t.Context(), serviceID("a").Key())
 			assert.NilError(t, err)
 			assert.Equal(t, entry.Revision, written.Revision)
-			held, _ := replica.Get(serviceID("a"))
-			assert.Equal(t, held.Revision, written.Revision)
+			current, _ := replica.Get(serviceID("a"))
+			assert.Equal(t, current.Revision, written.Revision)
 			assert.Equal(t, len(written.History), 1)
 		})
 	}
 }
 
-// lostUntilDeadline returns the error of a write of which every answer is lost
-// and whose object cannot be read.
-func lostUntilDeadline(t *testing.T, backing *faultyStore, writer *Writer, fault lostAnswer, expected store.Revision) *UnknownError {
+// writeUntilDeadline returns the error of a write that ends at its deadline: the
+// fault is injected into every attempt and the object cannot be read.
+func writeUntilDeadline(t *testing.T, backing *faultyStore, writer *Writer, fault swapFault, expected store.Revision) *UnknownError {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	for range 20 {
-		backing.lose(fault)
+		backing.injectFaults(fault)
 	}
-	backing.setLoseGets(true)
+	backing.setFailGets(true)
 	_, err := writer.Write(ctx, service("a", 7), expected, resource.Change{ID: "lost"})
 	var unknown *UnknownError
 	assert.Assert(t, errors.As(err, &unknown), "%v", err)
-	backing.setLoseGets(false)
+	backing.setFailGets(false)
 	backing.mu.Lock()
 	backing.faults = nil
 	backing.mu.Unlock()
@@ -62,63 +62,65 @@
 func TestResolveAfterUnknown(t *testing.T) {
 	cases := []struct {
 		name  string
-		fault lostAnswer
-		// between is what happens before the change is resolved.
-		between func(t *testing.T, backing *faultyStore, other *Writer, base store.Revision)
-		want    Resolution
+		fault swapFault
+		// between runs after the write and before the change is resolved.
+		between  func(t *testing.T, backing *faultyStore, other *Writer, base store.Revision)
+		expected Resolution
 	}{
-		{"effect", lostWithEffect, nil, Accepted},
-		{"no effect stays open", lostWithoutEffect, nil, Undetermined},
-		{"late effect pending", lostWithLateEffect, nil, Undetermined},
-		{"late effect came", lostWithLateEffect, runLate, Accepted},
-		{"another won, then late effect fails", lostWithLateEffect, overtakeThenLate, Refused},
-		{"effect, then replaced", lostWithEffect, replaceAccepted, Accepted},
-		{"history too short", lostWithoutEffect, overtakeOften, Undetermined},
+		{"effect", lostAfterApply, nil, Accepted},
+		{"no effect", lostBeforeApply, nil, Undetermined},
+		{"late effect pending", appliedLate, nil, Undetermined},
+		{"late effect applied", appliedLate, applyDelayed, Accepted},
+		{"another change accepted, then late effect conflicts", appliedLate, overwriteThenApplyDelayed, Refused},
+		{"effect, then replaced", lostAfterApply, replaceAccepted, Accepted},
+		{"history truncated", lostBeforeApply, overwriteOften, Undetermined},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			backing := newFaultyStore()
 			writer, _ := newTestWriter(backing)
 			first := mustWrite(t, writer, "a", 0, resource.Change{ID: "first"})
-			unknown := lostUntilDeadline(t, backing, writer, test.fault, first.Revision)
+			unknown := writeUntilDeadline(t, backing, writer, test.fault, first.Revision)
 			other, _ := newTestWriter(backing)
 			if test.between != nil {
 				test.between(t, backing, other, first.Revision)
 			}
 			resolution, revision, err := other.Resolve(t.Context(), serviceID("a"), "lost", unknown.Expected)
 			assert.NilError(t, err)
-			assert.Equal(t, resolution, test.want)
-			if test.want == Accepted {
+			assert.Equal(t, resolution, test.expected)
+			if test.expected == Accepted {
 				assert.Equal(t, revision, first.Revision+1)
 			}
 		})
 	}
 }
 
-func runLate(_ *testing.T, backing *faultyStore, _ *Writer, _ store.Revision) { backing.runLate() }
+func applyDelayed(_ *testing.T, backing *faultyStore, _ *Writer, _ store.Revision) {
+	backing.runDelayedSwaps()
+}
 
-func overtakeThenLate(t *testing.T, backing *faultyStore, other *Writer, base store.Revision) {
+func overwriteThenApplyDelayed(t *testing.T, backing *faultyStore, other *Writer, base store.Revision) {
 	mustWrite(t, other, "a", base, resource.Change{ID: "other"})
-	backing.runLate()
+	backing.runDelayedSwaps()
 }
 
 func replaceAccepted(t *testing.T, _ *faultyStore, other *Writer, base store.Revision) {
 	mustWrite(t, other, "a", base+1, resource.Change{ID: "other"})
 }
 
-func overtakeOften(t *testing.T, _ *faultyStore, other *Writer, base store.Revision) {
+func overwriteOften(t *testing.T, _ *faultyStore, other *Writer, base store.Revision) {
 	for number := range resource.HistoryLength + 1 {
 		base = mustWrite(t, other, "a", base, resource.Change{ID: fmt.Sprint("other", number)}).Revision
 	}
 }
 
-func TestCreationIsNotJudgedByCutHistory(t *testing.T) {
+func TestCreationIsUndeterminedWithTruncatedHistory(t *testing.T) {
 	writer, _ := newTestWriter(newFaultyStore())
 	created := mustWrite(t, writer, "a", 0, resource.Change{ID: "create"})
 	resolution, _, err := writer.Resolve(t.Context(), created.ID, "rival", 0)
 	assert.NilError(t, err)
 	assert.Equal(t, resolution, Refused)
-	overtakeOften(t, nil, writer, created.Revision)
+	overwriteOften(t, nil, writer, created.Revision)
 	resolution, _, err = writer.Resolve(t.Context(), created.ID, "create", 0)
 	assert.NilError(t, err)
 	assert.Equal(t, resolution, Undetermined)
@@ -129,13 +131,13 @@
 	writer, _ := newTestWriter(backing)
 	created := mustWrite(t, writer, "a", 0, resource.Change{ID: "create"})
 	deleted := mustWrite(t, writer, "a", created.Revision, resource.Change{ID: "delete", Deleted: true})
-	backing.lose(lostWithoutEffect)
-	backing.setLoseGets(true)
+	backing.injectFaults(lostBeforeApply)
+	backing.setFailGets(true)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err := writer.Write(ctx, service("a", 2), 0, resource.Change{ID: "again"})
 	assert.ErrorIs(t, err, ErrUnavailable)
-	backing.setLoseGets(false)
+	backing.setFailGets(false)
 
 	again := mustWrite(t, writer, "a", 0, resource.Change{ID: "again"})
 	assert.Equal(t, again.History[0].Replaces, deleted.Revision)
@@ -172,7 +174,7 @@
 	_, err = writer.Write(t.Context(), service("a", 3), second.Revision, resource.Change{ID: "third"})
 	assert.ErrorIs(t, err, ErrUnavailable)
 	_, err = writer.Write(t.Context(), service("a", 3), first.Revision, resource.Change{ID: "third"})
-	assert.Assert(t, errors.As(err, &conflict), "a known higher revision is a conflict without the store: %v", err)
+	assert.Assert(t, errors.As(err, &conflict), "a higher revision in the replica is a conflict even without the store: %v", err)
 }
 
 func TestRepeatedWriteReturnsAcceptedVersion(t *testing.T) {
@@ -193,12 +195,12 @@
 	backing := newFaultyStore()
 	writer, _ := newTestWriter(backing)
 	first := mustWrite(t, writer, "a", 0, resource.Change{ID: "first"})
-	lostUntilDeadline(t, backing, writer, lostWithEffect, first.Revision)
-	backing.setLoseGets(true)
+	writeUntilDeadline(t, backing, writer, lostAfterApply, first.Revision)
+	backing.setFailGets(true)
 	_, err := writer.Write(t.Context(), service("a", 7), first.Revision, resource.Change{ID: "lost"})
 	var unknown *UnknownError
-	assert.Assert(t, errors.As(err, &unknown), "accepted before, so never a conflict: %v", err)
-	backing.setLoseGets(false)
+	assert.Assert(t, errors.As(err, &unknown), "a change accepted before must not be a conflict: %v", err)
+	backing.setFailGets(false)
 	written, err := writer.Write(t.Context(), service("a", 7), first.Revision, resource.Change{ID: "lost"})
 	assert.NilError(t, err)
 	assert.Equal(t, written.Revision, first.Revision+1)
