--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -1,6 +1,6 @@
-// Package machines follows the platform's list of machines. The list lags and
-// may be out of reach, so that it is a hint only: a machine that it calls
-// leaving gets no new work, and one that it calls live proves nothing.
+// Package machines polls the platform's list of machines. The list may be stale
+// or unavailable, so it is only a hint: a machine listed as leaving gets no new
+// work, but a machine listed as live is not assumed to be so.
 package machines
 
 import (
@@ -19,19 +19,19 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// Path is where the platform serves the list.
+// Path is the path of the list on the platform's server.
 const Path = "/machines"
 
-// maxListBytes bounds the list, in bytes.
+// maxListBytes limits the size of the response.
 const maxListBytes = 4 << 20
 
-// requestTimeout bounds one reading of the list.
+// requestTimeout limits one request of the list.
 const requestTimeout = 3 * time.Second
 
 // stateLeaving is the state of a machine that is about to stop.
 const stateLeaving = "leaving"
 
-// Machine is one machine of the list.
+// Machine is an entry of the list.
 type Machine struct {
 	Name    string `json:"name"`
 	Address string `json:"address"`
@@ -39,15 +39,15 @@
 	State   string `json:"state"`
 }
 
-// list is the platform's answer.
+// list is the platform's response.
 type list struct {
-	// Machines is nil when the answer is no list; an empty list is not.
+	// Machines is nil if the response contains no list; an empty list is valid.
 	Machines []Machine `json:"machines"`
 }
 
-var errNoList = errors.New("the answer holds no list of machines")
+var errNoMachines = errors.New("response contains no list of machines")
 
-// Follower reads the list again and again. It is safe for concurrent use.
+// Follower polls the list periodically. It is safe for concurrent use.
 type Follower struct {
 	url      string
 	interval time.Duration
@@ -55,12 +55,12 @@
 	log      logrus.FieldLogger
 	changed  func()
 	leaving  atomic.Pointer[map[string]bool]
-	// generation counts the changes of leaving.
+	// generation counts the changes of the leaving set.
 	generation atomic.Uint64
 }
 
-// NewFollower returns a follower of the list at an IP address and port; the
-// function changed is called after each change of what is leaving.
+// NewFollower returns a follower of the list at an IP address and port. The
+// function changed is called after each change of the set of leaving machines.
 func NewFollower(address string, interval time.Duration, client *http.Client, log logrus.FieldLogger, changed func()) *Follower {
 	f := &Follower{
 		url:      "http://" + address + Path,
@@ -73,20 +73,20 @@
 	return f
 }
 
-// Drained reports whether the drain name marks a machine that is leaving.
+// Drained reports whether the drain name is that of a leaving machine.
 func (f *Follower) Drained(drainName string) bool { return (*f.leaving.Load())[drainName] }
 
-// Generation returns a number that differs whenever what is leaving does.
+// Generation returns a number that changes with the set of leaving machines.
 func (f *Follower) Generation() uint64 { return f.generation.Load() }
 
-// Run follows the list until the context ends. A list that can't be read
-// changes nothing.
+// Run polls the list until the context ends. A failed request leaves the current
+// set of leaving machines unchanged.
 func (f *Follower) Run(ctx context.Context) {
 	ticker := time.NewTicker(f.interval)
 	defer ticker.Stop()
 	for {
-		if err := f.read(ctx); err != nil && ctx.Err() == nil {
-			f.log.WithError(err).WithField("step", "machine list").Warn("machine list not read")
+		if err := f.refresh(ctx); err != nil && ctx.Err() == nil {
+			f.log.WithError(err).WithField("step", "machine list").Warn("failed to read the machine list")
 		}
 		select {
 		case <-ctx.Done():
@@ -96,14 +96,14 @@
 	}
 }
 
-func (f *Follower) read(ctx context.Context) error {
+func (f *Follower) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	machines, err := f.fetch(ctx)
 	if err != nil {
 		return oops.In("machines").With("step", "read list").With("peer", f.url).Wrapf(err, "read machine list at %s", f.url)
 	}
-	f.take(machines)
+	f.apply(machines)
 	return nil
 }
 
@@ -120,31 +120,31 @@
 	if response.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("status %d", response.StatusCode)
 	}
-	var answer list
-	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&answer); err != nil {
+	var decoded list
+	if err := json.NewDecoder(io.LimitReader(response.Body, maxListBytes)).Decode(&decoded); err != nil {
 		return nil, err
 	}
-	if answer.Machines == nil {
-		return nil, errNoList
+	if decoded.Machines == nil {
+		return nil, errNoMachines
 	}
-	return answer.Machines, nil
+	return decoded.Machines, nil
 }
 
-func (f *Follower) take(machines []Machine) {
+func (f *Follower) apply(machines []Machine) {
 	leaving := map[string]bool{}
 	for _, machine := range machines {
 		if machine.State == stateLeaving {
 			leaving[resource.DrainMachinePrefix+machine.Name] = true
 		}
 	}
-	before := *f.leaving.Swap(&leaving)
-	if !sameSet(before, leaving) {
+	previous := *f.leaving.Swap(&leaving)
+	if !equalSets(previous, leaving) {
 		f.generation.Add(1)
 		f.changed()
 	}
 }
 
-func sameSet(a, b map[string]bool) bool {
+func equalSets(a, b map[string]bool) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/machines/machines_test.go
+++ b/internal/machines/machines_test.go
@@ -16,9 +16,9 @@
 	"gotest.tools/v3/poll"
 )
 
-const leavingOne = `{"machines":[{"name":"m-1","state":"leaving"},{"name":"m-2","state":"live"}]}`
+const oneLeaving = `{"machines":[{"name":"m-1","state":"leaving"},{"name":"m-2","state":"live"}]}`
 
-// platform serves a list that the test changes.
+// platform serves a list that tests can change.
 type platform struct {
 	status  atomic.Int64
 	content atomic.Value
@@ -47,9 +47,9 @@
 }
 
 func TestLeavingMachinesAreDrained(t *testing.T) {
-	_, f, changes := newFollower(t, leavingOne)
-	assert.NilError(t, f.read(t.Context()))
-	assert.NilError(t, f.read(t.Context()))
+	_, f, changes := newFollower(t, oneLeaving)
+	assert.NilError(t, f.refresh(t.Context()))
+	assert.NilError(t, f.refresh(t.Context()))
 	assert.Assert(t, f.Drained("machine.m-1"))
 	assert.Assert(t, !f.Drained("machine.m-2"))
 	assert.Assert(t, !f.Drained("target.m-1") && !f.Drained("m-1"))
@@ -62,31 +62,31 @@
 		content string
 	}{
 		"unavailable":    {http.StatusServiceUnavailable, ""},
-		"cut":            {http.StatusOK, leavingOne[:20]},
+		"cut":            {http.StatusOK, oneLeaving[:20]},
 		"not JSON":       {http.StatusOK, "<html>"},
 		"no list":        {http.StatusOK, `{}`},
 		"null":           {http.StatusOK, `null`},
 		"list too large": {http.StatusOK, `{"machines":[{"name":"` + strings.Repeat("x", maxListBytes) + `"}]}`},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, f, changes := newFollower(t, leavingOne)
-			assert.NilError(t, f.read(t.Context()))
+			p, f, changes := newFollower(t, oneLeaving)
+			assert.NilError(t, f.refresh(t.Context()))
 			p.set(c.status, c.content)
-			assert.ErrorContains(t, f.read(t.Context()), Path)
+			assert.ErrorContains(t, f.refresh(t.Context()), Path)
 			assert.Assert(t, f.Drained("machine.m-1"))
 			assert.Equal(t, changes.Load(), int64(1))
 		})
 	}
 }
 
-func TestRunFollowsUntilItsEnd(t *testing.T) {
-	p, f, changes := newFollower(t, leavingOne)
+func TestRunFollowsListUntilCanceled(t *testing.T) {
+	p, f, changes := newFollower(t, oneLeaving)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() { f.Run(ctx); close(done) }()
-	await := func(drained string, want bool) {
+	await := func(drained string, expected bool) {
 		poll.WaitOn(t, func(poll.LogT) poll.Result {
-			if f.Drained(drained) == want {
+			if f.Drained(drained) == expected {
 				return poll.Success()
 			}
 			return poll.Continue("%s", drained)
