--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -24,7 +24,7 @@
 	assert.Equal(t, len(TopN("key", []string{"a"}, 0)), 0)
 }
 
-func TestOwnersAreSpreadEvenly(t *testing.T) {
+func TestKeysAreDistributedEvenly(t *testing.T) {
 	nodes := names("node-", 10)
 	counts := map[string]int{}
 	for _, key := range names("target-", 10000) {
@@ -35,18 +35,18 @@
 	}
 }
 
-func TestOnlyTheKeysOfALostNodeMove(t *testing.T) {
+func TestOnlyKeysOfARemovedNodeMove(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SliceOfNDistinct(rapid.StringN(1, 8, -1), 2, 20, rapid.ID[string]).Draw(t, "nodes")
 		key := rapid.String().Draw(t, "key")
-		lost := rapid.SampledFrom(nodes).Draw(t, "lost")
-		left := slices.DeleteFunc(slices.Clone(nodes), func(node string) bool { return node == lost })
-		before, after := Owner(key, nodes), Owner(key, left)
-		if before != lost && before != after {
-			t.Fatalf("key moved from %q to %q though %q was lost", before, after, lost)
+		removed := rapid.SampledFrom(nodes).Draw(t, "lost")
+		remaining := slices.DeleteFunc(slices.Clone(nodes), func(node string) bool { return node == removed })
+		before, after := Owner(key, nodes), Owner(key, remaining)
+		if before != removed && before != after {
+			t.Fatalf("key moved from %q to %q although only %q was removed", before, after, removed)
 		}
-		if before == lost && after != TopN(key, nodes, 2)[1] {
-			t.Fatalf("the successor is %q, not the second of the order", after)
+		if before == removed && after != TopN(key, nodes, 2)[1] {
+			t.Fatalf("new owner is %q, expected the second node of TopN", after)
 		}
 	})
 }
@@ -64,14 +64,14 @@
 	})
 }
 
-func TestTopNIsTheHeadOfAllNodesByWeight(t *testing.T) {
+func TestTopNMatchesFullSort(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SliceOfN(rapid.StringN(1, 2, -1), 1, 40).Draw(t, "nodes")
 		key := rapid.String().Draw(t, "key")
 		n := rapid.IntRange(1, 45).Draw(t, "n")
-		var all []candidate
+		var all []weightedNode
 		for _, node := range nodes {
-			all = append(all, candidate{node: node, weight: weight(xxhash.Sum64String(key), node)})
+			all = append(all, weightedNode{node: node, weight: weight(xxhash.Sum64String(key), node)})
 		}
 		slices.SortFunc(all, compare)
 		all = slices.Compact(all)
