--- a/internal/configuration/poll.go
+++ b/internal/configuration/poll.go
@@ -10,7 +10,7 @@
 )
 
 // pollPrefix contains no keys: listing it returns only the store's revision.
-const pollPrefix = resource.Prefix + "revision-probe/"
+const pollPrefix = resource.KeyPrefix + "revision-probe/"
 
 // maxPollBackoff limits the factor by which the poll interval grows while lists
 // after a lagging poll find no missed changes.
--- a/internal/configuration/watch.go
+++ b/internal/configuration/watch.go
@@ -109,7 +109,7 @@
 	stopRelist := s.cancelOnRelist(ctx, cancel)
 	defer stopRelist()
 	s.counters.watches.Add(1)
-	err := s.options.Store.Watch(ctx, resource.Prefix, s.replica.Floor(), s.handleBatch)
+	err := s.options.Store.Watch(ctx, resource.KeyPrefix, s.replica.Floor(), s.handleBatch)
 	if cause := context.Cause(ctx); errors.Is(cause, errRelist) {
 		return cause
 	}
@@ -178,7 +178,7 @@
 	defer cancel()
 	s.counters.lists.Add(1)
 	known := s.replica.Floor()
-	snapshot, err := s.options.Store.List(ctx, resource.Prefix)
+	snapshot, err := s.options.Store.List(ctx, resource.KeyPrefix)
 	if err != nil {
 		return s.storeError("list", err)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -68,7 +68,7 @@
 
 // Grants asks the ingress node of a request for a retry.
 type Grants interface {
-	Ask(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error)
+	RequestRetry(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error)
 }
 
 // Ratio holds the node's retries to a share of its successes.
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -153,7 +153,7 @@
 	n.homes = home.NewManager(home.Settings{
 		Queue:       queueConfig(n.settings),
 		MaxBuffered: limits.MaxAnswerBufferBytes,
-		Acting:      n.liveness.MayAct,
+		MayServe:    n.liveness.MayAct,
 		FixedLimit:  !n.settings.Features.AdaptiveLimit,
 	}, time.Now)
 	n.peers = home.NewClient(limits.MaxAnswerBufferBytes)
