--- a/internal/configuration/cluster_test.go
+++ b/internal/configuration/cluster_test.go
@@ -39,7 +39,7 @@
 type testNode struct {
 	cluster  *cluster
 	self     Member
-	syncer   *Spreader
+	syncer   *Syncer
 	writer   *Writer
 	server   *httptest.Server
 	stop     context.CancelFunc
@@ -124,7 +124,7 @@
 	n.server = httptest.NewServer(mux)
 	address := strings.TrimPrefix(n.server.URL, "http://")
 	n.self = Member{Name: name, Zone: zone, PeerAddress: address, Live: true}
-	n.syncer = NewSpreader(Options{
+	n.syncer = NewSyncer(Options{
 		Self: n.self, Store: c.backing, Membership: n, Seeds: seeds, Client: &http.Client{Transport: n}, Log: discardLog(),
 		WatcherCheckInterval: 20 * time.Millisecond, StartupGrace: c.startupGrace, MinBackoff: 10 * time.Millisecond,
 		MaxBackoff: 100 * time.Millisecond, PollInterval: time.Hour, PullInterval: 20 * time.Millisecond,
--- a/internal/configuration/drains.go
+++ b/internal/configuration/drains.go
@@ -32,10 +32,10 @@
 	return &EmergencyDrains{expiries: make(map[string]time.Time), now: now}
 }
 
-// Mark adds or renews the drain of the name, which has the form of a drain
+// Add adds or renews the drain of the name, which has the form of a drain
 // object's name, for EmergencyDrainTTL. It returns false if the name is invalid
 // or the set is full.
-func (d *EmergencyDrains) Mark(name string) bool {
+func (d *EmergencyDrains) Add(name string) bool {
 	expiry := d.now().Add(EmergencyDrainTTL)
 	d.Merge(map[string]time.Time{name: expiry})
 	return d.Drained(name)
--- a/internal/configuration/messages_test.go
+++ b/internal/configuration/messages_test.go
@@ -18,8 +18,8 @@
 
 func (emptyMembership) Members() []Member { return nil }
 
-func newIdleSyncer() (*Spreader, *http.ServeMux) {
-	syncer := NewSpreader(Options{Membership: emptyMembership{}, Log: discardLog()}, NewReplica(time.Now))
+func newIdleSyncer() (*Syncer, *http.ServeMux) {
+	syncer := NewSyncer(Options{Membership: emptyMembership{}, Log: discardLog()}, NewReplica(time.Now))
 	mux := http.NewServeMux()
 	syncer.Register(mux)
 	return syncer, mux
--- a/internal/configuration/peer.go
+++ b/internal/configuration/peer.go
@@ -11,7 +11,7 @@
 
 // post sends a message to a peer and decodes the response into result, unless
 // result is nil.
-func (s *Spreader) post(ctx context.Context, address, path string, encoded []byte, result any) error {
+func (s *Syncer) post(ctx context.Context, address, path string, encoded []byte, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, s.options.PeerTimeout)
 	defer cancel()
 	errContext := oops.In("configuration").With("step", path).With("peer", address)
--- a/internal/configuration/poll.go
+++ b/internal/configuration/poll.go
@@ -18,7 +18,7 @@
 
 // pollLoop periodically compares the store's revision with the floor. It
 // detects watches that hang and watchers that cannot reach the store.
-func (s *Spreader) pollLoop(ctx context.Context) {
+func (s *Syncer) pollLoop(ctx context.Context) {
 	factor := 1
 	for pause.For(ctx, s.pollPause(factor)) {
 		if !s.replica.Ready() {
@@ -36,7 +36,7 @@
 
 // pollPause returns a random pause around the interval that gives this node its
 // share of the polls of all nodes.
-func (s *Spreader) pollPause(factor int) time.Duration {
+func (s *Syncer) pollPause(factor int) time.Duration {
 	members := len(livePeers(s.options.Self.Name, s.options.Membership.Members())) + 1
 	interval := max(s.options.PollInterval, time.Duration(members)*s.options.PollShare)
 	interval *= time.Duration(factor)
@@ -46,7 +46,7 @@
 // pollOnce lists the store if the floor lags behind the store's revision. It
 // reports whether the list contained changes that the replica had missed, and
 // whether the store was listed.
-func (s *Spreader) pollOnce(ctx context.Context) (missed, listed bool) {
+func (s *Syncer) pollOnce(ctx context.Context) (missed, listed bool) {
 	revision, err := s.storeRevision(ctx)
 	if err != nil {
 		s.recordStoreError(err)
@@ -67,7 +67,7 @@
 	return missed, true
 }
 
-func (s *Spreader) storeRevision(ctx context.Context) (store.Revision, error) {
+func (s *Syncer) storeRevision(ctx context.Context) (store.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.StoreTimeout)
 	defer cancel()
 	s.counters.polls.Add(1)
@@ -85,7 +85,7 @@
 
 // awaitFloor waits up to PollGrace for watches and pulls to raise the floor to
 // the revision. It also returns true if the context ends.
-func (s *Spreader) awaitFloor(ctx context.Context, revision store.Revision) bool {
+func (s *Syncer) awaitFloor(ctx context.Context, revision store.Revision) bool {
 	const steps = 10
 	for range steps {
 		if s.replica.Floor() >= revision {
@@ -99,7 +99,7 @@
 }
 
 // requestRelist restarts the watch of this node, if it has one, with a list.
-func (s *Spreader) requestRelist() {
+func (s *Syncer) requestRelist() {
 	select {
 	case s.relistSignal <- struct{}{}:
 	default:
--- a/internal/configuration/pull.go
+++ b/internal/configuration/pull.go
@@ -23,7 +23,7 @@
 
 // HandleDigest compares a peer's digest, received by gossip, with the local one
 // and schedules a pull if the peer may have newer versions. It does not block.
-func (s *Spreader) HandleDigest(from Member, digest Digest) {
+func (s *Syncer) HandleDigest(from Member, digest Digest) {
 	if from.Name == s.options.Self.Name || from.PeerAddress == "" {
 		return
 	}
@@ -34,7 +34,7 @@
 }
 
 // pullLoop pulls from one peer at a time and limits the rate of pulls.
-func (s *Spreader) pullLoop(ctx context.Context) {
+func (s *Syncer) pullLoop(ctx context.Context) {
 	for s.awaitPullTrigger(ctx) {
 		if !pause.For(ctx, jitter(s.options.PullInterval/4)) {
 			return
@@ -52,7 +52,7 @@
 // awaitPullTrigger waits for a source or, while the node has no
 // configuration, for the time of the next attempt. It returns false when the
 // context ends.
-func (s *Spreader) awaitPullTrigger(ctx context.Context) bool {
+func (s *Syncer) awaitPullTrigger(ctx context.Context) bool {
 	var retry <-chan time.Time
 	if !s.replica.Ready() {
 		timer := time.NewTimer(s.options.PullInterval / 2)
@@ -68,12 +68,12 @@
 	return true
 }
 
-func (s *Spreader) pullPause(bytes int64) time.Duration {
+func (s *Syncer) pullPause(bytes int64) time.Duration {
 	pause := time.Duration(bytes) * time.Second / time.Duration(s.options.PullBytesPerSecond)
 	return max(s.options.PullInterval, min(pause, MaxPullPause))
 }
 
-func (s *Spreader) pullOnce(ctx context.Context) error {
+func (s *Syncer) pullOnce(ctx context.Context) error {
 	address, found := s.choosePeer()
 	if !found {
 		return nil
@@ -103,7 +103,7 @@
 
 // choosePeer returns the peer to pull from: a source or, while the node has no
 // configuration, any peer or seed.
-func (s *Spreader) choosePeer() (address string, found bool) {
+func (s *Syncer) choosePeer() (address string, found bool) {
 	if chosen, ok := s.sources.choose(s.Digest()); ok {
 		if s.sources.pending() {
 			s.sources.notify()
@@ -139,7 +139,7 @@
 }
 
 // fetch requests all versions, or those above the local floor, from a peer.
-func (s *Spreader) fetch(ctx context.Context, address string, full bool) (pullResult, error) {
+func (s *Syncer) fetch(ctx context.Context, address string, full bool) (pullResult, error) {
 	s.counters.pulls.Add(1)
 	if full {
 		s.counters.fullPulls.Add(1)
@@ -166,7 +166,7 @@
 	return result, nil
 }
 
-func (s *Spreader) fetchPage(ctx context.Context, address string, request sinceRequest) (sinceResponse, error) {
+func (s *Syncer) fetchPage(ctx context.Context, address string, request sinceRequest) (sinceResponse, error) {
 	request.Drains = encodeDrains(s.drains.Expiries())
 	var page sinceResponse
 	encoded, err := cbor.Marshal(request)
@@ -203,7 +203,7 @@
 
 // applyDelta applies the versions of a peer above the local floor. Afterwards
 // the peer's floor is valid for this replica too.
-func (s *Spreader) applyDelta(result pullResult) {
+func (s *Syncer) applyDelta(result pullResult) {
 	changed := s.replica.Apply(result.versions...)
 	if result.ready {
 		s.replica.SetFloor(result.digest.Floor)
@@ -212,7 +212,7 @@
 }
 
 // applyFull applies all versions of a peer.
-func (s *Spreader) applyFull(result pullResult) {
+func (s *Syncer) applyFull(result pullResult) {
 	if !result.ready {
 		s.replica.Apply(result.versions...)
 		return
@@ -227,14 +227,14 @@
 
 // forward pushes the versions from a pull to peers, so that changes spread
 // quickly after a network partition has healed.
-func (s *Spreader) forward(changed []resource.Versioned) {
+func (s *Syncer) forward(changed []resource.Versioned) {
 	if len(changed) <= maxForwardedVersions {
 		s.pushQueue.addVersions(changed, 1)
 	}
 }
 
 // allowFullPull limits the rate of full pulls.
-func (s *Spreader) allowFullPull() bool {
+func (s *Syncer) allowFullPull() bool {
 	now := s.options.Now()
 	if s.replica.Ready() && now.Sub(s.lastFullPull) < s.options.FullPullInterval {
 		return false
@@ -246,7 +246,7 @@
 // diverged reports, after a delta was applied, whether this replica and the
 // peer's have the same floor and the same versions above the requested floor,
 // but differ below it.
-func (s *Spreader) diverged(result pullResult) bool {
+func (s *Syncer) diverged(result pullResult) bool {
 	local := s.replica.Since(result.base, 0)
 	if !result.ready || result.pages != 1 || local.Digest.Floor != result.digest.Floor || local.Digest.sameObjects(result.digest) {
 		return false
@@ -258,7 +258,7 @@
 
 // repair fetches and applies all versions of the peer that this replica lacks.
 // If this node watches the store, it also lists the store again.
-func (s *Spreader) repair(ctx context.Context, address string) error {
+func (s *Syncer) repair(ctx context.Context, address string) error {
 	if !s.allowFullPull() {
 		return nil
 	}
--- a/internal/configuration/push.go
+++ b/internal/configuration/push.go
@@ -15,7 +15,7 @@
 )
 
 // pushLoop pushes queued versions and drains to peers.
-func (s *Spreader) pushLoop(ctx context.Context) {
+func (s *Syncer) pushLoop(ctx context.Context) {
 	var inFlight sync.WaitGroup
 	defer inFlight.Wait()
 	for {
@@ -29,7 +29,7 @@
 }
 
 // push sends a batch to a few random live peers without waiting for them.
-func (s *Spreader) push(ctx context.Context, inFlight *sync.WaitGroup, batch pushBatch) {
+func (s *Syncer) push(ctx context.Context, inFlight *sync.WaitGroup, batch pushBatch) {
 	targets := s.pushTargets(batch.hops)
 	for _, message := range s.pushMessages(batch) {
 		encoded, err := cbor.Marshal(message)
@@ -45,7 +45,7 @@
 
 // pushTargets chooses the peers of a push. The node where a change originates
 // prefers one peer in each other zone; forwarding nodes choose any peers.
-func (s *Spreader) pushTargets(hops int) []Member {
+func (s *Syncer) pushTargets(hops int) []Member {
 	peers := livePeers(s.options.Self.Name, s.options.Membership.Members())
 	if hops == 0 {
 		peers = otherZonesFirst(s.options.Self.Zone, peers)
@@ -54,7 +54,7 @@
 }
 
 // pushMessages splits a batch into messages of bounded size.
-func (s *Spreader) pushMessages(batch pushBatch) []pushMessage {
+func (s *Syncer) pushMessages(batch pushBatch) []pushMessage {
 	drains := encodeDrains(s.drains.Expiries())
 	var messages []pushMessage
 	for versions := batch.versions; len(versions) > 0; {
@@ -75,7 +75,7 @@
 
 // send posts one message, or drops it if too many are in flight; the peer then
 // gets the versions by comparing digests.
-func (s *Spreader) send(ctx context.Context, inFlight *sync.WaitGroup, target Member, encoded []byte) {
+func (s *Syncer) send(ctx context.Context, inFlight *sync.WaitGroup, target Member, encoded []byte) {
 	select {
 	case s.pushSlots <- struct{}{}:
 	default:
--- a/internal/configuration/replica_test.go
+++ b/internal/configuration/replica_test.go
@@ -248,8 +248,8 @@
 	clock := time.Unix(1_700_000_000, 0)
 	now := func() time.Time { return clock }
 	drains := NewEmergencyDrains(now)
-	assert.Assert(t, drains.Mark("target.a"))
-	assert.Assert(t, !drains.Mark("a"), "invalid drain name")
+	assert.Assert(t, drains.Add("target.a"))
+	assert.Assert(t, !drains.Add("a"), "invalid drain name")
 	clock = clock.Add(EmergencyDrainTTL / 2)
 	assert.Assert(t, !drains.Merge(map[string]time.Time{"target.a": clock.Add(time.Minute)}), "not a new name")
 	assert.Equal(t, drains.Expiries()["target.a"], clock.Add(EmergencyDrainTTL/2), "the later expiry wins")
@@ -259,7 +259,7 @@
 	clock = clock.Add(EmergencyDrainTTL)
 	assert.Assert(t, !drains.Drained("target.a") && drains.Sum() == 0)
 	for number := range 2 * MaxEmergencyDrains {
-		drains.Mark(fmt.Sprint("target.t", number))
+		drains.Add(fmt.Sprint("target.t", number))
 	}
 	assert.Equal(t, len(drains.Expiries()), MaxEmergencyDrains)
 }
--- a/internal/configuration/server.go
+++ b/internal/configuration/server.go
@@ -7,12 +7,12 @@
 const maxConcurrentPulls = 8
 
 // Register adds the peer endpoints to the mux of the peer listener.
-func (s *Spreader) Register(mux *http.ServeMux) {
+func (s *Syncer) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+PathSince, s.serveSince)
 	mux.HandleFunc("POST "+PathPush, s.servePush)
 }
 
-func (s *Spreader) serveSince(w http.ResponseWriter, r *http.Request) {
+func (s *Syncer) serveSince(w http.ResponseWriter, r *http.Request) {
 	select {
 	case s.pullSlots <- struct{}{}:
 		defer func() { <-s.pullSlots }()
@@ -36,7 +36,7 @@
 	s.counters.sentBytes.Add(int64(writeMessage(w, response)))
 }
 
-func (s *Spreader) servePush(w http.ResponseWriter, r *http.Request) {
+func (s *Syncer) servePush(w http.ResponseWriter, r *http.Request) {
 	var message pushMessage
 	if !s.decodeRequest(w, r, &message) {
 		return
@@ -55,7 +55,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Spreader) decodeRequest(w http.ResponseWriter, r *http.Request, message any) bool {
+func (s *Syncer) decodeRequest(w http.ResponseWriter, r *http.Request, message any) bool {
 	size, err := decodeMessage(r.Body, message)
 	s.counters.receivedBytes.Add(int64(size))
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // sinceResponse returns one page of the response to a pull.
-func (s *Spreader) sinceResponse(request sinceRequest) (sinceResponse, error) {
+func (s *Syncer) sinceResponse(request sinceRequest) (sinceResponse, error) {
 	base := request.Floor
 	if request.Full {
 		base = 0
@@ -89,7 +89,7 @@
 }
 
 // mergeDrains merges the emergency drains of a peer and forwards new ones.
-func (s *Spreader) mergeDrains(drains []drainEntry, hops int) {
+func (s *Syncer) mergeDrains(drains []drainEntry, hops int) {
 	if len(drains) > MaxEmergencyDrains {
 		return
 	}
--- a/internal/configuration/status.go
+++ b/internal/configuration/status.go
@@ -60,7 +60,7 @@
 	ReceivedBytes int64 `json:"received_bytes"`
 }
 
-func (s *Spreader) Status() Status {
+func (s *Syncer) Status() Status {
 	digest := s.replica.Digest()
 	s.mu.Lock()
 	watch := s.status
@@ -94,13 +94,13 @@
 	}
 }
 
-func (s *Spreader) setWatching(watching bool) {
+func (s *Syncer) setWatching(watching bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status.watching = watching
 }
 
-func (s *Spreader) recordStoreContact() {
+func (s *Syncer) recordStoreContact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status.lastContact = s.options.Now()
@@ -109,7 +109,7 @@
 
 // recordStoreError records an error of the store and logs it unless it equals
 // the previous one.
-func (s *Spreader) recordStoreError(err error) {
+func (s *Syncer) recordStoreError(err error) {
 	if err == nil {
 		return
 	}
--- a/internal/configuration/syncer.go
+++ b/internal/configuration/syncer.go
@@ -12,9 +12,9 @@
 // collectInterval is the interval of the garbage collection of tombstones.
 const collectInterval = 10 * time.Minute
 
-// Spreader keeps a replica in sync with the store and with peers, and pushes
+// Syncer keeps a replica in sync with the store and with peers, and pushes
 // new versions to peers. It is safe for concurrent use.
-type Spreader struct {
+type Syncer struct {
 	options      Options
 	replica      *Replica
 	drains       *EmergencyDrains
@@ -32,10 +32,10 @@
 	lastFullPull time.Time
 }
 
-// NewSpreader returns a Spreader that is inactive until Run is called.
-func NewSpreader(options Options, replica *Replica) *Spreader {
+// NewSyncer returns a Spreader that is inactive until Run is called.
+func NewSyncer(options Options, replica *Replica) *Syncer {
 	options = options.withDefaults()
-	return &Spreader{
+	return &Syncer{
 		options:      options,
 		replica:      replica,
 		drains:       NewEmergencyDrains(options.Now),
@@ -47,19 +47,19 @@
 	}
 }
 
-func (s *Spreader) Replica() *Replica { return s.replica }
+func (s *Syncer) Replica() *Replica { return s.replica }
 
 // Ready reports whether the node has ever had a complete view of the
 // configuration.
-func (s *Spreader) Ready() bool { return s.replica.Ready() }
+func (s *Syncer) Ready() bool { return s.replica.Ready() }
 
 // EmergencyDrains returns the emergency drains replicated between nodes.
-func (s *Spreader) EmergencyDrains() *EmergencyDrains { return s.drains }
+func (s *Syncer) EmergencyDrains() *EmergencyDrains { return s.drains }
 
-// MarkDrain adds an emergency drain of a target or machine without using the
+// AddEmergencyDrain adds an emergency drain of a target or machine without using the
 // store, and pushes it to peers at once. It reports whether the drain was added.
-func (s *Spreader) MarkDrain(name string) bool {
-	added := s.drains.Mark(name)
+func (s *Syncer) AddEmergencyDrain(name string) bool {
+	added := s.drains.Add(name)
 	if added {
 		s.pushQueue.addDrains(0)
 	}
@@ -67,7 +67,7 @@
 }
 
 // Digest returns the digest to send by gossip, including the emergency drains.
-func (s *Spreader) Digest() Digest {
+func (s *Syncer) Digest() Digest {
 	digest := s.replica.Digest()
 	digest.Drains = s.drains.Sum()
 	return digest
@@ -75,13 +75,13 @@
 
 // Announce queues versions that were accepted by or read from the store for the
 // next push to peers. It does not block.
-func (s *Spreader) Announce(versions ...resource.Versioned) {
+func (s *Syncer) Announce(versions ...resource.Versioned) {
 	s.pushQueue.addVersions(versions, 0)
 }
 
 // Run synchronizes the replica until the context ends. It returns when all its
 // goroutines have ended.
-func (s *Spreader) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, loop := range []func(context.Context){s.superviseWatch, s.pullLoop, s.pushLoop, s.pollLoop, s.collectLoop} {
 		running.Go(func() { loop(ctx) })
@@ -89,7 +89,7 @@
 	running.Wait()
 }
 
-func (s *Spreader) collectLoop(ctx context.Context) {
+func (s *Syncer) collectLoop(ctx context.Context) {
 	for pause.For(ctx, collectInterval) {
 		s.replica.CollectTombstones()
 	}
--- a/internal/configuration/syncer_test.go
+++ b/internal/configuration/syncer_test.go
@@ -65,7 +65,7 @@
 	storeWriter := NewWriter(c.backing.Store, NewReplica(time.Now), func(...resource.Versioned) {}, time.Now)
 	second := mustWrite(t, storeWriter, "a", first.Revision, resource.Change{ID: "c2"})
 	c.nodes[0].writer.applyAndAnnounce(second)
-	assert.Assert(t, c.nodes[1].syncer.MarkDrain("machine.m1"))
+	assert.Assert(t, c.nodes[1].syncer.AddEmergencyDrain("machine.m1"))
 	eventually(t, "change on the writer's side of the partition", func() bool {
 		current, _ := c.nodes[8].syncer.Replica().Get(second.ID)
 		return current.Revision == second.Revision
--- a/internal/configuration/watch.go
+++ b/internal/configuration/watch.go
@@ -22,7 +22,7 @@
 
 // superviseWatch starts the watch when the node becomes a watcher and stops it
 // when the node no longer is one.
-func (s *Spreader) superviseWatch(ctx context.Context) {
+func (s *Syncer) superviseWatch(ctx context.Context) {
 	started := s.options.Now()
 	stop := func() {}
 	watching := false
@@ -47,7 +47,7 @@
 // shouldWatch reports whether the node is to watch the store now. A node that
 // has no configuration yet tries its peers first, if it has any, so that a mesh
 // whose nodes all start at once does not overload the store.
-func (s *Spreader) shouldWatch(started time.Time) bool {
+func (s *Syncer) shouldWatch(started time.Time) bool {
 	members := s.options.Membership.Members()
 	if !IsWatcher(s.options.Self, members, s.options.WatchersPerZone) {
 		return false
@@ -58,7 +58,7 @@
 
 // startWatch starts the watch. The returned function stops it and waits for its
 // end.
-func (s *Spreader) startWatch(ctx context.Context) (stop func()) {
+func (s *Syncer) startWatch(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (s *Spreader) watchLoop(ctx context.Context) {
+func (s *Syncer) watchLoop(ctx context.Context) {
 	s.setWatching(true)
 	defer s.setWatching(false)
 	retry := newBackoff(s.options.MinBackoff, s.options.MaxBackoff)
@@ -98,7 +98,7 @@
 
 // watchOnce lists the store if requested and then watches it until an error
 // occurs. The watch starts at the floor, up to which the replica is complete.
-func (s *Spreader) watchOnce(ctx context.Context, list bool) error {
+func (s *Syncer) watchOnce(ctx context.Context, list bool) error {
 	if list {
 		if err := s.list(ctx); err != nil {
 			return err
@@ -117,7 +117,7 @@
 }
 
 // cancelOnRelist cancels the watch with errRelist when a relist is requested.
-func (s *Spreader) cancelOnRelist(ctx context.Context, cancel context.CancelCauseFunc) (stop func()) {
+func (s *Syncer) cancelOnRelist(ctx context.Context, cancel context.CancelCauseFunc) (stop func()) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -133,7 +133,7 @@
 	}
 }
 
-func (s *Spreader) handleBatch(batch []store.Entry, progress store.Revision) {
+func (s *Syncer) handleBatch(batch []store.Entry, progress store.Revision) {
 	for _, stored := range batch {
 		s.handleEntry(stored)
 	}
@@ -143,7 +143,7 @@
 	s.recordStoreContact()
 }
 
-func (s *Spreader) handleEntry(stored store.Entry) {
+func (s *Syncer) handleEntry(stored store.Entry) {
 	if stored.Deleted {
 		s.handleRemoval(stored)
 		return
@@ -158,7 +158,7 @@
 
 // handleRemoval handles a key that was deleted by another program: a Writer
 // stores tombstones instead.
-func (s *Spreader) handleRemoval(stored store.Entry) {
+func (s *Syncer) handleRemoval(stored store.Entry) {
 	id, err := resource.ParseKey(stored.Key)
 	if err != nil {
 		s.skipInvalid(err)
@@ -167,13 +167,13 @@
 	s.Announce(s.replica.Remove(id, stored.Revision)...)
 }
 
-func (s *Spreader) skipInvalid(err error) {
+func (s *Syncer) skipInvalid(err error) {
 	s.counters.invalid.Add(1)
 	s.options.Log.WithError(err).Error("the store holds an invalid object; skipping it")
 }
 
 // list reads all objects from the store.
-func (s *Spreader) list(ctx context.Context) error {
+func (s *Syncer) list(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.options.StoreTimeout)
 	defer cancel()
 	s.counters.lists.Add(1)
@@ -190,7 +190,7 @@
 	return nil
 }
 
-func (s *Spreader) applyList(snapshot store.Snapshot) {
+func (s *Syncer) applyList(snapshot store.Snapshot) {
 	versions := make([]resource.Versioned, 0, len(snapshot.Entries))
 	for _, stored := range snapshot.Entries {
 		version, err := decodeEntry(stored)
@@ -210,6 +210,6 @@
 	}
 }
 
-func (s *Spreader) storeError(step string, err error) error {
+func (s *Syncer) storeError(step string, err error) error {
 	return oops.In("configuration").With("step", step).With("peer", "store").Wrap(err)
 }
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -119,7 +119,7 @@
 
 func (n *Node) provisionConfiguration() {
 	n.replica = configuration.NewReplica(time.Now)
-	n.spreader = configuration.NewSpreader(configuration.Options{
+	n.spreader = configuration.NewSyncer(configuration.Options{
 		Self:       configuration.Member{Name: n.settings.Name, Zone: n.settings.Zone, PeerAddress: n.members.Self().PeerAddress, Live: true},
 		Store:      n.store,
 		Membership: gossip.Members{Membership: n.members},
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -15,11 +15,11 @@
 
 // emergencyDrains lets the administration API drain targets and machines when
 // the store is unavailable.
-type emergencyDrains struct{ spreader *configuration.Spreader }
+type emergencyDrains struct{ spreader *configuration.Syncer }
 
 // EmergencyDrain drains the target or machine that the name of the drain denotes.
 func (e emergencyDrains) EmergencyDrain(name string) error {
-	if !e.spreader.MarkDrain(name) {
+	if !e.spreader.AddEmergencyDrain(name) {
 		return errTooManyDrains
 	}
 	return nil
