--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -10,41 +10,42 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-// admit applies the service's policy and the shed levels.
+// admit checks the call against the service's policy and the shed threshold, and
+// sets its rank.
 func (g *Gateway) admit(c *call, r *http.Request, requestURI string) *problem.Problem {
 	c.policy = g.policyCall(c, r, requestURI)
 	shedBy := ""
 	c.threshold, shedBy = g.shedThreshold(c)
 	load := g.policyLoad(c)
 	admitted, err := c.service.Policy.Admit(c.policy, load)
-	g.notEvaluated(c, err)
+	g.logPolicyError(c, err)
 	if !admitted {
 		return g.problem(problem.NotAdmitted, "policy", "the service's policy does not admit the call")
 	}
-	g.notEvaluated(c, g.rank(c))
+	g.logPolicyError(c, g.setRank(c))
 	if g.settings.ShedLevels && c.context.Rank.Key() >= c.threshold {
 		failure := g.problem(problem.Overloaded, "shed", "calls of this rank are being shed by "+shedBy)
-		return g.whenToComeBack(c, load, failure)
+		return g.setRetryAfter(c, load, failure)
 	}
 	return nil
 }
 
-// policyLoad returns the load of the call's service as its policy sees it.
+// policyLoad returns the load of the call's service for its policy.
 func (g *Gateway) policyLoad(c *call) policy.Load {
 	load := g.router.Load(c.service.Name)
 	load.ShedLevel = shedLevelName(c.threshold)
 	return load
 }
 
-// notEvaluated notes that a policy could not be evaluated. Strangers can cause
-// that, so it is no more than a debug message.
-func (g *Gateway) notEvaluated(c *call, err error) {
+// logPolicyError logs an error of a policy's evaluation, if any. External callers
+// can cause such errors, so they are logged at debug level only.
+func (g *Gateway) logPolicyError(c *call, err error) {
 	if err != nil {
-		g.log.WithError(err).WithField("step", "policy").WithField("service", c.service.Name).Debug("policy was not evaluated")
+		g.log.WithError(err).WithField("step", "policy").WithField("service", c.service.Name).Debug("policy evaluation failed")
 	}
 }
 
-func (g *Gateway) rank(c *call) error {
+func (g *Gateway) setRank(c *call) error {
 	if c.orphan {
 		return nil
 	}
@@ -77,7 +78,8 @@
 	}
 }
 
-// shedLevelName returns the level of the most important calls that are shed.
+// shedLevelName returns the name of the most important level of which calls are
+// shed, or an empty string if none are.
 func shedLevelName(threshold uint16) string {
 	if threshold >= criticality.RankCount {
 		return ""
@@ -85,10 +87,10 @@
 	return criticality.RankOf(threshold).Level.String()
 }
 
-// whenToComeBack lets the policy say when the caller may come back.
-func (g *Gateway) whenToComeBack(c *call, load policy.Load, failure *problem.Problem) *problem.Problem {
+// setRetryAfter sets the problem's Retry-After from the service's policy.
+func (g *Gateway) setRetryAfter(c *call, load policy.Load, failure *problem.Problem) *problem.Problem {
 	outcome := policy.Outcome{Status: failure.Status, Executed: string(failure.Executed), Reason: string(failure.Reason)}
 	seconds, err := c.service.Policy.RefuseSeconds(c.policy, load, outcome)
-	g.notEvaluated(c, err)
+	g.logPolicyError(c, err)
 	return failure.WithRetryAfter(time.Duration(seconds) * time.Second)
 }
--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -16,20 +16,22 @@
 
 func TestLargeAnswers(t *testing.T) {
 	body := strings.Repeat("0123456789", 10_000)
-	whole := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }
-	cut := func(w http.ResponseWriter, _ *http.Request) {
+	complete := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }
+	truncated := func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, body)
 		panic(http.ErrAbortHandler)
 	}
 	for _, nodes := range []int{1, 2} {
-		f := cluster(t, nodes, oneService(resource.Service{}, generous, newBackEnd(t, whole)))
-		do(t, "GET", f.edge, "/a/x", "").is(t, 200, body)
-		f = cluster(t, nodes, oneService(resource.Service{}, generous, newBackEnd(t, cut)))
-		assert.Assert(t, do(t, "GET", f.edge, "/a/x", "").err != nil, "a cut answer looks complete")
-		eventually(t, "permit given back", func() bool { return f.homes.InFlight() == 0 })
+		f := cluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, complete)))
+		do(t, "GET", f.edge, "/a/x", "").assertEqual(t, 200, body)
+		f = cluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, truncated)))
+		assert.Assert(t, do(t, "GET", f.edge, "/a/x", "").err != nil, "a truncated response was received as complete")
+		eventually(t, "the permit to be released", func() bool { return f.homes.InFlight() == 0 })
 	}
 }
 
+// A caller that does not read its response must not hold a target's slot past its
+// deadline.
 func TestCallerThatDoesNotRead(t *testing.T) {
 	endless := func(w http.ResponseWriter, _ *http.Request) {
 		for chunk := make([]byte, 1<<20); ; {
@@ -39,38 +41,42 @@
 		}
 	}
 	for _, nodes := range []int{1, 2} {
-		f := cluster(t, nodes, oneService(resource.Service{}, generous, newBackEnd(t, endless)))
-		connection := sendSlowly(t, f.edge, "GET /a/x HTTP/1.1\r\nHost: h\r\nLugspur-Timeout-Ms: 300\r\n\r\n")
+		f := cluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, endless)))
+		connection := sendPartial(t, f.edge, "GET /a/x HTTP/1.1\r\nHost: h\r\nLugspur-Timeout-Ms: 300\r\n\r\n")
 		response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 		assert.NilError(t, err)
 		assert.Equal(t, response.StatusCode, 200)
-		eventually(t, "call out of the node", func() bool { return f.InFlight() == 0 && f.homes.InFlight() == 0 })
+		eventually(t, "the call to end", func() bool { return f.InFlight() == 0 && f.homes.InFlight() == 0 })
 	}
 }
 
+// Calls whose small responses fill the connection's buffers, because the caller does
+// not read them, must end at their deadline.
 func TestSmallAnswersThatNobodyReads(t *testing.T) {
 	const calls = 4000
-	target := newBackEnd(t, saying(200, strings.Repeat("x", 9000)))
-	f := alone(t, resource.Service{}, generous, target)
-	connection := sendSlowly(t, f.edge, "")
+	target := newFakeTarget(t, respondWith(200, strings.Repeat("x", 9000)))
+	f := singleNode(t, resource.Service{}, fiveRetries, target)
+	connection := sendPartial(t, f.edge, "")
 	go func() {
 		_, _ = io.WriteString(connection, strings.Repeat("GET /a/x HTTP/1.1\r\nHost: h\r\nLugspur-Timeout-Ms: 500\r\n\r\n", calls))
 	}()
 	last, since := 0, time.Now()
-	eventually(t, "writing to come to a halt", func() bool {
+	eventually(t, "the writes to block", func() bool {
 		if count := len(target.calls()); count != last {
 			last, since = count, time.Now()
 		}
 		return last > 0 && time.Since(since) > 300*time.Millisecond
 	})
-	assert.Assert(t, last < calls, "all answers fitted into buffers, which proves nothing")
-	eventually(t, "call out of the node", func() bool { return f.InFlight() == 0 })
+	assert.Assert(t, last < calls, "all responses fitted into the buffers, so no write blocked")
+	eventually(t, "the call to end", func() bool { return f.InFlight() == 0 })
 }
 
+// The write deadline of one response must not apply to the next response on the same
+// connection.
 func TestConnectionOutlivesTheDeadlineOfALargeAnswer(t *testing.T) {
 	body := strings.Repeat("0123456789", 10_000)
-	f := alone(t, resource.Service{}, generous, newBackEnd(t, saying(200, body)))
-	connection := sendSlowly(t, f.edge, "")
+	f := singleNode(t, resource.Service{}, fiveRetries, newFakeTarget(t, respondWith(200, body)))
+	connection := sendPartial(t, f.edge, "")
 	reader := bufio.NewReader(connection)
 	for _, timeout := range []string{"100", "5000"} {
 		_, err := io.WriteString(connection, "GET /a/x HTTP/1.1\r\nHost: h\r\nLugspur-Timeout-Ms: "+timeout+"\r\n\r\n")
@@ -86,7 +92,7 @@
 
 func TestHeadAndBodylessAnswers(t *testing.T) {
 	for _, nodes := range []int{1, 2} {
-		f := cluster(t, nodes, oneService(resource.Service{}, generous, newBackEnd(t, func(w http.ResponseWriter, r *http.Request) {
+		f := cluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodHead {
 				w.Header().Set("Content-Length", "12345")
 				return
@@ -94,21 +100,21 @@
 			w.WriteHeader(http.StatusNoContent)
 		})))
 		got := do(t, "HEAD", f.edge, "/a/x", "")
-		got.is(t, 200, "")
+		got.assertEqual(t, 200, "")
 		assert.Equal(t, got.header.Get("Content-Length"), "12345")
-		do(t, "GET", f.edge, "/a/x", "").is(t, 204, "")
+		do(t, "GET", f.edge, "/a/x", "").assertEqual(t, 204, "")
 	}
 }
 
 func TestAnswersCarryTheRequestID(t *testing.T) {
-	target := newBackEnd(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(callcontext.RequestIDHeader, "forged") })
-	f := alone(t, resource.Service{}, resource.Policy{}, target)
+	target := newFakeTarget(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(callcontext.RequestIDHeader, "forged") })
+	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
 	got := do(t, "GET", f.edge, "/a/x", "")
 	assert.Equal(t, got.header.Get(callcontext.RequestIDHeader), contextOf(t, target.calls()[0]).RequestID.String())
 }
 
 func TestClosingNodeAsksCallersToLeave(t *testing.T) {
-	f := alone(t, resource.Service{}, resource.Policy{}, newBackEnd(t, saying(200, "ok")))
+	f := singleNode(t, resource.Service{}, resource.Policy{}, newFakeTarget(t, respondWith(200, "ok")))
 	f.SetClosing()
 	response, err := http.Get("http://" + f.edge + "/a/x")
 	assert.NilError(t, err)
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -14,45 +14,45 @@
 	return r.Body != nil && r.Body != http.NoBody && r.ContentLength != 0
 }
 
-// boundBody bounds the time to read the call's body. The deadline stays when
-// the body is not read whole, so that the server does not wait for its rest.
-func (g *Gateway) boundBody(w http.ResponseWriter, r *http.Request) {
+// setBodyDeadline sets the deadline for reading the request body. It stays in effect
+// if the body is not fully read, so that the server does not wait for the rest.
+func (g *Gateway) setBodyDeadline(w http.ResponseWriter, r *http.Request) {
 	if expectsBody(r) {
-		// A connection that can't have a deadline is bounded by the server's own.
+		// If the connection doesn't support deadlines, the server's own timeouts apply.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(g.settings.ReadBodyTimeout))
 	}
 }
 
 const (
-	// smallBody is the largest body, in bytes, that is read for the sake of its
-	// connection after the call was refused.
-	smallBody = 64 << 10
-	// smallBodyWait is how long such a body is waited for; it has usually come
-	// with the header.
-	smallBodyWait = time.Millisecond
+	// maxDiscardBytes is the size of the largest body of a refused call that is read
+	// so that the connection can be reused.
+	maxDiscardBytes = 64 << 10
+	// discardTimeout is the timeout for reading such a body, which has usually
+	// arrived together with the header.
+	discardTimeout = time.Millisecond
 )
 
-// leaveBody deals with the body of a call that is refused. A small one that is
-// there is read, so that the connection can be used again. Otherwise the
-// connection is closed after the answer: net/http would wait for the rest of
-// the body before it sends the answer.
-func leaveBody(w http.ResponseWriter, r *http.Request) {
+// discardBody handles the body of a refused call. A small body that has already
+// arrived is read, so that the connection can be reused. Otherwise the connection
+// is closed after the response, because net/http would wait for the rest of the
+// body before sending the response.
+func discardBody(w http.ResponseWriter, r *http.Request) {
 	if !expectsBody(r) {
 		return
 	}
-	if r.ContentLength > 0 && r.ContentLength <= smallBody {
-		control := http.NewResponseController(w)
-		_ = control.SetReadDeadline(time.Now().Add(smallBodyWait))
+	if r.ContentLength > 0 && r.ContentLength <= maxDiscardBytes {
+		controller := http.NewResponseController(w)
+		_ = controller.SetReadDeadline(time.Now().Add(discardTimeout))
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
-			_ = control.SetReadDeadline(time.Time{})
+			_ = controller.SetReadDeadline(time.Time{})
 			return
 		}
 	}
 	w.Header().Set("Connection", "close")
 }
 
-// readBody reads the whole body, within its bounds of size and time. The caller
-// has called boundBody.
+// readBody reads the whole body, within its limits of size and time. The caller
+// must have called setBodyDeadline.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *problem.Problem) {
 	if !expectsBody(r) {
 		return nil, nil
--- a/internal/gateway/claim.go
+++ b/internal/gateway/claim.go
@@ -7,25 +7,26 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-// Claims lets a call with an idempotency key run at most once in the cluster.
+// Claims ensures that a call with an idempotency key runs at most once in the
+// cluster.
 type Claims interface {
-	// Claim claims the key within its scope. The problem tells why the call may
-	// not run; it is nil when the claim was granted.
+	// Claim claims the key within its scope. It returns a problem if the claim is
+	// denied and the call may not run.
 	Claim(ctx context.Context, scope, key string) (Claim, *problem.Problem)
 }
 
 // Claim is a granted claim.
 type Claim interface {
-	// Release gives the claim up. It is called only if the call was certainly
-	// not run and never will be.
+	// Release releases the claim. It is called only if it is certain that the call
+	// did not run and never will.
 	Release()
 }
 
-// maxKeyLength bounds an idempotency key, in bytes.
+// maxKeyLength is the maximum length of an idempotency key in bytes.
 const maxKeyLength = 256
 
-// runClaimed runs a call that must run at most once. The claim stays held
-// unless the call was certainly not run.
+// runClaimed runs a call that must run at most once. It keeps the claim unless it
+// is certain that the call did not run.
 func (g *Gateway) runClaimed(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
 	if len(c.key) > maxKeyLength {
 		return nil, g.problem(problem.BadRequest, "claim", "the idempotency key is longer than 256 bytes")
@@ -35,7 +36,7 @@
 	if failure != nil {
 		return nil, failure
 	}
-	reply, failure := g.attempts(ctx, c)
+	reply, failure := g.runWithRetries(ctx, c)
 	if failure != nil && failure.Executed == problem.ExecutedNo {
 		claim.Release()
 	}
--- a/internal/gateway/concurrency_test.go
+++ b/internal/gateway/concurrency_test.go
@@ -8,20 +8,20 @@
 	"github.com/lugspur/lugspur/internal/criticality"
 )
 
-// A node that is full of less important calls must still have room for more
-// important ones, and for the calls of requests that are under way.
+// A node at the concurrency limit of less important calls must still accept more
+// important ones and the nested calls of requests in progress.
 func TestRoomIsLeftToMoreImportantCalls(t *testing.T) {
 	g := &Gateway{settings: Settings{MaxConcurrent: 100}}
-	before := int64(0)
+	previous := int64(0)
 	for level := criticality.Level(criticality.LevelCount); level > 0; level-- {
 		c := &call{listener: Edge}
 		c.context.Rank.Level = level - 1
-		allowed := g.concurrencyFor(c)
-		assert.Assert(t, allowed > before, "%s", level-1)
-		before = allowed
+		allowed := g.concurrencyLimit(c)
+		assert.Assert(t, allowed > previous, "%s", level-1)
+		previous = allowed
 		c.listener = Mesh
-		assert.Assert(t, g.concurrencyFor(c) > 100)
+		assert.Assert(t, g.concurrencyLimit(c) > 100)
 	}
-	assert.Equal(t, before, int64(100))
-	assert.Equal(t, (&Gateway{settings: Settings{MaxConcurrent: 1}}).concurrencyFor(&call{listener: Edge}), int64(1))
+	assert.Equal(t, previous, int64(100))
+	assert.Equal(t, (&Gateway{settings: Settings{MaxConcurrent: 1}}).concurrencyLimit(&call{listener: Edge}), int64(1))
 }
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -28,7 +28,8 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// configuration is what a test's nodes know. It is a catalog.Source.
+// configuration contains the objects of a test's nodes. It implements catalog.Source
+// and, without any drains, catalog.Marks.
 type configuration map[resource.ID]resource.Versioned
 
 func (c configuration) List(kind resource.Kind) []resource.Versioned {
@@ -46,7 +47,7 @@
 	return object, found
 }
 
-// Drained makes it the source of marks as well.
+// Drained implements catalog.Marks.
 func (c configuration) Drained(string) bool { return false }
 
 func (c configuration) add(e resource.Envelope) configuration {
@@ -68,28 +69,27 @@
 	}})
 }
 
-// backEnd is a target that keeps the headers of the calls it got.
-// inTurn runs the handlers in turn, the last one for ever.
-// observed counts what a gateway tells its observer.
-type observed struct {
+// countingObserver counts the events of an Observer.
+type countingObserver struct {
 	answered, refused, retried atomic.Int64
 }
 
-func (o *observed) Answered(Listener, string, int, time.Duration) { o.answered.Add(1) }
-func (o *observed) Refused(Listener, string, *problem.Problem, time.Duration) {
+func (o *countingObserver) Answered(Listener, string, int, time.Duration) { o.answered.Add(1) }
+func (o *countingObserver) Refused(Listener, string, *problem.Problem, time.Duration) {
 	o.refused.Add(1)
 }
-func (o *observed) Retried(string) { o.retried.Add(1) }
+func (o *countingObserver) Retried(string) { o.retried.Add(1) }
 
-type allRetries struct{}
+// unlimitedRatio is a Ratio that allows all retries.
+type unlimitedRatio struct{}
 
-func (allRetries) Success()    {}
-func (allRetries) Allow() bool { return true }
+func (unlimitedRatio) Success()    {}
+func (unlimitedRatio) Allow() bool { return true }
 
-// claims grants all claims but those of the key "taken".
-type claims struct{ claimed, released atomic.Int64 }
+// fakeClaims grants all claims except those for the key "taken".
+type fakeClaims struct{ claimed, released atomic.Int64 }
 
-func (c *claims) Claim(_ context.Context, _, key string) (Claim, *problem.Problem) {
+func (c *fakeClaims) Claim(_ context.Context, _, key string) (Claim, *problem.Problem) {
 	if key == "taken" {
 		return nil, problem.New(problem.DuplicateRequest, problem.ExecutedUnknown, "claim", "n", "")
 	}
@@ -97,32 +97,32 @@
 	return c, nil
 }
 
-func (c *claims) Release() { c.released.Add(1) }
+func (c *fakeClaims) Release() { c.released.Add(1) }
 
-// fixture is a node without its membership and configuration spread.
+// fixture is a node without membership and configuration replication.
 type fixture struct {
 	*Gateway
 	edge, mesh, peer string
-	observed         *observed
-	claims           *claims
+	observed         *countingObserver
+	claims           *fakeClaims
 	shed             *shed.Table
 }
 
-func newFixture(t *testing.T, name string, change func(*Settings)) *fixture {
+func newFixture(t *testing.T, name string, modify func(*Settings)) *fixture {
 	t.Helper()
-	f := &fixture{observed: &observed{}, claims: &claims{}, shed: shed.NewTable(shed.TableConfig{})}
+	f := &fixture{observed: &countingObserver{}, claims: &fakeClaims{}, shed: shed.NewTable(shed.TableConfig{})}
 	peerMux := http.NewServeMux()
-	// The gateway is made below, with the address of this listener.
+	// The gateway is created below because it needs the address of this listener.
 	f.peer = f.listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f.PeerHandler(peerMux).ServeHTTP(w, r)
 	}))
-	self := netip.MustParseAddrPort(f.peer)
+	peer := netip.MustParseAddrPort(f.peer)
 	settings := Settings{
-		Node: name, Zone: "z", Peer: self, MaxBodyBytes: 1000, MaxConcurrent: 100, ReadBodyTimeout: 100 * time.Millisecond,
+		Node: name, Zone: "z", Peer: peer, MaxBodyBytes: 1000, MaxConcurrent: 100, ReadBodyTimeout: 100 * time.Millisecond,
 		DefaultTimeout: 5 * time.Second, MaxTimeout: 10 * time.Second, MaxRetries: 3, ShedLevels: true,
 	}
-	if change != nil {
-		change(&settings)
+	if modify != nil {
+		modify(&settings)
 	}
 	ledger := retrybudget.NewLedger(0, time.Now)
 	grant.Register(peerMux, ledger)
@@ -134,8 +134,8 @@
 		Peers:    home.NewClient(10_000),
 		Shed:     f.shed,
 		Budgets:  ledger,
-		Grants:   grant.NewClient(self, ledger, http.DefaultClient),
-		Ratio:    allRetries{},
+		Grants:   grant.NewClient(peer, ledger, http.DefaultClient),
+		Ratio:    unlimitedRatio{},
 		Claims:   f.claims,
 		Observer: f.observed,
 		Log:      logrus.NewEntry(log),
@@ -151,8 +151,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// knows gives the node its configuration and the members of its cluster.
-func (f *fixture) knows(t *testing.T, objects configuration, members ...*fixture) *fixture {
+// configure sets the node's configuration and cluster members and makes it ready.
+func (f *fixture) configure(t *testing.T, objects configuration, members ...*fixture) *fixture {
 	t.Helper()
 	view, faults := catalog.Build(objects, objects, catalog.Empty())
 	assert.Equal(t, len(faults), 0, "%v", faults)
@@ -165,22 +165,22 @@
 	return f
 }
 
-// alone is a node with one service, "a", whose targets are the back ends.
-func alone(t *testing.T, spec resource.Service, policy resource.Policy, backEnds ...*backEnd) *fixture {
+// singleNode returns a cluster of one node with a service "a" and its targets.
+func singleNode(t *testing.T, spec resource.Service, policy resource.Policy, targets ...*fakeTarget) *fixture {
 	t.Helper()
-	return newFixture(t, "n-1", nil).knows(t, oneService(spec, policy, backEnds...))
+	return newFixture(t, "n-1", nil).configure(t, singleService(spec, policy, targets...))
 }
 
-func oneService(spec resource.Service, policy resource.Policy, backEnds ...*backEnd) configuration {
+func singleService(spec resource.Service, policy resource.Policy, targets ...*fakeTarget) configuration {
 	objects := configuration{}.service("a", spec).policy("a", policy)
-	for i, backEnd := range backEnds {
-		objects.target(fmt.Sprintf("a-%d", i+1), "a", backEnd.address)
+	for i, target := range targets {
+		objects.target(fmt.Sprintf("a-%d", i+1), "a", target.address)
 	}
 	return objects
 }
 
-// answer is what a caller got.
-type answer struct {
+// callResult is a response as the caller received it.
+type callResult struct {
 	status int
 	header http.Header
 	body   string
@@ -197,7 +197,7 @@
 	return func(r *http.Request) { assert.NilError(t, c.SetHeader(r.Header)) }
 }
 
-func do(t *testing.T, method, address, path, body string, options ...option) answer {
+func do(t *testing.T, method, address, path, body string, options ...option) callResult {
 	t.Helper()
 	var content io.Reader
 	if body != "" {
@@ -212,37 +212,37 @@
 	assert.NilError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	got, err := io.ReadAll(response.Body)
-	return answer{response.StatusCode, response.Header, string(got), err}
+	return callResult{response.StatusCode, response.Header, string(got), err}
 }
 
-// refusedWith checks that the answer is a problem document.
-func (a answer) refusedWith(t *testing.T, status int, reason problem.Reason, executed problem.Executed) *problem.Problem {
+// assertProblem checks that the response is a problem document and returns it.
+func (r callResult) assertProblem(t *testing.T, status int, reason problem.Reason, executed problem.Executed) *problem.Problem {
 	t.Helper()
-	assert.NilError(t, a.err)
-	assert.Equal(t, a.status, status, a.body)
-	assert.Equal(t, a.header.Get("Content-Type"), problem.ContentType)
-	told, err := problem.Parse([]byte(a.body))
+	assert.NilError(t, r.err)
+	assert.Equal(t, r.status, status, r.body)
+	assert.Equal(t, r.header.Get("Content-Type"), problem.ContentType)
+	document, err := problem.Parse([]byte(r.body))
 	assert.NilError(t, err)
-	assert.Equal(t, told.Reason, reason, a.body)
-	assert.Equal(t, told.Executed, executed, a.body)
-	assert.Equal(t, a.header.Get(problem.ExecutedHeader), string(executed))
-	return told
+	assert.Equal(t, document.Reason, reason, r.body)
+	assert.Equal(t, document.Executed, executed, r.body)
+	assert.Equal(t, r.header.Get(problem.ExecutedHeader), string(executed))
+	return document
 }
 
-func (a answer) is(t *testing.T, status int, body string) {
+func (r callResult) assertEqual(t *testing.T, status int, body string) {
 	t.Helper()
-	assert.NilError(t, a.err)
-	assert.Equal(t, a.status, status, a.body)
-	assert.Equal(t, a.body, body)
+	assert.NilError(t, r.err)
+	assert.Equal(t, r.status, status, r.body)
+	assert.Equal(t, r.body, body)
 }
 
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		if holds() {
+		if condition() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("%s", description)
 	}, poll.WithDelay(2*time.Millisecond), poll.WithTimeout(5*time.Second))
 }
 
@@ -253,7 +253,7 @@
 	return got
 }
 
-func someContext(ingress string) callcontext.Context {
+func newTestContext(ingress string) callcontext.Context {
 	return callcontext.Context{
 		RequestID: callcontext.NewRequestID(),
 		Span:      callcontext.NewSpanID(),
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway serves calls: it makes or reads the call's context, admits
-// it by policy and shed level, claims it if it must run at most once, has it
-// run by the home of a target, sends it again where that is allowed, and
-// answers completely or with a typed refusal.
+// Package gateway serves calls. It creates or reads the call's context, applies
+// the service's policy and shed level, claims calls that must run at most once,
+// sends the call to the home node of a target, retries it where that is allowed,
+// and returns either a complete response or a problem document.
 package gateway
 
 import (
@@ -23,69 +23,69 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// Listener names the listener that a call came in by.
+// Listener is the name of the listener that accepted a call.
 type Listener string
 
 // The listeners for calls.
 const (
-	// Edge takes the calls of strangers.
+	// Edge accepts calls from external, untrusted callers.
 	Edge Listener = "edge"
-	// Mesh takes the calls of targets.
+	// Mesh accepts calls from targets.
 	Mesh Listener = "mesh"
 )
 
-// Settings are the parts of the node's settings that calls depend on.
+// Settings are the node's settings for serving calls.
 type Settings struct {
-	// Node and Zone name the node and its zone.
+	// Node and Zone are the names of the node and its zone.
 	Node, Zone string
-	// Peer is the node's own peer address, at which it gives grants.
+	// Peer is the node's own peer address, where it serves retry grants.
 	Peer netip.AddrPort
-	// MaxBodyBytes bounds the body of a call.
+	// MaxBodyBytes is the maximum size of a request body.
 	MaxBodyBytes int64
-	// MaxConcurrent bounds the calls in the node at one time.
+	// MaxConcurrent is the maximum number of concurrent calls in the node.
 	MaxConcurrent int64
-	// ReadBodyTimeout bounds the time to read a call's body.
+	// ReadBodyTimeout is the timeout for reading a request body.
 	ReadBodyTimeout time.Duration
-	// DefaultTimeout and MaxTimeout bound the time of a call.
+	// DefaultTimeout and MaxTimeout are the default and maximum timeout of a call.
 	DefaultTimeout, MaxTimeout time.Duration
-	// MaxRetries bounds the retries of one request across the whole chain,
-	// where the service says nothing.
+	// MaxRetries is the maximum number of retries of one request across its
+	// whole call chain, unless the service sets its own.
 	MaxRetries int
-	// ShedLevels refuses calls here that homes further on would refuse.
+	// ShedLevels enables refusing calls that a home node would shed anyway.
 	ShedLevels bool
-	// PriorityOff gives all calls one rank, for experiments.
+	// PriorityOff gives all calls the same rank, for experiments.
 	PriorityOff bool
 }
 
-// Budgets holds the retry budgets of the requests that entered by this node.
+// Budgets holds the retry budgets of the requests whose ingress node this is.
 type Budgets interface {
-	// Open gives the request a budget until it is closed or expires. It returns
-	// false when there is no room for one; the request then gets no retry.
+	// Open creates a budget for the request that lasts until Close or expiry. It
+	// returns false if the table is full; the request then gets no retry.
 	Open(request callcontext.RequestID, retries int, expiry time.Time) bool
-	// Close ends the request's budget; nothing is granted after that.
+	// Close removes the request's budget; later retries are denied.
 	Close(request callcontext.RequestID)
 }
 
-// Grants asks the ingress node of a request for a retry.
+// Grants requests retries from the ingress node of a request.
 type Grants interface {
 	Ask(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error)
 }
 
-// Ratio holds the node's retries to a share of its successes.
+// Ratio limits the node's retries to a share of its successful calls.
 type Ratio interface {
-	// Success notes a call that was answered.
+	// Success records a successful call.
 	Success()
-	// Allow reports whether a retry is allowed now and counts it.
+	// Allow reports whether a retry is allowed and, if so, counts it.
 	Allow() bool
 }
 
-// Observer sees what becomes of calls, for metrics.
+// Observer receives the outcomes of calls, for metrics.
 type Observer interface {
-	// Answered sees an answered call.
+	// Answered records a call that got a target's response.
 	Answered(listener Listener, service string, status int, duration time.Duration)
-	// Refused sees a refused or failed call.
+	// Refused records a refused or failed call.
 	Refused(listener Listener, service string, failure *problem.Problem, duration time.Duration)
-	// Retried sees a retry.
+	// Retried records a retry.
 	Retried(service string)
 }
 
@@ -100,7 +100,7 @@
 	grants   Grants
 	ratio    Ratio
 	claims   Claims
-	resent   *resend.Table
+	resends  *resend.Table
 	observer Observer
 	log      *logrus.Entry
 	now      func() time.Time
@@ -108,12 +108,12 @@
 	ready    atomic.Bool
 	closing  atomic.Bool
 	inFlight atomic.Int64
-	// lastArrival is when the last call came in by the edge, in nanoseconds since
-	// 1970.
+	// lastArrival is when the last call arrived at the edge listener, in
+	// nanoseconds since 1970 (Unix time).
 	lastArrival atomic.Int64
 }
 
-// Parts are what a gateway works with.
+// Parts are the dependencies of a gateway.
 type Parts struct {
 	Router   *Router
 	Homes    *home.Manager
@@ -128,7 +128,7 @@
 	Now      func() time.Time
 }
 
-// New returns a gateway that is not ready: it refuses calls until SetReady.
+// New returns a gateway that refuses calls until SetReady(true).
 func New(settings Settings, parts Parts) *Gateway {
 	return &Gateway{
 		settings: settings,
@@ -140,28 +140,28 @@
 		grants:   parts.Grants,
 		ratio:    parts.Ratio,
 		claims:   parts.Claims,
-		resent:   resend.NewTable(parts.Now),
+		resends:  resend.NewTable(parts.Now),
 		observer: parts.Observer,
 		log:      parts.Log,
 		now:      parts.Now,
 	}
 }
 
-// SetReady says whether the node has a complete view of the configuration.
+// SetReady sets whether the node has a complete view of the configuration.
 func (g *Gateway) SetReady(ready bool) { g.ready.Store(ready) }
 
-// Ready reports what SetReady said last.
+// Ready reports whether the node has a complete view of the configuration.
 func (g *Gateway) Ready() bool { return g.ready.Load() }
 
-// SetClosing makes every answer ask its caller to close the connection, ahead
-// of a planned stop.
+// SetClosing adds "Connection: close" to all further responses, in preparation
+// of a planned shutdown.
 func (g *Gateway) SetClosing() { g.closing.Store(true) }
 
-// InFlight returns the number of calls in the gateway.
+// InFlight returns the number of calls in progress.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
 
-// LastArrival returns when the last call came in by the edge listener; the zero
-// time if none has.
+// LastArrival returns when the last call arrived at the edge listener, or the
+// zero time if there was none.
 func (g *Gateway) LastArrival() time.Time {
 	nanoseconds := g.lastArrival.Load()
 	if nanoseconds == 0 {
@@ -170,17 +170,17 @@
 	return time.Unix(0, nanoseconds)
 }
 
-// Handler serves the calls of one listener. The first part of the path names
-// the service and the rest is the target's. There is no ServeMux in between,
-// because it would answer unusual paths with a redirect in the target's place.
+// Handler returns the handler for the calls of one listener. The first segment
+// of the path names the service; the rest is passed to the target. It uses no
+// ServeMux, which would redirect unclean paths instead of passing them on.
 func (g *Gateway) Handler(listener Listener) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.serve(w, r, listener)
 	})
 }
 
-// splitPath returns the first part of a call's path and the rest as the target
-// sees it, with the query, escaped as the caller sent it.
+// splitPath returns the first segment of a call's path and the request URI for
+// the target: the rest of the path and the query, escaped as the caller sent it.
 func splitPath(u *url.URL) (first, requestURI string) {
 	first, rest, _ := strings.Cut(strings.TrimPrefix(u.EscapedPath(), "/"), "/")
 	if u.RawQuery != "" {
@@ -200,10 +200,10 @@
 	if g.closing.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	g.boundBody(w, r)
-	call, failure := g.receive(w, r, arrival{listener: listener, service: service, requestURI: requestURI, started: started, inFlight: inFlight})
+	g.setBodyDeadline(w, r)
+	call, failure := g.receive(w, r, incomingCall{listener: listener, service: service, requestURI: requestURI, started: started, inFlight: inFlight})
 	if failure != nil {
-		leaveBody(w, r)
+		discardBody(w, r)
 		g.refuse(w, listener, service, call, failure, started)
 		return
 	}
@@ -220,7 +220,7 @@
 	reply.WriteTo(w, call.context.Deadline)
 }
 
-// refuse answers with the problem.
+// refuse responds with the problem.
 func (g *Gateway) refuse(w http.ResponseWriter, listener Listener, service string, call *call, failure *problem.Problem, started time.Time) {
 	if call != nil {
 		failure.RequestID = call.context.RequestID.String()
@@ -241,8 +241,8 @@
 	failure.Write(w)
 }
 
-// shedThreshold returns the lowest shed threshold of the service and of those
-// that a call to it needs.
+// shedThreshold returns the lowest shed threshold of the called service and its
+// direct and indirect dependencies, and the service that has it.
 func (g *Gateway) shedThreshold(call *call) (threshold uint16, service string) {
 	now := g.now()
 	service = call.service.Name
@@ -255,9 +255,10 @@
 	return threshold, service
 }
 
-// cohortEpoch is how long the order of callers inside a level stays the same.
-const cohortEpoch = time.Hour
+// cohortPeriod is how long callers keep their cohort, which orders them within a
+// criticality level.
+const cohortPeriod = time.Hour
 
 func cohortOf(caller string, now time.Time) uint8 {
-	return criticality.CohortOf(caller, uint64(now.Unix()/int64(cohortEpoch/time.Second)))
+	return criticality.CohortOf(caller, uint64(now.Unix()/int64(cohortPeriod/time.Second)))
 }
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -9,47 +9,48 @@
 )
 
 const (
-	// loadLifetime is how long what a home told of its target counts.
-	loadLifetime = 2 * time.Second
-	// loadRefresh is how often the load of a service is added up anew.
-	loadRefresh = 50 * time.Millisecond
+	// loadReportMaxAge is the age after which a home's load report is dropped.
+	loadReportMaxAge = 2 * time.Second
+	// loadRefreshInterval is the minimum interval between two aggregations of a
+	// service's load.
+	loadRefreshInterval = 50 * time.Millisecond
 )
 
-// serviceLoad is what the homes of one service's targets last told, for the
-// service's policy. It is safe for concurrent use.
+// serviceLoad holds the last load reports of the homes of one service's targets,
+// for the service's policy. It is safe for concurrent use.
 type serviceLoad struct {
-	mutex   sync.Mutex
-	targets map[string]targetLoad
-	sum     policy.Load
-	summed  time.Time
+	mutex    sync.Mutex
+	targets  map[string]targetLoad
+	sum      policy.Load
+	summedAt time.Time
 }
 
 type targetLoad struct {
 	home.Load
-	at time.Time
+	reportedAt time.Time
 }
 
 func newServiceLoad() *serviceLoad { return &serviceLoad{targets: map[string]targetLoad{}} }
 
-// report takes in what the home of a target told.
-func (s *serviceLoad) report(target string, load home.Load, now time.Time) {
+// record stores a load report from the home of a target.
+func (s *serviceLoad) record(target string, load home.Load, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.targets[target] = targetLoad{Load: load, at: now}
+	s.targets[target] = targetLoad{Load: load, reportedAt: now}
 }
 
-// load returns the service's load without its shed level: calls in flight and
-// limits added up, and the longest queueing delay.
-func (s *serviceLoad) load(now time.Time) policy.Load {
+// aggregate returns the service's load without its shed level: the sums of the calls
+// in flight and of the limits, and the longest queueing delay.
+func (s *serviceLoad) aggregate(now time.Time) policy.Load {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if now.Sub(s.summed) < loadRefresh {
+	if now.Sub(s.summedAt) < loadRefreshInterval {
 		return s.sum
 	}
-	s.summed = now
+	s.summedAt = now
 	s.sum = policy.Load{}
 	for name, target := range s.targets {
-		if now.Sub(target.at) > loadLifetime {
+		if now.Sub(target.reportedAt) > loadReportMaxAge {
 			delete(s.targets, name)
 			continue
 		}
--- a/internal/gateway/peer.go
+++ b/internal/gateway/peer.go
@@ -11,9 +11,9 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// PeerHandler serves the calls that other nodes forward to this one as the home
-// of the target, and has the rest of the peer listener served by next. Forwarded
-// paths go around next's ServeMux, which would redirect unusual ones.
+// PeerHandler serves calls that other nodes forward to this node as the home of
+// their target, and passes all other requests of the peer listener to next.
+// Forwarded calls bypass next's ServeMux, which would redirect unclean paths.
 func (g *Gateway) PeerHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if forwarded, ok := strings.CutPrefix(r.URL.EscapedPath(), home.PathPrefix); ok {
@@ -26,10 +26,10 @@
 }
 
 func (g *Gateway) serveForwarded(w http.ResponseWriter, r *http.Request, name string) {
-	g.boundBody(w, r)
+	g.setBodyDeadline(w, r)
 	callContext, err := callcontext.FromHeader(r.Header)
 	if err != nil {
-		leaveBody(w, r)
+		discardBody(w, r)
 		home.WriteProblem(w, home.Load{}, g.problem(problem.BadContext, "home", err.Error()).WithCause(err))
 		return
 	}
@@ -47,12 +47,12 @@
 	routes := g.router.current.Load()
 	target := routes.view.Targets[name]
 	if target == nil || routes.view.Services[target.Service] == nil {
-		leaveBody(w, r)
-		return nil, g.problem(problem.NoTarget, "home", "the home does not know the target").WithRetryAfter(retryAfterDefault)
+		discardBody(w, r)
+		return nil, g.problem(problem.NoTarget, "home", "the home does not know the target").WithRetryAfter(defaultRetryAfter)
 	}
 	body, failure := g.readBody(w, r)
 	if failure != nil {
-		leaveBody(w, r)
+		discardBody(w, r)
 		return nil, failure
 	}
 	home.StripHop(r.Header)
--- a/internal/gateway/ratio_test.go
+++ b/internal/gateway/ratio_test.go
@@ -9,26 +9,26 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-// spentRatio has no retry left.
-type spentRatio struct{}
+// noRetryRatio is a Ratio that allows no retry.
+type noRetryRatio struct{}
 
-func (spentRatio) Success()    {}
-func (spentRatio) Allow() bool { return false }
+func (noRetryRatio) Success()    {}
+func (noRetryRatio) Allow() bool { return false }
 
-// In an overload the node's share of retries is spent. A vent order that one
-// target refused must still be tried at another, which may be taking less
-// important calls.
+// During an overload the node's retry ratio is exhausted. A critical-plus call (such
+// as an order to open a vent) that one target refused must still be retried at
+// another one, which may be accepting less important calls.
 func TestMostImportantCallsNeedNoShareOfRetries(t *testing.T) {
-	g := &Gateway{ratio: spentRatio{}}
+	g := &Gateway{ratio: noRetryRatio{}}
 	refused := problem.New(problem.Overloaded, problem.ExecutedNo, "home", "a-1", "")
 	mayHaveRun := problem.New(problem.TargetFailed, problem.ExecutedUnknown, "transport", "a-1", "")
-	unreached := problem.New(problem.NoTarget, problem.ExecutedNo, "forward", "node", "")
+	notReached := problem.New(problem.NoTarget, problem.ExecutedNo, "forward", "node", "")
 	for level := range criticality.Level(criticality.LevelCount) {
 		c := &call{}
 		c.context.Rank.Level = level
 		assert.Equal(t, g.withinRatio(c, refused), level == criticality.CriticalPlus, "%s", level)
 		assert.Assert(t, !g.withinRatio(c, mayHaveRun))
-		assert.Assert(t, !g.withinRatio(c, nil), "an answer that says failure")
-		assert.Assert(t, g.withinRatio(c, unreached))
+		assert.Assert(t, !g.withinRatio(c, nil), "a response with an error status")
+		assert.Assert(t, g.withinRatio(c, notReached))
 	}
 }
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -16,7 +16,7 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// call is a call on its way through the gateway.
+// call is the state of a call in the gateway.
 type call struct {
 	listener  Listener
 	service   *catalog.Service
@@ -28,66 +28,67 @@
 	threshold uint16
 }
 
-// retryAfterDefault is told where nothing better is known.
-const retryAfterDefault = time.Second
+// defaultRetryAfter is the Retry-After of refusals for which the service's policy
+// is not evaluated.
+const defaultRetryAfter = time.Second
 
-// arrival is what is known of a call when it comes in.
-type arrival struct {
+// incomingCall describes a call before its headers and body are read.
+type incomingCall struct {
 	listener   Listener
 	service    string
 	requestURI string
 	started    time.Time
-	// inFlight is the number of calls in the node, this one included.
+	// inFlight is the number of calls in the node, including this one.
 	inFlight int64
 }
 
-// receive reads a call up to the point where it is admitted. The call is nil
-// when not even its service is known.
-func (g *Gateway) receive(w http.ResponseWriter, r *http.Request, a arrival) (*call, *problem.Problem) {
+// receive reads, admits and returns a call. On failure the returned call is nil if
+// its service is unknown or the node is not ready.
+func (g *Gateway) receive(w http.ResponseWriter, r *http.Request, incoming incomingCall) (*call, *problem.Problem) {
 	if !g.ready.Load() {
-		return nil, g.problem(problem.NotReady, "receive", "the node has no configuration yet").WithRetryAfter(retryAfterDefault)
+		return nil, g.problem(problem.NotReady, "receive", "the node has no configuration yet").WithRetryAfter(defaultRetryAfter)
 	}
-	service := g.router.View().Services[a.service]
+	service := g.router.View().Services[incoming.service]
 	if service == nil {
 		return nil, g.problem(problem.UnknownService, "receive", "no such service")
 	}
-	c := &call{listener: a.listener, service: service}
-	if failure := g.readContext(c, r, a.started); failure != nil {
+	c := &call{listener: incoming.listener, service: service}
+	if failure := g.readContext(c, r, incoming.started); failure != nil {
 		return c, failure
 	}
-	if failure := g.admit(c, r, a.requestURI); failure != nil {
+	if failure := g.admit(c, r, incoming.requestURI); failure != nil {
 		return c, failure
 	}
-	if a.inFlight > g.concurrencyFor(c) {
+	if incoming.inFlight > g.concurrencyLimit(c) {
 		failure := g.problem(problem.Overloaded, "receive", "too many calls in the node")
-		return c, g.whenToComeBack(c, g.policyLoad(c), failure)
+		return c, g.setRetryAfter(c, g.policyLoad(c), failure)
 	}
 	body, failure := g.readBody(w, r)
 	if failure != nil {
 		return c, failure
 	}
-	c.message = transport.Call{Method: r.Method, RequestURI: a.requestURI, Header: r.Header, Body: body}
+	c.message = transport.Call{Method: r.Method, RequestURI: incoming.requestURI, Header: r.Header, Body: body}
 	home.StripHop(c.message.Header)
 	c.message.Header.Set(callcontext.RequestIDHeader, c.context.RequestID.String())
 	return c, nil
 }
 
 const (
-	// reservedPercent is the share of the node's concurrent calls, in percent,
-	// that each level leaves to the levels above it.
+	// reservedPercent is the percentage of the node's concurrent calls that each
+	// criticality level reserves for the levels above it.
 	reservedPercent = 10
-	// meshFactor is how many times the node's concurrent calls are allowed to
-	// calls of targets: those belong to requests that are under way, and
-	// refusing them wastes what was done.
-	meshFactor = 2
+	// meshConcurrencyFactor multiplies the concurrency limit for calls made by
+	// targets. They belong to requests in progress, and refusing them wastes the
+	// work already done.
+	meshConcurrencyFactor = 2
 )
 
-// concurrencyFor returns how many calls may be in the node for the call to be
-// taken.
-func (g *Gateway) concurrencyFor(c *call) int64 {
+// concurrencyLimit returns the number of calls in the node above which the call is
+// refused.
+func (g *Gateway) concurrencyLimit(c *call) int64 {
 	allowed := g.settings.MaxConcurrent * int64(100-reservedPercent*int(c.context.Rank.Level)) / 100
 	if c.listener == Mesh {
-		allowed *= meshFactor
+		allowed *= meshConcurrencyFactor
 	}
 	return max(allowed, 1)
 }
@@ -96,9 +97,9 @@
 	return problem.New(reason, problem.ExecutedNo, step, g.settings.Node, detail)
 }
 
-// readContext makes the context of a call at the edge, where one that comes
-// along is dropped, and reads it on the mesh. A mesh call without context is an
-// orphan: it gets no retry and the lowest rank.
+// readContext creates the context of an edge call, ignoring one that the caller
+// sent, or reads the context of a mesh call. A mesh call without context is an
+// orphan: it gets the lowest rank and is never retried.
 func (g *Gateway) readContext(c *call, r *http.Request, started time.Time) *problem.Problem {
 	timeout, failure := g.timeoutOf(c.service, r.Header)
 	if failure != nil {
@@ -146,8 +147,8 @@
 	}
 }
 
-// timeoutOf returns how long the call may take: the shortest of what the
-// caller, the service and the node allow.
+// timeoutOf returns the timeout of the call: the one that the caller requests, else
+// that of the service, else the node's default, but at most the node's maximum.
 func (g *Gateway) timeoutOf(service *catalog.Service, header http.Header) (time.Duration, *problem.Problem) {
 	timeout := g.settings.DefaultTimeout
 	if service.Spec.TimeoutMillis > 0 {
@@ -163,7 +164,8 @@
 	return min(timeout, g.settings.MaxTimeout), nil
 }
 
-// ingress returns the node to ask for grants; orphans have none.
+// ingress returns the peer address of the node that grants the request's retries.
+// It returns false for orphans.
 func (c *call) ingress() (netip.AddrPort, bool) {
 	return c.context.Ingress, !c.orphan && c.context.Ingress.IsValid()
 }
--- a/internal/gateway/receive_test.go
+++ b/internal/gateway/receive_test.go
@@ -21,14 +21,14 @@
 )
 
 func TestEdgeDropsForgedContexts(t *testing.T) {
-	target := newBackEnd(t, saying(200, "ok"))
-	f := alone(t, resource.Service{}, resource.Policy{}, target)
-	forged := someContext("127.0.0.1:1")
+	target := newFakeTarget(t, respondWith(200, "ok"))
+	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
+	forged := newTestContext("127.0.0.1:1")
 	forged.Deadline = time.Now().Add(time.Hour)
 	value, err := forged.Encode()
 	assert.NilError(t, err)
 	do(t, "GET", f.edge, "/a/x", "", header(callcontext.BaggageHeader, "own=1,lugspur="+value), header(callcontext.CallerHeader, "grower-2"),
-		header(callcontext.RequestIDHeader, forged.RequestID.String())).is(t, 200, "ok")
+		header(callcontext.RequestIDHeader, forged.RequestID.String())).assertEqual(t, 200, "ok")
 	got := contextOf(t, target.calls()[0])
 	assert.Assert(t, got.RequestID != forged.RequestID)
 	assert.Equal(t, got.Ingress.String(), f.peer)
@@ -41,42 +41,42 @@
 }
 
 func TestMeshBelievesContexts(t *testing.T) {
-	target := newBackEnd(t, saying(200, "ok"))
-	f := alone(t, resource.Service{}, resource.Policy{}, target)
-	sent := someContext("127.0.0.1:1")
-	do(t, "GET", f.mesh, "/a/x", "", withContext(t, sent), header(callcontext.CallerHeader, "other")).is(t, 200, "ok")
+	target := newFakeTarget(t, respondWith(200, "ok"))
+	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
+	sent := newTestContext("127.0.0.1:1")
+	do(t, "GET", f.mesh, "/a/x", "", withContext(t, sent), header(callcontext.CallerHeader, "other")).assertEqual(t, 200, "ok")
 	got := contextOf(t, target.calls()[0])
 	assert.Assert(t, got.Deadline.Equal(sent.Deadline))
 	got.Deadline = sent.Deadline
 	sent.Hops++
-	assert.Assert(t, got.Span != sent.Span, "every sending has a span of its own")
+	assert.Assert(t, got.Span != sent.Span, "each attempt must have its own span")
 	got.Span = sent.Span
 	assert.Equal(t, got, sent)
 }
 
 func TestContextsOfTheMesh(t *testing.T) {
-	target := newBackEnd(t, saying(200, "ok"))
-	f := alone(t, resource.Service{}, resource.Policy{}, target)
-	lastHop, late := someContext("127.0.0.1:1"), someContext("127.0.0.1:1")
-	lastHop.Hops = callcontext.MaxHops
-	late.Deadline = time.Now().Add(-time.Second)
-	do(t, "GET", f.mesh, "/a/x", "", header(callcontext.BaggageHeader, "lugspur=nonsense")).refusedWith(t, 400, problem.BadContext, problem.ExecutedNo)
-	do(t, "GET", f.mesh, "/a/x", "", withContext(t, lastHop)).refusedWith(t, 508, problem.TooManyHops, problem.ExecutedNo)
-	do(t, "GET", f.mesh, "/a/x", "", withContext(t, late)).refusedWith(t, 504, problem.DeadlineExceeded, problem.ExecutedNo)
+	target := newFakeTarget(t, respondWith(200, "ok"))
+	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
+	tooManyHops, expired := newTestContext("127.0.0.1:1"), newTestContext("127.0.0.1:1")
+	tooManyHops.Hops = callcontext.MaxHops
+	expired.Deadline = time.Now().Add(-time.Second)
+	do(t, "GET", f.mesh, "/a/x", "", header(callcontext.BaggageHeader, "lugspur=nonsense")).assertProblem(t, 400, problem.BadContext, problem.ExecutedNo)
+	do(t, "GET", f.mesh, "/a/x", "", withContext(t, tooManyHops)).assertProblem(t, 508, problem.TooManyHops, problem.ExecutedNo)
+	do(t, "GET", f.mesh, "/a/x", "", withContext(t, expired)).assertProblem(t, 504, problem.DeadlineExceeded, problem.ExecutedNo)
 	assert.Equal(t, len(target.calls()), 0)
 }
 
 func TestOrphansGetTheLowestRankAndNoRetry(t *testing.T) {
-	target := newBackEnd(t, reset)
-	f := alone(t, resource.Service{}, resource.Policy{Rank: `"critical-plus"`, Retry: "3"}, target)
-	do(t, "GET", f.mesh, "/a/x", "").refusedWith(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
+	target := newFakeTarget(t, abortConnection)
+	f := singleNode(t, resource.Service{}, resource.Policy{Rank: `"critical-plus"`, Retry: "3"}, target)
+	do(t, "GET", f.mesh, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
 	assert.Equal(t, len(target.calls()), 1)
 	assert.Equal(t, contextOf(t, target.calls()[0]).Rank, criticality.Lowest)
 }
 
 func TestRefusalsBeforeAnythingRuns(t *testing.T) {
-	target := newBackEnd(t, saying(200, "ok"))
-	f := alone(t, resource.Service{}, resource.Policy{Admit: `call.caller != "banned"`}, target)
+	target := newFakeTarget(t, respondWith(200, "ok"))
+	f := singleNode(t, resource.Service{}, resource.Policy{Admit: `call.caller != "banned"`}, target)
 	large := strings.Repeat("x", 1001)
 	unsized := func(r *http.Request) { r.ContentLength = -1; r.Body = io.NopCloser(strings.NewReader(large)) }
 	for name, c := range map[string]struct {
@@ -95,8 +95,8 @@
 		"key too long":     {"/a/x", "", header(callcontext.IdempotencyKeyHeader, strings.Repeat("k", 257)), 400, problem.BadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
-			told := do(t, "POST", f.edge, c.path, c.body, c.option).refusedWith(t, c.status, c.reason, problem.ExecutedNo)
-			assert.Equal(t, told.RetryAfterSeconds, 0, "coming back is of no use")
+			document := do(t, "POST", f.edge, c.path, c.body, c.option).assertProblem(t, c.status, c.reason, problem.ExecutedNo)
+			assert.Equal(t, document.RetryAfterSeconds, 0, "a retry can't succeed, so there must be no Retry-After")
 		})
 	}
 	assert.Equal(t, len(target.calls()), 0)
@@ -105,20 +105,20 @@
 
 func TestNodeThatIsNotReady(t *testing.T) {
 	f := newFixture(t, "n-1", nil)
-	told := do(t, "GET", f.edge, "/a/x", "").refusedWith(t, 503, problem.NotReady, problem.ExecutedNo)
-	assert.Assert(t, told.RetryAfterSeconds > 0)
+	document := do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 503, problem.NotReady, problem.ExecutedNo)
+	assert.Assert(t, document.RetryAfterSeconds > 0)
 }
 
 func TestTooManyCallsInTheNode(t *testing.T) {
-	target := newBackEnd(t, untilGone)
-	f := newFixture(t, "n-1", func(s *Settings) { s.MaxConcurrent = 1 }).knows(t, oneService(resource.Service{}, resource.Policy{}, target))
+	target := newFakeTarget(t, blockUntilCanceled)
+	f := newFixture(t, "n-1", func(s *Settings) { s.MaxConcurrent = 1 }).configure(t, singleService(resource.Service{}, resource.Policy{}, target))
 	go func() { _ = f.call(f.edge) }()
-	eventually(t, "call at the target", func() bool { return len(target.calls()) == 1 })
-	told := do(t, "GET", f.edge, "/a/x", "").refusedWith(t, 503, problem.Overloaded, problem.ExecutedNo)
-	assert.Assert(t, told.RetryAfterSeconds > 0)
+	eventually(t, "the call to reach the target", func() bool { return len(target.calls()) == 1 })
+	document := do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 503, problem.Overloaded, problem.ExecutedNo)
+	assert.Assert(t, document.RetryAfterSeconds > 0)
 }
 
-// call makes a call that the target answers when its time is up.
+// call makes a call with a timeout of 300 ms.
 func (f *fixture) call(address string) error {
 	request, err := http.NewRequest("GET", "http://"+address+"/a/x", nil)
 	if err != nil {
@@ -133,41 +133,41 @@
 }
 
 func TestShedLevelRefusesWithThePolicysRetryAfter(t *testing.T) {
-	target := newBackEnd(t, saying(200, "ok"))
+	target := newFakeTarget(t, respondWith(200, "ok"))
 	spec := resource.Service{Calls: []string{"deep"}}
 	policy := resource.Policy{Rank: `call.caller == "vip" ? "critical" : "sheddable"`, Refuse: `load.shed_level == "sheddable" ? 7 : 9`}
-	f := newFixture(t, "n-1", nil).knows(t, oneService(spec, policy, target).service("deep", resource.Service{}).target("deep-1", "deep", target.address))
+	f := newFixture(t, "n-1", nil).configure(t, singleService(spec, policy, target).service("deep", resource.Service{}).target("deep-1", "deep", target.address))
 	f.shed.Update(shed.Entry{
 		Service: "deep", Target: "deep-1", Origin: "n-2", Weight: 8, Version: 1,
 		Threshold: criticality.Rank{Level: criticality.Sheddable}.Key(),
 	}, time.Now())
 	refused := do(t, "GET", f.edge, "/a/x", "")
-	refused.refusedWith(t, 503, problem.Overloaded, problem.ExecutedNo)
+	refused.assertProblem(t, 503, problem.Overloaded, problem.ExecutedNo)
 	assert.Equal(t, refused.header.Get("Retry-After"), "7")
 	assert.Equal(t, len(target.calls()), 0)
-	do(t, "GET", f.edge, "/a/x", "", header(callcontext.CallerHeader, "vip")).is(t, 200, "ok")
+	do(t, "GET", f.edge, "/a/x", "", header(callcontext.CallerHeader, "vip")).assertEqual(t, 200, "ok")
 }
 
 func TestDeadlinePassesDown(t *testing.T) {
-	target := newBackEnd(t, saying(200, "ok"))
-	f := alone(t, resource.Service{TimeoutMillis: 4000}, resource.Policy{}, target)
-	for asked, most := range map[string]int{"700": 700, "60000": 10_000, "": 4000} {
+	target := newFakeTarget(t, respondWith(200, "ok"))
+	f := singleNode(t, resource.Service{TimeoutMillis: 4000}, resource.Policy{}, target)
+	for requested, limit := range map[string]int{"700": 700, "60000": 10_000, "": 4000} {
 		var options []option
-		if asked != "" {
-			options = append(options, header(callcontext.TimeoutHeader, asked))
+		if requested != "" {
+			options = append(options, header(callcontext.TimeoutHeader, requested))
 		}
-		do(t, "GET", f.edge, "/a/x", "", options...).is(t, 200, "ok")
+		do(t, "GET", f.edge, "/a/x", "", options...).assertEqual(t, 200, "ok")
 		calls := target.calls()
 		millis, err := strconv.Atoi(calls[len(calls)-1].Get(callcontext.TimeoutHeader))
 		assert.NilError(t, err)
-		assert.Assert(t, millis <= most && millis > most-500, "%q gave %d", asked, millis)
+		assert.Assert(t, millis <= limit && millis > limit-500, "%q gave %d", requested, millis)
 		left := time.Until(contextOf(t, calls[len(calls)-1]).Deadline)
-		assert.Assert(t, left <= time.Duration(most)*time.Millisecond)
+		assert.Assert(t, left <= time.Duration(limit)*time.Millisecond)
 	}
 }
 
-// sendSlowly writes the text and keeps the connection open.
-func sendSlowly(t *testing.T, address, text string) net.Conn {
+// sendPartial writes the text to a new connection and keeps it open.
+func sendPartial(t *testing.T, address, text string) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
@@ -178,11 +178,11 @@
 	return connection
 }
 
-// A sender that never ends its body must get its answer and be cut off,
-// whatever the call is refused for.
+// A caller that never finishes its body must get a response, and its connection must
+// be closed, whatever the reason of the refusal is.
 func TestSlowBodiesAreCutOff(t *testing.T) {
-	target := newBackEnd(t, saying(200, "ok"))
-	f := alone(t, resource.Service{}, resource.Policy{Admit: `call.caller != "banned"`}, target)
+	target := newFakeTarget(t, respondWith(200, "ok"))
+	f := singleNode(t, resource.Service{}, resource.Policy{Admit: `call.caller != "banned"`}, target)
 	for name, c := range map[string]struct {
 		address, path, more string
 		status              int
@@ -197,10 +197,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			connection := sendSlowly(t, c.address, fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\n%s\r\n\r\n", c.path, c.more))
+			connection := sendPartial(t, c.address, fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\n%s\r\n\r\n", c.path, c.more))
 			reader := bufio.NewReader(connection)
 			response, err := http.ReadResponse(reader, nil)
-			assert.NilError(t, err, "no answer")
+			assert.NilError(t, err, "no response")
 			assert.Equal(t, response.StatusCode, c.status)
 			_, err = io.Copy(io.Discard, response.Body)
 			assert.NilError(t, err)
@@ -210,11 +210,12 @@
 	}
 }
 
-// What the path looks like, the caller gets the target's answer or a problem.
+// Whatever the path looks like, the caller must get the target's response or a
+// problem document.
 func TestEveryPathIsAnsweredOrRefused(t *testing.T) {
-	target := newBackEnd(t, saying(200, "ok"))
-	f := alone(t, resource.Service{}, resource.Policy{}, target)
-	for path, seen := range map[string]string{
+	target := newFakeTarget(t, respondWith(200, "ok"))
+	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
+	for path, targetURI := range map[string]string{
 		"/a/":          "/",
 		"/a/x?q=1%20":  "/x?q=1%20",
 		"/a/x%2Fy/":    "/x%2Fy/",
@@ -230,16 +231,16 @@
 	} {
 		t.Run(path, func(t *testing.T) {
 			before := len(target.calls())
-			connection := sendSlowly(t, f.edge, "GET "+path+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+			connection := sendPartial(t, f.edge, "GET "+path+" HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
 			response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 			assert.NilError(t, err)
 			body, err := io.ReadAll(response.Body)
 			assert.NilError(t, err)
 			if response.StatusCode == 200 {
-				assert.DeepEqual(t, target.uris()[before:], []string{seen})
+				assert.DeepEqual(t, target.uris()[before:], []string{targetURI})
 				return
 			}
-			if strings.HasSuffix(path, "%") { // net/http itself answers what is no URL
+			if strings.HasSuffix(path, "%") { // net/http itself responds to invalid URLs
 				assert.Equal(t, response.StatusCode, 400)
 				return
 			}
--- a/internal/gateway/resend_test.go
+++ b/internal/gateway/resend_test.go
@@ -10,18 +10,18 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// A target that sends a failed call again spends the request's retries, also
-// when it does so by itself, and is refused once they are spent.
+// A failed call that the target itself sends again is charged to the request's
+// retry budget, and is refused once the budget is exhausted.
 func TestTargetsThatResendSpendTheBudget(t *testing.T) {
-	target := newBackEnd(t, saying(500, "failed"))
-	f := alone(t, resource.Service{}, resource.Policy{Retry: "0"}, target)
-	sent := someContext(f.peer)
+	target := newFakeTarget(t, respondWith(500, "failed"))
+	f := singleNode(t, resource.Service{}, resource.Policy{Retry: "0"}, target)
+	sent := newTestContext(f.peer)
 	f.budgets.Open(sent.RequestID, 2, time.Now().Add(time.Minute))
 	for range 3 {
-		do(t, "POST", f.mesh, "/a/x", "body", withContext(t, sent)).is(t, 500, "failed")
+		do(t, "POST", f.mesh, "/a/x", "body", withContext(t, sent)).assertEqual(t, 500, "failed")
 	}
 	got := do(t, "POST", f.mesh, "/a/x", "body", withContext(t, sent))
-	got.refusedWith(t, 503, problem.RetriesSpent, problem.ExecutedNo)
+	got.assertProblem(t, 503, problem.RetriesSpent, problem.ExecutedNo)
 	assert.Equal(t, len(target.calls()), 3)
-	do(t, "POST", f.mesh, "/a/x", "another body", withContext(t, sent)).is(t, 500, "failed")
+	do(t, "POST", f.mesh, "/a/x", "another body", withContext(t, sent)).assertEqual(t, 500, "failed")
 }
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -11,30 +11,30 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// Route is where one attempt of a call goes.
+// Route is the destination of one attempt of a call.
 type Route struct {
 	Target *catalog.Target
-	// Peer is the peer address of the home, empty when this node is the home.
+	// Peer is the peer address of the home node, empty if this node is the home.
 	Peer string
-	// Home names the home.
+	// Home is the name of the target's home node.
 	Home string
-	// Owner tells whether the home is the first in line for the target.
+	// Owner reports whether Home is the target's primary home, not a fallback.
 	Owner  bool
 	picker *routing.Picker
 	load   *serviceLoad
 }
 
-// Load returns what the homes of the service's targets last told of their load.
+// Load returns the load that the homes of the service's targets last reported.
 func (r *Router) Load(service string) policy.Load {
 	load := r.current.Load().loads[service]
 	if load == nil {
 		return policy.Load{}
 	}
-	return load.load(r.now())
+	return load.aggregate(r.now())
 }
 
-// Pick chooses a target that is none of the excluded ones. The route must end
-// by Done.
+// Pick returns a route to a target that is not excluded. The caller must pass the
+// route to Done.
 func (r *Router) Pick(service string, exclude []string) (Route, bool) {
 	routes := r.current.Load()
 	picker := routes.pickers[service]
@@ -56,15 +56,15 @@
 	return route, true
 }
 
-// routeTo finds the home: the first in line that answers as far as is known,
-// else the first that has not just refused a connection. A target without a
-// reachable home is guarded by this node itself.
+// routeTo selects the home node: the first candidate that is reachable and not
+// suspected to have failed, else the first that is reachable. If there is none,
+// this node admits the target's calls itself.
 func (r *Router) routeTo(routes *routes, target *catalog.Target) Route {
 	if !r.homes {
 		return Route{Target: target, Home: r.node, Owner: true}
 	}
 	homes := routes.placement.Homes(target.Name)
-	for _, reachable := range []func(membership.Member) bool{r.answers, r.takesConnections} {
+	for _, reachable := range []func(membership.Member) bool{r.isResponsive, r.isReachable} {
 		for i, member := range homes {
 			if member.Name == r.node {
 				return Route{Target: target, Home: r.node, Owner: i == 0}
@@ -77,25 +77,25 @@
 	return Route{Target: target, Home: r.node}
 }
 
-// answers reports whether the node is not suspected to have failed.
-func (r *Router) answers(member membership.Member) bool {
-	return member.State != membership.Suspect && r.takesConnections(member)
+// isResponsive reports whether the node is reachable and not suspected to have
+// failed.
+func (r *Router) isResponsive(member membership.Member) bool {
+	return member.State != membership.Suspect && r.isReachable(member)
 }
 
-// takesConnections reports whether the node has not refused a connection of
-// this one lately.
-func (r *Router) takesConnections(member membership.Member) bool {
-	return !r.suspect(member.PeerAddress)
+// isReachable reports whether no connection to the node failed recently.
+func (r *Router) isReachable(member membership.Member) bool {
+	return !r.isUnreachable(member.PeerAddress)
 }
 
-// Done ends a route and takes in the load that the home stated, if it did.
+// Done ends a route and records the load that the home reported, if any.
 func (r *Router) Done(route Route, load home.Load) {
 	route.picker.Done(route.Target.Name)
 	if load.Limit == 0 {
 		return
 	}
 	now := r.now()
-	route.load.report(route.Target.Name, load, now)
+	route.load.record(route.Target.Name, load, now)
 	route.picker.Report(route.Target.Name, float64(load.InFlight+load.Queued)/float64(load.Limit))
 	r.shed.Update(shed.Entry{
 		Service:   route.Target.Service,
@@ -107,21 +107,21 @@
 	}, now)
 }
 
-// Suspect notes that the home at the peer address could not be reached.
-func (r *Router) Suspect(peer string) {
+// MarkUnreachable records that the node at the peer address could not be reached.
+func (r *Router) MarkUnreachable(peer string) {
 	if peer != "" {
-		r.suspects.Store(peer, r.now().Add(suspicionLifetime))
+		r.unreachableUntil.Store(peer, r.now().Add(unreachablePeriod))
 	}
 }
 
-func (r *Router) suspect(peer string) bool {
-	until, found := r.suspects.Load(peer)
+func (r *Router) isUnreachable(peer string) bool {
+	until, found := r.unreachableUntil.Load(peer)
 	if !found {
 		return false
 	}
 	if r.now().Before(until.(time.Time)) {
 		return true
 	}
-	r.suspects.Delete(peer)
+	r.unreachableUntil.Delete(peer)
 	return false
 }
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -15,12 +15,12 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// suspicionLifetime is how long a home that refused a connection is passed
-// over in favour of the next node in line.
-const suspicionLifetime = time.Second
+// unreachablePeriod is how long a home node is skipped after a failed connection,
+// in favor of the next candidate.
+const unreachablePeriod = time.Second
 
-// Router knows the services, picks targets and knows their homes. It is safe
-// for concurrent use.
+// Router selects the targets of calls and their home nodes. It is safe for
+// concurrent use.
 type Router struct {
 	node    string
 	zone    string
@@ -30,12 +30,12 @@
 	shed    *shed.Table
 	current atomic.Pointer[routes]
 
-	mutex    sync.Mutex
-	started  map[string]start
-	suspects sync.Map
+	mutex            sync.Mutex
+	warmupStarts     map[string]warmupStart
+	unreachableUntil sync.Map
 }
 
-// routes is one immutable state of the router.
+// routes is an immutable snapshot of the router's state.
 type routes struct {
 	view      *catalog.View
 	placement *placement.Table
@@ -44,53 +44,53 @@
 	byHash    map[uint32]*catalog.Target
 }
 
-// start is when a target began its present warm-up.
-type start struct {
+// warmupStart is the start of a target's current warm-up.
+type warmupStart struct {
 	joinedAt store.Revision
 	at       time.Time
 }
 
-// RouterConfig describes the node that routes.
+// RouterConfig configures a Router.
 type RouterConfig struct {
-	// Node and Zone name the node and its zone.
+	// Node and Zone are the names of the node and its zone.
 	Node, Zone string
-	// Homes lets one node guard each target; off, every node guards all
-	// targets on its own.
+	// Homes routes all calls to a target through its home node. Without it, every
+	// node admits calls to all targets independently.
 	Homes bool
-	// Warmup raises the share of targets that join step by step.
+	// Warmup ramps up the traffic to targets that join.
 	Warmup bool
-	// Shed holds the shed levels of the services.
+	// Shed holds the shed thresholds of the services.
 	Shed *shed.Table
 	Now  func() time.Time
 }
 
-// NewRouter returns a router that knows no service.
+// NewRouter returns a router without services.
 func NewRouter(config RouterConfig) *Router {
 	r := &Router{
-		node:    config.Node,
-		zone:    config.Zone,
-		homes:   config.Homes,
-		warmup:  config.Warmup,
-		now:     config.Now,
-		shed:    config.Shed,
-		started: map[string]start{},
+		node:         config.Node,
+		zone:         config.Zone,
+		homes:        config.Homes,
+		warmup:       config.Warmup,
+		now:          config.Now,
+		shed:         config.Shed,
+		warmupStarts: map[string]warmupStart{},
 	}
 	empty := catalog.Empty()
 	r.current.Store(&routes{view: empty, placement: placement.Build(empty, nil), pickers: map[string]*routing.Picker{}})
 	return r
 }
 
-// View returns the configuration that calls are decided on.
+// View returns the configuration in effect.
 func (r *Router) View() *catalog.View { return r.current.Load().view }
 
-// Placement returns the present homes.
+// Placement returns the current placement of targets on home nodes.
 func (r *Router) Placement() *placement.Table { return r.current.Load().placement }
 
-// Update takes over a view of the configuration and the live members.
+// Update installs a view of the configuration and the live members.
 func (r *Router) Update(view *catalog.View, live []membership.Member) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	before := r.current.Load()
+	previous := r.current.Load()
 	next := &routes{
 		view:      view,
 		placement: placement.Build(view, live),
@@ -102,27 +102,29 @@
 		next.byHash[TargetHash(name)] = target
 	}
 	for name, service := range view.Services {
-		next.pickers[name] = r.pickerFor(before, next.placement, service)
-		next.loads[name] = loadFor(before, name)
+		next.pickers[name] = r.pickerFor(previous, next.placement, service)
+		next.loads[name] = loadFor(previous, name)
 		r.shed.SetWeight(name, liveSlots(service))
 	}
-	r.forgetShed(before.view, view)
-	r.forgetStarts(view)
+	r.removeShedEntries(previous.view, view)
+	r.removeWarmupStarts(view)
 	r.current.Store(next)
 }
 
-func loadFor(before *routes, service string) *serviceLoad {
-	if load := before.loads[service]; load != nil {
+func loadFor(previous *routes, service string) *serviceLoad {
+	if load := previous.loads[service]; load != nil {
 		return load
 	}
 	return newServiceLoad()
 }
 
-// suspectWeight is the weight of a target whose homes are all suspected to have
-// failed: calls to it would wait for an answer until their deadline.
+// suspectWeight is the weight of a target whose home nodes are all suspected to
+// have failed. It is low because calls to a failed home time out only at their
+// deadline.
 const suspectWeight = 0.02
 
-// weightOf returns the share of its capacity at which a target is picked.
+// weightOf returns the factor by which the capacity of a target with these home
+// nodes counts when targets are picked.
 func (r *Router) weightOf(homes []membership.Member) float64 {
 	for _, member := range homes {
 		if member.Name == r.node || member.State != membership.Suspect {
@@ -135,12 +137,12 @@
 	return suspectWeight
 }
 
-func (r *Router) pickerFor(before *routes, homes *placement.Table, service *catalog.Service) *routing.Picker {
-	picker := before.pickers[service.Name]
+func (r *Router) pickerFor(previous *routes, homes *placement.Table, service *catalog.Service) *routing.Picker {
+	picker := previous.pickers[service.Name]
 	if picker == nil {
 		picker = routing.NewPicker(routing.Config{Warmup: warmupOf(service)}, r.now)
 	}
-	initial := len(before.view.Targets) == 0
+	initial := len(previous.view.Targets) == 0
 	candidates := make([]routing.Candidate, 0, len(service.Targets))
 	for _, target := range service.Targets {
 		candidates = append(candidates, routing.Candidate{
@@ -149,7 +151,7 @@
 			Zone:        target.Zone,
 			Weight:      r.weightOf(homes.Homes(target.Name)),
 			Draining:    target.Draining,
-			WarmupStart: r.startOf(target, initial),
+			WarmupStart: r.warmupStartOf(target, initial),
 			Slots:       target.Slots,
 		})
 	}
@@ -157,38 +159,38 @@
 	return picker
 }
 
-// startOf returns when the target began to warm up; targets that a node finds
-// when it starts are taken for warm.
-func (r *Router) startOf(target *catalog.Target, initial bool) time.Time {
-	known, found := r.started[target.Name]
-	if found && known.joinedAt == target.JoinedAt {
-		return known.at
+// warmupStartOf returns when the target's warm-up started. Targets in the first
+// configuration after a node's start are considered warm.
+func (r *Router) warmupStartOf(target *catalog.Target, initial bool) time.Time {
+	existing, found := r.warmupStarts[target.Name]
+	if found && existing.joinedAt == target.JoinedAt {
+		return existing.at
 	}
-	begun := start{joinedAt: target.JoinedAt}
+	started := warmupStart{joinedAt: target.JoinedAt}
 	if !initial && r.warmup {
-		begun.at = r.now()
+		started.at = r.now()
 	}
-	r.started[target.Name] = begun
-	return begun.at
+	r.warmupStarts[target.Name] = started
+	return started.at
 }
 
-func (r *Router) forgetStarts(view *catalog.View) {
-	for name := range r.started {
+func (r *Router) removeWarmupStarts(view *catalog.View) {
+	for name := range r.warmupStarts {
 		if view.Targets[name] == nil {
-			delete(r.started, name)
+			delete(r.warmupStarts, name)
 		}
 	}
 }
 
-func (r *Router) forgetShed(before, after *catalog.View) {
-	for name, target := range before.Targets {
-		now := after.Targets[name]
-		if now == nil || now.Draining || now.Service != target.Service {
+func (r *Router) removeShedEntries(previous, next *catalog.View) {
+	for name, target := range previous.Targets {
+		current := next.Targets[name]
+		if current == nil || current.Draining || current.Service != target.Service {
 			r.shed.Remove(target.Service, name)
 		}
 	}
-	for name := range before.Services {
-		if after.Services[name] == nil {
+	for name := range previous.Services {
+		if next.Services[name] == nil {
 			r.shed.SetWeight(name, 0)
 		}
 	}
@@ -212,8 +214,8 @@
 	return float64(slots)
 }
 
-// TargetHash returns the hash by which gossip names a target.
+// TargetHash returns the hash that identifies a target in gossip messages.
 func TargetHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
-// TargetByHash returns the target whose name has the hash, or nil.
+// TargetByHash returns the target whose name has the hash, or nil if there is none.
 func (r *Router) TargetByHash(hash uint32) *catalog.Target { return r.current.Load().byHash[hash] }
--- a/internal/gateway/router_test.go
+++ b/internal/gateway/router_test.go
@@ -16,9 +16,9 @@
 	return membership.Member{Name: name, Zone: zone, PeerAddress: name + ":1", State: state}
 }
 
-// A zone that has fallen silent is passed over as soon as its nodes are
-// suspected, long before they are declared dead: a call to it would wait for an
-// answer until its deadline.
+// A zone that stopped responding must be avoided as soon as its nodes are suspected,
+// long before they are declared dead: calls to it would time out only at their
+// deadline.
 func TestSuspectedHomesArePassedOver(t *testing.T) {
 	service := &catalog.Service{Name: "s"}
 	view := &catalog.View{Services: map[string]*catalog.Service{"s": service}, Targets: map[string]*catalog.Target{}}
@@ -27,7 +27,7 @@
 		view.Targets[target.Name] = target
 		service.Targets = append(service.Targets, target)
 	}
-	far := func(state membership.State) int {
+	callsToFarZone := func(state membership.State) int {
 		now := time.Unix(1000, 0)
 		r := NewRouter(RouterConfig{Node: "here", Zone: "elsewhere", Homes: true, Shed: shed.NewTable(shed.TableConfig{}), Now: func() time.Time { return now }})
 		r.Update(view, []membership.Member{
@@ -45,8 +45,8 @@
 		}
 		return count
 	}
-	assert.Assert(t, far(membership.Alive) > 300)
-	assert.Assert(t, far(membership.Suspect) < 100, "%d of 1000 calls go to the silent zone", far(membership.Suspect))
+	assert.Assert(t, callsToFarZone(membership.Alive) > 300)
+	assert.Assert(t, callsToFarZone(membership.Suspect) < 100, "%d of 1000 calls go to the suspected zone", callsToFarZone(membership.Suspect))
 }
 
 func TestASuspectedHomeIsReplacedByTheNextInLine(t *testing.T) {
@@ -65,5 +65,5 @@
 	second := route(map[string]membership.State{first.Home: membership.Suspect})
 	assert.Assert(t, second.Home != first.Home && !second.Owner)
 	both := route(map[string]membership.State{"a": membership.Suspect, "b": membership.Suspect})
-	assert.Equal(t, both.Home, first.Home, "nobody better is known")
+	assert.Equal(t, both.Home, first.Home, "all homes are suspected, so the primary one is used")
 }
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -14,42 +14,42 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// budgetGrace is how long a request's retry budget outlives its deadline when
-// the request is never closed.
+// budgetGrace is how long after its request's deadline a retry budget expires if
+// it is not closed.
 const budgetGrace = time.Second
 
-// run has the call run, once or more often, and returns the answer.
+// run executes the call, with retries where allowed, and returns the response.
 func (g *Gateway) run(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
 	if c.listener == Edge {
 		g.budgets.Open(c.context.RequestID, g.maxRetries(c), c.context.Deadline.Add(budgetGrace))
 		defer g.budgets.Close(c.context.RequestID)
-		return g.runOnce(ctx, c)
+		return g.execute(ctx, c)
 	}
 	if c.orphan {
-		return g.runOnce(ctx, c)
+		return g.execute(ctx, c)
 	}
-	return g.runForTarget(ctx, c)
+	return g.runNested(ctx, c)
 }
 
-// runOnce has the call run, under a claim if it carries an idempotency key.
-func (g *Gateway) runOnce(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
+// execute runs the call, under a claim if it has an idempotency key.
+func (g *Gateway) execute(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
 	if c.key == "" {
-		return g.attempts(ctx, c)
+		return g.runWithRetries(ctx, c)
 	}
 	return g.runClaimed(ctx, c)
 }
 
-// runForTarget has a target's call run. One that failed before and that the
-// target sends again is a retry of the request and needs a grant.
-func (g *Gateway) runForTarget(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
+// runNested runs a call that a target made. If the target sends a call again that
+// failed before, that is a retry of the request and needs a grant.
+func (g *Gateway) runNested(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
 	fingerprint := resend.FingerprintOf(c.service.Name, c.message.Method, c.message.RequestURI, c.message.Body)
-	if g.resent.IsResend(c.context, fingerprint) && !g.granted(ctx, c) {
+	if g.resends.IsResend(c.context, fingerprint) && !g.requestGrant(ctx, c) {
 		return nil, g.problem(problem.RetriesSpent, "resend", "the request has no retry left for a call that was sent again").
-			WithRetryAfter(retryAfterDefault)
+			WithRetryAfter(defaultRetryAfter)
 	}
-	reply, failure := g.runOnce(ctx, c)
+	reply, failure := g.execute(ctx, c)
 	if failure != nil || reply.Status >= http.StatusInternalServerError {
-		g.resent.RecordFailure(c.context, fingerprint)
+		g.resends.RecordFailure(c.context, fingerprint)
 	}
 	return reply, failure
 }
@@ -61,8 +61,8 @@
 	return g.settings.MaxRetries
 }
 
-// attempts sends the call until it is answered or may not be sent again.
-func (g *Gateway) attempts(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
+// runWithRetries sends the call until it succeeds or may not be retried.
+func (g *Gateway) runWithRetries(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
 	var tried []string
 	mayHaveRun := false
 	for attempt := 1; ; attempt++ {
@@ -73,7 +73,7 @@
 		}
 		mayHaveRun = mayHaveRun || failure == nil || failure.Executed != problem.ExecutedNo
 		if !g.mayRetry(ctx, c, reply, failure, attempt) {
-			return reply, g.final(c, failure, mayHaveRun)
+			return reply, g.finalProblem(c, failure, mayHaveRun)
 		}
 		if failure == nil {
 			reply.Close()
@@ -83,9 +83,9 @@
 	}
 }
 
-// final is the problem that the caller is told after the last attempt: it must
-// not say that the call was not run when an earlier attempt may have run it.
-func (g *Gateway) final(c *call, failure *problem.Problem, mayHaveRun bool) *problem.Problem {
+// finalProblem returns the problem to report after the last attempt. It must not
+// state that the call was not executed if an earlier attempt may have executed it.
+func (g *Gateway) finalProblem(c *call, failure *problem.Problem, mayHaveRun bool) *problem.Problem {
 	if failure == nil {
 		return nil
 	}
@@ -93,12 +93,13 @@
 		failure.Executed = problem.ExecutedUnknown
 	}
 	if failure.Reason == problem.Overloaded {
-		return g.whenToComeBack(c, g.policyLoad(c), failure)
+		return g.setRetryAfter(c, g.policyLoad(c), failure)
 	}
 	return failure
 }
 
-// attempt sends the call to one target. It returns the target's name.
+// attempt sends the call to one target, preferably one that was not tried yet. It
+// also returns the target's name.
 func (g *Gateway) attempt(ctx context.Context, c *call, tried []string) (*home.Reply, *problem.Problem, string) {
 	route, found := g.router.Pick(c.service.Name, tried)
 	if !found && len(tried) > 0 {
@@ -106,7 +107,7 @@
 	}
 	if !found {
 		return nil, g.problem(problem.NoTarget, "routing", "the service has no target that takes calls").
-			WithRetryAfter(retryAfterDefault), ""
+			WithRetryAfter(defaultRetryAfter), ""
 	}
 	reply, failure := g.send(ctx, c, route)
 	load := home.Load{}
@@ -118,26 +119,26 @@
 }
 
 func (g *Gateway) send(ctx context.Context, c *call, route Route) (*home.Reply, *problem.Problem) {
-	sent := c.context
-	sent.Span = callcontext.NewSpanID()
-	forwarded := &home.Call{Context: sent, Call: transport.Call{
+	attemptContext := c.context
+	attemptContext.Span = callcontext.NewSpanID()
+	forwarded := &home.Call{Context: attemptContext, Call: transport.Call{
 		Method:     c.message.Method,
 		RequestURI: c.message.RequestURI,
-		// Each sending writes its own context and timeout over the last one's.
+		// Each attempt overwrites the context and timeout headers of the last one.
 		Header: c.message.Header,
 		Body:   c.message.Body,
 	}}
 	if route.Peer == "" {
-		return g.runHere(ctx, c, route, forwarded)
+		return g.runLocally(ctx, c, route, forwarded)
 	}
 	reply, failure := g.peers.Run(ctx, route.Peer, route.Target.Name, forwarded)
 	if failure != nil && failure.Reason == problem.NoTarget && failure.Peer == route.Peer {
-		g.router.Suspect(route.Peer)
+		g.router.MarkUnreachable(route.Peer)
 	}
 	return reply, failure
 }
 
-func (g *Gateway) runHere(ctx context.Context, c *call, route Route, forwarded *home.Call) (*home.Reply, *problem.Problem) {
+func (g *Gateway) runLocally(ctx context.Context, c *call, route Route, forwarded *home.Call) (*home.Reply, *problem.Problem) {
 	if err := forwarded.Context.SetHeader(forwarded.Header); err != nil {
 		return nil, g.problem(problem.Internal, "context", err.Error()).WithCause(err)
 	}
@@ -148,17 +149,17 @@
 	return reply, failure
 }
 
-// retryableStatus reports whether an answer says that another target might do
-// better.
+// retryableStatus reports whether a response has a status after which another
+// target may succeed.
 func retryableStatus(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// mayRetry decides whether the call is sent again: the call must allow it, then
-// the policy, then the node's share of retries, and last the request's budget,
-// which is asked only when everything else allows the retry.
+// mayRetry reports whether the call is retried. It checks the call itself, the
+// service's policy, the node's retry ratio and finally the request's retry budget,
+// which is charged only if all other checks have passed.
 func (g *Gateway) mayRetry(ctx context.Context, c *call, reply *home.Reply, failure *problem.Problem, attempt int) bool {
-	if ctx.Err() != nil || !worthRetrying(c, reply, failure) {
+	if ctx.Err() != nil || !isRetryable(c, reply, failure) {
 		return false
 	}
 	allowed, err := c.service.Policy.Retry(c.policy, outcomeOf(reply, failure, attempt))
@@ -168,13 +169,13 @@
 	if !g.withinRatio(c, failure) {
 		return false
 	}
-	return g.granted(ctx, c)
+	return g.requestGrant(ctx, c)
 }
 
-// withinRatio reports whether the node's share of retries leaves room for one.
-// Two kinds of retries need none of it: those that have nothing to do with load,
-// and those of the most important calls after a refusal, because such a call
-// must not be shed by one target while another takes less important ones.
+// withinRatio reports whether the node's retry ratio allows a retry. Two kinds of
+// retries are exempt from it: those after failures unrelated to load, and those of
+// critical-plus calls after a refusal, because such a call must not be shed by one
+// target while another accepts less important ones.
 func (g *Gateway) withinRatio(c *call, failure *problem.Problem) bool {
 	if unreachable(failure) {
 		return true
@@ -186,8 +187,8 @@
 	return g.ratio.Allow()
 }
 
-// granted asks the request's ingress node for one retry.
-func (g *Gateway) granted(ctx context.Context, c *call) bool {
+// requestGrant requests one retry from the request's ingress node.
+func (g *Gateway) requestGrant(ctx context.Context, c *call) bool {
 	ingress, known := c.ingress()
 	if !known {
 		return false
@@ -195,13 +196,13 @@
 	granted, err := g.grants.Ask(ctx, ingress, c.context.RequestID)
 	if err != nil {
 		g.log.WithError(err).WithField("step", "grant").WithField("peer", ingress.String()).
-			WithField("request_id", c.context.RequestID.String()).Debug("no grant")
+			WithField("request_id", c.context.RequestID.String()).Debug("retry grant request failed")
 	}
 	return granted
 }
 
-// worthRetrying reports whether sending the call again can do good and no harm.
-func worthRetrying(c *call, reply *home.Reply, failure *problem.Problem) bool {
+// isRetryable reports whether a retry of the call may succeed and is safe.
+func isRetryable(c *call, reply *home.Reply, failure *problem.Problem) bool {
 	if failure == nil {
 		return c.policy.Repeatable && reply.Header.Get("Retry-After") == ""
 	}
@@ -213,8 +214,8 @@
 	return failure.Executed == problem.ExecutedNo || c.policy.Repeatable
 }
 
-// unreachable reports whether the failure has nothing to do with load: the
-// call did not reach a target that could take it.
+// unreachable reports whether the call did not reach a target that accepts calls,
+// for a reason other than overload.
 func unreachable(failure *problem.Problem) bool {
 	return failure != nil && failure.Executed == problem.ExecutedNo && failure.Reason != problem.Overloaded
 }
--- a/internal/gateway/run_test.go
+++ b/internal/gateway/run_test.go
@@ -12,20 +12,20 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-var generous = resource.Policy{Retry: "5"}
+var fiveRetries = resource.Policy{Retry: "5"}
 
-// closedPort is the address of a target that is not there.
-func closedPort(t *testing.T) *backEnd {
+// unreachableTarget returns a target whose address refuses connections.
+func unreachableTarget(t *testing.T) *fakeTarget {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	assert.NilError(t, listener.Close())
-	return &backEnd{address: listener.Addr().String()}
+	return &fakeTarget{address: listener.Addr().String()}
 }
 
 func TestRetries(t *testing.T) {
 	spec := resource.Service{RefusalHeader: "Target-Shed"}
 	key := header(callcontext.IdempotencyKeyHeader, "k")
-	none := header("X", "1")
+	noKey := header("X", "1")
 	for name, c := range map[string]struct {
 		method  string
 		option  option
@@ -33,80 +33,81 @@
 		retried bool
 		status  int
 	}{
-		"GET, reset":             {"GET", none, reset, true, 200},
-		"GET, cut answer":        {"GET", none, cutShort, true, 200},
-		"GET, 503":               {"GET", none, saying(503, ""), true, 200},
-		"GET, 500":               {"GET", none, saying(500, "error"), false, 500},
-		"GET, keyed, reset":      {"GET", key, reset, false, 502},
-		"POST, reset":            {"POST", none, reset, false, 502},
-		"POST, cut answer":       {"POST", none, cutShort, false, 502},
-		"POST, 503":              {"POST", none, saying(503, ""), false, 503},
-		"POST, refused":          {"POST", none, shedding, true, 200},
-		"POST, keyed, reset":     {"POST", key, reset, false, 502},
-		"POST, keyed, refused":   {"POST", key, shedding, true, 200},
-		"DELETE, cut":            {"DELETE", none, cutShort, false, 502},
-		"GET, wait is asked for": {"GET", none, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Retry-After", "9"); w.WriteHeader(503) }, false, 503},
+		"GET, reset":           {"GET", noKey, abortConnection, true, 200},
+		"GET, cut answer":      {"GET", noKey, truncateResponse, true, 200},
+		"GET, 503":             {"GET", noKey, respondWith(503, ""), true, 200},
+		"GET, 500":             {"GET", noKey, respondWith(500, "error"), false, 500},
+		"GET, keyed, reset":    {"GET", key, abortConnection, false, 502},
+		"POST, reset":          {"POST", noKey, abortConnection, false, 502},
+		"POST, cut answer":     {"POST", noKey, truncateResponse, false, 502},
+		"POST, 503":            {"POST", noKey, respondWith(503, ""), false, 503},
+		"POST, refused":        {"POST", noKey, shedCall, true, 200},
+		"POST, keyed, reset":   {"POST", key, abortConnection, false, 502},
+		"POST, keyed, refused": {"POST", key, shedCall, true, 200},
+		"DELETE, cut":          {"DELETE", noKey, truncateResponse, false, 502},
+		"GET, Retry-After":     {"GET", noKey, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Retry-After", "9"); w.WriteHeader(503) }, false, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
-			handler := inTurn(c.first, saying(200, "ok"))
-			one, two := newBackEnd(t, handler), newBackEnd(t, handler)
-			f := alone(t, spec, generous, one, two)
+			handler := handlerSequence(c.first, respondWith(200, "ok"))
+			first, second := newFakeTarget(t, handler), newFakeTarget(t, handler)
+			f := singleNode(t, spec, fiveRetries, first, second)
 			got := do(t, c.method, f.edge, "/a/x", "body", c.option)
 			assert.Equal(t, got.status, c.status, got.body)
 			if !c.retried {
-				assert.Equal(t, len(one.calls())+len(two.calls()), 1)
+				assert.Equal(t, len(first.calls())+len(second.calls()), 1)
 				assert.Equal(t, f.observed.retried.Load(), int64(0))
 				return
 			}
-			assert.Equal(t, len(one.calls()), 1, "the other target was not chosen")
-			assert.Equal(t, len(two.calls()), 1, "the other target was not chosen")
-			assert.Equal(t, contextOf(t, one.calls()[0]).RequestID, contextOf(t, two.calls()[0]).RequestID)
+			assert.Equal(t, len(first.calls()), 1, "the other target was not chosen")
+			assert.Equal(t, len(second.calls()), 1, "the other target was not chosen")
+			assert.Equal(t, contextOf(t, first.calls()[0]).RequestID, contextOf(t, second.calls()[0]).RequestID)
 		})
 	}
 }
 
 func TestUnreachableTargetsAreLeftForOthers(t *testing.T) {
-	target := newBackEnd(t, saying(200, "ok"))
-	f := alone(t, resource.Service{}, generous, closedPort(t), target)
+	target := newFakeTarget(t, respondWith(200, "ok"))
+	f := singleNode(t, resource.Service{}, fiveRetries, unreachableTarget(t), target)
 	for range 20 {
-		do(t, "POST", f.edge, "/a/x", "body").is(t, 200, "ok")
+		do(t, "POST", f.edge, "/a/x", "body").assertEqual(t, 200, "ok")
 	}
 	assert.Equal(t, len(target.calls()), 20)
-	assert.Assert(t, f.observed.retried.Load() > 0, "the unreachable target was never chosen")
+	assert.Assert(t, f.observed.retried.Load() > 0, "the unreachable target was never picked")
 }
 
 func TestPolicyBoundsRetries(t *testing.T) {
-	for retries, want := range map[string]int{"0": 1, "1": 2, `call.repeatable ? 2 : 0`: 3, `outcome.executed == "no" ? 5 : 0`: 1} {
-		target := newBackEnd(t, reset)
-		f := alone(t, resource.Service{}, resource.Policy{Retry: retries}, target)
-		do(t, "GET", f.edge, "/a/x", "").refusedWith(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
-		assert.Equal(t, len(target.calls()), want, retries)
+	for retries, wantCalls := range map[string]int{"0": 1, "1": 2, `call.repeatable ? 2 : 0`: 3, `outcome.executed == "no" ? 5 : 0`: 1} {
+		target := newFakeTarget(t, abortConnection)
+		f := singleNode(t, resource.Service{}, resource.Policy{Retry: retries}, target)
+		do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
+		assert.Equal(t, len(target.calls()), wantCalls, retries)
 	}
 }
 
-type noRetries struct{}
+// exhaustedRatio is a Ratio that allows no retry.
+type exhaustedRatio struct{}
 
-func (noRetries) Success()    {}
-func (noRetries) Allow() bool { return false }
+func (exhaustedRatio) Success()    {}
+func (exhaustedRatio) Allow() bool { return false }
 
 func TestNodesShareOfRetriesIsSpent(t *testing.T) {
-	target := newBackEnd(t, reset)
-	f := alone(t, resource.Service{}, generous, target)
-	f.ratio = noRetries{}
-	do(t, "GET", f.edge, "/a/x", "").refusedWith(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
+	target := newFakeTarget(t, abortConnection)
+	f := singleNode(t, resource.Service{}, fiveRetries, target)
+	f.ratio = exhaustedRatio{}
+	do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
 	assert.Equal(t, len(target.calls()), 1)
-	f = alone(t, resource.Service{}, generous, closedPort(t))
-	f.ratio = noRetries{}
-	do(t, "GET", f.edge, "/a/x", "").refusedWith(t, 502, problem.TargetFailed, problem.ExecutedNo)
-	assert.Assert(t, f.observed.retried.Load() > 0, "retries that no target saw count as load")
+	f = singleNode(t, resource.Service{}, fiveRetries, unreachableTarget(t))
+	f.ratio = exhaustedRatio{}
+	do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedNo)
+	assert.Assert(t, f.observed.retried.Load() > 0, "retries of calls that reached no target were charged to the ratio")
 }
 
-// All retries of a request count together, at whatever hop of its chain.
+// The limit of retries applies to a request's whole call chain, not to each hop.
 func TestRetriesOfAChainAreBounded(t *testing.T) {
-	for _, bound := range []int{0, 1, 2, 4} {
-		leaf := newBackEnd(t, reset)
+	for _, maxRetries := range []int{0, 1, 2, 4} {
+		leaf := newFakeTarget(t, abortConnection)
 		ingress, other := newFixture(t, "n-1", nil), newFixture(t, "n-2", nil)
-		middle := newBackEnd(t, func(w http.ResponseWriter, r *http.Request) {
+		middle := newFakeTarget(t, func(w http.ResponseWriter, r *http.Request) {
 			request, _ := http.NewRequestWithContext(r.Context(), "GET", "http://"+other.mesh+"/leaf/x", nil)
 			request.Header[callcontext.BaggageHeader] = r.Header[callcontext.BaggageHeader]
 			response, err := http.DefaultTransport.RoundTrip(request)
@@ -115,14 +116,14 @@
 			}
 			w.WriteHeader(http.StatusBadGateway)
 		})
-		objects := oneService(resource.Service{MaxRetries: &bound}, generous, middle).
-			service("leaf", resource.Service{}).policy("leaf", generous).target("leaf-1", "leaf", leaf.address)
-		ingress.knows(t, objects)
-		other.knows(t, objects)
+		objects := singleService(resource.Service{MaxRetries: &maxRetries}, fiveRetries, middle).
+			service("leaf", resource.Service{}).policy("leaf", fiveRetries).target("leaf-1", "leaf", leaf.address)
+		ingress.configure(t, objects)
+		other.configure(t, objects)
 		assert.Equal(t, do(t, "GET", ingress.edge, "/a/x", "").status, 502)
 		retries := ingress.observed.retried.Load() + other.observed.retried.Load()
-		assert.Equal(t, retries, int64(bound))
-		assert.Equal(t, len(leaf.calls()), 1+bound)
+		assert.Equal(t, retries, int64(maxRetries))
+		assert.Equal(t, len(leaf.calls()), 1+maxRetries)
 	}
 }
 
@@ -132,36 +133,34 @@
 		handlers []http.HandlerFunc
 		executed problem.Executed
 	}{
-		"reset, then refused":  {[]http.HandlerFunc{reset, shedding}, problem.ExecutedUnknown},
-		"503, then refused":    {[]http.HandlerFunc{saying(503, ""), shedding}, problem.ExecutedUnknown},
-		"refused all the time": {[]http.HandlerFunc{shedding}, problem.ExecutedNo},
+		"reset, then refused": {[]http.HandlerFunc{abortConnection, shedCall}, problem.ExecutedUnknown},
+		"503, then refused":   {[]http.HandlerFunc{respondWith(503, ""), shedCall}, problem.ExecutedUnknown},
+		"always refused":      {[]http.HandlerFunc{shedCall}, problem.ExecutedNo},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := alone(t, spec, resource.Policy{Retry: "2", Refuse: "11"}, newBackEnd(t, inTurn(c.handlers...)))
+			f := singleNode(t, spec, resource.Policy{Retry: "2", Refuse: "11"}, newFakeTarget(t, handlerSequence(c.handlers...)))
 			got := do(t, "GET", f.edge, "/a/x", "")
-			got.refusedWith(t, 503, problem.Overloaded, c.executed)
+			got.assertProblem(t, 503, problem.Overloaded, c.executed)
 			assert.Equal(t, got.header.Get("Retry-After"), "11")
 		})
 	}
 }
 
 func TestNoTarget(t *testing.T) {
-	f := alone(t, resource.Service{}, resource.Policy{})
-	told := do(t, "GET", f.edge, "/a/x", "").refusedWith(t, 503, problem.NoTarget, problem.ExecutedNo)
-	assert.Assert(t, told.RetryAfterSeconds > 0)
+	f := singleNode(t, resource.Service{}, resource.Policy{})
+	document := do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 503, problem.NoTarget, problem.ExecutedNo)
+	assert.Assert(t, document.RetryAfterSeconds > 0)
 }
 
 func TestDeadlineEndsTheCall(t *testing.T) {
-	left := make(chan struct{})
-	target := newBackEnd(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(left) })
-	f := alone(t, resource.Service{}, generous, target)
-	do(t, "GET", f.edge, "/a/x", "", header(callcontext.TimeoutHeader, "100")).refusedWith(t, 504, problem.DeadlineExceeded, problem.ExecutedUnknown)
-	<-left
+	canceled := make(chan struct{})
+	target := newFakeTarget(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(canceled) })
+	f := singleNode(t, resource.Service{}, fiveRetries, target)
+	do(t, "GET", f.edge, "/a/x", "", header(callcontext.TimeoutHeader, "100")).assertProblem(t, 504, problem.DeadlineExceeded, problem.ExecutedUnknown)
+	<-canceled
 	assert.Equal(t, len(target.calls()), 1)
 }
 
-// cluster returns a node that is not the home of target a-1 if there are more
-// than one.
 func TestClaims(t *testing.T) {
 	for name, c := range map[string]struct {
 		key               string
@@ -169,16 +168,16 @@
 		status            int
 		claimed, released int64
 	}{
-		"no key":          {"", saying(200, ""), 200, 0, 0},
-		"granted":         {"k", saying(200, ""), 200, 1, 0},
-		"taken":           {"taken", saying(200, ""), 409, 0, 0},
-		"surely not run":  {"k", shedding, 503, 1, 1},
-		"may have run":    {"k", reset, 502, 1, 0},
-		"run, and failed": {"k", saying(503, ""), 503, 1, 0},
+		"no key":            {"", respondWith(200, ""), 200, 0, 0},
+		"granted":           {"k", respondWith(200, ""), 200, 1, 0},
+		"taken":             {"taken", respondWith(200, ""), 409, 0, 0},
+		"certainly not run": {"k", shedCall, 503, 1, 1},
+		"may have run":      {"k", abortConnection, 502, 1, 0},
+		"run, and failed":   {"k", respondWith(503, ""), 503, 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			target := newBackEnd(t, c.handler)
-			f := alone(t, resource.Service{RefusalHeader: "Target-Shed"}, resource.Policy{Retry: "0"}, target)
+			target := newFakeTarget(t, c.handler)
+			f := singleNode(t, resource.Service{RefusalHeader: "Target-Shed"}, resource.Policy{Retry: "0"}, target)
 			var options []option
 			if c.key != "" {
 				options = append(options, header(callcontext.IdempotencyKeyHeader, c.key))
@@ -192,8 +191,3 @@
 		})
 	}
 }
-
-// A caller that doesn't read must not hold a target's slot past its deadline.
-// Small answers that pile up behind a caller who does not read must not stay
-// in the node either.
-// The bound on one answer must not hold for the next one on the connection.
