--- a/internal/routing/picker.go
+++ b/internal/routing/picker.go
@@ -15,35 +15,37 @@
 	DefaultReportDecay    = 2 * time.Second
 )
 
-// warmupFloor is the share of its capacity that a target has when it joins.
+// warmupFloor is the share of a target's capacity at the start of its warm-up.
 const warmupFloor = 0.1
 
-// Config sets a Picker. A zero field takes its default.
+// Config configures a Picker. Fields that are zero get their defaults.
 type Config struct {
-	// Warmup is the time in which a joining target reaches its full capacity.
+	// Warmup is the time that a new target takes to reach its full capacity.
 	Warmup time.Duration
-	// SpillThreshold is the load of the caller's zone above which calls go to other zones, between 0 and 1.
+	// SpillThreshold is the load of the caller's zone above which calls spill over to
+	// other zones, between 0 and 1.
 	SpillThreshold float64
-	// ReportDecay is the time after which a reported load has no effect any more.
+	// ReportDecay is the time over which a reported load decays to zero.
 	ReportDecay time.Duration
-	// Seed makes the random choices repeatable.
+	// Seed seeds the random choices.
 	Seed uint64
 }
 
-// Picker picks targets of one service. It is safe for concurrent use; Pick
-// allocates nothing.
+// Picker picks targets of one service. It is safe for concurrent use. Pick does not
+// allocate.
 type Picker struct {
 	config Config
 	now    func() time.Time
 	table  atomic.Pointer[Table]
 
-	updating sync.Mutex
+	updateMutex sync.Mutex
 
-	randomLock sync.Mutex
-	random     *rand.Rand
+	randomMutex sync.Mutex
+	random      *rand.Rand
 }
 
-// NewPicker returns a picker without candidates. The clock now dates reports.
+// NewPicker returns a picker without candidates. It uses now to timestamp load
+// reports.
 func NewPicker(config Config, now func() time.Time) *Picker {
 	if config.Warmup <= 0 {
 		config.Warmup = DefaultWarmup
@@ -63,19 +65,19 @@
 	return p
 }
 
-// Update replaces the candidates. Outstanding counts and reported loads of
-// targets that stay are kept. Of candidates with the same name the first counts.
+// Update replaces the candidates. Targets that remain keep their outstanding calls
+// and reported loads. If candidates have the same name, the first is used.
 func (p *Picker) Update(candidates []Candidate) {
-	p.updating.Lock()
-	defer p.updating.Unlock()
+	p.updateMutex.Lock()
+	defer p.updateMutex.Unlock()
 	p.table.Store(newTable(candidates, p.table.Load()))
 }
 
-// Table returns the present snapshot.
+// Table returns the current snapshot.
 func (p *Picker) Table() *Table { return p.table.Load() }
 
-// Pick returns the target for a call that entered in the given zone, false if
-// there is none that is neither draining nor excluded.
+// Pick returns the target for a call from the given zone. It returns false if all
+// targets are draining or excluded.
 func (p *Picker) Pick(zoneName string, exclude []string, now time.Time) (Candidate, bool) {
 	table := p.table.Load()
 	view := view{config: &p.config, exclude: exclude, now: now}
@@ -86,14 +88,14 @@
 	return p.chooseTarget(chosen, view), true
 }
 
-// Begin counts a call to the target as outstanding.
+// Begin adds an outstanding call to the target.
 func (p *Picker) Begin(targetName string) {
 	if s := p.table.Load().states[targetName]; s != nil {
 		s.outstanding.Add(1)
 	}
 }
 
-// Done ends a call counted by Begin.
+// Done removes an outstanding call added by Begin.
 func (p *Picker) Done(targetName string) {
 	s := p.table.Load().states[targetName]
 	if s == nil {
@@ -104,7 +106,7 @@
 	}
 }
 
-// Outstanding returns the number of calls begun and not done at the target.
+// Outstanding returns the number of outstanding calls to the target.
 func (p *Picker) Outstanding(targetName string) int {
 	s := p.table.Load().states[targetName]
 	if s == nil {
@@ -113,8 +115,9 @@
 	return int(s.outstanding.Load())
 }
 
-// Report takes the load which the target's home stated in an answer: calls in
-// flight and queued, divided by the limit; 1 is full, more is a queue.
+// Report records the load that the target's home node reported in a response: calls
+// in flight and queued divided by the limit. 1 is full load; a higher load means that
+// calls are queued.
 func (p *Picker) Report(targetName string, load float64) {
 	if math.IsNaN(load) || load < 0 {
 		return
@@ -124,8 +127,8 @@
 	}
 }
 
-// chooseTarget draws two targets of a zone and returns the less loaded one, the
-// first if they are equal, so that idle targets share calls by capacity. The
+// chooseTarget draws two targets of a zone and returns the less loaded one, or the
+// first if both loads are equal, so that idle targets share calls by capacity. The
 // zone must have an eligible target.
 func (p *Picker) chooseTarget(chosen *zone, view view) Candidate {
 	first := p.drawTarget(chosen, nil, view)
@@ -136,8 +139,8 @@
 	return first.candidate
 }
 
-// drawTarget draws an eligible target other than skip in proportion to
-// capacity, nil if there is none.
+// drawTarget draws an eligible target other than skip at random, weighted by
+// capacity. It returns nil if there is none.
 func (p *Picker) drawTarget(chosen *zone, skip *target, view view) *target {
 	total := 0.0
 	for i := range chosen.targets {
@@ -164,9 +167,9 @@
 	return last
 }
 
-// draw returns a random number from 0 up to the bound.
+// draw returns a random number in [0, bound).
 func (p *Picker) draw(bound float64) float64 {
-	p.randomLock.Lock()
-	defer p.randomLock.Unlock()
+	p.randomMutex.Lock()
+	defer p.randomMutex.Unlock()
 	return p.random.Float64() * bound
 }
--- a/internal/routing/picker_test.go
+++ b/internal/routing/picker_test.go
@@ -24,11 +24,11 @@
 	return routing.Candidate{Name: name, Address: "127.0.0.1:1", Zone: zone, HomeNode: "node-" + name, Slots: slots}
 }
 
-// shares picks many times from zone "a" without starting calls and returns how
-// often each target was picked.
-func shares(p *routing.Picker, now time.Time, exclude ...string) map[string]int {
+// countPicks picks many times from zone "a", without adding outstanding calls, and
+// returns how often each target was picked.
+func countPicks(p *routing.Picker, now time.Time, exclude ...string) map[string]int {
 	counts := make(map[string]int)
-	for range picks {
+	for range pickCount {
 		if c, found := p.Pick("a", exclude, now); found {
 			counts[c.Name]++
 		}
@@ -36,15 +36,15 @@
 	return counts
 }
 
-const picks = 10000
+const pickCount = 10000
 
 func TestNeverPicksDrainingOrExcluded(t *testing.T) {
 	draining := candidate("draining", "a", 100)
 	draining.Draining = true
 	p := newPicker(draining, candidate("near", "a", 2), candidate("far", "b", 2))
-	assert.DeepEqual(t, shares(p, epoch), map[string]int{"near": picks})
-	assert.DeepEqual(t, shares(p, epoch, "near"), map[string]int{"far": picks})
-	assert.DeepEqual(t, shares(p, epoch, "near", "far"), map[string]int{})
+	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"near": pickCount})
+	assert.DeepEqual(t, countPicks(p, epoch, "near"), map[string]int{"far": pickCount})
+	assert.DeepEqual(t, countPicks(p, epoch, "near", "far"), map[string]int{})
 }
 
 func TestPicksLessLoadedOfTwo(t *testing.T) {
@@ -52,12 +52,12 @@
 	for range 5 {
 		p.Begin("busy")
 	}
-	assert.DeepEqual(t, shares(p, epoch), map[string]int{"idle": picks})
+	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"idle": pickCount})
 	for range 7 {
 		p.Done("busy")
 	}
 	assert.Equal(t, p.Outstanding("busy"), 0)
-	assert.Assert(t, shares(p, epoch)["busy"] > picks/3)
+	assert.Assert(t, countPicks(p, epoch)["busy"] > pickCount/3)
 }
 
 func TestFillsTargetsInProportionToSlots(t *testing.T) {
@@ -78,24 +78,24 @@
 	for range 8 {
 		p.Begin("near")
 	}
-	assert.DeepEqual(t, shares(p, epoch), map[string]int{"near": picks})
+	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"near": pickCount})
 	p.Begin("near")
-	some := shares(p, epoch)
-	assert.Assert(t, some["near"] > picks*45/100 && some["near"] < picks*57/100, "%v", some)
+	spilling := countPicks(p, epoch)
+	assert.Assert(t, spilling["near"] > pickCount*45/100 && spilling["near"] < pickCount*57/100, "%v", spilling)
 	p.Begin("near")
-	full := shares(p, epoch)
+	full := countPicks(p, epoch)
 	assert.Equal(t, full["near"], 0)
 	assert.Assert(t, full["c"] > 2*full["b"], "%v", full)
 	p.Report("b", 1)
 	p.Report("c", 3)
-	assert.DeepEqual(t, shares(p, epoch), map[string]int{"near": picks})
+	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"near": pickCount})
 }
 
 func TestWithoutSpareDrawsByCapacity(t *testing.T) {
 	p := newPicker(candidate("b", "b", 10), candidate("c", "c", 30))
 	p.Report("b", 2)
 	p.Report("c", 2)
-	counts := shares(p, epoch)
+	counts := countPicks(p, epoch)
 	assert.Assert(t, counts["c"] > 2*counts["b"] && counts["b"] > 0, "%v", counts)
 }
 
@@ -103,8 +103,8 @@
 	p := newPicker(candidate("reported", "a", 10), candidate("other", "a", 10))
 	p.Report("reported", 0.5)
 	p.Report("unknown", 0.5)
-	assert.DeepEqual(t, shares(p, epoch), map[string]int{"other": picks})
-	assert.Assert(t, shares(p, epoch.Add(routing.DefaultReportDecay))["reported"] > picks/3)
+	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"other": pickCount})
+	assert.Assert(t, countPicks(p, epoch.Add(routing.DefaultReportDecay))["reported"] > pickCount/3)
 }
 
 func TestWarmupRampsCapacity(t *testing.T) {
@@ -112,8 +112,8 @@
 	cold.WarmupStart = epoch
 	warm := candidate("warm", "a", 10)
 	tests := []struct {
-		age      time.Duration
-		low, top int
+		age       time.Duration
+		low, high int
 	}{
 		{0, 3, 12},
 		{5 * time.Second, 20, 45},
@@ -124,25 +124,25 @@
 		t.Run(test.age.String(), func(t *testing.T) {
 			p := newPicker(cold, warm)
 			now := epoch.Add(test.age)
-			// Keep eight calls outstanding and count who gets them.
+			// Keep eight calls outstanding and record their targets.
 			const calls = 1000
-			ended := make([]string, 0, calls)
+			picked := make([]string, 0, calls)
 			for range calls {
 				c, _ := p.Pick("a", nil, now)
 				p.Begin(c.Name)
-				ended = append(ended, c.Name)
-				if len(ended) > 8 {
-					p.Done(ended[len(ended)-9])
+				picked = append(picked, c.Name)
+				if len(picked) > 8 {
+					p.Done(picked[len(picked)-9])
 				}
 			}
 			got := 0
-			for _, name := range ended {
+			for _, name := range picked {
 				if name == "cold" {
 					got += 100
 				}
 			}
 			got /= calls
-			assert.Assert(t, got >= test.low && got <= test.top, "%d%% went to the cold target", got)
+			assert.Assert(t, got >= test.low && got <= test.high, "%d%% of the calls went to the cold target", got)
 		})
 	}
 }
@@ -154,7 +154,7 @@
 	p.Update([]routing.Candidate{candidate("stays", "a", 20)})
 	assert.Equal(t, p.Table().Len(), 1)
 	assert.Equal(t, p.Outstanding("stays"), 1)
-	assert.DeepEqual(t, shares(p, epoch), map[string]int{"stays": picks})
+	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"stays": pickCount})
 	p.Update([]routing.Candidate{candidate("stays", "a", 20), candidate("goes", "a", 10)})
 	assert.Equal(t, p.Outstanding("goes"), 1)
 	p.Done("goes")
@@ -165,13 +165,13 @@
 }
 
 func TestSameSeedSameChoices(t *testing.T) {
-	one, two := newPicker(fleet()...), newPicker(fleet()...)
+	firstPicker, secondPicker := newPicker(serviceCandidates()...), newPicker(serviceCandidates()...)
 	for range 200 {
-		first, _ := one.Pick("zone-1", nil, epoch)
-		second, _ := two.Pick("zone-1", nil, epoch)
+		first, _ := firstPicker.Pick("zone-1", nil, epoch)
+		second, _ := secondPicker.Pick("zone-1", nil, epoch)
 		assert.Equal(t, first.Name, second.Name)
-		one.Begin(first.Name)
-		two.Begin(second.Name)
+		firstPicker.Begin(first.Name)
+		secondPicker.Begin(second.Name)
 	}
 }
 
@@ -192,18 +192,18 @@
 			candidates = append(candidates, c)
 		}
 		p := newPicker(candidates...)
-		possible := false
+		available := false
 		for name, ok := range allowed {
-			possible = possible || ok
+			available = available || ok
 			p.Report(name, rapid.Float64Range(0, 3).Draw(r, "load"))
 		}
 		for range 50 {
 			picked, found := p.Pick("a", exclude, epoch)
-			if found != possible {
-				r.Fatalf("found %t, possible %t", found, possible)
+			if found != available {
+				r.Fatalf("found is %t, but a target is available: %t", found, available)
 			}
 			if found && !allowed[picked.Name] {
-				r.Fatalf("picked %s", picked.Name)
+				r.Fatalf("picked the draining or excluded target %s", picked.Name)
 			}
 			p.Begin(picked.Name)
 		}
@@ -211,7 +211,7 @@
 }
 
 func TestConcurrentUse(t *testing.T) {
-	p := newPicker(fleet()...)
+	p := newPicker(serviceCandidates()...)
 	var group sync.WaitGroup
 	for range 4 {
 		group.Go(func() {
@@ -220,20 +220,21 @@
 				p.Begin(c.Name)
 				p.Report(c.Name, 0.5)
 				if i%50 == 0 {
-					p.Update(fleet())
+					p.Update(serviceCandidates())
 				}
 				p.Done(c.Name)
 			}
 		})
 	}
 	group.Wait()
-	for _, c := range fleet() {
+	for _, c := range serviceCandidates() {
 		assert.Equal(t, p.Outstanding(c.Name), 0)
 	}
 }
 
-// fleet is a service of the size to design for: 36 targets in 5 zones.
-func fleet() []routing.Candidate {
+// serviceCandidates returns a service of the size that the system is designed for: 36
+// targets in 5 zones.
+func serviceCandidates() []routing.Candidate {
 	var candidates []routing.Candidate
 	for i := range 36 {
 		candidates = append(candidates, candidate(fmt.Sprint("target-", i), fmt.Sprint("zone-", i%5), 16))
@@ -242,7 +243,7 @@
 }
 
 func TestPickAllocatesNothing(t *testing.T) {
-	p := newPicker(fleet()...)
+	p := newPicker(serviceCandidates()...)
 	exclude := []string{"target-0"}
 	for range 200 {
 		p.Begin("target-5")
@@ -252,7 +253,7 @@
 }
 
 func BenchmarkPick(b *testing.B) {
-	p := newPicker(fleet()...)
+	p := newPicker(serviceCandidates()...)
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Pick("zone-0", nil, epoch)
@@ -260,7 +261,7 @@
 }
 
 func BenchmarkPickSpilling(b *testing.B) {
-	p := newPicker(fleet()...)
+	p := newPicker(serviceCandidates()...)
 	for i := range 36 {
 		if i%5 == 0 {
 			p.Report(fmt.Sprint("target-", i), 1)
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// Candidate is a target of the service.
+// Candidate describes a target of the service.
 type Candidate struct {
 	// Name is the target's unique name.
 	Name string
-	// Address is the host and port at which the target takes calls.
+	// Address is the host and port on which the target accepts calls.
 	Address string
 	// Zone is the zone that the target runs in.
 	Zone string
 	// HomeNode is the node that admits the target's calls.
 	HomeNode string
-	// Weight scales the capacity; zero and less count as 1.
+	// Weight scales the capacity. Values that are not positive count as 1.
 	Weight float64
-	// Draining marks a target that must get nothing new.
+	// Draining marks a target that must not get new calls.
 	Draining bool
-	// WarmupStart is when the target joined; zero means that it is warm.
+	// WarmupStart is when the target's warm-up started. Zero means that the target is
+	// warm.
 	WarmupStart time.Time
-	// Slots is how many calls the target can work on at a time; at least 1.
+	// Slots is the number of calls that the target can process concurrently; at least
+	// 1.
 	Slots int
 }
 
@@ -33,24 +35,24 @@
 	candidates int
 }
 
-// zone is the candidates of one zone that may be picked.
+// zone holds the candidates of one zone, without draining ones.
 type zone struct {
 	name    string
 	targets []target
 }
 
-// target is a candidate with what Pick needs worked out beforehand.
+// target is a candidate with values precomputed for Pick.
 type target struct {
 	candidate Candidate
 	state     *state
-	// capacity is slots × weight, when warm.
+	// capacity is the capacity when warm, slots × weight.
 	capacity float64
 }
 
-// state is what is learned about a target. It outlives tables.
+// state is the mutable state of a target, shared by successive tables.
 type state struct {
 	outstanding atomic.Int64
-	// report is the last load reported by the target's home.
+	// report is the last load report of the target's home node.
 	report atomic.Pointer[report]
 }
 
@@ -59,8 +61,8 @@
 	time time.Time
 }
 
-// newTable builds a snapshot, taking over the states of the previous one. The
-// states of removed targets stay as long as calls to them are outstanding.
+// newTable builds a snapshot that reuses the states of the previous one. The states
+// of removed targets are kept while calls to them are outstanding.
 func newTable(candidates []Candidate, previous *Table) *Table {
 	t := &Table{
 		zoneIndex: make(map[string]int),
@@ -72,9 +74,9 @@
 	if previous == nil {
 		return t
 	}
-	for name, old := range previous.states {
-		if _, listed := t.states[name]; !listed && old.outstanding.Load() > 0 {
-			t.states[name] = old
+	for name, previousState := range previous.states {
+		if _, listed := t.states[name]; !listed && previousState.outstanding.Load() > 0 {
+			t.states[name] = previousState
 		}
 	}
 	return t
@@ -84,11 +86,11 @@
 	if _, duplicate := t.states[candidate.Name]; duplicate {
 		return
 	}
-	kept := &state{}
+	current := &state{}
 	if previous != nil && previous.states[candidate.Name] != nil {
-		kept = previous.states[candidate.Name]
+		current = previous.states[candidate.Name]
 	}
-	t.states[candidate.Name] = kept
+	t.states[candidate.Name] = current
 	t.candidates++
 	if candidate.Draining {
 		return
@@ -97,15 +99,15 @@
 		candidate.Weight = 1
 	}
 	candidate.Slots = max(candidate.Slots, 1)
-	index, known := t.zoneIndex[candidate.Zone]
-	if !known {
+	index, exists := t.zoneIndex[candidate.Zone]
+	if !exists {
 		index = len(t.zones)
 		t.zoneIndex[candidate.Zone] = index
 		t.zones = append(t.zones, zone{name: candidate.Zone})
 	}
 	t.zones[index].targets = append(t.zones[index].targets, target{
 		candidate: candidate,
-		state:     kept,
+		state:     current,
 		capacity:  float64(candidate.Slots) * candidate.Weight,
 	})
 }
--- a/internal/routing/zones.go
+++ b/internal/routing/zones.go
@@ -1,26 +1,27 @@
 package routing
 
-// measure is a property of a zone by which zones are drawn.
-type measure func(view, *zone) float64
+// zoneWeight returns the weight of a zone in a random draw.
+type zoneWeight func(view, *zone) float64
 
-// spareCapacity is what the zone's eligible targets have left.
+// spareCapacity is the zoneWeight by spare capacity of the eligible targets.
 func spareCapacity(v view, z *zone) float64 {
-	_, spare := v.room(z)
+	_, spare := v.zoneCapacity(z)
 	return spare
 }
 
-// fullCapacity is what the zone's eligible targets carry altogether.
+// fullCapacity is the zoneWeight by total capacity of the eligible targets.
 func fullCapacity(v view, z *zone) float64 {
-	capacity, _ := v.room(z)
+	capacity, _ := v.zoneCapacity(z)
 	return capacity
 }
 
-// chooseZone returns the zone to pick from: the caller's own unless the call
-// spills or the zone has no target for it, else one drawn by spare capacity, and
-// if there is nothing to spare, the own one or one drawn by capacity.
+// chooseZone returns the zone to pick from. That is the caller's zone, unless it has
+// no eligible target or the call spills over. Otherwise a zone is drawn by spare
+// capacity. If no zone has any, it is the caller's zone, or one drawn by total
+// capacity if the caller's zone has no eligible target.
 func (p *Picker) chooseZone(table *Table, name string, view view) (*zone, bool) {
-	local, localLoad := view.local(table, name)
-	if local != nil && !p.spills(localLoad) {
+	local, localLoad := view.localZone(table, name)
+	if local != nil && !p.shouldSpill(localLoad) {
 		return local, true
 	}
 	if chosen, found := p.drawZone(table, view, spareCapacity); found {
@@ -32,8 +33,9 @@
 	return p.drawZone(table, view, fullCapacity)
 }
 
-// spills draws whether a call leaves its zone, whose load is given.
-func (p *Picker) spills(load float64) bool {
+// shouldSpill randomly decides whether a call spills over from its zone, which has
+// the given load.
+func (p *Picker) shouldSpill(load float64) bool {
 	threshold := p.config.SpillThreshold
 	if load <= threshold {
 		return false
@@ -41,11 +43,12 @@
 	return p.draw(1-threshold) < load-threshold
 }
 
-// drawZone draws a zone in proportion to the measure; false if it is zero everywhere.
-func (p *Picker) drawZone(table *Table, view view, of measure) (*zone, bool) {
+// drawZone draws a zone at random by weight. It returns false if all weights are
+// zero.
+func (p *Picker) drawZone(table *Table, view view, weight zoneWeight) (*zone, bool) {
 	total := 0.0
 	for i := range table.zones {
-		total += of(view, &table.zones[i])
+		total += weight(view, &table.zones[i])
 	}
 	if total <= 0 {
 		return nil, false
@@ -53,7 +56,7 @@
 	point := p.draw(total)
 	var last *zone
 	for i := range table.zones {
-		share := of(view, &table.zones[i])
+		share := weight(view, &table.zones[i])
 		if share <= 0 {
 			continue
 		}
