--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -1,6 +1,5 @@
-// Package catalog turns the objects of the configuration into the view that
-// calls are decided on: services with compiled policies, their targets, and
-// what is draining.
+// Package catalog builds the view of the configuration that the call path uses:
+// services with compiled policies, their targets, and which targets are draining.
 package catalog
 
 import (
@@ -13,35 +12,35 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Target is one target with what the call path needs of it.
+// Target is a target with the state that the call path needs.
 type Target struct {
 	Name string
 	resource.Target
-	// Draining targets get no new work.
+	// Draining targets get no new calls.
 	Draining bool
 	// Revision is the revision of the target's object.
 	Revision store.Revision
-	// JoinedAt is the revision at which a drain of the target was last taken
-	// back, zero if there was none; a change of it starts a new warm-up.
+	// JoinedAt is the revision at which a drain of the target was last deleted, or
+	// zero. If it changes, a new warm-up starts.
 	JoinedAt store.Revision
 }
 
-// Service is one service.
+// Service is a service with its compiled policy and its targets.
 type Service struct {
 	Name string
 	Spec resource.Service
-	// Policy is the compiled policy, the default one if there is none.
+	// Policy is the compiled policy, or the default one if the service has none.
 	Policy *policy.Program
-	// Targets are the service's targets by name, the draining ones included.
+	// Targets are the service's targets sorted by name, including draining ones.
 	Targets []*Target
-	// Requires names the services that a call needs, directly or further down,
+	// Requires lists the names of the service's direct and indirect dependencies,
 	// without the service itself.
 	Requires []string
 
 	policyRevision store.Revision
 }
 
-// Repeatable reports whether a call with the method may be run more than once.
+// Repeatable reports whether a call with the method may be executed more than once.
 func (s *Service) Repeatable(method string) bool {
 	methods := s.Spec.RepeatableMethods
 	if len(methods) == 0 {
@@ -50,7 +49,7 @@
 	return slices.Contains(methods, method)
 }
 
-// View is an immutable state of the configuration.
+// View is an immutable snapshot of the configuration.
 type View struct {
 	Services map[string]*Service
 	Targets  map[string]*Target
@@ -61,52 +60,52 @@
 	return &View{Services: map[string]*Service{}, Targets: map[string]*Target{}}
 }
 
-// Source gives the objects that a view is built from.
+// Source provides the objects of the configuration.
 type Source interface {
-	// List returns the objects of a kind, without deleted ones.
+	// List returns the objects of a kind, excluding deleted ones.
 	List(kind resource.Kind) []resource.Versioned
-	// Get returns an object, a deleted one as its tombstone.
+	// Get returns an object, or its tombstone if it was deleted.
 	Get(id resource.ID) (resource.Versioned, bool)
 }
 
-// Marks tells what is draining besides the drain objects: emergency drains and
-// the machine list. Each source only adds.
+// Marks provides drains besides those of drain objects: emergency drains and those of
+// the machine list. A target drains if any of the sources has a drain for it.
 type Marks interface {
-	// Drained reports whether a drain with the name holds.
+	// Drained reports whether a drain with the name is in effect.
 	Drained(drainName string) bool
 }
 
-// Build returns the view of the objects. Policies that were compiled for the
-// view before are used again. Faults are policies that don't compile; their
-// service keeps the policy that it had, or the default one.
-func Build(source Source, marks Marks, before *View) (*View, []error) {
+// Build returns the view of the objects. It reuses compiled policies of the previous
+// view. It returns an error for each policy that doesn't compile; the service then
+// keeps its previous policy, or gets the default one if it has none.
+func Build(source Source, marks Marks, previous *View) (*View, []error) {
 	view := Empty()
-	faults := view.addServices(source, before)
+	errs := view.addServices(source, previous)
 	view.addTargets(source, marks)
 	for _, service := range view.Services {
-		service.Requires = view.requirements(service.Name)
+		service.Requires = view.dependenciesOf(service.Name)
 	}
-	return view, faults
+	return view, errs
 }
 
-func (v *View) addServices(source Source, before *View) []error {
-	var faults []error
+func (v *View) addServices(source Source, previous *View) []error {
+	var errs []error
 	for _, object := range source.List(resource.KindService) {
 		service := &Service{Name: object.ID.Name, Spec: *object.Service}
-		if err := service.setPolicy(source, before.Services[service.Name]); err != nil {
-			faults = append(faults, err)
+		if err := service.setPolicy(source, previous.Services[service.Name]); err != nil {
+			errs = append(errs, err)
 		}
 		v.Services[service.Name] = service
 	}
-	return faults
+	return errs
 }
 
-func (s *Service) setPolicy(source Source, before *Service) error {
+func (s *Service) setPolicy(source Source, previous *Service) error {
 	object, found := source.Get(resource.ID{Kind: resource.KindPolicy, Name: s.Name})
 	found = found && !object.Deleted
-	if before != nil && found && before.policyRevision == object.Revision {
-		s.Policy = before.Policy
-		s.policyRevision = before.policyRevision
+	if previous != nil && found && previous.policyRevision == object.Revision {
+		s.Policy = previous.Policy
+		s.policyRevision = previous.policyRevision
 		return nil
 	}
 	if !found {
@@ -116,8 +115,8 @@
 	program, err := policy.Compile(SourceOf(*object.Policy))
 	if err != nil {
 		s.Policy = defaultPolicy
-		if before != nil {
-			s.Policy = before.Policy
+		if previous != nil {
+			s.Policy = previous.Policy
 		}
 		return fmt.Errorf("policy of service %s at revision %d: %w", s.Name, object.Revision, err)
 	}
@@ -126,7 +125,7 @@
 	return nil
 }
 
-// SourceOf returns a policy object as the compiler takes it.
+// SourceOf converts a policy object to the input of the policy compiler.
 func SourceOf(object resource.Policy) policy.Source {
 	return policy.Source{Admit: object.Admit, Rank: object.Rank, Retry: object.Retry, Refuse: object.Refuse}
 }
@@ -167,7 +166,7 @@
 	}
 }
 
-// DrainNames returns the names of the drains that mark the target.
+// DrainNames returns the names of the drains that apply to the target.
 func (t *Target) DrainNames() []string {
 	names := []string{resource.DrainTargetPrefix + t.Name}
 	if t.Machine != "" {
@@ -176,8 +175,9 @@
 	return names
 }
 
-// requirements walks the declared calls; a cycle ends the walk.
-func (v *View) requirements(name string) []string {
+// dependenciesOf returns the services that the service calls directly or indirectly,
+// as declared, without itself. Cycles are allowed.
+func (v *View) dependenciesOf(name string) []string {
 	seen := map[string]bool{name: true}
 	var required []string
 	pending := []string{name}
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -11,7 +11,7 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// objects is a Source; a deleted object stays as its tombstone.
+// objects is a Source that keeps deleted objects as tombstones.
 type objects map[resource.ID]resource.Versioned
 
 func (o objects) List(kind resource.Kind) []resource.Versioned {
@@ -53,14 +53,15 @@
 	o.put(revision, e)
 }
 
-type marked []string
+// drainNames implements Marks with the names of the drains in effect.
+type drainNames []string
 
-func (m marked) Drained(name string) bool { return slices.Contains(m, name) }
+func (n drainNames) Drained(name string) bool { return slices.Contains(n, name) }
 
-func build(t *testing.T, source objects, before *View) *View {
+func build(t *testing.T, source objects, previous *View) *View {
 	t.Helper()
-	view, faults := Build(source, marked(nil), before)
-	assert.Equal(t, len(faults), 0, "%v", faults)
+	view, errs := Build(source, drainNames(nil), previous)
+	assert.Equal(t, len(errs), 0, "%v", errs)
 	return view
 }
 
@@ -94,11 +95,11 @@
 	view := build(t, source, Empty())
 	source.policy(4, "a", `call.nonsense ==`)
 	for range 3 {
-		var faults []error
-		view, faults = Build(source, marked(nil), view)
-		assert.Equal(t, len(faults), 1)
-		assert.ErrorContains(t, faults[0], "service a at revision 4")
-		assert.Assert(t, !admits(t, view.Services["a"], "POST"), "the policy before was lost")
+		var errs []error
+		view, errs = Build(source, drainNames(nil), view)
+		assert.Equal(t, len(errs), 1)
+		assert.ErrorContains(t, errs[0], "service a at revision 4")
+		assert.Assert(t, !admits(t, view.Services["a"], "POST"), "the previous policy was lost")
 	}
 	source.policy(5, "a", `call.method == "POST"`)
 	assert.Assert(t, admits(t, build(t, source, view).Services["a"], "POST"))
@@ -108,25 +109,25 @@
 	source := objects{}
 	source.service("a")
 	source.policy(4, "a", `(`)
-	view, faults := Build(source, marked(nil), Empty())
-	assert.Equal(t, len(faults), 1)
+	view, errs := Build(source, drainNames(nil), Empty())
+	assert.Equal(t, len(errs), 1)
 	assert.Assert(t, admits(t, view.Services["a"], "GET"))
 }
 
 func TestDrainingByEachSource(t *testing.T) {
 	for name, c := range map[string]struct {
-		drain string
-		marks marked
-		want  bool
+		drain    string
+		marks    drainNames
+		expected bool
 	}{
-		"none":                  {"", nil, false},
-		"target by operator":    {"target.a-1", nil, true},
-		"machine by operator":   {"machine.m-1", nil, true},
-		"target by mark":        {"", marked{"target.a-1"}, true},
-		"machine by mark":       {"", marked{"machine.m-1"}, true},
-		"other target":          {"target.a-2", marked{"target.a-11"}, false},
-		"machine of a target":   {"machine.a-1", nil, false},
-		"operator and the list": {"target.a-1", marked{"machine.m-1"}, true},
+		"none":                {"", nil, false},
+		"target by operator":  {"target.a-1", nil, true},
+		"machine by operator": {"machine.m-1", nil, true},
+		"target by mark":      {"", drainNames{"target.a-1"}, true},
+		"machine by mark":     {"", drainNames{"machine.m-1"}, true},
+		"other target":        {"target.a-2", drainNames{"target.a-11"}, false},
+		"machine of a target": {"machine.a-1", nil, false},
+		"operator and mark":   {"target.a-1", drainNames{"machine.m-1"}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			source := objects{}
@@ -136,7 +137,7 @@
 				source.drain(9, c.drain, false)
 			}
 			view, _ := Build(source, c.marks, Empty())
-			assert.Equal(t, view.Targets["a-1"].Draining, c.want)
+			assert.Equal(t, view.Targets["a-1"].Draining, c.expected)
 			assert.Assert(t, view.Services["a"].Targets[0] == view.Targets["a-1"])
 		})
 	}
@@ -177,21 +178,21 @@
 	source.service("c", "a", "c")
 	source.service("d", "missing")
 	view := build(t, source, Empty())
-	for service, want := range map[string][]string{
+	for service, expected := range map[string][]string{
 		"a": {"b", "c", "d", "missing"},
 		"b": {"a", "c", "d", "missing"},
 		"c": {"a", "b", "d", "missing"},
 		"d": {"missing"},
 	} {
-		assert.DeepEqual(t, slices.Sorted(slices.Values(view.Services[service].Requires)), want)
+		assert.DeepEqual(t, slices.Sorted(slices.Values(view.Services[service].Requires)), expected)
 	}
 }
 
 func TestRepeatable(t *testing.T) {
-	usual := &Service{}
-	own := &Service{Spec: resource.Service{RepeatableMethods: []string{"PUT"}}}
-	for method, want := range map[string]bool{"GET": true, "HEAD": true, "OPTIONS": true, "POST": false, "PUT": false, "DELETE": false, "get": false} {
-		assert.Equal(t, usual.Repeatable(method), want, method)
+	standard := &Service{}
+	custom := &Service{Spec: resource.Service{RepeatableMethods: []string{"PUT"}}}
+	for method, expected := range map[string]bool{"GET": true, "HEAD": true, "OPTIONS": true, "POST": false, "PUT": false, "DELETE": false, "get": false} {
+		assert.Equal(t, standard.Repeatable(method), expected, method)
 	}
-	assert.Assert(t, own.Repeatable("PUT") && !own.Repeatable("GET"))
+	assert.Assert(t, custom.Repeatable("PUT") && !custom.Repeatable("GET"))
 }
