--- a/internal/placement/benchmark_test.go
+++ b/internal/placement/benchmark_test.go
@@ -10,7 +10,7 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// BenchmarkBuild places 820 targets over 820 nodes in five zones.
+// BenchmarkBuild assigns 820 targets to 820 nodes in 5 zones.
 func BenchmarkBuild(b *testing.B) {
 	view := catalog.Empty()
 	var live []membership.Member
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,6 +1,5 @@
-// Package placement decides which node is the home of each target: rendezvous
-// hashing over the live nodes of the target's zone, or of the whole cluster when
-// the zone has none.
+// Package placement assigns a home node to each target by rendezvous hashing over the
+// live nodes of the target's zone, or of the whole cluster if the zone has none.
 package placement
 
 import (
@@ -11,16 +10,16 @@
 	"github.com/lugspur/lugspur/internal/rendezvous"
 )
 
-// Candidates is how many nodes are known for each target: the home, and who
-// takes over when the home does not answer.
-const Candidates = 2
+// HomesPerTarget is the number of nodes per target: its home, and the fallback that
+// takes over if the home does not respond.
+const HomesPerTarget = 2
 
-// Table is the immutable placement of a set of targets over a set of nodes.
+// Table is an immutable assignment of targets to nodes.
 type Table struct {
 	homes map[string][]membership.Member
 }
 
-// Build places the targets of the view over the live members.
+// Build assigns the targets of the view to the live members.
 func Build(view *catalog.View, live []membership.Member) *Table {
 	table := &Table{homes: make(map[string][]membership.Member, len(view.Targets))}
 	byName := make(map[string]membership.Member, len(live))
@@ -29,19 +28,19 @@
 	}
 	eligible := map[string]rendezvous.Nodes{}
 	for name, target := range view.Targets {
-		nodes, known := eligible[target.Zone]
-		if !known {
+		nodes, found := eligible[target.Zone]
+		if !found {
 			nodes = rendezvous.Prepare(eligibleFor(target.Zone, live))
 			eligible[target.Zone] = nodes
 		}
-		for _, home := range nodes.TopN(name, Candidates) {
+		for _, home := range nodes.TopN(name, HomesPerTarget) {
 			table.homes[name] = append(table.homes[name], byName[home])
 		}
 	}
 	return table
 }
 
-// eligibleFor returns the nodes that may be homes of the targets of a zone.
+// eligibleFor returns the names of the nodes that can be homes of a zone's targets.
 func eligibleFor(zone string, live []membership.Member) []string {
 	var inZone, all []string
 	for _, member := range live {
@@ -56,8 +55,8 @@
 	return all
 }
 
-// Homes returns the target's home and the nodes that take over after it. The
-// slice must not be changed.
+// Homes returns the target's home followed by its fallbacks. The caller must not
+// modify the slice.
 func (t *Table) Homes(target string) []membership.Member { return t.homes[target] }
 
 // Owns reports whether the node is the home of the target.
@@ -66,7 +65,7 @@
 	return len(homes) > 0 && homes[0].Name == node
 }
 
-// Owned returns the names of the targets whose home the node is, sorted.
+// Owned returns the sorted names of the targets whose home is the node.
 func (t *Table) Owned(node string) []string {
 	var owned []string
 	for target := range t.homes {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -34,14 +34,14 @@
 	owners := map[string]int{}
 	for i := range 20 {
 		homes := table.Homes(fmt.Sprintf("a-%d", i))
-		assert.Equal(t, len(homes), Candidates)
+		assert.Equal(t, len(homes), HomesPerTarget)
 		assert.Assert(t, homes[0].Name != homes[1].Name)
 		for _, home := range homes {
 			assert.Equal(t, home.Zone, "a")
 		}
 		owners[homes[0].Name]++
 	}
-	assert.Equal(t, len(owners), 3, "targets are not spread: %v", owners)
+	assert.Equal(t, len(owners), 3, "targets are not distributed over all nodes: %v", owners)
 }
 
 func TestZoneWithoutNodes(t *testing.T) {
@@ -55,25 +55,25 @@
 
 func TestOrderOfMembersDoesNotMatter(t *testing.T) {
 	members := membersOf("a", 5)
-	first := Build(viewOf("a", 30), members)
+	original := Build(viewOf("a", 30), members)
 	slices.Reverse(members)
-	second := Build(viewOf("a", 30), members)
+	reordered := Build(viewOf("a", 30), members)
 	for i := range 30 {
-		assert.DeepEqual(t, first.Homes(fmt.Sprintf("a-%d", i)), second.Homes(fmt.Sprintf("a-%d", i)))
+		assert.DeepEqual(t, original.Homes(fmt.Sprintf("a-%d", i)), reordered.Homes(fmt.Sprintf("a-%d", i)))
 	}
 }
 
 func TestOnlyTheTargetsOfALostNodeMove(t *testing.T) {
 	members := membersOf("a", 5)
 	before := Build(viewOf("a", 60), members)
-	lost := members[2].Name
+	removed := members[2].Name
 	after := Build(viewOf("a", 60), slices.Delete(slices.Clone(members), 2, 3))
 	moved := 0
 	for i := range 60 {
 		target := fmt.Sprintf("a-%d", i)
-		if before.Owns(lost, target) {
+		if before.Owns(removed, target) {
 			moved++
-			assert.Equal(t, after.Homes(target)[0].Name, before.Homes(target)[1].Name, "the next in line does not take over")
+			assert.Equal(t, after.Homes(target)[0].Name, before.Homes(target)[1].Name, "the fallback did not become the home")
 			continue
 		}
 		assert.Equal(t, after.Homes(target)[0].Name, before.Homes(target)[0].Name)
