--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -154,8 +154,8 @@
 // configure sets the node's configuration and cluster members and makes it ready.
 func (f *fixture) configure(t *testing.T, objects configuration, members ...*fixture) *fixture {
 	t.Helper()
-	view, faults := catalog.Build(objects, objects, catalog.Empty())
-	assert.Equal(t, len(faults), 0, "%v", faults)
+	view, errs := catalog.Build(objects, objects, catalog.Empty())
+	assert.Equal(t, len(errs), 0, "%v", errs)
 	var live []membership.Member
 	for _, member := range append(members, f) {
 		live = append(live, membership.Member{Name: member.settings.Node, Zone: "z", PeerAddress: member.peer})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -179,14 +179,15 @@
 	})
 }
 
-// splitPath returns the first segment of a call's path and the request URI for
-// the target: the rest of the path and the query, escaped as the caller sent it.
-func splitPath(u *url.URL) (first, requestURI string) {
-	first, rest, _ := strings.Cut(strings.TrimPrefix(u.EscapedPath(), "/"), "/")
+// splitPath returns the service, which is the first segment of a call's path, and
+// the request URI for the target: the rest of the path and the query, escaped as
+// the caller sent it.
+func splitPath(u *url.URL) (service, requestURI string) {
+	service, rest, _ := strings.Cut(strings.TrimPrefix(u.EscapedPath(), "/"), "/")
 	if u.RawQuery != "" {
-		return first, "/" + rest + "?" + u.RawQuery
+		return service, "/" + rest + "?" + u.RawQuery
 	}
-	return first, "/" + rest
+	return service, "/" + rest
 }
 
 func (g *Gateway) serve(w http.ResponseWriter, r *http.Request, listener Listener) {
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -97,7 +97,7 @@
 	return problem.New(reason, problem.ExecutedNo, step, g.settings.Node, detail)
 }
 
-// readContext creates the context of an edge call, ignoring one that the caller
+// readContext creates the context of an edge call, dropping one that the caller
 // sent, or reads the context of a mesh call. A mesh call without context is an
 // orphan: it gets the lowest rank and is never retried.
 func (g *Gateway) readContext(c *call, r *http.Request, started time.Time) *problem.Problem {
@@ -154,8 +154,8 @@
 	if service.Spec.TimeoutMillis > 0 {
 		timeout = time.Duration(service.Spec.TimeoutMillis) * time.Millisecond
 	}
-	if text := header.Get(callcontext.TimeoutHeader); text != "" {
-		millis, err := strconv.ParseInt(text, 10, 32)
+	if value := header.Get(callcontext.TimeoutHeader); value != "" {
+		millis, err := strconv.ParseInt(value, 10, 32)
 		if err != nil || millis < 1 {
 			return 0, g.problem(problem.BadRequest, "receive", callcontext.TimeoutHeader+" must be a number of milliseconds above 0")
 		}
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -60,7 +60,7 @@
 // suspected to have failed, else the first that is reachable. If there is none,
 // this node admits the target's calls itself.
 func (r *Router) routeTo(routes *routes, target *catalog.Target) Route {
-	if !r.homes {
+	if !r.useHomes {
 		return Route{Target: target, Home: r.node, Owner: true}
 	}
 	homes := routes.placement.Homes(target.Name)
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -22,13 +22,13 @@
 // Router selects the targets of calls and their home nodes. It is safe for
 // concurrent use.
 type Router struct {
-	node    string
-	zone    string
-	homes   bool
-	warmup  bool
-	now     func() time.Time
-	shed    *shed.Table
-	current atomic.Pointer[routes]
+	node     string
+	zone     string
+	useHomes bool
+	warmup   bool
+	now      func() time.Time
+	shed     *shed.Table
+	current  atomic.Pointer[routes]
 
 	mutex            sync.Mutex
 	warmupStarts     map[string]warmupStart
@@ -69,7 +69,7 @@
 	r := &Router{
 		node:         config.Node,
 		zone:         config.Zone,
-		homes:        config.Homes,
+		useHomes:     config.Homes,
 		warmup:       config.Warmup,
 		now:          config.Now,
 		shed:         config.Shed,
@@ -131,7 +131,7 @@
 			return 1
 		}
 	}
-	if len(homes) == 0 || !r.homes {
+	if len(homes) == 0 || !r.useHomes {
 		return 1
 	}
 	return suspectWeight
