--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -15,7 +15,7 @@
 func (g *Gateway) admit(c *call, r *http.Request, requestURI string) *problem.Problem {
 	c.policy = g.policyCall(c, r, requestURI)
 	shedBy := ""
-	c.threshold, shedBy = g.shedThreshold(c)
+	c.shedThreshold, shedBy = g.shedThreshold(c)
 	load := g.policyLoad(c)
 	admitted, err := c.service.Policy.Admit(c.policy, load)
 	g.logPolicyError(c, err)
@@ -23,7 +23,7 @@
 		return g.problem(problem.NotAdmitted, "policy", "the service's policy does not admit the call")
 	}
 	g.logPolicyError(c, g.setRank(c))
-	if g.settings.ShedLevels && c.context.Rank.Key() >= c.threshold {
+	if g.settings.ShedLevels && c.context.Rank.Key() >= c.shedThreshold {
 		failure := g.problem(problem.Overloaded, "shed", "calls of this rank are being shed by "+shedBy)
 		return g.setRetryAfter(c, load, failure)
 	}
@@ -33,7 +33,7 @@
 // policyLoad returns the load of the call's service for its policy.
 func (g *Gateway) policyLoad(c *call) policy.Load {
 	load := g.router.Load(c.service.Name)
-	load.ShedLevel = shedLevelName(c.threshold)
+	load.ShedLevel = shedLevelName(c.shedThreshold)
 	return load
 }
 
@@ -70,8 +70,8 @@
 		Caller:       c.context.Caller,
 		Zone:         g.settings.Zone,
 		IncomingRank: incoming,
-		Repeatable:   c.key == "" && c.service.Repeatable(r.Method),
-		Keyed:        c.key != "",
+		Repeatable:   c.idempotencyKey == "" && c.service.Repeatable(r.Method),
+		Keyed:        c.idempotencyKey != "",
 		External:     c.listener == Edge,
 		Hops:         int(c.context.Hops),
 		TimeoutMs:    int(c.context.Deadline.Sub(g.now()).Milliseconds()),
--- a/internal/gateway/claim.go
+++ b/internal/gateway/claim.go
@@ -28,11 +28,11 @@
 // runClaimed runs a call that must run at most once. It keeps the claim unless it
 // is certain that the call did not run.
 func (g *Gateway) runClaimed(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
-	if len(c.key) > maxKeyLength {
+	if len(c.idempotencyKey) > maxKeyLength {
 		return nil, g.problem(problem.BadRequest, "claim", "the idempotency key is longer than 256 bytes")
 	}
 	scope := c.service.Name + "\x00" + c.context.Caller
-	claim, failure := g.claims.Claim(ctx, scope, c.key)
+	claim, failure := g.claims.Claim(ctx, scope, c.idempotencyKey)
 	if failure != nil {
 		return nil, failure
 	}
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -64,11 +64,11 @@
 		status   int
 		executed problem.Executed
 	}{
-		"answer":            {respondWith(418, "tea"), 418, ""},
-		"refused":           {shedCall, 503, problem.ExecutedNo},
-		"reset":             {abortConnection, 502, problem.ExecutedUnknown},
-		"cut answer":        {truncateResponse, 502, problem.ExecutedUnknown},
-		"forwarded problem": {relayProblem, 503, problem.ExecutedUnknown},
+		"answer":             {respondWith(418, "tea"), 418, ""},
+		"refused":            {shedCall, 503, problem.ExecutedNo},
+		"reset":              {abortConnection, 502, problem.ExecutedUnknown},
+		"truncated response": {truncateResponse, 502, problem.ExecutedUnknown},
+		"forwarded problem":  {relayProblem, 503, problem.ExecutedUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			target := newFakeTarget(t, c.handler)
@@ -104,14 +104,14 @@
 
 func TestNextInLineTakesOverFromALostHome(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
-	lost := newFixture(t, "lost", nil)
-	lost.peer = unreachableTarget(t).address
+	unreachableNode := newFixture(t, "lost", nil)
+	unreachableNode.peer = unreachableTarget(t).address
 	f := newFixture(t, "n-1", nil)
 	objects := singleService(resource.Service{}, fiveRetries, target)
-	for i := range 10 { // enough targets that the lost node is the home of some
+	for i := range 10 { // enough targets that the unreachable node is the home of some
 		objects.target("b-"+string(rune('0'+i)), "a", target.address)
 	}
-	f.configure(t, objects, lost)
+	f.configure(t, objects, unreachableNode)
 	now := time.Now()
 	f.router.now = func() time.Time { return now } // the home stays marked as unreachable
 	for range 20 {
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -18,14 +18,14 @@
 
 // call is the state of a call in the gateway.
 type call struct {
-	listener  Listener
-	service   *catalog.Service
-	context   callcontext.Context
-	policy    policy.Call
-	message   transport.Call
-	key       string
-	orphan    bool
-	threshold uint16
+	listener       Listener
+	service        *catalog.Service
+	context        callcontext.Context
+	policy         policy.Call
+	message        transport.Call
+	idempotencyKey string
+	orphan         bool
+	shedThreshold  uint16
 }
 
 // defaultRetryAfter is the Retry-After of refusals for which the service's policy
@@ -106,7 +106,7 @@
 		return failure
 	}
 	deadline := started.Add(timeout)
-	c.key = r.Header.Get(callcontext.IdempotencyKeyHeader)
+	c.idempotencyKey = r.Header.Get(callcontext.IdempotencyKeyHeader)
 	if c.listener == Edge {
 		callcontext.Strip(r.Header)
 		c.context = g.newContext(r, started, deadline)
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -33,7 +33,7 @@
 
 // execute runs the call, under a claim if it has an idempotency key.
 func (g *Gateway) execute(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
-	if c.key == "" {
+	if c.idempotencyKey == "" {
 		return g.runWithRetries(ctx, c)
 	}
 	return g.runClaimed(ctx, c)
--- a/internal/gateway/run_test.go
+++ b/internal/gateway/run_test.go
@@ -33,19 +33,19 @@
 		retried bool
 		status  int
 	}{
-		"GET, reset":           {"GET", noKey, abortConnection, true, 200},
-		"GET, cut answer":      {"GET", noKey, truncateResponse, true, 200},
-		"GET, 503":             {"GET", noKey, respondWith(503, ""), true, 200},
-		"GET, 500":             {"GET", noKey, respondWith(500, "error"), false, 500},
-		"GET, keyed, reset":    {"GET", key, abortConnection, false, 502},
-		"POST, reset":          {"POST", noKey, abortConnection, false, 502},
-		"POST, cut answer":     {"POST", noKey, truncateResponse, false, 502},
-		"POST, 503":            {"POST", noKey, respondWith(503, ""), false, 503},
-		"POST, refused":        {"POST", noKey, shedCall, true, 200},
-		"POST, keyed, reset":   {"POST", key, abortConnection, false, 502},
-		"POST, keyed, refused": {"POST", key, shedCall, true, 200},
-		"DELETE, cut":          {"DELETE", noKey, truncateResponse, false, 502},
-		"GET, Retry-After":     {"GET", noKey, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Retry-After", "9"); w.WriteHeader(503) }, false, 503},
+		"GET, reset":                 {"GET", noKey, abortConnection, true, 200},
+		"GET, truncated response":    {"GET", noKey, truncateResponse, true, 200},
+		"GET, 503":                   {"GET", noKey, respondWith(503, ""), true, 200},
+		"GET, 500":                   {"GET", noKey, respondWith(500, "error"), false, 500},
+		"GET, keyed, reset":          {"GET", key, abortConnection, false, 502},
+		"POST, reset":                {"POST", noKey, abortConnection, false, 502},
+		"POST, truncated response":   {"POST", noKey, truncateResponse, false, 502},
+		"POST, 503":                  {"POST", noKey, respondWith(503, ""), false, 503},
+		"POST, refused":              {"POST", noKey, shedCall, true, 200},
+		"POST, keyed, reset":         {"POST", key, abortConnection, false, 502},
+		"POST, keyed, refused":       {"POST", key, shedCall, true, 200},
+		"DELETE, truncated response": {"DELETE", noKey, truncateResponse, false, 502},
+		"GET, Retry-After":           {"GET", noKey, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Retry-After", "9"); w.WriteHeader(503) }, false, 503},
 	} {
 		t.Run(name, func(t *testing.T) {
 			handler := handlerSequence(c.first, respondWith(200, "ok"))
