--- a/internal/admin/admintest/admintest.go
+++ b/internal/admin/admintest/admintest.go
@@ -118,7 +118,7 @@
 }
 
 func (e emergency) EmergencyDrain(name string) error {
-	e.drains.Mark(name)
+	e.drains.Add(name)
 	return nil
 }
 
--- a/internal/callcontext/callcontext.go
+++ b/internal/callcontext/callcontext.go
@@ -238,8 +238,8 @@
 	return Context{}, ErrAbsent
 }
 
-// Strip removes every lugspur member from the header and keeps the others.
-func Strip(header http.Header) {
+// RemoveFromHeader removes every lugspur member from the header and keeps the others.
+func RemoveFromHeader(header http.Header) {
 	lines := header[BaggageHeader]
 	if len(lines) == 0 {
 		return
@@ -267,7 +267,7 @@
 	if err != nil {
 		return err
 	}
-	Strip(header)
+	RemoveFromHeader(header)
 	member := MemberName + "=" + value
 	// The caller's own members give way when there is no room for both.
 	if others := header[BaggageHeader]; len(others) > 0 && len(member)+1+len(others[0]) <= MaxBaggageLength {
--- a/internal/callcontext/callcontext_test.go
+++ b/internal/callcontext/callcontext_test.go
@@ -136,7 +136,7 @@
 			if c.lines != nil {
 				header[BaggageHeader] = c.lines
 			}
-			Strip(header)
+			RemoveFromHeader(header)
 			assert.DeepEqual(t, header[BaggageHeader], c.want)
 		})
 	}
@@ -214,7 +214,7 @@
 		if _, err := FromHeader(header); err != nil && !errors.Is(err, ErrAbsent) {
 			assert.ErrorIs(t, err, ErrMalformed)
 		}
-		Strip(header)
+		RemoveFromHeader(header)
 		_, err := FromHeader(header)
 		if len(first)+len(second) < MaxBaggageLength {
 			assert.ErrorIs(t, err, ErrAbsent)
--- a/internal/claim/bootstrap.go
+++ b/internal/claim/bootstrap.go
@@ -24,7 +24,7 @@
 	if !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
-	if now.Sub(m.started) < m.config.Settle {
+	if now.Sub(m.started) < m.config.SettleTime {
 		return nil
 	}
 	members := m.planGenesis(now)
@@ -44,7 +44,7 @@
 func (m *Manager) planGenesis(now time.Time) []Member {
 	view := View{Self: m.self, Nodes: m.config.Members.Members()}
 	members := PlanGenesis(view, m.config.Size)
-	if members != nil || now.Sub(m.started) < m.config.Settle+genesisPatience {
+	if members != nil || now.Sub(m.started) < m.config.SettleTime+genesisPatience {
 		return members
 	}
 	alive := len(view.alive())
--- a/internal/claim/coordinator.go
+++ b/internal/claim/coordinator.go
@@ -133,8 +133,8 @@
 	return c.outcome
 }
 
-// GiveUp ends a pending claim, so that it can never be granted.
-func (c *Coordinator) GiveUp() Outcome {
+// Abort ends a pending claim, so that it can never be granted.
+func (c *Coordinator) Abort() Outcome {
 	if c.outcome == Pending {
 		c.outcome = c.refusal()
 	}
--- a/internal/claim/gathering.go
+++ b/internal/claim/gathering.go
@@ -49,10 +49,10 @@
 			g.outcome = g.take(r)
 		case <-ctx.Done():
 			g.failure = ctx.Err()
-			g.outcome = g.coordinator.GiveUp()
+			g.outcome = g.coordinator.Abort()
 		case <-g.claimer.base.Done():
 			g.failure = ErrClosed
-			g.outcome = g.coordinator.GiveUp()
+			g.outcome = g.coordinator.Abort()
 		}
 	}
 	return g.outcome
--- a/internal/claim/manager.go
+++ b/internal/claim/manager.go
@@ -58,8 +58,8 @@
 	Retention time.Duration
 	// Interval is the time between two looks; zero is DefaultInterval.
 	Interval time.Duration
-	// Settle is how long to wait for members before a first roster is created.
-	Settle time.Duration
+	// SettleTime is how long to wait for members before a first roster is created.
+	SettleTime time.Duration
 }
 
 // Manager keeps a node's roster up to date, takes part in its changes and
--- a/internal/claim/property_test.go
+++ b/internal/claim/property_test.go
@@ -160,7 +160,7 @@
 		c.release(i, call)
 		return
 	}
-	c.settle(i, call, call.coordinator.GiveUp())
+	c.settle(i, call, call.coordinator.Abort())
 }
 
 func (c *cluster) stepTime() {
--- a/internal/configuration/cluster_test.go
+++ b/internal/configuration/cluster_test.go
@@ -40,7 +40,7 @@
 type testNode struct {
 	cluster  *cluster
 	self     Member
-	spreader *Spreader
+	spreader *Syncer
 	writer   *Writer
 	server   *httptest.Server
 	stop     context.CancelFunc
@@ -123,7 +123,7 @@
 	n.server = httptest.NewServer(mux)
 	address := strings.TrimPrefix(n.server.URL, "http://")
 	n.self = Member{Name: name, Zone: zone, PeerAddress: address, Live: true}
-	n.spreader = NewSpreader(Options{
+	n.spreader = NewSyncer(Options{
 		Self: n.self, Store: c.backing, Membership: n, Seeds: seeds, Client: &http.Client{Transport: n}, Log: quietLog(),
 		DutyInterval: 20 * time.Millisecond, StartupGrace: c.startupGrace, MinBackoff: 10 * time.Millisecond,
 		MaxBackoff: 100 * time.Millisecond, PollInterval: time.Hour, PullInterval: 20 * time.Millisecond,
--- a/internal/configuration/drains.go
+++ b/internal/configuration/drains.go
@@ -30,9 +30,9 @@
 	return &EmergencyDrains{marks: make(map[string]time.Time), now: now}
 }
 
-// Mark adds or renews the drain of the name, which has the form of a drain
+// Add adds or renews the drain of the name, which has the form of a drain
 // object's name, for EmergencyDrainTTL. It reports whether there was room.
-func (d *EmergencyDrains) Mark(name string) bool {
+func (d *EmergencyDrains) Add(name string) bool {
 	expiry := d.now().Add(EmergencyDrainTTL)
 	d.Merge(map[string]time.Time{name: expiry})
 	return d.Drained(name)
--- a/internal/configuration/messages_test.go
+++ b/internal/configuration/messages_test.go
@@ -18,8 +18,8 @@
 
 func (noMembers) Members() []Member { return nil }
 
-func newIdleSpreader() (*Spreader, *http.ServeMux) {
-	spreader := NewSpreader(Options{Membership: noMembers{}, Log: quietLog()}, NewReplica(time.Now))
+func newIdleSpreader() (*Syncer, *http.ServeMux) {
+	spreader := NewSyncer(Options{Membership: noMembers{}, Log: quietLog()}, NewReplica(time.Now))
 	mux := http.NewServeMux()
 	spreader.Register(mux)
 	return spreader, mux
--- a/internal/configuration/peer.go
+++ b/internal/configuration/peer.go
@@ -10,7 +10,7 @@
 )
 
 // post sends a message to a peer and decodes the answer unless it is nil.
-func (s *Spreader) post(ctx context.Context, address, path string, encoded []byte, answer any) error {
+func (s *Syncer) post(ctx context.Context, address, path string, encoded []byte, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, s.options.PeerTimeout)
 	defer cancel()
 	fault := oops.In("configuration").With("step", path).With("peer", address)
--- a/internal/configuration/poll.go
+++ b/internal/configuration/poll.go
@@ -10,14 +10,14 @@
 )
 
 // pollPrefix holds no keys: listing it tells the store's revision and no more.
-const pollPrefix = resource.Prefix + "revision-probe/"
+const pollPrefix = resource.KeyPrefix + "revision-probe/"
 
 // maxPollStretch bounds how far polls that found nothing are spaced out.
 const maxPollStretch = 16
 
 // pollLoop compares the store's revision with the floor now and then. It finds
 // watches that hang and watchers that cannot reach the store.
-func (s *Spreader) pollLoop(ctx context.Context) {
+func (s *Syncer) pollLoop(ctx context.Context) {
 	stretch := 1
 	for pause.For(ctx, s.pollPause(stretch)) {
 		if !s.replica.Ready() {
@@ -35,7 +35,7 @@
 
 // pollPause is random around the interval that gives this node its share of
 // all nodes' polls.
-func (s *Spreader) pollPause(stretch int) time.Duration {
+func (s *Syncer) pollPause(stretch int) time.Duration {
 	members := len(livePeers(s.options.Self.Name, s.options.Membership.Members())) + 1
 	interval := max(s.options.PollInterval, time.Duration(members)*s.options.PollShare)
 	interval *= time.Duration(stretch)
@@ -44,7 +44,7 @@
 
 // pollOnce reports whether the floor lagged behind so that the node listed the
 // store, and whether the list held anything new.
-func (s *Spreader) pollOnce(ctx context.Context) (missed, listed bool) {
+func (s *Syncer) pollOnce(ctx context.Context) (missed, listed bool) {
 	revision, err := s.storeRevision(ctx)
 	if err != nil {
 		s.noteStoreError(err)
@@ -65,7 +65,7 @@
 	return missed, true
 }
 
-func (s *Spreader) storeRevision(ctx context.Context) (store.Revision, error) {
+func (s *Syncer) storeRevision(ctx context.Context) (store.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.StoreTimeout)
 	defer cancel()
 	s.counters.polls.Add(1)
@@ -82,7 +82,7 @@
 }
 
 // caughtUp waits for the floor to reach the revision by the usual ways.
-func (s *Spreader) caughtUp(ctx context.Context, revision store.Revision) bool {
+func (s *Syncer) caughtUp(ctx context.Context, revision store.Revision) bool {
 	const steps = 10
 	for range steps {
 		if s.replica.Floor() >= revision {
@@ -96,7 +96,7 @@
 }
 
 // signalRelist makes the watch of this node, if it has one, start anew.
-func (s *Spreader) signalRelist() {
+func (s *Syncer) signalRelist() {
 	select {
 	case s.relist <- struct{}{}:
 	default:
--- a/internal/configuration/pull.go
+++ b/internal/configuration/pull.go
@@ -24,7 +24,7 @@
 // HandleDigest compares a peer's digest, received with its gossip, with the own
 // one and has the difference fetched if the peer has something to offer. It
 // does not block.
-func (s *Spreader) HandleDigest(from Member, digest Digest) {
+func (s *Syncer) HandleDigest(from Member, digest Digest) {
 	if from.Name == s.options.Self.Name || from.PeerAddress == "" {
 		return
 	}
@@ -35,7 +35,7 @@
 }
 
 // pullLoop fetches from peers, one at a time and paced.
-func (s *Spreader) pullLoop(ctx context.Context) {
+func (s *Syncer) pullLoop(ctx context.Context) {
 	for s.awaitReason(ctx) {
 		if !pause.For(ctx, jitter(s.options.PullInterval/4)) {
 			return
@@ -52,7 +52,7 @@
 
 // awaitReason waits for a source or, while the node has no configuration, for
 // the time of the next attempt. It returns false when the context ends.
-func (s *Spreader) awaitReason(ctx context.Context) bool {
+func (s *Syncer) awaitReason(ctx context.Context) bool {
 	var retry <-chan time.Time
 	if !s.replica.Ready() {
 		timer := time.NewTimer(s.options.PullInterval / 2)
@@ -68,12 +68,12 @@
 	return true
 }
 
-func (s *Spreader) pullPause(bytes int64) time.Duration {
+func (s *Syncer) pullPause(bytes int64) time.Duration {
 	pause := time.Duration(bytes) * time.Second / time.Duration(s.options.PullBytesPerSecond)
 	return max(s.options.PullInterval, min(pause, MaxPullPause))
 }
 
-func (s *Spreader) pullOnce(ctx context.Context) error {
+func (s *Syncer) pullOnce(ctx context.Context) error {
 	address, found := s.choosePeer()
 	if !found {
 		return nil
@@ -103,7 +103,7 @@
 
 // choosePeer returns the peer to pull from: a source, or while the node has no
 // configuration any peer or seed.
-func (s *Spreader) choosePeer() (address string, found bool) {
+func (s *Syncer) choosePeer() (address string, found bool) {
 	if chosen, ok := s.sources.choose(s.Digest()); ok {
 		if s.sources.pending() {
 			s.sources.wake()
@@ -138,7 +138,7 @@
 }
 
 // fetch asks a peer for all versions or those above the own floor.
-func (s *Spreader) fetch(ctx context.Context, address string, full bool) (pulled, error) {
+func (s *Syncer) fetch(ctx context.Context, address string, full bool) (pulled, error) {
 	s.counters.pulls.Add(1)
 	if full {
 		s.counters.fullPulls.Add(1)
@@ -165,7 +165,7 @@
 	return result, nil
 }
 
-func (s *Spreader) fetchPage(ctx context.Context, address string, request sinceRequest) (sinceResponse, error) {
+func (s *Syncer) fetchPage(ctx context.Context, address string, request sinceRequest) (sinceResponse, error) {
 	request.Drains = encodeMarks(s.drains.Marks())
 	var page sinceResponse
 	encoded, err := cbor.Marshal(request)
@@ -202,7 +202,7 @@
 
 // takeDelta applies what a peer held above the own floor. The peer's floor
 // holds for this node as well then.
-func (s *Spreader) takeDelta(result pulled) {
+func (s *Syncer) takeDelta(result pulled) {
 	changed := s.replica.Apply(result.versions...)
 	if result.ready {
 		s.replica.SetFloor(result.digest.Floor)
@@ -211,7 +211,7 @@
 }
 
 // takeComplete applies all that a peer held.
-func (s *Spreader) takeComplete(result pulled) {
+func (s *Syncer) takeComplete(result pulled) {
 	if !result.ready {
 		s.replica.Apply(result.versions...)
 		return
@@ -226,14 +226,14 @@
 
 // passOn tells peers what a pull brought, which carries news over the border
 // of a cut that has healed.
-func (s *Spreader) passOn(changed []resource.Versioned) {
+func (s *Syncer) passOn(changed []resource.Versioned) {
 	if len(changed) <= maxAnnouncedList {
 		s.news.addVersions(changed, 1)
 	}
 }
 
 // mayPullAll spaces complete pulls out.
-func (s *Spreader) mayPullAll() bool {
+func (s *Syncer) mayPullAll() bool {
 	now := s.options.Now()
 	if s.replica.Ready() && now.Sub(s.lastFullPull) < s.options.FullPullInterval {
 		return false
@@ -245,7 +245,7 @@
 // diverged reports, after a delta was applied, whether this replica and the
 // peer's are complete up to the same floor and hold the same versions above
 // the floor that was asked from, and yet differ below it.
-func (s *Spreader) diverged(result pulled) bool {
+func (s *Syncer) diverged(result pulled) bool {
 	own := s.replica.Since(result.since, 0)
 	if !result.ready || result.pages != 1 || own.Digest.Floor != result.digest.Floor || own.Digest.sameObjects(result.digest) {
 		return false
@@ -257,7 +257,7 @@
 
 // repair takes over whatever the peer holds and this replica lacks, and has
 // the store listed anew if this node watches it.
-func (s *Spreader) repair(ctx context.Context, address string) error {
+func (s *Syncer) repair(ctx context.Context, address string) error {
 	if !s.mayPullAll() {
 		return nil
 	}
--- a/internal/configuration/push.go
+++ b/internal/configuration/push.go
@@ -15,7 +15,7 @@
 )
 
 // pushLoop passes news on as it arises.
-func (s *Spreader) pushLoop(ctx context.Context) {
+func (s *Syncer) pushLoop(ctx context.Context) {
 	var sending sync.WaitGroup
 	defer sending.Wait()
 	for {
@@ -29,7 +29,7 @@
 }
 
 // push sends news to a few random live peers without waiting for them.
-func (s *Spreader) push(ctx context.Context, sending *sync.WaitGroup, taken news) {
+func (s *Syncer) push(ctx context.Context, sending *sync.WaitGroup, taken news) {
 	targets := s.pushTargets(taken.hops)
 	for _, message := range s.pushMessages(taken) {
 		encoded, err := cbor.Marshal(message)
@@ -45,7 +45,7 @@
 
 // pushTargets chooses the peers: the first node of a change takes one in each
 // other zone first, the nodes after it any.
-func (s *Spreader) pushTargets(hops int) []Member {
+func (s *Syncer) pushTargets(hops int) []Member {
 	peers := livePeers(s.options.Self.Name, s.options.Membership.Members())
 	if hops == 0 {
 		peers = spreadOverZones(s.options.Self.Zone, peers)
@@ -54,7 +54,7 @@
 }
 
 // pushMessages splits news into messages of bounded size.
-func (s *Spreader) pushMessages(taken news) []pushMessage {
+func (s *Syncer) pushMessages(taken news) []pushMessage {
 	drains := encodeMarks(s.drains.Marks())
 	var messages []pushMessage
 	for versions := taken.versions; len(versions) > 0; {
@@ -75,7 +75,7 @@
 
 // send posts one message, or drops it when too many are in flight already; the
 // peer then finds out by comparing digests.
-func (s *Spreader) send(ctx context.Context, sending *sync.WaitGroup, target Member, encoded []byte) {
+func (s *Syncer) send(ctx context.Context, sending *sync.WaitGroup, target Member, encoded []byte) {
 	select {
 	case s.sending <- struct{}{}:
 	default:
--- a/internal/configuration/replica_test.go
+++ b/internal/configuration/replica_test.go
@@ -247,8 +247,8 @@
 	clock := time.Unix(1_700_000_000, 0)
 	now := func() time.Time { return clock }
 	drains := NewEmergencyDrains(now)
-	assert.Assert(t, drains.Mark("target.a"))
-	assert.Assert(t, !drains.Mark("a"), "not a drain's name")
+	assert.Assert(t, drains.Add("target.a"))
+	assert.Assert(t, !drains.Add("a"), "not a drain's name")
 	clock = clock.Add(EmergencyDrainTTL / 2)
 	assert.Assert(t, !drains.Merge(map[string]time.Time{"target.a": clock.Add(time.Minute)}), "known already")
 	assert.Equal(t, drains.Marks()["target.a"], clock.Add(EmergencyDrainTTL/2), "the later expiry holds")
@@ -258,7 +258,7 @@
 	clock = clock.Add(EmergencyDrainTTL)
 	assert.Assert(t, !drains.Drained("target.a") && drains.Sum() == 0)
 	for number := range 2 * MaxEmergencyDrains {
-		drains.Mark(fmt.Sprint("target.t", number))
+		drains.Add(fmt.Sprint("target.t", number))
 	}
 	assert.Equal(t, len(drains.Marks()), MaxEmergencyDrains)
 }
--- a/internal/configuration/server.go
+++ b/internal/configuration/server.go
@@ -7,12 +7,12 @@
 const maxServing = 8
 
 // Register adds the peer endpoints to the mux of the peer listener.
-func (s *Spreader) Register(mux *http.ServeMux) {
+func (s *Syncer) Register(mux *http.ServeMux) {
 	mux.HandleFunc("POST "+PathSince, s.serveSince)
 	mux.HandleFunc("POST "+PathPush, s.servePush)
 }
 
-func (s *Spreader) serveSince(w http.ResponseWriter, r *http.Request) {
+func (s *Syncer) serveSince(w http.ResponseWriter, r *http.Request) {
 	select {
 	case s.serving <- struct{}{}:
 		defer func() { <-s.serving }()
@@ -36,7 +36,7 @@
 	s.counters.sentBytes.Add(int64(writeMessage(w, response)))
 }
 
-func (s *Spreader) servePush(w http.ResponseWriter, r *http.Request) {
+func (s *Syncer) servePush(w http.ResponseWriter, r *http.Request) {
 	var message pushMessage
 	if !s.decodeRequest(w, r, &message) {
 		return
@@ -55,7 +55,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-func (s *Spreader) decodeRequest(w http.ResponseWriter, r *http.Request, message any) bool {
+func (s *Syncer) decodeRequest(w http.ResponseWriter, r *http.Request, message any) bool {
 	size, err := decodeMessage(r.Body, message)
 	s.counters.receivedBytes.Add(int64(size))
 	if err != nil {
@@ -65,7 +65,7 @@
 }
 
 // answer makes one page for a pull.
-func (s *Spreader) answer(request sinceRequest) (sinceResponse, error) {
+func (s *Syncer) answer(request sinceRequest) (sinceResponse, error) {
 	base := request.Floor
 	if request.Full {
 		base = 0
@@ -89,7 +89,7 @@
 }
 
 // mergeDrains takes marks from a peer and passes new ones on.
-func (s *Spreader) mergeDrains(marks []mark, hops int) {
+func (s *Syncer) mergeDrains(marks []mark, hops int) {
 	if len(marks) > MaxEmergencyDrains {
 		return
 	}
--- a/internal/configuration/spreader.go
+++ b/internal/configuration/spreader.go
@@ -12,9 +12,9 @@
 // collectInterval is how often old tombstones are looked for.
 const collectInterval = 10 * time.Minute
 
-// Spreader keeps a replica up to date from the store and from peers, and
+// Syncer keeps a replica up to date from the store and from peers, and
 // passes news on. It is safe for concurrent use.
-type Spreader struct {
+type Syncer struct {
 	options Options
 	replica *Replica
 	drains  *EmergencyDrains
@@ -32,10 +32,10 @@
 	lastFullPull time.Time
 }
 
-// NewSpreader returns a spreader that starts work when Run is called.
-func NewSpreader(options Options, replica *Replica) *Spreader {
+// NewSyncer returns a spreader that starts work when Run is called.
+func NewSyncer(options Options, replica *Replica) *Syncer {
 	options = options.withDefaults()
-	return &Spreader{
+	return &Syncer{
 		options: options,
 		replica: replica,
 		drains:  NewEmergencyDrains(options.Now),
@@ -48,19 +48,19 @@
 }
 
 // Replica returns the replica that the spreader keeps up to date.
-func (s *Spreader) Replica() *Replica { return s.replica }
+func (s *Syncer) Replica() *Replica { return s.replica }
 
 // Ready reports whether the node has ever had a complete view of the
 // configuration.
-func (s *Spreader) Ready() bool { return s.replica.Ready() }
+func (s *Syncer) Ready() bool { return s.replica.Ready() }
 
 // EmergencyDrains returns the marks that pass between nodes.
-func (s *Spreader) EmergencyDrains() *EmergencyDrains { return s.drains }
+func (s *Syncer) EmergencyDrains() *EmergencyDrains { return s.drains }
 
-// MarkDrain marks a target or machine as leaving without the store and passes
+// AddEmergencyDrain marks a target or machine as leaving without the store and passes
 // the mark on at once. It reports whether the mark was taken.
-func (s *Spreader) MarkDrain(name string) bool {
-	marked := s.drains.Mark(name)
+func (s *Syncer) AddEmergencyDrain(name string) bool {
+	marked := s.drains.Add(name)
 	if marked {
 		s.news.addDrains(0)
 	}
@@ -68,7 +68,7 @@
 }
 
 // Digest describes the node's configuration for its gossip.
-func (s *Spreader) Digest() Digest {
+func (s *Syncer) Digest() Digest {
 	digest := s.replica.Digest()
 	digest.Drains = s.drains.Sum()
 	return digest
@@ -76,13 +76,13 @@
 
 // Announce passes versions that were accepted or learnt from the store on to
 // peers. It does not block.
-func (s *Spreader) Announce(versions ...resource.Versioned) {
+func (s *Syncer) Announce(versions ...resource.Versioned) {
 	s.news.addVersions(versions, 0)
 }
 
 // Run works until the context ends and returns when all its goroutines have
 // ended.
-func (s *Spreader) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	var running sync.WaitGroup
 	for _, loop := range []func(context.Context){s.superviseWatch, s.pullLoop, s.pushLoop, s.pollLoop, s.collectLoop} {
 		running.Go(func() { loop(ctx) })
@@ -90,7 +90,7 @@
 	running.Wait()
 }
 
-func (s *Spreader) collectLoop(ctx context.Context) {
+func (s *Syncer) collectLoop(ctx context.Context) {
 	for pause.For(ctx, collectInterval) {
 		s.replica.Collect()
 	}
--- a/internal/configuration/spreader_test.go
+++ b/internal/configuration/spreader_test.go
@@ -65,7 +65,7 @@
 	quiet := NewWriter(c.backing.Store, NewReplica(time.Now), func(...resource.Versioned) {}, time.Now)
 	second := mustWrite(t, quiet, "a", first.Revision, resource.Change{ID: "c2"})
 	c.nodes[0].writer.learn(second)
-	assert.Assert(t, c.nodes[1].spreader.MarkDrain("machine.m1"))
+	assert.Assert(t, c.nodes[1].spreader.AddEmergencyDrain("machine.m1"))
 	eventually(t, "one side", func() bool {
 		held, _ := c.nodes[8].spreader.Replica().Get(second.ID)
 		return held.Revision == second.Revision
--- a/internal/configuration/status.go
+++ b/internal/configuration/status.go
@@ -61,7 +61,7 @@
 }
 
 // Status returns the node's state.
-func (s *Spreader) Status() Status {
+func (s *Syncer) Status() Status {
 	digest := s.replica.Digest()
 	s.mu.Lock()
 	watch := s.status
@@ -95,13 +95,13 @@
 	}
 }
 
-func (s *Spreader) setWatching(watching bool) {
+func (s *Syncer) setWatching(watching bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status.watching = watching
 }
 
-func (s *Spreader) noteStoreContact() {
+func (s *Syncer) noteStoreContact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.status.contact = s.options.Now()
@@ -109,7 +109,7 @@
 }
 
 // noteStoreError logs an error of the store when it is not the last one again.
-func (s *Spreader) noteStoreError(err error) {
+func (s *Syncer) noteStoreError(err error) {
 	if err == nil {
 		return
 	}
--- a/internal/configuration/watch.go
+++ b/internal/configuration/watch.go
@@ -21,7 +21,7 @@
 var errStoreBehind = errors.New("store revision is behind the accepted configuration")
 
 // superviseWatch starts and stops the watch as the node's duty changes.
-func (s *Spreader) superviseWatch(ctx context.Context) {
+func (s *Syncer) superviseWatch(ctx context.Context) {
 	started := s.options.Now()
 	stop := func() {}
 	watching := false
@@ -46,7 +46,7 @@
 // onDuty reports whether the node must watch the store now. A node that has no
 // configuration yet and knows peers tries them first, so that a mesh that
 // starts as a whole does not fall upon the store.
-func (s *Spreader) onDuty(started time.Time) bool {
+func (s *Syncer) onDuty(started time.Time) bool {
 	members := s.options.Membership.Members()
 	if !OnDuty(s.options.Self, members, s.options.WatchersPerZone) {
 		return false
@@ -57,7 +57,7 @@
 
 // startWatch runs the watch until the returned function is called, which
 // waits for its end.
-func (s *Spreader) startWatch(ctx context.Context) (stop func()) {
+func (s *Syncer) startWatch(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
 	ended := make(chan struct{})
 	go func() {
@@ -70,7 +70,7 @@
 	}
 }
 
-func (s *Spreader) watchLoop(ctx context.Context) {
+func (s *Syncer) watchLoop(ctx context.Context) {
 	s.setWatching(true)
 	defer s.setWatching(false)
 	pause := newBackoff(s.options.MinBackoff, s.options.MaxBackoff)
@@ -97,7 +97,7 @@
 
 // watchOnce lists if asked to and then watches until an error. A ready replica
 // watches from its floor: it is complete up to there.
-func (s *Spreader) watchOnce(ctx context.Context, list bool) error {
+func (s *Syncer) watchOnce(ctx context.Context, list bool) error {
 	if list {
 		if err := s.list(ctx); err != nil {
 			return err
@@ -108,7 +108,7 @@
 	stopRelist := s.cancelOnRelist(ctx, cancel)
 	defer stopRelist()
 	s.counters.watches.Add(1)
-	err := s.options.Store.Watch(ctx, resource.Prefix, s.replica.Floor(), s.handleBatch)
+	err := s.options.Store.Watch(ctx, resource.KeyPrefix, s.replica.Floor(), s.handleBatch)
 	if cause := context.Cause(ctx); errors.Is(cause, errRelist) {
 		return cause
 	}
@@ -116,7 +116,7 @@
 }
 
 // cancelOnRelist ends the watch when the safety poll found it lagging.
-func (s *Spreader) cancelOnRelist(ctx context.Context, cancel context.CancelCauseFunc) (stop func()) {
+func (s *Syncer) cancelOnRelist(ctx context.Context, cancel context.CancelCauseFunc) (stop func()) {
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *Spreader) handleBatch(batch []store.Entry, progress store.Revision) {
+func (s *Syncer) handleBatch(batch []store.Entry, progress store.Revision) {
 	for _, stored := range batch {
 		s.handleStored(stored)
 	}
@@ -142,7 +142,7 @@
 	s.noteStoreContact()
 }
 
-func (s *Spreader) handleStored(stored store.Entry) {
+func (s *Syncer) handleStored(stored store.Entry) {
 	if stored.Deleted {
 		s.handleRemoved(stored)
 		return
@@ -157,7 +157,7 @@
 
 // handleRemoved deals with a key that was removed from outside: the writer
 // itself leaves tombstones.
-func (s *Spreader) handleRemoved(stored store.Entry) {
+func (s *Syncer) handleRemoved(stored store.Entry) {
 	id, err := resource.ParseKey(stored.Key)
 	if err != nil {
 		s.rejectStored(err)
@@ -166,18 +166,18 @@
 	s.Announce(s.replica.Remove(id, stored.Revision)...)
 }
 
-func (s *Spreader) rejectStored(err error) {
+func (s *Syncer) rejectStored(err error) {
 	s.counters.invalid.Add(1)
 	s.options.Log.WithError(err).Error("the store holds an invalid object; it is passed over")
 }
 
 // list reads all objects from the store.
-func (s *Spreader) list(ctx context.Context) error {
+func (s *Syncer) list(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.options.StoreTimeout)
 	defer cancel()
 	s.counters.lists.Add(1)
 	known := s.replica.Floor()
-	snapshot, err := s.options.Store.List(ctx, resource.Prefix)
+	snapshot, err := s.options.Store.List(ctx, resource.KeyPrefix)
 	if err != nil {
 		return s.storeError("list", err)
 	}
@@ -189,7 +189,7 @@
 	return nil
 }
 
-func (s *Spreader) applyList(snapshot store.Snapshot) {
+func (s *Syncer) applyList(snapshot store.Snapshot) {
 	versions := make([]resource.Versioned, 0, len(snapshot.Entries))
 	for _, stored := range snapshot.Entries {
 		version, err := decodeEntry(stored)
@@ -209,6 +209,6 @@
 	}
 }
 
-func (s *Spreader) storeError(step string, err error) error {
+func (s *Syncer) storeError(step string, err error) error {
 	return oops.In("configuration").With("step", step).With("peer", "store").Wrap(err)
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -68,7 +68,7 @@
 
 // Grants requests retries from the ingress node of a request.
 type Grants interface {
-	Ask(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error)
+	RequestRetry(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error)
 }
 
 // Ratio limits the node's retries to a share of its successful calls.
--- a/internal/gateway/peer.go
+++ b/internal/gateway/peer.go
@@ -55,7 +55,7 @@
 		discardBody(w, r)
 		return nil, failure
 	}
-	home.StripHop(r.Header)
+	home.StripHopHeaders(r.Header)
 	forwarded := &home.Call{Context: callContext, Call: transport.Call{
 		Method:     r.Method,
 		RequestURI: strings.TrimPrefix(r.RequestURI, home.PathPrefix+name),
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -68,7 +68,7 @@
 		return c, failure
 	}
 	c.message = transport.Call{Method: r.Method, RequestURI: incoming.requestURI, Header: r.Header, Body: body}
-	home.StripHop(c.message.Header)
+	home.StripHopHeaders(c.message.Header)
 	c.message.Header.Set(callcontext.RequestIDHeader, c.context.RequestID.String())
 	return c, nil
 }
@@ -108,7 +108,7 @@
 	deadline := started.Add(timeout)
 	c.idempotencyKey = r.Header.Get(callcontext.IdempotencyKeyHeader)
 	if c.listener == Edge {
-		callcontext.Strip(r.Header)
+		callcontext.RemoveFromHeader(r.Header)
 		c.context = g.newContext(r, started, deadline)
 		return nil
 	}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -193,7 +193,7 @@
 	if !known {
 		return false
 	}
-	granted, err := g.grants.Ask(ctx, ingress, c.context.RequestID)
+	granted, err := g.grants.RequestRetry(ctx, ingress, c.context.RequestID)
 	if err != nil {
 		g.log.WithError(err).WithField("step", "grant").WithField("peer", ingress.String()).
 			WithField("request_id", c.context.RequestID.String()).Debug("retry grant request failed")
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -14,13 +14,13 @@
 	known := m.Membership.Members()
 	members := make([]configuration.Member, 0, len(known))
 	for _, member := range known {
-		members = append(members, MemberOf(member))
+		members = append(members, ConfigurationMember(member))
 	}
 	return members
 }
 
-// MemberOf returns a member as the configuration sees it.
-func MemberOf(member membership.Member) configuration.Member {
+// ConfigurationMember returns a member as the configuration sees it.
+func ConfigurationMember(member membership.Member) configuration.Member {
 	return configuration.Member{
 		Name:        member.Name,
 		Zone:        member.Zone,
--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -114,9 +114,9 @@
 	return &Client{self: self, ledger: ledger, http: client}
 }
 
-// Ask asks the request's ingress node for one retry. An error means that no
+// RequestRetry asks the request's ingress node for one retry. An error means that no
 // answer came: the retry is not granted, and may be spent.
-func (c *Client) Ask(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error) {
+func (c *Client) RequestRetry(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error) {
 	token := NewToken()
 	if ingress == c.self {
 		return c.ledger.Grant(request, token), nil
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -64,7 +64,7 @@
 	ingress := serve(t, ledger, sound)
 	client := NewClient(elsewhere, own, http.DefaultClient)
 	for _, want := range []bool{true, true, false} {
-		granted, err := client.Ask(t.Context(), ingress, callcontext.NewRequestID())
+		granted, err := client.RequestRetry(t.Context(), ingress, callcontext.NewRequestID())
 		assert.NilError(t, err)
 		assert.Equal(t, granted, want)
 	}
@@ -75,7 +75,7 @@
 	own := newBudget(1)
 	client := NewClient(elsewhere, own, &http.Client{Transport: noNetwork{t}})
 	for _, want := range []bool{true, false} {
-		granted, err := client.Ask(t.Context(), elsewhere, callcontext.NewRequestID())
+		granted, err := client.RequestRetry(t.Context(), elsewhere, callcontext.NewRequestID())
 		assert.NilError(t, err)
 		assert.Equal(t, granted, want)
 	}
@@ -118,7 +118,7 @@
 			ledger := newBudget(1)
 			ingress := serve(t, ledger, after(spoil))
 			client := NewClient(elsewhere, newBudget(1), &http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
-			granted, err := client.Ask(t.Context(), ingress, callcontext.NewRequestID())
+			granted, err := client.RequestRetry(t.Context(), ingress, callcontext.NewRequestID())
 			assert.Assert(t, err != nil && !granted)
 			assert.ErrorContains(t, err, ingress.String())
 			assert.Equal(t, ledger.remaining(), 0, "a lost grant is not spent")
@@ -128,14 +128,14 @@
 
 func TestNobodyThere(t *testing.T) {
 	granted, err := NewClient(elsewhere, newBudget(1), http.DefaultClient).
-		Ask(t.Context(), netip.MustParseAddrPort("127.0.0.1:9"), callcontext.NewRequestID())
+		RequestRetry(t.Context(), netip.MustParseAddrPort("127.0.0.1:9"), callcontext.NewRequestID())
 	assert.Assert(t, err != nil && !granted)
 }
 
 func TestCallersContextEndsTheQuestion(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	granted, err := NewClient(elsewhere, newBudget(1), http.DefaultClient).Ask(ctx, serve(t, newBudget(1), sound), callcontext.NewRequestID())
+	granted, err := NewClient(elsewhere, newBudget(1), http.DefaultClient).RequestRetry(ctx, serve(t, newBudget(1), sound), callcontext.NewRequestID())
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.Assert(t, !granted)
 }
--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -65,9 +65,9 @@
 	Queue scheduler.Config
 	// MaxBuffered is the largest answer, in bytes, that is held whole.
 	MaxBuffered int64
-	// Acting reports whether this node may act as a home now; it is asked right
+	// MayServe reports whether this node may act as a home now; it is asked right
 	// before a call is sent. Nil means always.
-	Acting func() bool
+	MayServe func() bool
 	// FixedLimit keeps the limit at the declared slots, for experiments.
 	FixedLimit bool
 }
@@ -128,7 +128,7 @@
 	return g.exchange(ctx, service, permit, call, m.now)
 }
 
-func (m *Manager) acting() bool { return m.settings.Acting == nil || m.settings.Acting() }
+func (m *Manager) acting() bool { return m.settings.MayServe == nil || m.settings.MayServe() }
 
 func refused(target *catalog.Target, err error) *problem.Problem {
 	var refusal *scheduler.Refusal
@@ -157,7 +157,7 @@
 		permit.Release(limit.Sample{Outcome: limit.Overload})
 		return nil, refusal
 	}
-	StripHop(answer.Header)
+	StripHopHeaders(answer.Header)
 	disownProblem(g.target, answer)
 	if answer.Remainder != nil {
 		answer.Remainder = &releasing{ReadCloser: answer.Remainder, release: permit.Release}
--- a/internal/home/peer.go
+++ b/internal/home/peer.go
@@ -238,9 +238,9 @@
 	}
 }
 
-// StripHop removes the headers that hold for one connection only, and those by
+// StripHopHeaders removes the headers that hold for one connection only, and those by
 // which a stranger could pass for a node.
-func StripHop(header http.Header) {
+func StripHopHeaders(header http.Header) {
 	for _, listed := range header.Values("Connection") {
 		for name := range strings.SplitSeq(listed, ",") {
 			header.Del(strings.TrimSpace(name))
--- a/internal/home/peer_test.go
+++ b/internal/home/peer_test.go
@@ -162,6 +162,6 @@
 		header.Set(name, header.Get(name)+"x")
 	}
 	header["Connection"] = []string{"X-One, keep-alive"}
-	StripHop(header)
+	StripHopHeaders(header)
 	assert.DeepEqual(t, header, http.Header{"X-Two": {"2"}})
 }
--- a/internal/membership/protocol_test.go
+++ b/internal/membership/protocol_test.go
@@ -22,7 +22,7 @@
 // {2,3,5,6}, which one contact joined after 10 s; by then no change was queued anywhere, and
 // two nodes that both missed each other compared lists every 30 s with one random peer that
 // knew no more: 5 and 10 were strangers for 63 s, while nobody was suspected. What spreads
-// and what is compared is told at TestNodesThatStartTogetherAgree.
+// and what is compared is told at TestNodesStartedTogetherConverge.
 func TestNoSuspicionWithoutLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"))
--- a/internal/membership/starts_test.go
+++ b/internal/membership/starts_test.go
@@ -47,7 +47,7 @@
 	return taken
 }
 
-// TestNodesThatStartTogetherAgree: a fleet that starts, or comes back, together took up to
+// TestNodesStartedTogetherConverge: a fleet that starts, or comes back, together took up to
 // 90 s to know itself. Meanwhile nodes disagreed on the homes of targets, so that calls went
 // to fewer nodes than there were and a target had two homes. Nodes that first reached
 // different seeds formed islands, as a node that knows anyone asked other seeds every 10 s
@@ -55,7 +55,7 @@
 // from a peer are not passed on, and the next comparison of lists was 30 s away for each
 // pair. A trace of eleven nodes showed four and seven of them with empty queues from 5 s on,
 // one contact at 10 s, and comparisons at 35 and 65 s.
-func TestNodesThatStartTogetherAgree(t *testing.T) {
+func TestNodesStartedTogetherConverge(t *testing.T) {
 	for _, count := range []int{2, 5, 8, 12, 30, 60} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			var all []time.Duration
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -92,7 +92,7 @@
 	}
 	n.digests.set(from.Name, received.Digest.Floor)
 	n.noteCaughtUp(received.Digest.Floor)
-	n.spreader.HandleDigest(gossip.MemberOf(from), received.Digest)
+	n.spreader.HandleDigest(gossip.ConfigurationMember(from), received.Digest)
 	n.claims.heardOf(received.ClaimEpoch, from.PeerAddress)
 	for _, level := range received.Levels {
 		n.takeLevel(from.Name, received.Version, level)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -38,7 +38,7 @@
 
 	members  *membership.Membership
 	replica  *configuration.Replica
-	spreader *configuration.Spreader
+	spreader *configuration.Syncer
 	machines *machines.Follower
 	router   *gateway.Router
 	homes    *home.Manager
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -119,7 +119,7 @@
 
 func (n *Node) provisionConfiguration() {
 	n.replica = configuration.NewReplica(time.Now)
-	n.spreader = configuration.NewSpreader(configuration.Options{
+	n.spreader = configuration.NewSyncer(configuration.Options{
 		Self:       configuration.Member{Name: n.settings.Name, Zone: n.settings.Zone, PeerAddress: n.members.Self().PeerAddress, Live: true},
 		Store:      n.store,
 		Membership: gossip.Members{Membership: n.members},
@@ -153,7 +153,7 @@
 	n.homes = home.NewManager(home.Settings{
 		Queue:       queueConfig(n.settings),
 		MaxBuffered: limits.MaxAnswerBufferBytes,
-		Acting:      n.liveness.MayAct,
+		MayServe:    n.liveness.MayAct,
 		FixedLimit:  !n.settings.Features.AdaptiveLimit,
 	}, time.Now)
 	n.peers = home.NewClient(limits.MaxAnswerBufferBytes)
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -14,11 +14,11 @@
 )
 
 // emergencyDrains lets the administration API mark drains without the store.
-type emergencyDrains struct{ spreader *configuration.Spreader }
+type emergencyDrains struct{ spreader *configuration.Syncer }
 
 // EmergencyDrain marks what the drain of that name marks.
 func (e emergencyDrains) EmergencyDrain(name string) error {
-	if !e.spreader.MarkDrain(name) {
+	if !e.spreader.AddEmergencyDrain(name) {
 		return errTooManyDrains
 	}
 	return nil
--- a/internal/resource/resource.go
+++ b/internal/resource/resource.go
@@ -29,8 +29,8 @@
 // OperatorKinds are the kinds that operators write.
 func OperatorKinds() []Kind { return []Kind{KindTarget, KindService, KindPolicy, KindDrain} }
 
-// Prefix starts every key of an object in the store.
-const Prefix = "/lugspur/v1/"
+// KeyPrefix starts every key of an object in the store.
+const KeyPrefix = "/lugspur/v1/"
 
 // MaxNameLength bounds the name of an object, in bytes. A drain's name may be
 // longer by its prefix, so that whatever has a valid name can be drained.
@@ -48,13 +48,13 @@
 func (i ID) String() string { return string(i.Kind) + "/" + i.Name }
 
 // Key returns the object's key in the store.
-func (i ID) Key() string { return Prefix + string(i.Kind) + "/" + i.Name }
+func (i ID) Key() string { return KeyPrefix + string(i.Kind) + "/" + i.Name }
 
 // ParseKey returns the object that a key names.
 func ParseKey(key string) (ID, error) {
-	rest, ok := strings.CutPrefix(key, Prefix)
+	rest, ok := strings.CutPrefix(key, KeyPrefix)
 	if !ok {
-		return ID{}, fmt.Errorf("key %q does not start with %s", key, Prefix)
+		return ID{}, fmt.Errorf("key %q does not start with %s", key, KeyPrefix)
 	}
 	kind, name, ok := strings.Cut(rest, "/")
 	if !ok {
--- a/internal/resource/resource_test.go
+++ b/internal/resource/resource_test.go
@@ -89,7 +89,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, parsed, e.ID)
 	}
-	for _, key := range []string{"", "/other/v1/target/t", Prefix + "target", Prefix + "node/n", Prefix + "target/a/b", Prefix + "target/"} {
+	for _, key := range []string{"", "/other/v1/target/t", KeyPrefix + "target", KeyPrefix + "node/n", KeyPrefix + "target/a/b", KeyPrefix + "target/"} {
 		_, err := ParseKey(key)
 		assert.Check(t, err != nil, "%q was parsed", key)
 	}
--- a/lab/replay/claims.go
+++ b/lab/replay/claims.go
@@ -132,7 +132,7 @@
 	for _, name := range c.names {
 		c.ask(a, &DeliverEvent{Replica: name}, now)
 	}
-	switch a.coordinator.GiveUp() {
+	switch a.coordinator.Abort() {
 	case claim.Granted:
 		return a, nil
 	case claim.Held:
