--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -33,9 +33,9 @@
 	Policy *policy.Program
 	// Targets are the service's targets sorted by name, including draining ones.
 	Targets []*Target
-	// Requires lists the names of the service's direct and indirect dependencies,
+	// Dependencies lists the names of the service's direct and indirect dependencies,
 	// without the service itself.
-	Requires []string
+	Dependencies []string
 
 	policyRevision store.Revision
 }
@@ -68,9 +68,9 @@
 	Get(id resource.ID) (resource.Versioned, bool)
 }
 
-// Marks provides drains besides those of drain objects: emergency drains and those of
+// DrainSource provides drains besides those of drain objects: emergency drains and those of
 // the machine list. A target drains if any of the sources has a drain for it.
-type Marks interface {
+type DrainSource interface {
 	// Drained reports whether a drain with the name is in effect.
 	Drained(drainName string) bool
 }
@@ -78,12 +78,12 @@
 // Build returns the view of the objects. It reuses compiled policies of the previous
 // view. It returns an error for each policy that doesn't compile; the service then
 // keeps its previous policy, or gets the default one if it has none.
-func Build(source Source, marks Marks, previous *View) (*View, []error) {
+func Build(source Source, marks DrainSource, previous *View) (*View, []error) {
 	view := Empty()
 	errs := view.addServices(source, previous)
 	view.addTargets(source, marks)
 	for _, service := range view.Services {
-		service.Requires = view.dependenciesOf(service.Name)
+		service.Dependencies = view.dependenciesOf(service.Name)
 	}
 	return view, errs
 }
@@ -140,7 +140,7 @@
 	return program
 }
 
-func (v *View) addTargets(source Source, marks Marks) {
+func (v *View) addTargets(source Source, marks DrainSource) {
 	for _, object := range source.List(resource.KindTarget) {
 		target := &Target{Name: object.ID.Name, Target: *object.Target, Revision: object.Revision}
 		target.setDrain(source, marks)
@@ -154,7 +154,7 @@
 	}
 }
 
-func (t *Target) setDrain(source Source, marks Marks) {
+func (t *Target) setDrain(source Source, marks DrainSource) {
 	for _, name := range t.DrainNames() {
 		object, found := source.Get(resource.ID{Kind: resource.KindDrain, Name: name})
 		if found && object.Deleted {
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -88,7 +88,7 @@
 	assert.Assert(t, admits(t, fourth.Services["a"], "GET") && admits(t, fourth.Services["a"], "POST"))
 }
 
-func TestBadPolicyKeepsTheOneBefore(t *testing.T) {
+func TestInvalidPolicyKeepsPreviousPolicy(t *testing.T) {
 	source := objects{}
 	source.service("a")
 	source.policy(3, "a", `call.method == "GET"`)
@@ -105,7 +105,7 @@
 	assert.Assert(t, admits(t, build(t, source, view).Services["a"], "POST"))
 }
 
-func TestBadPolicyOfNewServiceGivesTheDefault(t *testing.T) {
+func TestInvalidPolicyOfNewServiceUsesDefault(t *testing.T) {
 	source := objects{}
 	source.service("a")
 	source.policy(4, "a", `(`)
@@ -114,7 +114,7 @@
 	assert.Assert(t, admits(t, view.Services["a"], "GET"))
 }
 
-func TestDrainingByEachSource(t *testing.T) {
+func TestDrainSources(t *testing.T) {
 	for name, c := range map[string]struct {
 		drain    string
 		marks    drainNames
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestJoinedAtIsTheLastDrainTakenBack(t *testing.T) {
+func TestJoinedAtIsLastDeletedDrain(t *testing.T) {
 	source := objects{}
 	source.service("a")
 	source.target("a-1", "a", "m-1")
@@ -155,7 +155,7 @@
 	assert.Assert(t, !target.Draining)
 }
 
-func TestTargetsAreSortedAndStrayOnesKept(t *testing.T) {
+func TestTargetsAreSortedAndUnassignedOnesKept(t *testing.T) {
 	source := objects{}
 	source.service("a")
 	for _, name := range []string{"a-3", "a-1", "a-2"} {
@@ -171,7 +171,7 @@
 	assert.Assert(t, view.Targets["stray"] != nil)
 }
 
-func TestRequirementsWithCycles(t *testing.T) {
+func TestDependenciesWithCycles(t *testing.T) {
 	source := objects{}
 	source.service("a", "b", "c")
 	source.service("b", "c", "d")
@@ -184,7 +184,7 @@
 		"c": {"a", "b", "d", "missing"},
 		"d": {"missing"},
 	} {
-		assert.DeepEqual(t, slices.Sorted(slices.Values(view.Services[service].Requires)), expected)
+		assert.DeepEqual(t, slices.Sorted(slices.Values(view.Services[service].Dependencies)), expected)
 	}
 }
 
--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/answer_test.go
@@ -14,7 +14,7 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-func TestLargeAnswers(t *testing.T) {
+func TestLargeResponses(t *testing.T) {
 	body := strings.Repeat("0123456789", 10_000)
 	complete := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, body) }
 	truncated := func(w http.ResponseWriter, _ *http.Request) {
@@ -32,7 +32,7 @@
 
 // A caller that does not read its response must not hold a target's slot past its
 // deadline.
-func TestCallerThatDoesNotRead(t *testing.T) {
+func TestSlowReaderReleasesSlotAtDeadline(t *testing.T) {
 	endless := func(w http.ResponseWriter, _ *http.Request) {
 		for chunk := make([]byte, 1<<20); ; {
 			if _, err := w.Write(chunk); err != nil {
@@ -52,7 +52,7 @@
 
 // Calls whose small responses fill the connection's buffers, because the caller does
 // not read them, must end at their deadline.
-func TestSmallAnswersThatNobodyReads(t *testing.T) {
+func TestUnreadSmallResponsesTimeOut(t *testing.T) {
 	const calls = 4000
 	target := newFakeTarget(t, respondWith(200, strings.Repeat("x", 9000)))
 	f := singleNode(t, resource.Service{}, fiveRetries, target)
@@ -73,7 +73,7 @@
 
 // The write deadline of one response must not apply to the next response on the same
 // connection.
-func TestConnectionOutlivesTheDeadlineOfALargeAnswer(t *testing.T) {
+func TestConnectionIsReusableAfterResponseDeadline(t *testing.T) {
 	body := strings.Repeat("0123456789", 10_000)
 	f := singleNode(t, resource.Service{}, fiveRetries, newFakeTarget(t, respondWith(200, body)))
 	connection := sendPartial(t, f.edge, "")
@@ -90,7 +90,7 @@
 	}
 }
 
-func TestHeadAndBodylessAnswers(t *testing.T) {
+func TestHeadAndNoContentResponses(t *testing.T) {
 	for _, nodes := range []int{1, 2} {
 		f := cluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodHead {
@@ -106,14 +106,14 @@
 	}
 }
 
-func TestAnswersCarryTheRequestID(t *testing.T) {
+func TestResponsesHaveRequestID(t *testing.T) {
 	target := newFakeTarget(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(callcontext.RequestIDHeader, "forged") })
 	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
 	got := do(t, "GET", f.edge, "/a/x", "")
 	assert.Equal(t, got.header.Get(callcontext.RequestIDHeader), contextOf(t, target.calls()[0]).RequestID.String())
 }
 
-func TestClosingNodeAsksCallersToLeave(t *testing.T) {
+func TestClosingNodeClosesConnections(t *testing.T) {
 	f := singleNode(t, resource.Service{}, resource.Policy{}, newFakeTarget(t, respondWith(200, "ok")))
 	f.SetClosing()
 	response, err := http.Get("http://" + f.edge + "/a/x")
--- a/internal/gateway/concurrency_test.go
+++ b/internal/gateway/concurrency_test.go
@@ -10,7 +10,7 @@
 
 // A node at the concurrency limit of less important calls must still accept more
 // important ones and the nested calls of requests in progress.
-func TestRoomIsLeftToMoreImportantCalls(t *testing.T) {
+func TestConcurrencyIsReservedByPriority(t *testing.T) {
 	g := &Gateway{settings: Settings{MaxConcurrent: 100}}
 	previous := int64(0)
 	for level := criticality.Level(criticality.LevelCount); level > 0; level-- {
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -83,8 +83,8 @@
 // unlimitedRatio is a Ratio that allows all retries.
 type unlimitedRatio struct{}
 
-func (unlimitedRatio) Success()    {}
-func (unlimitedRatio) Allow() bool { return true }
+func (unlimitedRatio) RecordSuccess() {}
+func (unlimitedRatio) Allow() bool    { return true }
 
 // fakeClaims grants all claims except those for the key "taken".
 type fakeClaims struct{ claimed, released atomic.Int64 }
@@ -128,7 +128,7 @@
 	grant.Register(peerMux, ledger)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f.Gateway = New(settings, Parts{
+	f.Gateway = New(settings, Dependencies{
 		Router:   NewRouter(RouterConfig{Node: name, Zone: "z", Homes: true, Shed: f.shed, Now: time.Now}),
 		Homes:    home.NewManager(home.Settings{MaxBuffered: 10_000}, time.Now),
 		Peers:    home.NewClient(10_000),
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -14,7 +14,7 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-func TestCallerThatLeavesStopsTheTarget(t *testing.T) {
+func TestCallerDisconnectCancelsTargetRequest(t *testing.T) {
 	for _, nodes := range []int{1, 2} {
 		started, canceled := make(chan struct{}), make(chan struct{})
 		target := newFakeTarget(t, func(_ http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done(); close(canceled) })
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestHomeThatDoesNotKnowTheTarget(t *testing.T) {
+func TestHomeWithoutTargetRefusesCall(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	objects := singleService(resource.Service{}, resource.Policy{Retry: "0"}, target)
 	first, second := newFixture(t, "n-1", nil), newFixture(t, "n-2", nil)
@@ -102,7 +102,7 @@
 	assert.Equal(t, len(target.calls()), 0)
 }
 
-func TestNextInLineTakesOverFromALostHome(t *testing.T) {
+func TestFallbackReplacesUnreachableHome(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	unreachableNode := newFixture(t, "lost", nil)
 	unreachableNode.peer = unreachableTarget(t).address
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -71,10 +71,10 @@
 	RequestRetry(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error)
 }
 
-// Ratio limits the node's retries to a share of its successful calls.
-type Ratio interface {
-	// Success records a successful call.
-	Success()
+// RetryRatio limits the node's retries to a share of its successful calls.
+type RetryRatio interface {
+	// RecordSuccess records a successful call.
+	RecordSuccess()
 	// Allow reports whether a retry is allowed and, if so, counts it.
 	Allow() bool
 }
@@ -98,7 +98,7 @@
 	shed     *shed.Table
 	budgets  Budgets
 	grants   Grants
-	ratio    Ratio
+	ratio    RetryRatio
 	claims   Claims
 	resends  *resend.Table
 	observer Observer
@@ -113,15 +113,15 @@
 	lastArrival atomic.Int64
 }
 
-// Parts are the dependencies of a gateway.
-type Parts struct {
+// Dependencies are the dependencies of a gateway.
+type Dependencies struct {
 	Router   *Router
 	Homes    *home.Manager
 	Peers    *home.Client
 	Shed     *shed.Table
 	Budgets  Budgets
 	Grants   Grants
-	Ratio    Ratio
+	Ratio    RetryRatio
 	Claims   Claims
 	Observer Observer
 	Log      *logrus.Entry
@@ -129,7 +129,7 @@
 }
 
 // New returns a gateway that refuses calls until SetReady(true).
-func New(settings Settings, parts Parts) *Gateway {
+func New(settings Settings, parts Dependencies) *Gateway {
 	return &Gateway{
 		settings: settings,
 		router:   parts.Router,
@@ -248,7 +248,7 @@
 	now := g.now()
 	service = call.service.Name
 	threshold = g.shed.Threshold(service, now)
-	for _, required := range call.service.Requires {
+	for _, required := range call.service.Dependencies {
 		if next := g.shed.Threshold(required, now); next < threshold {
 			threshold, service = next, required
 		}
--- a/internal/gateway/ratio_test.go
+++ b/internal/gateway/ratio_test.go
@@ -12,13 +12,13 @@
 // noRetryRatio is a Ratio that allows no retry.
 type noRetryRatio struct{}
 
-func (noRetryRatio) Success()    {}
-func (noRetryRatio) Allow() bool { return false }
+func (noRetryRatio) RecordSuccess() {}
+func (noRetryRatio) Allow() bool    { return false }
 
 // During an overload the node's retry ratio is exhausted. A critical-plus call (such
 // as an order to open a vent) that one target refused must still be retried at
 // another one, which may be accepting less important calls.
-func TestMostImportantCallsNeedNoShareOfRetries(t *testing.T) {
+func TestCriticalPlusCallsAreExemptFromRetryRatio(t *testing.T) {
 	g := &Gateway{ratio: noRetryRatio{}}
 	refused := problem.New(problem.Overloaded, problem.ExecutedNo, "home", "a-1", "")
 	mayHaveRun := problem.New(problem.TargetFailed, problem.ExecutedUnknown, "transport", "a-1", "")
--- a/internal/gateway/receive_test.go
+++ b/internal/gateway/receive_test.go
@@ -40,7 +40,7 @@
 	assert.Assert(t, strings.HasSuffix(target.calls()[0].Get(callcontext.BaggageHeader), ",own=1"))
 }
 
-func TestMeshBelievesContexts(t *testing.T) {
+func TestMeshTrustsContexts(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
 	sent := newTestContext("127.0.0.1:1")
@@ -54,7 +54,7 @@
 	assert.Equal(t, got, sent)
 }
 
-func TestContextsOfTheMesh(t *testing.T) {
+func TestMeshRejectsInvalidContexts(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
 	tooManyHops, expired := newTestContext("127.0.0.1:1"), newTestContext("127.0.0.1:1")
@@ -74,7 +74,7 @@
 	assert.Equal(t, contextOf(t, target.calls()[0]).Rank, criticality.Lowest)
 }
 
-func TestRefusalsBeforeAnythingRuns(t *testing.T) {
+func TestRefusalsBeforeExecution(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	f := singleNode(t, resource.Service{}, resource.Policy{Admit: `call.caller != "banned"`}, target)
 	large := strings.Repeat("x", 1001)
@@ -103,13 +103,13 @@
 	assert.Equal(t, f.InFlight(), int64(0))
 }
 
-func TestNodeThatIsNotReady(t *testing.T) {
+func TestNotReadyNodeRefusesCalls(t *testing.T) {
 	f := newFixture(t, "n-1", nil)
 	document := do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 503, problem.NotReady, problem.ExecutedNo)
 	assert.Assert(t, document.RetryAfterSeconds > 0)
 }
 
-func TestTooManyCallsInTheNode(t *testing.T) {
+func TestConcurrencyLimit(t *testing.T) {
 	target := newFakeTarget(t, blockUntilCanceled)
 	f := newFixture(t, "n-1", func(s *Settings) { s.MaxConcurrent = 1 }).configure(t, singleService(resource.Service{}, resource.Policy{}, target))
 	go func() { _ = f.call(f.edge) }()
@@ -132,7 +132,7 @@
 	return response.Body.Close()
 }
 
-func TestShedLevelRefusesWithThePolicysRetryAfter(t *testing.T) {
+func TestShedCallsGetRetryAfterOfPolicy(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	spec := resource.Service{Calls: []string{"deep"}}
 	policy := resource.Policy{Rank: `call.caller == "vip" ? "critical" : "sheddable"`, Refuse: `load.shed_level == "sheddable" ? 7 : 9`}
@@ -148,7 +148,7 @@
 	do(t, "GET", f.edge, "/a/x", "", header(callcontext.CallerHeader, "vip")).assertEqual(t, 200, "ok")
 }
 
-func TestDeadlinePassesDown(t *testing.T) {
+func TestDeadlinePropagation(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	f := singleNode(t, resource.Service{TimeoutMillis: 4000}, resource.Policy{}, target)
 	for requested, limit := range map[string]int{"700": 700, "60000": 10_000, "": 4000} {
@@ -180,7 +180,7 @@
 
 // A caller that never finishes its body must get a response, and its connection must
 // be closed, whatever the reason of the refusal is.
-func TestSlowBodiesAreCutOff(t *testing.T) {
+func TestSlowBodiesTimeOut(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	f := singleNode(t, resource.Service{}, resource.Policy{Admit: `call.caller != "banned"`}, target)
 	for name, c := range map[string]struct {
@@ -212,7 +212,7 @@
 
 // Whatever the path looks like, the caller must get the target's response or a
 // problem document.
-func TestEveryPathIsAnsweredOrRefused(t *testing.T) {
+func TestUnusualPaths(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
 	for path, targetURI := range map[string]string{
--- a/internal/gateway/resend_test.go
+++ b/internal/gateway/resend_test.go
@@ -12,7 +12,7 @@
 
 // A failed call that the target itself sends again is charged to the request's
 // retry budget, and is refused once the budget is exhausted.
-func TestTargetsThatResendSpendTheBudget(t *testing.T) {
+func TestResendsAreChargedToRetryBudget(t *testing.T) {
 	target := newFakeTarget(t, respondWith(500, "failed"))
 	f := singleNode(t, resource.Service{}, resource.Policy{Retry: "0"}, target)
 	sent := newTestContext(f.peer)
--- a/internal/gateway/router_test.go
+++ b/internal/gateway/router_test.go
@@ -19,7 +19,7 @@
 // A zone that stopped responding must be avoided as soon as its nodes are suspected,
 // long before they are declared dead: calls to it would time out only at their
 // deadline.
-func TestSuspectedHomesArePassedOver(t *testing.T) {
+func TestTargetsWithSuspectedHomesAreAvoided(t *testing.T) {
 	service := &catalog.Service{Name: "s"}
 	view := &catalog.View{Services: map[string]*catalog.Service{"s": service}, Targets: map[string]*catalog.Target{}}
 	for _, zone := range []string{"near", "far"} {
@@ -49,7 +49,7 @@
 	assert.Assert(t, callsToFarZone(membership.Suspect) < 100, "%d of 1000 calls go to the suspected zone", callsToFarZone(membership.Suspect))
 }
 
-func TestASuspectedHomeIsReplacedByTheNextInLine(t *testing.T) {
+func TestSuspectedHomeIsReplacedByFallback(t *testing.T) {
 	target := &catalog.Target{Name: "s-1", Target: resource.Target{Service: "s", Zone: "z", Slots: 10, Connections: 10}}
 	service := &catalog.Service{Name: "s", Targets: []*catalog.Target{target}}
 	view := &catalog.View{Services: map[string]*catalog.Service{"s": service}, Targets: map[string]*catalog.Target{"s-1": target}}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -68,7 +68,7 @@
 	for attempt := 1; ; attempt++ {
 		reply, failure, target := g.attempt(ctx, c, tried)
 		if failure == nil && !retryableStatus(reply.Status) {
-			g.ratio.Success()
+			g.ratio.RecordSuccess()
 			return reply, nil
 		}
 		mayHaveRun = mayHaveRun || failure == nil || failure.Executed != problem.ExecutedNo
--- a/internal/gateway/run_test.go
+++ b/internal/gateway/run_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestUnreachableTargetsAreLeftForOthers(t *testing.T) {
+func TestUnreachableTargetIsRetriedElsewhere(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	f := singleNode(t, resource.Service{}, fiveRetries, unreachableTarget(t), target)
 	for range 20 {
@@ -75,7 +75,7 @@
 	assert.Assert(t, f.observed.retried.Load() > 0, "the unreachable target was never picked")
 }
 
-func TestPolicyBoundsRetries(t *testing.T) {
+func TestPolicyLimitsRetries(t *testing.T) {
 	for retries, wantCalls := range map[string]int{"0": 1, "1": 2, `call.repeatable ? 2 : 0`: 3, `outcome.executed == "no" ? 5 : 0`: 1} {
 		target := newFakeTarget(t, abortConnection)
 		f := singleNode(t, resource.Service{}, resource.Policy{Retry: retries}, target)
@@ -87,10 +87,10 @@
 // exhaustedRatio is a Ratio that allows no retry.
 type exhaustedRatio struct{}
 
-func (exhaustedRatio) Success()    {}
-func (exhaustedRatio) Allow() bool { return false }
+func (exhaustedRatio) RecordSuccess() {}
+func (exhaustedRatio) Allow() bool    { return false }
 
-func TestNodesShareOfRetriesIsSpent(t *testing.T) {
+func TestExhaustedRetryRatio(t *testing.T) {
 	target := newFakeTarget(t, abortConnection)
 	f := singleNode(t, resource.Service{}, fiveRetries, target)
 	f.ratio = exhaustedRatio{}
@@ -103,7 +103,7 @@
 }
 
 // The limit of retries applies to a request's whole call chain, not to each hop.
-func TestRetriesOfAChainAreBounded(t *testing.T) {
+func TestRetryLimitAppliesToCallChain(t *testing.T) {
 	for _, maxRetries := range []int{0, 1, 2, 4} {
 		leaf := newFakeTarget(t, abortConnection)
 		ingress, other := newFixture(t, "n-1", nil), newFixture(t, "n-2", nil)
@@ -127,7 +127,7 @@
 	}
 }
 
-func TestFinalProblemTellsOfEarlierAttempts(t *testing.T) {
+func TestFinalProblemAccountsForEarlierAttempts(t *testing.T) {
 	spec := resource.Service{RefusalHeader: "Target-Shed"}
 	for name, c := range map[string]struct {
 		handlers []http.HandlerFunc
@@ -152,7 +152,7 @@
 	assert.Assert(t, document.RetryAfterSeconds > 0)
 }
 
-func TestDeadlineEndsTheCall(t *testing.T) {
+func TestDeadlineCancelsCall(t *testing.T) {
 	canceled := make(chan struct{})
 	target := newFakeTarget(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(canceled) })
 	f := singleNode(t, resource.Service{}, fiveRetries, target)
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -171,7 +171,7 @@
 		MaxRetries:      n.settings.Retries.MaxPerRequest,
 		ShedLevels:      n.settings.Features.ShedLevels,
 		PriorityOff:     !n.settings.Features.PriorityQueue,
-	}, gateway.Parts{
+	}, gateway.Dependencies{
 		Router:   n.router,
 		Homes:    n.homes,
 		Peers:    n.peers,
@@ -206,10 +206,10 @@
 // fixedRatio is a retry ratio that allows all retries or none.
 type fixedRatio bool
 
-func (fixedRatio) Success()      {}
-func (r fixedRatio) Allow() bool { return bool(r) }
+func (fixedRatio) RecordSuccess() {}
+func (r fixedRatio) Allow() bool  { return bool(r) }
 
-func (n *Node) newRetryRatio() gateway.Ratio {
+func (n *Node) newRetryRatio() gateway.RetryRatio {
 	if !n.settings.Features.RetryRatio {
 		return fixedRatio(true)
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func TestOnlyTheTargetsOfALostNodeMove(t *testing.T) {
+func TestNodeRemovalMovesOnlyItsTargets(t *testing.T) {
 	members := membersOf("a", 5)
 	before := Build(viewOf("a", 60), members)
 	removed := members[2].Name
@@ -81,7 +81,7 @@
 	assert.Assert(t, moved > 0)
 }
 
-func TestOwnedPartsTheTargets(t *testing.T) {
+func TestOwnedPartitionsTargets(t *testing.T) {
 	members := membersOf("a", 4)
 	table := Build(viewOf("a", 40), members)
 	total := 0
--- a/internal/retrybudget/ratio.go
+++ b/internal/retrybudget/ratio.go
@@ -53,8 +53,8 @@
 	return &Ratio{config: config, now: now, balance: config.Reserve, updated: now()}
 }
 
-// Success adds Share to the balance for a successful call.
-func (r *Ratio) Success() {
+// RecordSuccess adds Share to the balance for a successful call.
+func (r *Ratio) RecordSuccess() {
 	now := r.now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -131,7 +131,7 @@
 	r := retrybudget.NewRatio(retrybudget.RatioConfig{}, c.now)
 	assert.Equal(t, allowed(r, 100), 5, "the reserve")
 	for range 200 {
-		r.Success()
+		r.RecordSuccess()
 	}
 	assert.Equal(t, allowed(r, 100), 20, "a tenth of the successes")
 	c.time = c.time.Add(3 * time.Second)
@@ -144,7 +144,7 @@
 	c := &clock{time: epoch}
 	r := retrybudget.NewRatio(retrybudget.RatioConfig{}, c.now)
 	for range 100000 {
-		r.Success()
+		r.RecordSuccess()
 	}
 	assert.Equal(t, r.Balance(), 100.0)
 	c.time = c.time.Add(10 * time.Second)
@@ -160,7 +160,7 @@
 	for i := range 60000 {
 		c.time = c.time.Add(time.Millisecond)
 		if i%2 == 0 {
-			r.Success()
+			r.RecordSuccess()
 			successes++
 			continue
 		}
--- a/internal/routing/picker_test.go
+++ b/internal/routing/picker_test.go
@@ -60,7 +60,7 @@
 	assert.Assert(t, countPicks(p, epoch)["busy"] > pickCount/3)
 }
 
-func TestFillsTargetsInProportionToSlots(t *testing.T) {
+func TestBalancesBySlots(t *testing.T) {
 	p := newPicker(candidate("small", "a", 6), candidate("middle", "a", 12), candidate("large", "a", 24))
 	for range 30 {
 		c, found := p.Pick("a", nil, epoch)
@@ -73,7 +73,7 @@
 	}
 }
 
-func TestStaysInZoneUntilItIsLoadedThenSpillsBySpare(t *testing.T) {
+func TestSpillsBySpareCapacity(t *testing.T) {
 	p := newPicker(candidate("near", "a", 10), candidate("b", "b", 10), candidate("c", "c", 30))
 	for range 8 {
 		p.Begin("near")
@@ -91,7 +91,7 @@
 	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"near": pickCount})
 }
 
-func TestWithoutSpareDrawsByCapacity(t *testing.T) {
+func TestDrawsZoneByCapacityWithoutSpare(t *testing.T) {
 	p := newPicker(candidate("b", "b", 10), candidate("c", "c", 30))
 	p.Report("b", 2)
 	p.Report("c", 2)
@@ -99,7 +99,7 @@
 	assert.Assert(t, counts["c"] > 2*counts["b"] && counts["b"] > 0, "%v", counts)
 }
 
-func TestReportedLoadFades(t *testing.T) {
+func TestReportedLoadDecays(t *testing.T) {
 	p := newPicker(candidate("reported", "a", 10), candidate("other", "a", 10))
 	p.Report("reported", 0.5)
 	p.Report("unknown", 0.5)
@@ -164,7 +164,7 @@
 	assert.Assert(t, !found)
 }
 
-func TestSameSeedSameChoices(t *testing.T) {
+func TestPicksAreDeterministicForSeed(t *testing.T) {
 	firstPicker, secondPicker := newPicker(serviceCandidates()...), newPicker(serviceCandidates()...)
 	for range 200 {
 		first, _ := firstPicker.Pick("zone-1", nil, epoch)
@@ -175,7 +175,7 @@
 	}
 }
 
-func TestPickIsAlwaysAllowedAndFound(t *testing.T) {
+func TestPickFindsEligibleTargets(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		allowed := make(map[string]bool)
 		var candidates []routing.Candidate
@@ -242,7 +242,7 @@
 	return candidates
 }
 
-func TestPickAllocatesNothing(t *testing.T) {
+func TestPickDoesNotAllocate(t *testing.T) {
 	p := newPicker(serviceCandidates()...)
 	exclude := []string{"target-0"}
 	for range 200 {
--- a/lab/replay/call.go
+++ b/lab/replay/call.go
@@ -193,7 +193,7 @@
 	now := p.clock.now()
 	service = called.Name
 	threshold = p.shed.Threshold(service, now)
-	for _, required := range called.Requires {
+	for _, required := range called.Dependencies {
 		if next := p.shed.Threshold(required, now); next < threshold {
 			threshold, service = next, required
 		}
--- a/lab/replay/run.go
+++ b/lab/replay/run.go
@@ -151,7 +151,7 @@
 // decide ends the call or sends it again.
 func (p *player) decide(c *call, status int, failure *problem.Problem) {
 	if failure == nil && !retryableStatus(status) {
-		p.ratio.Success()
+		p.ratio.RecordSuccess()
 		p.finish(c, status, nil)
 		return
 	}
