--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -5,22 +5,22 @@
 	"github.com/lugspur/lugspur/internal/membership"
 )
 
-// Members shows a membership as the configuration sees nodes. It is safe for
-// concurrent use.
+// Members provides the members of a cluster as members of the configuration package. It is
+// safe for concurrent use.
 type Members struct{ Membership *membership.Membership }
 
-// Members returns the nodes known now.
+// Members returns all members that the membership lists, including tombstones.
 func (m Members) Members() []configuration.Member {
 	known := m.Membership.Members()
 	members := make([]configuration.Member, 0, len(known))
 	for _, member := range known {
-		members = append(members, MemberOf(member))
+		members = append(members, ConfigurationMember(member))
 	}
 	return members
 }
 
-// MemberOf returns a member as the configuration sees it.
-func MemberOf(member membership.Member) configuration.Member {
+// ConfigurationMember converts a member to a member of the configuration package.
+func ConfigurationMember(member membership.Member) configuration.Member {
 	return configuration.Member{
 		Name:        member.Name,
 		Zone:        member.Zone,
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -13,16 +13,16 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-func TestWhatIsCountedIsShown(t *testing.T) {
+func TestHandlerServesMetrics(t *testing.T) {
 	m := New()
 	m.Answered(gateway.Edge, "a", 200, 30*time.Millisecond)
 	m.Answered(gateway.Edge, "a", 200, 70*time.Millisecond)
 	m.Refused(gateway.Mesh, "a", problem.New(problem.Overloaded, problem.ExecutedNo, "", "", ""), time.Millisecond)
 	m.Retried("a")
 	depth := 3.0
-	m.Gauge("depth", "Depth.", func() float64 { return depth })
-	m.Counter("sent_total", "Sent.", func() float64 { return 9 })
-	m.Homes(func() map[string]home.Load {
+	m.RegisterGauge("depth", "Depth.", func() float64 { return depth })
+	m.RegisterCounter("sent_total", "Sent.", func() float64 { return 9 })
+	m.RegisterHomes(func() map[string]home.Load {
 		return map[string]home.Load{"a-1": {InFlight: 2, Limit: 8, Queued: 1, QueueDelay: 250 * time.Millisecond, Threshold: 512}}
 	})
 	depth = 4
@@ -33,7 +33,7 @@
 	for line := range strings.Lines(recorder.Body.String()) {
 		lines[strings.TrimSpace(line)] = true
 	}
-	for _, want := range []string{
+	for _, line := range []string{
 		`lugspur_answers_total{listener="edge",service="a",status="200"} 2`,
 		`lugspur_refusals_total{executed="no",listener="mesh",reason="overloaded",service="a"} 1`,
 		`lugspur_retries_total{service="a"} 1`,
@@ -47,6 +47,6 @@
 		`lugspur_target_queue_delay_seconds{target="a-1"} 0.25`,
 		`lugspur_target_shed_threshold{target="a-1"} 512`,
 	} {
-		assert.Check(t, lines[want], "no line %s", want)
+		assert.Check(t, lines[line], "missing line %s", line)
 	}
 }
--- /dev/null
+++ b/internal/node/profiling.go
@@ -0,0 +1,25 @@
+package node
+
+import (
+	"crypto/subtle"
+	"net/http"
+	"net/http/pprof"
+)
+
+// registerProfiling adds the pprof handlers to the administration listener. They
+// require the token of its write operations and are disabled without one.
+func registerProfiling(mux *http.ServeMux, token string) {
+	requireToken := func(serve http.HandlerFunc) http.HandlerFunc {
+		return func(w http.ResponseWriter, r *http.Request) {
+			authorization := r.Header.Get("Authorization")
+			if token == "" || subtle.ConstantTimeCompare([]byte(authorization), []byte("Bearer "+token)) != 1 {
+				http.Error(w, "the administration token is required", http.StatusUnauthorized)
+				return
+			}
+			serve(w, r)
+		}
+	}
+	mux.HandleFunc("GET /debug/pprof/", requireToken(pprof.Index))
+	mux.HandleFunc("GET /debug/pprof/profile", requireToken(pprof.Profile))
+	mux.HandleFunc("GET /debug/pprof/trace", requireToken(pprof.Trace))
+}
