--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -53,7 +53,7 @@
 	o.put(revision, e)
 }
 
-// drainNames implements Marks with the names of the drains in effect.
+// drainNames implements DrainSource with the names of the drains in effect.
 type drainNames []string
 
 func (n drainNames) Drained(name string) bool { return slices.Contains(n, name) }
--- a/internal/configuration/options.go
+++ b/internal/configuration/options.go
@@ -9,7 +9,7 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Options are the settings of a Spreader. Zero durations and counts select the
+// Options are the settings of a Syncer. Zero durations and counts select the
 // defaults.
 type Options struct {
 	Self Member
--- a/internal/configuration/status.go
+++ b/internal/configuration/status.go
@@ -44,7 +44,7 @@
 	Traffic         Traffic              `json:"traffic"`
 }
 
-// Traffic counts the requests and bytes of a Spreader since its start.
+// Traffic counts the requests and bytes of a Syncer since its start.
 type Traffic struct {
 	StoreLists    int64 `json:"store_lists"`
 	StoreWatches  int64 `json:"store_watches"`
--- a/internal/configuration/syncer.go
+++ b/internal/configuration/syncer.go
@@ -32,7 +32,7 @@
 	lastFullPull time.Time
 }
 
-// NewSyncer returns a Spreader that is inactive until Run is called.
+// NewSyncer returns a Syncer that is inactive until Run is called.
 func NewSyncer(options Options, replica *Replica) *Syncer {
 	options = options.withDefaults()
 	return &Syncer{
--- a/internal/guard/running.go
+++ b/internal/guard/running.go
@@ -31,7 +31,7 @@
 	calls map[string]int
 	// callFailed is set if one of them did not succeed.
 	callFailed bool
-	// cancelContext cancels Wanted.
+	// cancelContext cancels Context.
 	cancelContext context.CancelFunc
 	// call is the request, and cancelExchange cancels its exchange with the target.
 	call           *peering.Call
--- a/internal/peering/datagram.go
+++ b/internal/peering/datagram.go
@@ -118,7 +118,7 @@
 }
 
 // Request requests permits from the node at the address. If the grant does not arrive in
-// time, Ask returns an error, and permits that were issued are lost.
+// time, Request returns an error, and permits that were issued are lost.
 func (d *PermitSocket) Request(ctx context.Context, address string, ask *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	holder, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -15,7 +15,7 @@
 	// Store holds the quarantine records, with keys that begin with Prefix.
 	Store  store.Store
 	Prefix string
-	// Epoch returns the latest known store epoch; nil stands for the first one. Place returns
+	// Epoch returns the latest known store epoch; nil stands for the first one. Position returns
 	// the node's position in an order of all nodes, false if it has none; it may be nil.
 	Epoch    func() store.Epoch
 	Position func() (int, bool)
--- a/internal/ratelimit/shard_manager.go
+++ b/internal/ratelimit/shard_manager.go
@@ -58,7 +58,7 @@
 // released reports whether the holder released the shard.
 func (h *assignment) released() bool { return h.Address == "" }
 
-// ShardManagerConfig holds the settings and dependencies of a Keeper.
+// ShardManagerConfig holds the settings and dependencies of a ShardManager.
 type ShardManagerConfig struct {
 	// Address is the address of the node, and Process distinguishes it from earlier processes
 	// there.
--- a/internal/replica/antientropy.go
+++ b/internal/replica/antientropy.go
@@ -60,7 +60,7 @@
 type AntiEntropyConfig struct {
 	// Address is the node's own address, as peers reach it.
 	Address string
-	// Peers returns the addresses of nodes by their position (see Keeper.Position); the node's own
+	// Peers returns the addresses of nodes by their position (see Syncer.Position); the node's own
 	// may be among them.
 	Peers func() []string
 	// SendQuery sends a query to a peer.
--- a/internal/store/reachability/circuitbreaker.go
+++ b/internal/store/reachability/circuitbreaker.go
@@ -1,5 +1,5 @@
 // Package reachability is a circuit breaker for the store. All calls of a process to the store
-// share one Gate: while the store is unreachable, one call at a time probes it with exponential
+// share one CircuitBreaker: while the store is unreachable, one call at a time probes it with exponential
 // backoff, and all others wait until a probe succeeds.
 package reachability
 
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -111,7 +111,7 @@
 	SilenceTimeout time.Duration
 }
 
-// Response is a target's response. If Rest is nil, Body is complete.
+// Response is a target's response. If Remainder is nil, Body is complete.
 type Response struct {
 	Status int
 	Header http.Header
@@ -124,7 +124,7 @@
 	Remainder io.ReadCloser
 }
 
-// Close releases the connection of a response with a Rest.
+// Close releases the connection of a response with a Remainder.
 func (a *Response) Close() {
 	if a.Remainder != nil {
 		_ = a.Remainder.Close()
