--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -27,7 +27,7 @@
 	return nil
 }
 
-// ApplyResult says what became of one object.
+// ApplyResult is the result of applying one object.
 type ApplyResult struct {
 	Kind resource.Kind `json:"kind"`
 	Name string        `json:"name"`
@@ -53,19 +53,19 @@
 	return &verb{
 		program:  program,
 		name:     "apply",
-		synopsis: "create or change the objects that files state",
+		synopsis: "create or change the objects declared in files",
 		usage:    "-f FILE|DIRECTORY [-f ...] [-dry-run]",
 		example:  "lugspur apply -admin 10.1.0.1:7403 -f policies/ -f targets.toml",
 		connects: true,
 		flags: func(flags *flag.FlagSet) {
 			flags.Var(&a.paths, "f", "object `FILE`, or directory of *.toml files; may be repeated")
-			flags.BoolVar(&a.dryRun, "dry-run", false, "say what would change and change nothing")
+			flags.BoolVar(&a.dryRun, "dry-run", false, "print what would change without changing it")
 		},
 		run: a.run,
 	}
 }
 
-// run checks all objects before it writes the first one.
+// run validates all objects before it writes the first one.
 func (a *apply) run(ctx context.Context, arguments []string) error {
 	paths := append(a.paths, arguments...)
 	if len(paths) == 0 {
@@ -83,8 +83,8 @@
 	return errors.Join(a.print(results), failures)
 }
 
-// applyAll applies the objects in turn. It goes on after a conflict; it stops
-// when nodes or the store can't be reached, where the rest would fail as well.
+// applyAll applies the objects in order. It continues after a conflict and stops
+// when the nodes or the store are unreachable, because the rest would fail too.
 func (a *apply) applyAll(ctx context.Context, client *adminclient.Client, objects []objectfile.Object) ([]ApplyResult, error) {
 	var results []ApplyResult
 	var failures []error
@@ -94,29 +94,29 @@
 		if !stopped {
 			err := a.applyOne(ctx, client, object, &result)
 			stopped = errors.Is(err, adminclient.ErrUnavailable) || errors.Is(err, adminclient.ErrUnknownOutcome)
-			failures = append(failures, noteFailure(&result, err))
+			failures = append(failures, recordFailure(&result, err))
 		}
 		results = append(results, result)
 	}
 	return results, errors.Join(failures...)
 }
 
-// noteFailure puts an error into the result, and returns it.
-func noteFailure(result *ApplyResult, err error) error {
+// recordFailure stores an error in the result and returns it.
+func recordFailure(result *ApplyResult, err error) error {
 	if err == nil {
 		return nil
 	}
-	result.Result = failureNames[exitCode(err)]
+	result.Result = failureResults[exitCode(err)]
 	result.Error = err.Error()
-	var failed *adminclient.Error
-	if errors.As(err, &failed) && failed.Problem != nil {
-		result.ChangeID = failed.Problem.ChangeID
-		result.AskURL = failed.Problem.AskURL
+	var clientError *adminclient.Error
+	if errors.As(err, &clientError) && clientError.Problem != nil {
+		result.ChangeID = clientError.Problem.ChangeID
+		result.AskURL = clientError.Problem.AskURL
 	}
 	return err
 }
 
-var failureNames = map[int]string{
+var failureResults = map[int]string{
 	ExitFailed:      "failed",
 	ExitUsage:       "invalid",
 	ExitConflict:    "conflict",
@@ -131,11 +131,11 @@
 	if err != nil && !errors.Is(err, adminclient.ErrNotFound) {
 		return err
 	}
-	wanted, err := admin.EncodeSpecification(object.Envelope)
+	desired, err := admin.EncodeSpecification(object.Envelope)
 	if err != nil {
 		return err
 	}
-	if same(current, wanted) {
+	if specificationEquals(current, desired) {
 		result.Result, result.Revision = "unchanged", current.Revision
 		return nil
 	}
@@ -146,9 +146,9 @@
 	if a.dryRun {
 		return dryRun(current, expected, result)
 	}
-	answer, err := client.Put(ctx, id, wanted, expected)
+	answer, err := client.Put(ctx, id, desired, expected)
 	if err != nil {
-		return unlessSame(err, wanted, result)
+		return ignoreConflictIfEqual(err, desired, result)
 	}
 	result.Result = "changed"
 	if expected == 0 {
@@ -158,8 +158,9 @@
 	return nil
 }
 
-// same reports whether an object is as wanted, whatever the order of its keys.
-func same(current admin.Object, wanted []byte) bool {
+// specificationEquals reports whether an object has the desired specification,
+// regardless of the order of its keys.
+func specificationEquals(current admin.Object, desired []byte) bool {
 	if current.Revision == 0 || current.Deleted {
 		return false
 	}
@@ -169,18 +170,18 @@
 		return false
 	}
 	encoded, err := admin.EncodeSpecification(envelope)
-	return err == nil && bytes.Equal(encoded, wanted)
+	return err == nil && bytes.Equal(encoded, desired)
 }
 
-// unlessSame takes back a conflict with an object that is as wanted already:
-// the node that was read from was behind.
-func unlessSame(err error, wanted []byte, result *ApplyResult) error {
-	var failed *adminclient.Error
-	isConflict := errors.Is(err, adminclient.ErrConflict) && errors.As(err, &failed)
-	if !isConflict || failed.Problem.Current == nil || !same(*failed.Problem.Current, wanted) {
+// ignoreConflictIfEqual turns a conflict into the result "unchanged" if the object
+// already has the desired specification: the node that served the read was behind.
+func ignoreConflictIfEqual(err error, desired []byte, result *ApplyResult) error {
+	var clientError *adminclient.Error
+	isConflict := errors.Is(err, adminclient.ErrConflict) && errors.As(err, &clientError)
+	if !isConflict || clientError.Problem.Current == nil || !specificationEquals(*clientError.Problem.Current, desired) {
 		return err
 	}
-	result.Result, result.Revision = "unchanged", failed.Problem.Current.Revision
+	result.Result, result.Revision = "unchanged", clientError.Problem.Current.Revision
 	return nil
 }
 
@@ -207,6 +208,6 @@
 			t.row(resource.ID{Kind: result.Kind, Name: result.Name}, result.Result, result.Revision, result.ChangeID)
 			warnings = append(warnings, result.Warnings...)
 		}
-		notes(t, "Warnings", warnings)
+		printSection(t, "Warnings", warnings)
 	})
 }
--- a/internal/command/kind.go
+++ b/internal/command/arguments.go
@@ -8,7 +8,7 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// parseKind reads a kind's name, singular or plural.
+// parseKind parses the name of a kind, singular or plural.
 func parseKind(text string) (resource.Kind, error) {
 	names := make([]string, 0, len(resource.OperatorKinds()))
 	for _, kind := range resource.OperatorKinds() {
@@ -20,7 +20,7 @@
 	return "", usageErrorf("unknown kind %q: allowed are %s", text, strings.Join(names, ", "))
 }
 
-// parseID reads a kind and a name.
+// parseID parses a kind and a name.
 func parseID(arguments []string) (resource.ID, error) {
 	if len(arguments) != 2 {
 		return resource.ID{}, usageErrorf("needs KIND NAME, after the flags")
@@ -36,8 +36,8 @@
 	return id, nil
 }
 
-// parseLeaving reads what is drained or joins.
-func parseLeaving(arguments []string) (adminclient.Leaving, error) {
+// parseDrainSubject parses what to drain or to join again.
+func parseDrainSubject(arguments []string) (adminclient.Leaving, error) {
 	if len(arguments) != 2 {
 		return adminclient.Leaving{}, usageErrorf("needs target NAME or machine NAME, after the flags")
 	}
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -36,15 +36,15 @@
 connections = 120
 `
 
-// run executes a command line and returns its exit code and streams.
-func run(t *testing.T, node *admintest.Node, arguments ...string) (code int, output, errorOutput string) {
+// runAtNode runs a command line against the node and returns its exit code and output.
+func runAtNode(t *testing.T, node *admintest.Node, arguments ...string) (code int, output, errorOutput string) {
 	t.Helper()
-	return runWith(t, map[string]string{
+	return runCommand(t, map[string]string{
 		command.AdminVariable: node.Server.URL, command.TokenVariable: admintest.Token, "USER": "meera",
 	}, arguments)
 }
 
-func runWith(t *testing.T, environment map[string]string, arguments []string, additional ...subcommands.Command) (code int, output, errorOutput string) {
+func runCommand(t *testing.T, environment map[string]string, arguments []string, additional ...subcommands.Command) (code int, output, errorOutput string) {
 	t.Helper()
 	var out, errOut bytes.Buffer
 	program := &command.Program{Output: &out, ErrorOutput: &errOut, Getenv: func(name string) string { return environment[name] }}
@@ -52,26 +52,26 @@
 	return code, out.String(), errOut.String()
 }
 
-// document decodes what a successful command printed with -output json.
-func document[T any](t *testing.T, node *admintest.Node, arguments ...string) T {
+// runJSON runs a command with -output json, which must succeed, and decodes its output.
+func runJSON[T any](t *testing.T, node *admintest.Node, arguments ...string) T {
 	t.Helper()
-	code, output, errorOutput := run(t, node, append([]string{"-output", "json"}, arguments...)...)
+	code, output, errorOutput := runAtNode(t, node, append([]string{"-output", "json"}, arguments...)...)
 	assert.Equal(t, code, command.ExitOK, errorOutput)
 	var decoded T
 	assert.NilError(t, json.Unmarshal([]byte(output), &decoded), output)
 	return decoded
 }
 
-func file(t *testing.T, contents string) string {
+func writeFile(t *testing.T, contents string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file.toml")
 	assert.NilError(t, os.WriteFile(path, []byte(contents), 0o600))
 	return path
 }
 
-// specification returns an object's specification without the indentation that
-// the command line prints.
-func specification(t *testing.T, object admin.Object) string {
+// compactSpecification returns an object's specification without the indentation
+// of the command's output.
+func compactSpecification(t *testing.T, object admin.Object) string {
 	t.Helper()
 	var compact bytes.Buffer
 	assert.NilError(t, json.Compact(&compact, object.Spec))
@@ -80,40 +80,40 @@
 
 func TestDeleteHistoryAndGet(t *testing.T) {
 	node := admintest.Start(t)
-	document[[]command.ApplyResult](t, node, "apply", "-f", file(t, objects))
-	code, _, _ := run(t, node, "delete", "-expected-revision", "99", "target", "cropcal-1")
+	runJSON[[]command.ApplyResult](t, node, "apply", "-f", writeFile(t, objects))
+	code, _, _ := runAtNode(t, node, "delete", "-expected-revision", "99", "target", "cropcal-1")
 	assert.Equal(t, code, command.ExitConflict)
-	answer := document[admin.WriteAnswer](t, node, "delete", "target", "cropcal-1")
+	answer := runJSON[admin.WriteAnswer](t, node, "delete", "target", "cropcal-1")
 	assert.Equal(t, answer.Outcome, admin.OutcomeAccepted)
-	code, _, errorOutput := run(t, node, "get", "target", "cropcal-1")
+	code, _, errorOutput := runAtNode(t, node, "get", "target", "cropcal-1")
 	assert.Equal(t, code, command.ExitNotFound)
 	assert.Assert(t, strings.Contains(errorOutput, "cropcal-1"))
-	code, _, _ = run(t, node, "delete", "target", "cropcal-1")
+	code, _, _ = runAtNode(t, node, "delete", "target", "cropcal-1")
 	assert.Equal(t, code, command.ExitNotFound)
 
-	history := document[admin.History](t, node, "history", "target", "cropcal-1")
+	history := runJSON[admin.History](t, node, "history", "target", "cropcal-1")
 	assert.Equal(t, len(history.Changes), 2)
 	assert.Equal(t, history.Changes[0].Revision, answer.Revision)
-	list := document[admin.ObjectList](t, node, "get", "services")
+	list := runJSON[admin.ObjectList](t, node, "get", "services")
 	assert.Equal(t, len(list.Items), 1)
-	code, output, _ := run(t, node, "get", "services")
+	code, output, _ := runAtNode(t, node, "get", "services")
 	assert.Equal(t, code, command.ExitOK)
 	assert.Assert(t, strings.Contains(output, "cropcal"))
 }
 
 func TestDrainAndJoin(t *testing.T) {
 	node := admintest.Start(t)
-	answer := document[admin.WriteAnswer](t, node, "drain", "-reason", "moves", "machine", "m1")
+	answer := runJSON[admin.WriteAnswer](t, node, "drain", "-reason", "moves", "machine", "m1")
 	assert.Equal(t, answer.Name, "machine.m1")
-	object := document[admin.Object](t, node, "get", "drain", "machine.m1")
-	assert.Equal(t, specification(t, object), `{"reason":"moves"}`)
-	answer = document[admin.WriteAnswer](t, node, "join", "machine", "m1")
+	object := runJSON[admin.Object](t, node, "get", "drain", "machine.m1")
+	assert.Equal(t, compactSpecification(t, object), `{"reason":"moves"}`)
+	answer = runJSON[admin.WriteAnswer](t, node, "join", "machine", "m1")
 	assert.Equal(t, answer.Outcome, admin.OutcomeAccepted)
 
 	node.Break(admintest.Down)
-	code, _, _ := run(t, node, "drain", "target", "t1")
+	code, _, _ := runAtNode(t, node, "drain", "target", "t1")
 	assert.Equal(t, code, command.ExitUnavailable)
-	answer = document[admin.WriteAnswer](t, node, "drain", "-emergency", "target", "t1")
+	answer = runJSON[admin.WriteAnswer](t, node, "drain", "-emergency", "target", "t1")
 	assert.Equal(t, answer.Outcome, admin.OutcomeEmergency)
 	assert.Assert(t, node.Emergency.Drained("target.t1"))
 }
@@ -121,9 +121,9 @@
 func TestStatus(t *testing.T) {
 	node := admintest.Start(t)
 	node.Status.Targets = []admin.TargetStatus{{Name: "cropcal-1", Limit: 6, DrainSources: []string{"operator"}}}
-	status := document[admin.Status](t, node, "status")
+	status := runJSON[admin.Status](t, node, "status")
 	assert.Equal(t, status.Targets[0].Limit, 6)
-	_, output, _ := run(t, node, "status")
+	_, output, _ := runAtNode(t, node, "status")
 	for _, text := range []string{"node-a1", "cropcal-1", "operator", "Members"} {
 		assert.Assert(t, strings.Contains(output, text), output)
 	}
@@ -133,10 +133,10 @@
 	node := admintest.Start(t)
 	server := httptest.NewServer(nil)
 	server.Close()
-	code, _, errorOutput := run(t, node, "-admin", server.URL, "status")
+	code, _, errorOutput := runAtNode(t, node, "-admin", server.URL, "status")
 	assert.Equal(t, code, command.ExitUnavailable)
 	assert.Assert(t, strings.Contains(errorOutput, "read at "+server.URL))
-	code, _, _ = run(t, node, "status", "-admin", server.URL+","+node.Server.URL)
+	code, _, _ = runAtNode(t, node, "status", "-admin", server.URL+","+node.Server.URL)
 	assert.Equal(t, code, command.ExitOK)
 }
 
@@ -149,18 +149,18 @@
 		{"config", "check", "-zone", "a"}, {"get", "target", "Bad_Name"}, {"-nonsense", "status"}, {"apply", "-nonsense"},
 	}
 	for _, arguments := range cases {
-		code, _, errorOutput := run(t, node, arguments...)
+		code, _, errorOutput := runAtNode(t, node, arguments...)
 		assert.Equal(t, code, command.ExitUsage, "%v", arguments)
 		assert.Assert(t, errorOutput != "", "%v", arguments)
 	}
 }
 
-func TestHelpHasAnExample(t *testing.T) {
+func TestHelpIncludesExample(t *testing.T) {
 	node := admintest.Start(t)
 	for _, verb := range []string{
 		"apply", "get", "delete", "history", "drain", "join", "status", "policy check", "policy test", "config check", "version",
 	} {
-		code, _, errorOutput := run(t, node, append(strings.Fields(verb), "-h")...)
+		code, _, errorOutput := runAtNode(t, node, append(strings.Fields(verb), "-h")...)
 		assert.Equal(t, code, command.ExitOK, verb)
 		assert.Assert(t, strings.Contains(errorOutput, "Example:\n  lugspur "+verb), errorOutput)
 	}
@@ -168,36 +168,36 @@
 
 func TestPolicyVerbs(t *testing.T) {
 	node := admintest.Start(t)
-	policy := file(t, "kind = 'policy'\nname = 'ventctl'\n[spec]\nrank = '\"critical\"'\n")
-	checked := document[[]command.PolicyCheck](t, node, "policy", "check", "-f", policy)
+	policy := writeFile(t, "kind = 'policy'\nname = 'ventctl'\n[spec]\nrank = '\"critical\"'\n")
+	checked := runJSON[[]command.PolicyCheck](t, node, "policy", "check", "-f", policy)
 	assert.Equal(t, checked[0].Name, "ventctl")
-	code, _, errorOutput := run(t, node, "policy", "check", "-f", file(t, "kind = 'policy'\nname = 'ventctl'\n[spec]\nadmit = 'call.metod'\n"))
+	code, _, errorOutput := runAtNode(t, node, "policy", "check", "-f", writeFile(t, "kind = 'policy'\nname = 'ventctl'\n[spec]\nadmit = 'call.metod'\n"))
 	assert.Equal(t, code, command.ExitUsage)
 	assert.Assert(t, strings.Contains(errorOutput, "admit:1:"), errorOutput)
 
 	cases := "[[case]]\nname = 'a'\n[case.expect]\nrank = '%'\n"
-	reports := document[[]command.CaseReport](t, node, "policy", "test", "-f", policy, "-cases", file(t, strings.Replace(cases, "%", "critical", 1)))
+	reports := runJSON[[]command.CaseReport](t, node, "policy", "test", "-f", policy, "-cases", writeFile(t, strings.Replace(cases, "%", "critical", 1)))
 	assert.Assert(t, reports[0].Passed)
-	code, output, _ := run(t, node, "policy", "test", "-f", policy, "-cases", file(t, strings.Replace(cases, "%", "sheddable", 1)))
+	code, output, _ := runAtNode(t, node, "policy", "test", "-f", policy, "-cases", writeFile(t, strings.Replace(cases, "%", "sheddable", 1)))
 	assert.Equal(t, code, command.ExitFailed)
 	assert.Assert(t, strings.Contains(output, "FAILED") && strings.Contains(output, "critical"), output)
-	code, _, _ = run(t, node, "policy", "test", "-f", policy, "-cases", file(t, "[[case]]\n"))
+	code, _, _ = runAtNode(t, node, "policy", "test", "-f", policy, "-cases", writeFile(t, "[[case]]\n"))
 	assert.Equal(t, code, command.ExitUsage)
 }
 
 func TestConfigCheckAndVersion(t *testing.T) {
 	node := admintest.Start(t)
-	valid := file(t, "name = 'a'\nzone = 'z'\n[store]\nkind = 'memory'\n")
-	checked := document[command.SettingsCheck](t, node, "config", "check", "-f", valid, "-name", "b")
+	valid := writeFile(t, "name = 'a'\nzone = 'z'\n[store]\nkind = 'memory'\n")
+	checked := runJSON[command.SettingsCheck](t, node, "config", "check", "-f", valid, "-name", "b")
 	assert.Equal(t, checked.Node, "b")
-	code, _, errorOutput := run(t, node, "-output", "json", "config", "check", "-f", file(t, "nam = 'a'\n"))
+	code, _, errorOutput := runAtNode(t, node, "-output", "json", "config", "check", "-f", writeFile(t, "nam = 'a'\n"))
 	assert.Equal(t, code, command.ExitUsage)
 	var report command.ErrorReport
 	assert.NilError(t, json.Unmarshal([]byte(errorOutput), &report))
 	assert.Equal(t, report.Settings[0].Key, "nam")
-	code, _, _ = run(t, node, "config", "check", "-f", valid+".missing")
+	code, _, _ = runAtNode(t, node, "config", "check", "-f", valid+".missing")
 	assert.Equal(t, code, command.ExitFailed)
-	build := document[version.Build](t, node, "version")
+	build := runJSON[version.Build](t, node, "version")
 	assert.Assert(t, strings.HasPrefix(build.Go, "go1."))
 }
 
@@ -209,14 +209,14 @@
 		return result
 	})
 	arguments := []string{"node", "-name", "n1", "-zone", "z", "-store-kind", "memory"}
-	code, _, _ := runWith(t, nil, arguments, verb)
+	code, _, _ := runCommand(t, nil, arguments, verb)
 	assert.Equal(t, code, command.ExitOK)
 	assert.Equal(t, started.Name, "n1")
 	result = errors.New("listen: address in use")
-	code, _, errorOutput := runWith(t, nil, arguments, verb)
+	code, _, errorOutput := runCommand(t, nil, arguments, verb)
 	assert.Equal(t, code, command.ExitFailed)
 	assert.Assert(t, strings.Contains(errorOutput, "address in use"))
-	code, _, errorOutput = runWith(t, nil, []string{"node", "-name", "n1"}, command.Node(nil))
+	code, _, errorOutput = runCommand(t, nil, []string{"node", "-name", "n1"}, command.Node(nil))
 	assert.Equal(t, code, command.ExitUsage)
 	assert.Assert(t, strings.Contains(errorOutput, "zone: must be given"))
 }
--- a/internal/command/config.go
+++ b/internal/command/config.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// SettingsCheck says that settings are valid.
+// SettingsCheck is the result of a check of settings.
 type SettingsCheck struct {
 	File  string `json:"file,omitempty"`
 	Node  string `json:"node"`
@@ -37,7 +37,7 @@
 	return &verb{
 		program:  program,
 		name:     "check",
-		synopsis: "check a settings file, with flags over it as for the verb node",
+		synopsis: "check a settings file, with flags overriding it as for the verb node",
 		usage:    "-f FILE [flags of settings]",
 		example:  "lugspur config check -f node.toml -name node-a1",
 		flags: func(flags *flag.FlagSet) {
@@ -56,9 +56,9 @@
 	if err != nil {
 		return err
 	}
-	checked := SettingsCheck{File: c.path, Node: node.Name, Zone: node.Zone, Valid: true}
-	return printResult(c.program, checked, func(t *table) {
+	check := SettingsCheck{File: c.path, Node: node.Name, Zone: node.Zone, Valid: true}
+	return printResult(c.program, check, func(t *table) {
 		t.row("NODE", "ZONE", "RESULT", "FILE")
-		t.row(checked.Node, checked.Zone, "valid", checked.File)
+		t.row(check.Node, check.Zone, "valid", check.File)
 	})
 }
--- a/internal/command/connection.go
+++ b/internal/command/connection.go
@@ -9,25 +9,26 @@
 	"github.com/lugspur/lugspur/internal/settings"
 )
 
-// The environment of the verbs.
+// Environment variables of the verbs.
 const (
-	// AdminVariable holds admin addresses, with commas between them.
+	// AdminVariable holds admin addresses, separated by commas.
 	AdminVariable = "LUGSPUR_ADMIN"
-	// TokenVariable holds the token.
+	// TokenVariable holds the administration token.
 	TokenVariable = "LUGSPUR_TOKEN"
-	// AuthorVariable holds the name of who makes the changes.
+	// AuthorVariable holds the author recorded with changes.
 	AuthorVariable = "LUGSPUR_AUTHOR"
 )
 
-// connection is what the flags that all verbs share say. The flags may stand
-// before the verb and after it; what stands after it wins.
+// connection holds the values of the flags that all verbs share. The flags may be
+// given before or after the verb; a value after the verb takes precedence.
 type connection struct {
 	addresses addressList
 	token     stringValue
 	author    stringValue
 	output    outputFormat
-	// wait bounds the asking for a lost outcome; zero means the client's own.
-	wait time.Duration
+	// resolveTimeout bounds the queries for a lost outcome; zero means the
+	// default of the client.
+	resolveTimeout time.Duration
 }
 
 func newConnection(getenv func(string) string) *connection {
@@ -55,10 +56,10 @@
 }
 
 func (c *connection) registerNodes(flags *flag.FlagSet) {
-	flags.Var(&c.addresses, "admin", "admin `ADDRESS` of a node, IP:port; several with commas or by repeating the flag; or "+AdminVariable)
-	flags.Var(&c.token, "token", "`TOKEN` that writes show; better in "+TokenVariable+", which other users can't read")
-	flags.Func("wait", "how long to ask for the outcome of a change whose answer was lost, as `DURATION` such as 30s; default "+adminclient.DefaultResolveTimeout.String(), c.setWait)
-	flags.Var(&c.author, "author", "`NAME` of who makes the change; or "+AuthorVariable+", or USER")
+	flags.Var(&c.addresses, "admin", "admin `ADDRESS` of a node, IP:port; separate several by commas or repeat the flag; or "+AdminVariable)
+	flags.Var(&c.token, "token", "administration `TOKEN`, required for writes; preferably set in "+TokenVariable+", which other users can't read")
+	flags.Func("wait", "how long to ask for the outcome of a change whose answer was lost, as `DURATION` such as 30s; default "+adminclient.DefaultResolveTimeout.String(), c.setResolveTimeout)
+	flags.Var(&c.author, "author", "`NAME` of the author of the change; or "+AuthorVariable+", or USER")
 }
 
 // client returns a client for the nodes that the flags name.
@@ -67,16 +68,16 @@
 		Addresses:      c.addresses.items,
 		Token:          string(c.token),
 		Author:         string(c.author),
-		ResolveTimeout: c.wait,
+		ResolveTimeout: c.resolveTimeout,
 	})
 }
 
-func (c *connection) setWait(text string) error {
-	wait, err := time.ParseDuration(text)
-	if err == nil && wait <= 0 {
+func (c *connection) setResolveTimeout(text string) error {
+	timeout, err := time.ParseDuration(text)
+	if err == nil && timeout <= 0 {
 		return usageErrorf("must be more than zero")
 	}
-	c.wait = wait
+	c.resolveTimeout = timeout
 	return err
 }
 
@@ -113,14 +114,14 @@
 	return addresses
 }
 
-// stringValue is a string flag that may be registered twice: registering it
-// does not reset it.
+// stringValue is a string flag that may be registered twice: registration does
+// not reset its value.
 type stringValue string
 
 // String returns nothing, so that usage texts don't show the environment.
 func (v *stringValue) String() string { return "" }
 
-// Set takes the text over.
+// Set stores the text.
 func (v *stringValue) Set(text string) error {
 	*v = stringValue(text)
 	return nil
@@ -137,7 +138,7 @@
 // String returns nothing, so that usage texts don't show a second default.
 func (f *outputFormat) String() string { return "" }
 
-// Set takes one of the formats.
+// Set selects one of the formats.
 func (f *outputFormat) Set(text string) error {
 	switch format := outputFormat(text); format {
 	case outputJSON, outputTable:
--- a/internal/command/delete.go
+++ b/internal/command/delete.go
@@ -10,7 +10,7 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// noRevision is the value of -expected-revision when the flag is not given.
+// noRevision is the default of -expected-revision.
 const noRevision = -1
 
 type remove struct {
@@ -28,7 +28,7 @@
 		example:  "lugspur delete target houseview-1",
 		connects: true,
 		flags: func(flags *flag.FlagSet) {
-			flags.Int64Var(&d.expected, "expected-revision", noRevision, "delete only `REVISION`; without it, the one that is found")
+			flags.Int64Var(&d.expected, "expected-revision", noRevision, "delete the object only at `REVISION`; default its current revision")
 		},
 		run: d.run,
 	}
@@ -61,15 +61,15 @@
 	return printWrite(d.program, "deleted", answer)
 }
 
-// printWrite prints what became of a write.
-func printWrite(program *Program, done string, answer admin.WriteAnswer) error {
+// printWrite prints the result of a write; acceptedResult names an accepted one.
+func printWrite(program *Program, acceptedResult string, answer admin.WriteAnswer) error {
 	return printResult(program, answer, func(t *table) {
 		result := string(answer.Outcome)
 		if answer.Outcome == admin.OutcomeAccepted {
-			result = done
+			result = acceptedResult
 		}
 		t.row("OBJECT", "RESULT", "REVISION", "CHANGE")
 		t.row(string(answer.Kind)+"/"+answer.Name, result, answer.Revision, answer.ChangeID)
-		notes(t, "Warnings", answer.Warnings)
+		printSection(t, "Warnings", answer.Warnings)
 	})
 }
--- a/internal/command/doc.go
+++ b/internal/command/doc.go
@@ -1,3 +1,4 @@
-// Package command is the operator's command line: one verb a file, over the
-// administration API. docs/COMMAND-LINE.md lists the verbs and exit codes.
+// Package command implements the operator's command line on top of the
+// administration API, with one file per verb. docs/COMMAND-LINE.md
+// lists the verbs and exit codes.
 package command
--- a/internal/command/drain.go
+++ b/internal/command/drain.go
@@ -20,20 +20,20 @@
 	return &verb{
 		program:  program,
 		name:     "drain",
-		synopsis: "mark a target or a machine as leaving: it gets no new calls",
+		synopsis: "drain a target or a machine: it gets no new calls",
 		usage:    "[-reason TEXT] [-emergency] target|machine NAME",
 		example:  "lugspur drain -reason 'moves to the new site' target houseview-1",
 		connects: true,
 		flags: func(flags *flag.FlagSet) {
-			flags.StringVar(&d.reason, "reason", "", "`TEXT` kept with the drain")
-			flags.BoolVar(&d.emergency, "emergency", false, "if the store can't accept the drain, let nodes tell each other of it for a while")
+			flags.StringVar(&d.reason, "reason", "", "`TEXT` stored with the drain")
+			flags.BoolVar(&d.emergency, "emergency", false, "if the store can't accept the drain, spread it between the nodes for a limited time")
 		},
 		run: d.run,
 	}
 }
 
 func (d *drain) run(ctx context.Context, arguments []string) error {
-	leaving, err := parseLeaving(arguments)
+	subject, err := parseDrainSubject(arguments)
 	if err != nil {
 		return err
 	}
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	answer, err := client.Drain(ctx, leaving, resource.Drain{Reason: d.reason}, d.emergency)
+	answer, err := client.Drain(ctx, subject, resource.Drain{Reason: d.reason}, d.emergency)
 	if err != nil {
 		return err
 	}
@@ -52,7 +52,7 @@
 	return &verb{
 		program:  program,
 		name:     "join",
-		synopsis: "take the drain of a target or a machine back",
+		synopsis: "remove the drain of a target or a machine",
 		usage:    "target|machine NAME",
 		example:  "lugspur join target houseview-1",
 		connects: true,
@@ -61,7 +61,7 @@
 }
 
 func join(ctx context.Context, program *Program, arguments []string) error {
-	leaving, err := parseLeaving(arguments)
+	subject, err := parseDrainSubject(arguments)
 	if err != nil {
 		return err
 	}
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	answer, err := client.Join(ctx, leaving)
+	answer, err := client.Join(ctx, subject)
 	if err != nil {
 		return err
 	}
--- a/internal/command/execute.go
+++ b/internal/command/execute.go
@@ -10,7 +10,7 @@
 	"github.com/google/subcommands"
 )
 
-// Program is what the verbs read and write besides their flags.
+// Program holds the streams and the environment that the verbs use.
 type Program struct {
 	Output      io.Writer
 	ErrorOutput io.Writer
@@ -25,9 +25,9 @@
 	return &Program{Output: os.Stdout, ErrorOutput: os.Stderr, Getenv: os.Getenv}
 }
 
-// Execute runs the verb that the arguments name, of the operator's verbs or of
-// the additional ones, and returns the exit code. The arguments are those of
-// the process without its name.
+// Execute runs the verb named by the arguments, either one of the operator's verbs
+// or an additional one, and returns the exit code. The arguments are those of the
+// process without the program name.
 func Execute(ctx context.Context, program *Program, arguments []string, additional ...subcommands.Command) int {
 	program.connection = newConnection(program.Getenv)
 	flags := flag.NewFlagSet("lugspur", flag.ContinueOnError)
@@ -59,7 +59,7 @@
 	return commander
 }
 
-// usageExit is the exit code after a usage text: asking for it is no failure.
+// usageExit returns the exit code after a usage text: ExitOK if help was requested.
 func usageExit(arguments []string) int {
 	for _, help := range []string{"-h", "--h", "-help", "--help"} {
 		if slices.Contains(arguments, help) {
--- a/internal/command/exit.go
+++ b/internal/command/exit.go
@@ -9,46 +9,46 @@
 	"github.com/lugspur/lugspur/internal/settings"
 )
 
-// The exit codes.
+// Exit codes.
 const (
-	// ExitOK means that everything was done.
+	// ExitOK means success.
 	ExitOK = 0
-	// ExitFailed means a failure that no other code names.
+	// ExitFailed means a failure without a code of its own.
 	ExitFailed = 1
-	// ExitUsage means a faulty command line, file, object or setting; nothing
-	// was changed by what is faulty.
+	// ExitUsage means an invalid command line, file, object or setting; invalid
+	// input changed nothing.
 	ExitUsage = 2
-	// ExitConflict means that an object has another revision; it was not
+	// ExitConflict means that the object has a different revision and was not
 	// changed.
 	ExitConflict = 3
 	// ExitUnknown means that a change may or may not take effect.
 	ExitUnknown = 4
-	// ExitUnavailable means that no node, or not the store, was reached;
+	// ExitUnavailable means that no node, or not the store, was reachable;
 	// nothing more was changed.
 	ExitUnavailable = 5
-	// ExitNotFound means that there is no such object.
+	// ExitNotFound means that the object does not exist.
 	ExitNotFound = 6
 )
 
-// usageError is a faulty command line.
+// usageError reports an invalid command line.
 type usageError struct{ message string }
 
-// Error returns what is wrong with the command line.
+// Error returns the message.
 func (e *usageError) Error() string { return e.message }
 
 func usageErrorf(format string, arguments ...any) error {
 	return &usageError{message: fmt.Sprintf(format, arguments...)}
 }
 
-// errFailed ends a verb that has printed what failed.
+// errFailed ends a verb that has already printed its failures.
 var errFailed = errors.New("failed")
 
-// exitCode returns the exit code for an error. When several failures are
-// joined, the one that needs the operator most decides.
+// exitCode returns the exit code for an error. Of several joined errors, the one
+// that most needs the operator's attention decides.
 func exitCode(err error) int {
-	var usage *usageError
-	var faultyFiles *objectfile.Error
-	var faultySettings *settings.Error
+	var usageFailure *usageError
+	var fileFailure *objectfile.Error
+	var settingsFailure *settings.Error
 	switch {
 	case err == nil:
 		return ExitOK
@@ -60,7 +60,7 @@
 		return ExitUnavailable
 	case errors.Is(err, adminclient.ErrNotFound):
 		return ExitNotFound
-	case errors.As(err, &usage), errors.As(err, &faultyFiles), errors.As(err, &faultySettings),
+	case errors.As(err, &usageFailure), errors.As(err, &fileFailure), errors.As(err, &settingsFailure),
 		errors.Is(err, adminclient.ErrInvalid):
 		return ExitUsage
 	}
--- a/internal/command/node.go
+++ b/internal/command/node.go
@@ -11,16 +11,16 @@
 	"github.com/lugspur/lugspur/internal/settings"
 )
 
-// node is the verb that runs a node. It is registered by the program, so that
-// the operator's verbs do not depend on the node.
+// node is the verb that runs a node. The main package registers it, so that the
+// operator's verbs do not depend on the node.
 type node struct {
 	run       func(ctx context.Context, settings settings.Node) error
 	path      string
 	overrides settings.Overrides
 }
 
-// Node returns the verb "node", which reads the settings and calls run with
-// them. Run ends when its context does.
+// Node returns the verb "node", which loads the settings and calls run with them.
+// run must return once its context is cancelled.
 func Node(run func(ctx context.Context, settings settings.Node) error) subcommands.Command {
 	return &node{run: run}
 }
@@ -28,12 +28,12 @@
 // Name returns the verb's name.
 func (n *node) Name() string { return "node" }
 
-// Synopsis returns the verb's purpose in one line.
-func (n *node) Synopsis() string { return "run a node until it is told to stop" }
+// Synopsis returns a one-line description of the verb.
+func (n *node) Synopsis() string { return "run a node until it is stopped" }
 
 // Usage returns the verb's usage, with an example.
 func (n *node) Usage() string {
-	return "node [-f FILE] [flags of settings]\n  Run a node until SIGTERM or SIGINT; it finishes its calls first.\n\n" +
+	return "node [-f FILE] [flags of settings]\n  Run a node until SIGTERM or SIGINT; calls in flight are completed first.\n\n" +
 		"Example:\n  lugspur node -f zone-a.toml -name node-a1 -listen-edge 10.1.0.1:7400\n\nFlags:\n"
 }
 
@@ -43,9 +43,9 @@
 	n.overrides.Register(flags)
 }
 
-// Execute reads the settings and runs the node.
+// Execute loads the settings and runs the node.
 func (n *node) Execute(ctx context.Context, flags *flag.FlagSet, arguments ...any) subcommands.ExitStatus {
-	program := programOf(arguments)
+	program := programFrom(arguments)
 	if flags.NArg() != 0 {
 		program.printError(usageErrorf("node takes no arguments: give the file with -f"))
 		return ExitUsage
@@ -61,8 +61,8 @@
 	return subcommands.ExitStatus(exitCode(err))
 }
 
-// programOf finds the program among what Execute was given.
-func programOf(arguments []any) *Program {
+// programFrom returns the program among the arguments of Execute.
+func programFrom(arguments []any) *Program {
 	for _, argument := range arguments {
 		if program, ok := argument.(*Program); ok {
 			return program
--- a/internal/command/objectfile/collect.go
+++ b/internal/command/objectfile/collect.go
@@ -16,41 +16,41 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// caseSuffix ends the names of files with the cases of policies, which stand
-// beside the policies' own files and hold no objects.
+// caseSuffix is the suffix of policy test files, which lie beside the policies'
+// files and contain no objects.
 const caseSuffix = ".cases.toml"
 
-// Load reads the files, and every file named *.toml, but not *.cases.toml, in
-// the directories and below, in order of their paths. An object that is stated
-// twice is a fault. The error is an *Error if the contents are at fault.
+// Load reads the given files, and in the given directories and below every file
+// named *.toml but not *.cases.toml, in order of their paths. An object that is
+// declared twice is a fault. The error is an *Error if the contents are invalid.
 func Load(paths ...string) ([]Object, error) {
 	var objects []Object
 	var faults []Fault
 	for _, path := range paths {
-		files, err := expand(path)
+		files, err := expandPath(path)
 		if err != nil {
 			return nil, oops.In("objectfile").With("step", "find files", "path", path).Wrapf(err, "find object files")
 		}
 		for _, file := range files {
-			found, err := loadFile(file)
-			var broken *Error
-			if errors.As(err, &broken) {
-				faults = append(faults, broken.Faults...)
+			parsed, err := loadFile(file)
+			var parseError *Error
+			if errors.As(err, &parseError) {
+				faults = append(faults, parseError.Faults...)
 			} else if err != nil {
 				return nil, oops.In("objectfile").With("step", "read file", "path", file).Wrapf(err, "read object file")
 			}
-			objects = append(objects, found...)
+			objects = append(objects, parsed...)
 		}
 	}
-	faults = append(faults, duplicates(objects)...)
+	faults = append(faults, duplicateFaults(objects)...)
 	if len(faults) > 0 {
 		return nil, &Error{Faults: faults}
 	}
 	return objects, nil
 }
 
-// expand returns a file itself, or the object files of a directory.
-func expand(path string) ([]string, error) {
+// expandPath returns the path of a file, or the object files of a directory.
+func expandPath(path string) ([]string, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -60,19 +60,19 @@
 	}
 	var files []string
 	err = filepath.WalkDir(path, func(file string, entry fs.DirEntry, err error) error {
-		if err == nil && !entry.IsDir() && holdsObjects(file) {
+		if err == nil && !entry.IsDir() && isObjectFile(file) {
 			files = append(files, file)
 		}
 		return err
 	})
 	if err == nil && len(files) == 0 {
-		err = fmt.Errorf("%s holds no file named *.toml", path)
+		err = fmt.Errorf("%s contains no file named *.toml", path)
 	}
 	slices.Sort(files)
 	return files, err
 }
 
-func holdsObjects(path string) bool {
+func isObjectFile(path string) bool {
 	return filepath.Ext(path) == ".toml" && !strings.HasSuffix(path, caseSuffix)
 }
 
@@ -89,19 +89,19 @@
 	return Parse(path, contents)
 }
 
-func duplicates(objects []Object) []Fault {
-	seen := make(map[resource.ID]string)
+func duplicateFaults(objects []Object) []Fault {
+	sources := make(map[resource.ID]string)
 	var faults []Fault
 	for _, object := range objects {
 		id := object.Envelope.ID
-		if earlier, ok := seen[id]; ok {
+		if previous, ok := sources[id]; ok {
 			faults = append(faults, Fault{
 				Source: object.Source,
 				Object: id.String(),
-				Fault:  admin.Fault{Message: "is stated in " + earlier + " as well"},
+				Fault:  admin.Fault{Message: "is declared in " + previous + " as well"},
 			})
 		}
-		seen[id] = object.Source
+		sources[id] = object.Source
 	}
 	return faults
 }
--- a/internal/command/objectfile/objectfile.go
+++ b/internal/command/objectfile/objectfile.go
@@ -1,5 +1,5 @@
-// Package objectfile reads the TOML files in which operators keep their
-// objects. A file holds one object at its top level, or several as [[object]].
+// Package objectfile reads the TOML files in which operators declare objects. A
+// file contains one object at its top level, or several as [[object]].
 package objectfile
 
 import (
@@ -16,32 +16,32 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Bounds of a file.
+// Limits of a file.
 const (
-	// MaxFileBytes bounds a file, in bytes.
+	// MaxFileBytes bounds the size of a file.
 	MaxFileBytes = 4 << 20
-	// MaxObjects bounds the objects of a file.
+	// MaxObjects bounds the number of objects in a file.
 	MaxObjects = 10_000
 )
 
-// Object is one object as a file states it.
+// Object is one object declared in a file.
 type Object struct {
 	// Source is the path of the file.
 	Source   string
 	Envelope resource.Envelope
 	// Expected is the revision that the operator expects to replace; nil means
-	// the one that is found.
+	// the current one.
 	Expected *store.Revision
 }
 
-// Fault is one thing that is wrong with a file.
+// Fault is one error in a file.
 type Fault struct {
 	// Source is the path of the file.
 	Source string `json:"source"`
-	// Line is the line in the file, from one; zero where it is not known.
+	// Line is the line in the file, counted from one; zero if it is unknown.
 	Line int `json:"line,omitempty"`
-	// Object is the kind and name of the object; empty when the file is at
-	// fault.
+	// Object is the kind and name of the object; empty for a fault of the file
+	// itself.
 	Object string `json:"object,omitempty"`
 	admin.Fault
 }
@@ -58,12 +58,12 @@
 	return text + ": " + f.Fault.String()
 }
 
-// Error holds every fault of the files.
+// Error reports all faults of the files.
 type Error struct {
 	Faults []Fault
 }
 
-// Error returns the faults, one a line.
+// Error returns the faults, one per line.
 func (e *Error) Error() string {
 	lines := make([]string, 0, len(e.Faults))
 	for _, fault := range e.Faults {
@@ -72,14 +72,14 @@
 	return strings.Join(lines, "\n")
 }
 
-// document is a whole file.
+// document is the TOML form of a file.
 type document struct {
 	object
 	Objects []object `toml:"object"`
 }
 
-// object is the form of one object. The keys of its specification depend on its
-// kind, so that they are checked afterwards.
+// object is the TOML form of one object. The keys of its specification depend on
+// its kind, so they are validated after decoding.
 type object struct {
 	Kind     string         `toml:"kind"`
 	Name     string         `toml:"name"`
@@ -91,14 +91,14 @@
 	return o.Kind == "" && o.Name == "" && o.Expected == nil && o.Spec == nil
 }
 
-// Parse reads a file's contents; the source is its path, for faults. The
-// objects are checked, policies included. The error is an *Error.
+// Parse parses the contents of a file and validates its objects, including
+// policies. The source is the file's path, used in faults. The error is an *Error.
 func Parse(source string, contents []byte) ([]Object, error) {
-	stated, faults := decode(source, contents)
-	objects := make([]Object, 0, len(stated))
-	for _, one := range stated {
-		object, found := one.convert(source)
-		faults = append(faults, found...)
+	decoded, faults := decode(source, contents)
+	objects := make([]Object, 0, len(decoded))
+	for _, declared := range decoded {
+		object, objectFaults := declared.validate(source)
+		faults = append(faults, objectFaults...)
 		objects = append(objects, object)
 	}
 	if len(faults) > 0 {
@@ -109,7 +109,7 @@
 
 func decode(source string, contents []byte) ([]object, []Fault) {
 	if len(contents) > MaxFileBytes {
-		return nil, fileFault(source, "the file has more than %d bytes", MaxFileBytes)
+		return nil, fileFault(source, "the file is larger than %d bytes", MaxFileBytes)
 	}
 	var parsed document
 	err := toml.NewDecoder(bytes.NewReader(contents)).DisallowUnknownFields().Decode(&parsed)
@@ -117,13 +117,13 @@
 	case err != nil:
 		return nil, decodeFaults(source, err)
 	case parsed.empty() && len(parsed.Objects) == 0:
-		return nil, fileFault(source, "the file holds no object: give kind, name and [spec], or several [[object]]")
+		return nil, fileFault(source, "the file contains no object: declare kind, name and [spec], or several [[object]]")
 	case len(parsed.Objects) > MaxObjects:
-		return nil, fileFault(source, "the file holds %d objects, allowed are %d", len(parsed.Objects), MaxObjects)
+		return nil, fileFault(source, "the file contains %d objects, allowed are %d", len(parsed.Objects), MaxObjects)
 	case len(parsed.Objects) == 0:
 		return []object{parsed.object}, nil
 	case !parsed.empty():
-		return nil, fileFault(source, "the file holds an object at its top level and [[object]] as well: allowed is one of the two")
+		return nil, fileFault(source, "the file contains both an object at its top level and [[object]]: allowed is one of the two")
 	}
 	return parsed.Objects, nil
 }
@@ -133,47 +133,47 @@
 }
 
 func decodeFaults(source string, err error) []Fault {
-	var unknown *toml.StrictMissingError
-	if errors.As(err, &unknown) {
-		return unknownKeys(source, unknown)
+	var unknownKeys *toml.StrictMissingError
+	if errors.As(err, &unknownKeys) {
+		return unknownKeyFaults(source, unknownKeys)
 	}
-	var broken *toml.DecodeError
-	if !errors.As(err, &broken) {
+	var decodeError *toml.DecodeError
+	if !errors.As(err, &decodeError) {
 		return fileFault(source, "%v", err)
 	}
-	line, _ := broken.Position()
-	faults := fileFault(source, "%s", strings.TrimPrefix(broken.Error(), "toml: "))
+	line, _ := decodeError.Position()
+	faults := fileFault(source, "%s", strings.TrimPrefix(decodeError.Error(), "toml: "))
 	faults[0].Line = line
 	return faults
 }
 
-func unknownKeys(source string, unknown *toml.StrictMissingError) []Fault {
+func unknownKeyFaults(source string, unknown *toml.StrictMissingError) []Fault {
 	faults := make([]Fault, 0, len(unknown.Errors))
 	for i := range unknown.Errors {
-		missing := &unknown.Errors[i]
-		line, _ := missing.Position()
+		unknownKey := &unknown.Errors[i]
+		line, _ := unknownKey.Position()
 		faults = append(faults, Fault{Source: source, Line: line, Fault: admin.Fault{
-			Message: "unknown key " + strings.Join(missing.Key(), "."),
+			Message: "unknown key " + strings.Join(unknownKey.Key(), "."),
 			Allowed: []string{"kind", "name", "expected_revision", "spec", "object"},
 		}})
 	}
 	return faults
 }
 
-// convert checks one object.
-func (o object) convert(source string) (Object, []Fault) {
+// validate decodes the specification and validates the object.
+func (o object) validate(source string) (Object, []Fault) {
 	id := resource.ID{Kind: resource.Kind(o.Kind), Name: o.Name}
-	fault := func(found admin.Fault) Fault { return Fault{Source: source, Object: id.String(), Fault: found} }
+	fault := func(details admin.Fault) Fault { return Fault{Source: source, Object: id.String(), Fault: details} }
 	if err := id.Validate(); err != nil {
 		return Object{}, []Fault{fault(admin.Fault{Message: err.Error()})}
 	}
-	envelope, err := o.specification(id)
+	envelope, err := o.decodeSpecification(id)
 	if err != nil {
 		return Object{}, []Fault{fault(admin.Fault{Message: "spec: " + err.Error()})}
 	}
 	var faults []Fault
-	for _, found := range admin.Check(envelope) {
-		faults = append(faults, fault(found))
+	for _, details := range admin.Check(envelope) {
+		faults = append(faults, fault(details))
 	}
 	if o.Expected != nil && *o.Expected < 0 {
 		faults = append(faults, fault(admin.Fault{Message: "expected_revision: allowed are whole numbers from zero"}))
@@ -181,9 +181,9 @@
 	return Object{Source: source, Envelope: envelope, Expected: (*store.Revision)(o.Expected)}, faults
 }
 
-// specification reads the specification as the administration API does, so
-// that both take the same keys.
-func (o object) specification(id resource.ID) (resource.Envelope, error) {
+// decodeSpecification decodes the specification as the administration API does,
+// so that both accept the same keys.
+func (o object) decodeSpecification(id resource.ID) (resource.Envelope, error) {
 	if o.Spec == nil {
 		o.Spec = map[string]any{}
 	}
--- a/internal/command/objectfile/objectfile_test.go
+++ b/internal/command/objectfile/objectfile_test.go
@@ -12,7 +12,7 @@
 	"github.com/lugspur/lugspur/internal/command/objectfile"
 )
 
-const one = `kind = "service"
+const singleObject = `kind = "service"
 name = "cropcal"
 expected_revision = 7
 
@@ -21,7 +21,7 @@
 timeout_ms = 400
 `
 
-const several = `[[object]]
+const multipleObjects = `[[object]]
 kind = "target"
 name = "cropcal-1"
 [object.spec]
@@ -40,19 +40,19 @@
 
 func faultsOf(t *testing.T, err error) []objectfile.Fault {
 	t.Helper()
-	var broken *objectfile.Error
-	assert.Assert(t, errors.As(err, &broken), "%v", err)
-	return broken.Faults
+	var parseError *objectfile.Error
+	assert.Assert(t, errors.As(err, &parseError), "%v", err)
+	return parseError.Faults
 }
 
 func TestParse(t *testing.T) {
-	objects, err := objectfile.Parse("a.toml", []byte(one))
+	objects, err := objectfile.Parse("a.toml", []byte(singleObject))
 	assert.NilError(t, err)
 	assert.Equal(t, len(objects), 1)
 	assert.Equal(t, int64(*objects[0].Expected), int64(7))
 	assert.Equal(t, objects[0].Envelope.Service.TimeoutMillis, 400)
 
-	objects, err = objectfile.Parse("b.toml", []byte(several))
+	objects, err = objectfile.Parse("b.toml", []byte(multipleObjects))
 	assert.NilError(t, err)
 	assert.Equal(t, len(objects), 2)
 	assert.Equal(t, objects[0].Envelope.Target.Slots, 6)
@@ -75,10 +75,10 @@
 		{"wrong type", "kind = 'service'\nname = 'x'\n[spec]\ntimeout_ms = 'x'\n", "timeout_ms", 0},
 		{"not a number", "kind = 'service'\nname = 'x'\n[spec]\ntimeout_ms = nan\n", "spec", 0},
 		{"out of range", "kind = 'service'\nname = 'x'\n[spec]\ntimeout_ms = -1\n", "timeout_ms", 0},
-		{"both forms", one + several, "one of the two", 0},
+		{"both forms", singleObject + multipleObjects, "one of the two", 0},
 		{"policy", "kind = 'policy'\nname = 'x'\n[spec]\nadmit = 'call.x'\n", "admit:1:", 0},
-		{"revision", strings.Replace(one, "7", "-7", 1), "expected_revision", 0},
-		{"too large", strings.Repeat("#", objectfile.MaxFileBytes+1), "more than", 0},
+		{"revision", strings.Replace(singleObject, "7", "-7", 1), "expected_revision", 0},
+		{"too large", strings.Repeat("#", objectfile.MaxFileBytes+1), "larger than", 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -102,8 +102,8 @@
 	}
 	_, err := objectfile.Load(directory)
 	assert.ErrorContains(t, err, "no file named")
-	write("b/one.toml", one)
-	write("a.toml", several)
+	write("b/one.toml", singleObject)
+	write("a.toml", multipleObjects)
 	write("notes.md", "not an object")
 	write("a.cases.toml", "[[case]]\nname = 'x'\n")
 	objects, err := objectfile.Load(directory)
@@ -111,21 +111,20 @@
 	assert.Equal(t, len(objects), 3)
 	assert.Equal(t, objects[2].Envelope.ID.Name, "cropcal")
 
-	write("c.toml", one)
+	write("c.toml", singleObject)
 	write("d.toml", "kind = 3")
 	_, err = objectfile.Load(directory)
 	faults := faultsOf(t, err)
 	assert.Equal(t, len(faults), 2)
-	assert.Assert(t, strings.Contains(faults[1].String(), "stated in"))
+	assert.Assert(t, strings.Contains(faults[1].String(), "declared in"))
 	_, err = objectfile.Load(filepath.Join(directory, "missing"))
 	assert.Assert(t, errors.Is(err, os.ErrNotExist))
 }
 
-// FuzzParse checks that a file is either refused with named faults or gives
-// objects that are valid.
+// FuzzParse checks that Parse returns either faults or valid objects.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(one))
-	f.Add([]byte(several))
+	f.Add([]byte(singleObject))
+	f.Add([]byte(multipleObjects))
 	f.Add([]byte("object = [{kind = 'drain', name = 'target.x', spec = {reason = 'y'}}]"))
 	f.Add([]byte("kind = 'policy'\nname = 'x'\n[spec]\nretry = '1 + 1 > 0 ? 1 : 2'"))
 	f.Fuzz(func(t *testing.T, contents []byte) {
@@ -137,7 +136,7 @@
 			return
 		}
 		if len(objects) == 0 {
-			t.Fatal("neither an object nor a fault")
+			t.Fatal("neither objects nor faults")
 		}
 		for _, object := range objects {
 			if err := object.Envelope.Validate(); err != nil {
--- a/internal/command/policy.go
+++ b/internal/command/policy.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// PolicyCheck says that a policy compiles.
+// PolicyCheck is the result of a check of a policy.
 type PolicyCheck struct {
 	Name   string `json:"name"`
 	Source string `json:"source"`
@@ -39,7 +39,7 @@
 	return &verb{
 		program:  program,
 		name:     "check",
-		synopsis: "check the policies and other objects of files",
+		synopsis: "check the policies and other objects in files",
 		usage:    "-f FILE|DIRECTORY [-f ...]",
 		example:  "lugspur policy check -f policies/",
 		flags: func(flags *flag.FlagSet) {
@@ -54,20 +54,20 @@
 	if err != nil {
 		return err
 	}
-	checked := make([]PolicyCheck, 0, len(policies))
+	checks := make([]PolicyCheck, 0, len(policies))
 	for _, object := range policies {
-		checked = append(checked, PolicyCheck{Name: object.Envelope.ID.Name, Source: object.Source, Valid: true})
+		checks = append(checks, PolicyCheck{Name: object.Envelope.ID.Name, Source: object.Source, Valid: true})
 	}
-	return printResult(c.program, checked, func(t *table) {
+	return printResult(c.program, checks, func(t *table) {
 		t.row("POLICY", "RESULT", "FILE")
-		for _, one := range checked {
-			t.row(one.Name, "valid", one.Source)
+		for _, check := range checks {
+			t.row(check.Name, "valid", check.Source)
 		}
 	})
 }
 
-// loadPolicies reads the policies of object files; the files' other objects are
-// checked as well.
+// loadPolicies returns the policies in object files; other objects in the files
+// are validated as well.
 func loadPolicies(paths []string) ([]objectfile.Object, error) {
 	if len(paths) == 0 {
 		return nil, usageErrorf("needs -f FILE or -f DIRECTORY")
@@ -83,12 +83,12 @@
 		}
 	}
 	if len(policies) == 0 {
-		return nil, usageErrorf("the files hold no policy")
+		return nil, usageErrorf("the files contain no policy")
 	}
 	return policies, nil
 }
 
-// CaseReport says how a policy met one case of a test file.
+// CaseReport is the result of one case of a test file.
 type CaseReport struct {
 	Case       string   `json:"case"`
 	Passed     bool     `json:"passed"`
@@ -112,8 +112,8 @@
 		example:  "lugspur policy test -f policies/ventctl.toml -cases policies/ventctl.cases.toml",
 		flags: func(flags *flag.FlagSet) {
 			flags.Var(&c.paths, "f", "object `FILE` with the policy")
-			flags.StringVar(&c.cases, "cases", "", "test `FILE` with [[case]]")
-			flags.StringVar(&c.name, "policy", "", "`NAME` of the policy, when the file has several")
+			flags.StringVar(&c.cases, "cases", "", "test `FILE` with [[case]] entries")
+			flags.StringVar(&c.name, "policy", "", "`NAME` of the policy, if the file contains several")
 		},
 		run: c.run,
 	}
@@ -143,16 +143,16 @@
 	if err != nil {
 		return policy.Source{}, err
 	}
-	var chosen []*resource.Policy
+	var selected []*resource.Policy
 	for _, object := range policies {
 		if c.name == "" || c.name == object.Envelope.ID.Name {
-			chosen = append(chosen, object.Envelope.Policy)
+			selected = append(selected, object.Envelope.Policy)
 		}
 	}
-	if len(chosen) != 1 {
-		return policy.Source{}, usageErrorf("the files hold %d such policies: -policy NAME must choose one", len(chosen))
+	if len(selected) != 1 {
+		return policy.Source{}, usageErrorf("the files contain %d matching policies: select one by -policy NAME", len(selected))
 	}
-	return policy.Source{Admit: chosen[0].Admit, Rank: chosen[0].Rank, Retry: chosen[0].Retry, Refuse: chosen[0].Refuse}, nil
+	return policy.Source{Admit: selected[0].Admit, Rank: selected[0].Rank, Retry: selected[0].Retry, Refuse: selected[0].Refuse}, nil
 }
 
 func (c *policyTest) readCases() ([]policy.Case, error) {
--- a/internal/command/print.go
+++ b/internal/command/print.go
@@ -14,13 +14,13 @@
 	"github.com/lugspur/lugspur/internal/settings"
 )
 
-// printResult prints a document as JSON, or else the table made by the function.
-func printResult[T any](p *Program, document T, table func(*table)) error {
+// printResult prints a document as JSON, or the table written by writeTable.
+func printResult[T any](p *Program, document T, writeTable func(*table)) error {
 	if p.connection.output == outputJSON {
 		return printJSON(p.Output, document)
 	}
 	rows := newTable(p.Output)
-	table(rows)
+	writeTable(rows)
 	return rows.writer.Flush()
 }
 
@@ -52,14 +52,15 @@
 	fmt.Fprintln(t.writer, strings.Join(texts, "\t"))
 }
 
-// section starts a new table below the last one.
+// section starts a new table with a title.
 func (t *table) section(title string) {
 	_ = t.writer.Flush()
 	fmt.Fprintf(t.writer, "\n%s\n", title)
 	_ = t.writer.Flush()
 }
 
-// ErrorReport is an error as -output json prints it, on the error stream.
+// ErrorReport is the form in which -output json prints an error, on the error
+// stream.
 type ErrorReport struct {
 	Error    string             `json:"error"`
 	ExitCode int                `json:"exit_code"`
@@ -79,25 +80,25 @@
 		return
 	}
 	fmt.Fprintln(p.ErrorOutput, "lugspur:", err)
-	var failed *adminclient.Error
-	if errors.As(err, &failed) && failed.Problem != nil && failed.Problem.AskURL != "" {
-		fmt.Fprintf(p.ErrorOutput, "ask for change %s at http://ADMIN-ADDRESS%s\n", failed.Problem.ChangeID, failed.Problem.AskURL)
+	var clientError *adminclient.Error
+	if errors.As(err, &clientError) && clientError.Problem != nil && clientError.Problem.AskURL != "" {
+		fmt.Fprintf(p.ErrorOutput, "ask for change %s at http://ADMIN-ADDRESS%s\n", clientError.Problem.ChangeID, clientError.Problem.AskURL)
 	}
 }
 
 func newErrorReport(err error) ErrorReport {
 	report := ErrorReport{Error: err.Error(), ExitCode: exitCode(err)}
-	var failed *adminclient.Error
-	if errors.As(err, &failed) {
-		report.Step, report.Peer, report.Problem = failed.Step, failed.Address, failed.Problem
+	var clientError *adminclient.Error
+	if errors.As(err, &clientError) {
+		report.Step, report.Peer, report.Problem = clientError.Step, clientError.Address, clientError.Problem
 	}
-	var faultySettings *settings.Error
-	if errors.As(err, &faultySettings) {
-		report.Settings = faultySettings.Faults
+	var settingsError *settings.Error
+	if errors.As(err, &settingsError) {
+		report.Settings = settingsError.Faults
 	}
-	var faultyFiles *objectfile.Error
-	if errors.As(err, &faultyFiles) {
-		report.Objects = faultyFiles.Faults
+	var fileError *objectfile.Error
+	if errors.As(err, &fileError) {
+		report.Objects = fileError.Faults
 	}
 	return report
 }
--- a/internal/command/status.go
+++ b/internal/command/status.go
@@ -14,7 +14,7 @@
 	return &verb{
 		program:  program,
 		name:     "status",
-		synopsis: "show what a node does and what it knows of the others",
+		synopsis: "show a node's state and its view of the other nodes",
 		example:  "lugspur status -admin 10.1.0.1:7403",
 		connects: true,
 		run: func(ctx context.Context, arguments []string) error {
@@ -65,11 +65,11 @@
 	for _, home := range status.Homes {
 		t.row(home.Target, home.Node)
 	}
-	notes(t, "Not ready", node.Reasons)
-	notes(t, "Warnings", status.Warnings)
+	printSection(t, "Not ready", node.Reasons)
+	printSection(t, "Warnings", status.Warnings)
 }
 
-func notes(t *table, title string, lines []string) {
+func printSection(t *table, title string, lines []string) {
 	if len(lines) == 0 {
 		return
 	}
--- a/internal/command/verb.go
+++ b/internal/command/verb.go
@@ -13,11 +13,11 @@
 	program  *Program
 	name     string
 	synopsis string
-	// usage is the arguments after the name.
+	// usage describes the arguments after the name.
 	usage string
-	// example is a whole command line.
+	// example is a complete command line.
 	example string
-	// connects says that the verb talks to nodes.
+	// connects means that the verb sends requests to nodes.
 	connects bool
 	flags    func(*flag.FlagSet)
 	run      func(ctx context.Context, arguments []string) error
@@ -26,7 +26,7 @@
 // Name returns the verb's name.
 func (v *verb) Name() string { return v.name }
 
-// Synopsis returns the verb's purpose in one line.
+// Synopsis returns a one-line description of the verb.
 func (v *verb) Synopsis() string { return v.synopsis }
 
 // Usage returns the verb's usage, with an example.
@@ -56,7 +56,7 @@
 	return subcommands.ExitStatus(exitCode(err))
 }
 
-// group is a command that has verbs of its own.
+// group is a command with subcommands.
 type group struct {
 	program  *Program
 	name     string
@@ -67,7 +67,7 @@
 // Name returns the group's name.
 func (g *group) Name() string { return g.name }
 
-// Synopsis returns the group's purpose in one line.
+// Synopsis returns a one-line description of the group.
 func (g *group) Synopsis() string { return g.synopsis }
 
 // Usage returns the group's usage.
@@ -79,10 +79,10 @@
 	return usage
 }
 
-// SetFlags adds nothing: the verbs of the group have the flags.
+// SetFlags adds no flags: the subcommands have their own.
 func (g *group) SetFlags(flags *flag.FlagSet) { flags.SetOutput(g.program.ErrorOutput) }
 
-// Execute runs the verb of the group that the arguments name.
+// Execute runs the subcommand named by the arguments.
 func (g *group) Execute(ctx context.Context, flags *flag.FlagSet, arguments ...any) subcommands.ExitStatus {
 	commander := newCommander(flags, "lugspur "+g.name, g.program)
 	for _, verb := range g.verbs {
