--- a/internal/store/etcd/client.go
+++ b/internal/store/etcd/client.go
@@ -21,7 +21,7 @@
 	maxIdleConnections = 4
 	// idleConnectionTimeout closes unused connections.
 	idleConnectionTimeout = 30 * time.Second
-	// maxHeaderBytes bounds the header of an answer.
+	// maxHeaderBytes bounds the header of a response.
 	maxHeaderBytes = 16 << 10
 )
 
@@ -30,17 +30,17 @@
 	config    Config
 	http      *http.Client
 	transport *http.Transport
-	bucket    *pace.Bucket
-	lifetime  context.Context
-	end       context.CancelFunc
+	limiter   *pace.Bucket
+	ctx       context.Context
+	cancel    context.CancelFunc
 
-	mu        sync.Mutex
-	preferred int
+	mu            sync.Mutex
+	endpointIndex int
 }
 
 var _ store.Store = (*Client)(nil)
 
-// New returns a client. It connects to nothing before the first request.
+// New returns a client. It opens no connection before the first request.
 func New(config Config) (*Client, error) {
 	if err := config.validate(); err != nil {
 		return nil, err
@@ -55,26 +55,27 @@
 		IdleConnTimeout:        idleConnectionTimeout,
 		MaxResponseHeaderBytes: maxHeaderBytes,
 	}
-	lifetime, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	return &Client{
 		config:    config,
-		http:      &http.Client{Transport: transport, CheckRedirect: stayHere},
+		http:      &http.Client{Transport: transport, CheckRedirect: rejectRedirect},
 		transport: transport,
-		bucket:    pace.NewBucket(config.RequestsPerSecond, config.Burst),
-		lifetime:  lifetime,
-		end:       end,
+		limiter:   pace.NewBucket(config.RequestsPerSecond, config.Burst),
+		ctx:       ctx,
+		cancel:    cancel,
 	}, nil
 }
 
-// stayHere keeps the HTTP client from sending a request a second time.
-func stayHere(*http.Request, []*http.Request) error {
+// rejectRedirect keeps the HTTP client from following a redirect, which would send the
+// request a second time.
+func rejectRedirect(*http.Request, []*http.Request) error {
 	return http.ErrUseLastResponse
 }
 
-// Close ends all requests and watches. Later calls return
+// Close cancels all requests and watches. Later calls return
 // store.ErrUnavailable.
 func (c *Client) Close() {
-	c.end()
+	c.cancel()
 	c.transport.CloseIdleConnections()
 }
 
@@ -82,25 +83,26 @@
 func (c *Client) endpoint() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.config.Endpoints[c.preferred]
+	return c.config.Endpoints[c.endpointIndex]
 }
 
-// leave makes the next request go to another endpoint, unless another caller
-// has moved on already.
-func (c *Client) leave(endpoint string) {
+// failOver selects the next endpoint for later requests, unless another caller
+// has already done so.
+func (c *Client) failOver(endpoint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.config.Endpoints[c.preferred] == endpoint {
-		c.preferred = (c.preferred + 1) % len(c.config.Endpoints)
+	if c.config.Endpoints[c.endpointIndex] == endpoint {
+		c.endpointIndex = (c.endpointIndex + 1) % len(c.config.Endpoints)
 	}
 }
 
-// awaitTurn waits for the pace. No error of it says that anything was sent.
-func (c *Client) awaitTurn(ctx context.Context) error {
-	if err := c.usable(ctx); err != nil {
+// waitForRateLimit waits until the rate limit permits a request. When it returns an
+// error, nothing was sent.
+func (c *Client) waitForRateLimit(ctx context.Context) error {
+	if err := c.checkUsable(ctx); err != nil {
 		return err
 	}
-	wait, ok := c.bucket.Take(time.Now(), c.longestWait(ctx))
+	wait, ok := c.limiter.Take(time.Now(), c.longestWait(ctx))
 	if !ok {
 		return fmt.Errorf("%w: next request would leave in %s", store.ErrRateLimited, wait.Round(time.Millisecond))
 	}
@@ -112,27 +114,27 @@
 	select {
 	case <-timer.C:
 	case <-ctx.Done():
-	case <-c.lifetime.Done():
+	case <-c.ctx.Done():
 	}
-	return c.usable(ctx)
+	return c.checkUsable(ctx)
 }
 
-func (c *Client) usable(ctx context.Context) error {
+func (c *Client) checkUsable(ctx context.Context) error {
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, err)
 	}
-	if c.lifetime.Err() != nil {
+	if c.ctx.Err() != nil {
 		return fmt.Errorf("%w: client closed", store.ErrUnavailable)
 	}
 	return nil
 }
 
 func (c *Client) longestWait(ctx context.Context) time.Duration {
-	limit := c.config.RequestTimeout
-	if deadline, found := ctx.Deadline(); found {
-		limit = min(limit, time.Until(deadline))
+	maxWait := c.config.RequestTimeout
+	if deadline, ok := ctx.Deadline(); ok {
+		maxWait = min(maxWait, time.Until(deadline))
 	}
-	return limit
+	return maxWait
 }
 
 func wrap(step, endpoint string, err error) error {
--- a/internal/store/etcd/client_test.go
+++ b/internal/store/etcd/client_test.go
@@ -19,11 +19,11 @@
 
 const (
 	loopback = "127.0.0.1:0"
-	// fast is a pace that no test reaches.
-	fast = 1e6
-	// patience bounds what a test waits for.
-	patience = 10 * time.Second
-	// progressInterval makes watches report progress quickly.
+	// unlimitedRate is a request rate that no test reaches.
+	unlimitedRate = 1e6
+	// testTimeout bounds each wait of a test.
+	testTimeout = 10 * time.Second
+	// progressInterval is short, so that watches report progress quickly.
 	progressInterval = 20 * time.Millisecond
 )
 
@@ -42,10 +42,10 @@
 	return process
 }
 
-func open(t *testing.T, config etcd.Config) *etcd.Client {
+func newClient(t *testing.T, config etcd.Config) *etcd.Client {
 	t.Helper()
 	if config.RequestsPerSecond == 0 {
-		config.RequestsPerSecond = fast
+		config.RequestsPerSecond = unlimitedRate
 	}
 	client, err := etcd.New(config)
 	assert.NilError(t, err)
@@ -55,12 +55,12 @@
 
 func testContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-func serve(t *testing.T, handler http.Handler) string {
+func startServer(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -70,40 +70,41 @@
 func TestConformance(t *testing.T) {
 	storetest.Run(t, func(t *testing.T) store.Store {
 		process := startStore(t, kvstore.Config{})
-		return open(t, etcd.Config{Endpoints: []string{process.Address()}})
+		return newClient(t, etcd.Config{Endpoints: []string{process.Address()}})
 	})
 }
 
 func TestConformanceWithSmallPages(t *testing.T) {
 	storetest.Run(t, func(t *testing.T) store.Store {
 		process := startStore(t, kvstore.Config{})
-		return open(t, etcd.Config{Endpoints: []string{process.Address()}, PageEntries: 3})
+		return newClient(t, etcd.Config{Endpoints: []string{process.Address()}, PageEntries: 3})
 	})
 }
 
 func TestCompaction(t *testing.T) {
 	process := startStore(t, kvstore.Config{})
-	client := open(t, etcd.Config{Endpoints: []string{process.Address()}})
+	client := newClient(t, etcd.Config{Endpoints: []string{process.Address()}})
 	storetest.RunCompaction(t, client, func() {
 		assert.NilError(t, process.Control(kvstore.ControlRequest{Compact: true}))
 	})
 }
 
-func TestNewRefusesBadEndpoints(t *testing.T) {
+func TestNewRejectsInvalidEndpoints(t *testing.T) {
 	for _, endpoints := range [][]string{nil, {"store.example:2379"}, {"127.0.0.1"}, {"http://127.0.0.1:2379"}} {
 		_, err := etcd.New(etcd.Config{Endpoints: endpoints})
 		assert.Assert(t, err != nil, "%v", endpoints)
 	}
 }
 
-// TestListIsOneRevision writes between the pages of a list.
+// TestListIsOneRevision writes a key between two pages of a list, which must not
+// contain it.
 func TestListIsOneRevision(t *testing.T) {
 	ctx := testContext(t)
 	server := kvstore.New(kvstore.Config{})
 	t.Cleanup(server.Close)
-	writer := open(t, etcd.Config{Endpoints: []string{serve(t, server.Handler())}})
+	writer := newClient(t, etcd.Config{Endpoints: []string{startServer(t, server.Handler())}})
 	pages := 0
-	address := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	address := startServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		pages++
 		if pages == 2 {
 			_, err := writer.CompareAndSwap(ctx, "k/z", 0, []byte("late"), store.NoLease)
@@ -115,16 +116,16 @@
 		_, err := writer.CompareAndSwap(ctx, key, 0, []byte("1"), store.NoLease)
 		assert.NilError(t, err)
 	}
-	reader := open(t, etcd.Config{Endpoints: []string{address}, PageEntries: 1})
+	reader := newClient(t, etcd.Config{Endpoints: []string{address}, PageEntries: 1})
 	snapshot, err := reader.List(ctx, "k/")
 	assert.NilError(t, err)
 	assert.Equal(t, len(snapshot.Entries), 3)
 	assert.Equal(t, snapshot.Revision, snapshot.Entries[2].Revision)
 }
 
-func TestErrorsNameStepAndPeer(t *testing.T) {
+func TestErrorsIncludeStepAndPeer(t *testing.T) {
 	process := startStore(t, kvstore.Config{})
-	client := open(t, etcd.Config{Endpoints: []string{process.Address()}})
+	client := newClient(t, etcd.Config{Endpoints: []string{process.Address()}})
 	_, err := client.CompareAndSwap(testContext(t), "a", 5, nil, store.NoLease)
 	assert.ErrorIs(t, err, store.ErrConflict)
 	assert.ErrorContains(t, err, "compare-and-swap at "+process.Address())
@@ -132,20 +133,20 @@
 
 func TestClosedClient(t *testing.T) {
 	process := startStore(t, kvstore.Config{})
-	client := open(t, etcd.Config{Endpoints: []string{process.Address()}})
-	ended := make(chan error, 1)
-	opened := make(chan struct{}, 1)
+	client := newClient(t, etcd.Config{Endpoints: []string{process.Address()}})
+	watchErr := make(chan error, 1)
+	progressed := make(chan struct{}, 1)
 	go func() {
-		ended <- client.Watch(context.Background(), "", 0, func([]store.Entry, store.Revision) {
+		watchErr <- client.Watch(context.Background(), "", 0, func([]store.Entry, store.Revision) {
 			select {
-			case opened <- struct{}{}:
+			case progressed <- struct{}{}:
 			default:
 			}
 		})
 	}()
-	<-opened
+	<-progressed
 	client.Close()
-	assert.ErrorIs(t, <-ended, store.ErrUnavailable)
+	assert.ErrorIs(t, <-watchErr, store.ErrUnavailable)
 	_, err := client.CompareAndSwap(testContext(t), "a", 0, nil, store.NoLease)
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 }
--- a/internal/store/etcd/config.go
+++ b/internal/store/etcd/config.go
@@ -7,44 +7,45 @@
 	"github.com/samber/oops"
 )
 
-// Values of the settings that are left zero.
+// Defaults of settings that are zero.
 const (
-	// DefaultRequestsPerSecond is the pace of requests.
+	// DefaultRequestsPerSecond is the sustained request rate.
 	DefaultRequestsPerSecond = 5
-	// DefaultBurst is the number of requests that may leave at once.
+	// DefaultBurst is the number of requests that may be sent at once.
 	DefaultBurst = 5
 	// DefaultRequestTimeout bounds one request to one endpoint.
 	DefaultRequestTimeout = 3 * time.Second
 	// DefaultDialTimeout bounds one connection attempt.
 	DefaultDialTimeout = time.Second
-	// DefaultWatchIdleTimeout is the silence after which a watch is given up.
+	// DefaultWatchIdleTimeout ends a watch that receives nothing for this long.
 	DefaultWatchIdleTimeout = time.Minute
-	// DefaultMaxResponseBytes bounds one answer and one message of a watch.
+	// DefaultMaxResponseBytes bounds one response and one message of a watch.
 	DefaultMaxResponseBytes = 16 << 20
-	// DefaultPageEntries is the number of entries asked for at once in a list.
+	// DefaultPageEntries is the number of entries in a page of a list.
 	DefaultPageEntries = 500
 )
 
-// Config holds the settings of a client. Fields other than Endpoints take the
-// defaults above when they are zero.
+// Config holds the settings of a client. Fields other than Endpoints default to
+// the values above when they are zero.
 type Config struct {
-	// Endpoints are the service's addresses, each an IP number and a port.
+	// Endpoints are the service's addresses, each an IP address and a port.
 	Endpoints []string
-	// RequestsPerSecond is this client's share of the service's rate limit and
-	// Burst what may leave at once. Opening a watch counts as one request.
+	// RequestsPerSecond is this client's share of the service's rate limit, and
+	// Burst is the number of requests that may be sent at once. Opening a watch
+	// counts as one request.
 	RequestsPerSecond float64
 	Burst             int
-	// RequestTimeout bounds one request to one endpoint, and the wait for the
-	// pace before it.
+	// RequestTimeout bounds one request to one endpoint, and separately the wait
+	// for the rate limit before it.
 	RequestTimeout time.Duration
 	// DialTimeout bounds one connection attempt.
 	DialTimeout time.Duration
 	// WatchIdleTimeout ends a watch that has received nothing, not even a
-	// progress notification, for so long.
+	// progress notification, for this long.
 	WatchIdleTimeout time.Duration
-	// MaxResponseBytes bounds one answer and one message of a watch, in bytes.
+	// MaxResponseBytes bounds one response and one message of a watch, in bytes.
 	MaxResponseBytes int
-	// PageEntries is the number of entries asked for at once in a list.
+	// PageEntries is the number of entries in a page of a list.
 	PageEntries int
 }
 
--- a/internal/store/etcd/connection.go
+++ b/internal/store/etcd/connection.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Keep-alive probes find a peer whose machine is gone within about 25 s.
+// Keep-alive probes detect within about 25 s that a peer's machine is down.
 const (
 	keepAliveIdle     = 10 * time.Second
 	keepAliveInterval = 5 * time.Second
@@ -35,36 +35,36 @@
 	}
 }
 
-// trackedConn counts its writes, so that a failed exchange can tell whether
-// any byte of it may have left.
+// trackedConn counts its writes, which shows after a failed exchange whether a
+// byte of the request may have been sent.
 type trackedConn struct {
 	net.Conn
-	writes atomic.Int64
-	sealed atomic.Bool
+	writes        atomic.Int64
+	writesStopped atomic.Bool
 }
 
-// Write implements net.Conn. The write is counted before it begins; one that
-// the kernel refused whole is not counted.
-func (t *trackedConn) Write(data []byte) (int, error) {
-	t.writes.Add(1)
-	if t.sealed.Load() {
-		t.writes.Add(-1)
+// Write implements net.Conn. A write is counted before it starts, and
+// discounted if the kernel accepted none of its bytes.
+func (c *trackedConn) Write(data []byte) (int, error) {
+	c.writes.Add(1)
+	if c.writesStopped.Load() {
+		c.writes.Add(-1)
 		return 0, net.ErrClosed
 	}
-	written, err := t.Conn.Write(data)
+	written, err := c.Conn.Write(data)
 	if written == 0 && err != nil {
-		t.writes.Add(-1)
+		c.writes.Add(-1)
 	}
 	return written, err
 }
 
-// seal refuses all later writes and returns the number of those before it.
-func (t *trackedConn) seal() int64 {
-	t.sealed.Store(true)
-	return t.writes.Load()
+// stopWrites makes later writes fail and returns the number of earlier ones.
+func (c *trackedConn) stopWrites() int64 {
+	c.writesStopped.Store(true)
+	return c.writes.Load()
 }
 
-// sendTracker observes the connections that one request is given.
+// sendTracker records the connections that one request uses.
 type sendTracker struct {
 	mu   sync.Mutex
 	uses []connUse
@@ -90,14 +90,14 @@
 	s.uses = append(s.uses, use)
 }
 
-// mayHaveSent ends the request's connections and reports whether a byte of the
-// request may have left. It is for requests that failed.
+// mayHaveSent stops writes on the connections of a failed request and reports
+// whether a byte of the request may have been sent.
 func (s *sendTracker) mayHaveSent() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	sent := false
 	for _, use := range s.uses {
-		if use.connection == nil || use.connection.seal() != use.writes {
+		if use.connection == nil || use.connection.stopWrites() != use.writes {
 			sent = true
 		}
 	}
--- a/internal/store/etcd/doc.go
+++ b/internal/store/etcd/doc.go
@@ -1,9 +1,9 @@
-// Package etcd implements the store over the JSON-over-HTTP form of the etcd
+// Package etcd implements store.Store with the JSON-over-HTTP form of the etcd
 // v3 API.
 //
-// Requests are paced with a token bucket, so that the service's rate limit
-// holds. Reads that fail are tried once at each endpoint. A write is sent at
-// most once: it goes to the next endpoint only when no byte of it has left the
-// process. When its answer is lost, or does not say for certain that nothing
-// took effect, the error is store.ErrUnknownOutcome.
+// A token bucket keeps requests within the service's rate limit. A failed read
+// is tried once at each endpoint. A write is sent at most once: it goes to the
+// next endpoint only if no byte of it has left the process. If its response is
+// lost, or does not establish that nothing took effect, the error is
+// store.ErrUnknownOutcome.
 package etcd
--- a/internal/store/etcd/exchange.go
+++ b/internal/store/etcd/exchange.go
@@ -15,103 +15,104 @@
 
 var errResponseTooLarge = errors.New("answer larger than the limit")
 
-// call is one request of the API with a single answer.
+// call is one API request with a single response.
 type call struct {
 	step    string
 	path    string
 	write   bool
 	request any
-	// decode reads the answer; an error counts as a lost answer.
+	// decode parses the response; unless its error is a definite outcome, the
+	// response counts as lost.
 	decode func(body []byte) error
 }
 
-// verdict is what became of one attempt of a call.
-type verdict struct {
+// attemptResult is the result of one attempt of a call.
+type attemptResult struct {
 	err error
-	// leave says that the endpoint is not well.
-	leave bool
-	// again says that the call may go to the next endpoint.
-	again bool
+	// failOver reports that the endpoint failed and later requests should use another.
+	failOver bool
+	// retry reports that the call may be sent to the next endpoint.
+	retry bool
 }
 
-// reply is an answer, whatever its status.
-type reply struct {
+// rawResponse is a response with any status.
+type rawResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// do runs a call, at each endpoint once if need be.
+// do runs a call, trying each endpoint at most once.
 func (c *Client) do(ctx context.Context, call call) error {
 	payload, err := json.Marshal(call.request)
 	if err != nil {
 		return wrap(call.step, c.endpoint(), err)
 	}
-	var last verdict
+	var result attemptResult
 	for range c.config.Endpoints {
 		endpoint := c.endpoint()
-		last = c.attempt(ctx, endpoint, call, payload)
-		last.err = wrap(call.step, endpoint, last.err)
-		if last.leave {
-			c.leave(endpoint)
+		result = c.attempt(ctx, endpoint, call, payload)
+		result.err = wrap(call.step, endpoint, result.err)
+		if result.failOver {
+			c.failOver(endpoint)
 		}
-		if !last.again || c.usable(ctx) != nil {
+		if !result.retry || c.checkUsable(ctx) != nil {
 			break
 		}
 	}
-	return last.err
+	return result.err
 }
 
-func (c *Client) attempt(ctx context.Context, endpoint string, call call, payload []byte) verdict {
-	if err := c.awaitTurn(ctx); err != nil {
-		return verdict{err: err}
+func (c *Client) attempt(ctx context.Context, endpoint string, call call, payload []byte) attemptResult {
+	if err := c.waitForRateLimit(ctx); err != nil {
+		return attemptResult{err: err}
 	}
-	answer, sent, err := c.exchange(ctx, endpoint, call.path, payload)
+	raw, sent, err := c.exchange(ctx, endpoint, call.path, payload)
 	if err != nil && !sent {
-		return verdict{err: becauseOf(ctx, store.ErrUnavailable, err), leave: true, again: true}
+		return attemptResult{err: withCause(ctx, store.ErrUnavailable, err), failOver: true, retry: true}
 	}
-	if err == nil && answer.status != http.StatusOK {
-		return c.refusal(call, answer)
+	if err == nil && raw.status != http.StatusOK {
+		return c.classifyStatus(call, raw)
 	}
 	if err == nil {
-		err = call.decode(answer.body)
+		err = call.decode(raw.body)
 	}
-	if err == nil || isOutcome(err) {
-		return verdict{err: err}
+	if err == nil || isDefiniteOutcome(err) {
+		return attemptResult{err: err}
 	}
-	return lost(ctx, call, err)
+	return lostResponse(ctx, call, err)
 }
 
-// lost is the verdict on a call that may have been carried out.
-func lost(ctx context.Context, call call, cause error) verdict {
+// lostResponse returns the result of a call that may have been executed.
+func lostResponse(ctx context.Context, call call, cause error) attemptResult {
 	if call.write {
-		return verdict{err: becauseOf(ctx, store.ErrUnknownOutcome, cause), leave: true}
+		return attemptResult{err: withCause(ctx, store.ErrUnknownOutcome, cause), failOver: true}
 	}
-	return verdict{err: becauseOf(ctx, store.ErrUnavailable, cause), leave: true, again: true}
+	return attemptResult{err: withCause(ctx, store.ErrUnavailable, cause), failOver: true, retry: true}
 }
 
-// becauseOf joins an outcome with its cause. The causes' own timeouts do not
-// show as the caller's context having ended.
-func becauseOf(ctx context.Context, outcome, cause error) error {
+// withCause adds the cause to an outcome. It wraps a context error only if the
+// caller's context has ended, so that an internal timeout is not mistaken for it.
+func withCause(ctx context.Context, outcome, cause error) error {
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("%w: %w", outcome, err)
 	}
 	return fmt.Errorf("%w: %v", outcome, cause)
 }
 
-// exchange sends a request once. With an error, sent tells whether a byte of
-// the request may have left.
-func (c *Client) exchange(ctx context.Context, endpoint, path string, payload []byte) (answer reply, sent bool, err error) {
+// exchange sends a request once. If it fails, sent reports whether a byte of the
+// request may have been sent.
+func (c *Client) exchange(ctx context.Context, endpoint, path string, payload []byte) (raw rawResponse, sent bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, c.config.RequestTimeout)
 	defer cancel()
-	defer context.AfterFunc(c.lifetime, cancel)()
+	defer context.AfterFunc(c.ctx, cancel)()
 	response, sent, err := c.send(ctx, endpoint, path, payload)
 	if err != nil {
-		return reply{}, sent, err
+		return rawResponse{}, sent, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := c.readBody(response.Body)
-	return reply{status: response.StatusCode, header: response.Header, body: body}, true, err
+	return rawResponse{status: response.StatusCode, header: response.Header, body: body}, true, err
 }
 
 func (c *Client) send(ctx context.Context, endpoint, path string, payload []byte) (response *http.Response, sent bool, err error) {
--- a/internal/store/etcd/faults_test.go
+++ b/internal/store/etcd/faults_test.go
@@ -15,7 +15,7 @@
 	"github.com/lugspur/lugspur/lab/kvstore"
 )
 
-// shortTimeout makes requests to a hanging store fail quickly.
+// shortTimeout makes requests to a hanging store time out quickly.
 const shortTimeout = 200 * time.Millisecond
 
 func control(t *testing.T, process *kvstore.Process, request kvstore.ControlRequest) {
@@ -31,13 +31,13 @@
 	return kvstore.ControlRequest{Clear: true}
 }
 
-func TestLostAnswersAreUnknownAndNotSentAgain(t *testing.T) {
+func TestLostResponsesAreUnknownAndNotRetried(t *testing.T) {
 	ctx := testContext(t)
 	process := startStore(t, kvstore.Config{})
-	client := open(t, etcd.Config{Endpoints: []string{process.Address(), process.Address()}})
+	client := newClient(t, etcd.Config{Endpoints: []string{process.Address(), process.Address()}})
 	lease, err := client.GrantLease(ctx, time.Minute)
 	assert.NilError(t, err)
-	kept, err := client.CompareAndSwap(ctx, "removed", 0, nil, store.NoLease)
+	created, err := client.CompareAndSwap(ctx, "removed", 0, nil, store.NoLease)
 	assert.NilError(t, err)
 	writes := []struct {
 		name string
@@ -48,7 +48,7 @@
 			return err
 		}},
 		{"delete", func() error {
-			_, err := client.CompareAndDelete(ctx, "removed", kept)
+			_, err := client.CompareAndDelete(ctx, "removed", created)
 			return err
 		}},
 		{"grant", func() error {
@@ -84,18 +84,18 @@
 	assert.ErrorIs(t, err, store.ErrNotFound)
 }
 
-// TestUnknownOutcomesAreResolvedByReading counts with a key while a third of
-// the answers is lost; each count must take effect once.
+// TestUnknownOutcomesAreResolvedByReading increments a counter while 30% of the
+// responses are lost; each increment must take effect exactly once.
 func TestUnknownOutcomesAreResolvedByReading(t *testing.T) {
 	ctx := testContext(t)
 	process := startStore(t, kvstore.Config{Seed: 7})
-	client := open(t, etcd.Config{Endpoints: []string{process.Address()}})
+	client := newClient(t, etcd.Config{Endpoints: []string{process.Address()}})
 	probability := 0.3
 	control(t, process, kvstore.ControlRequest{DropProbability: &probability})
-	const count = 60
+	const increments = 60
 	revision := store.Revision(0)
 	unknown := 0
-	for i := range count {
+	for i := range increments {
 		value := fmt.Sprint(i)
 		next, err := client.CompareAndSwap(ctx, "counter", revision, []byte(value), store.NoLease)
 		if errors.Is(err, store.ErrUnknownOutcome) {
@@ -109,7 +109,7 @@
 		revision = next
 	}
 	status := process.Status()
-	assert.Equal(t, status.Writes, int64(count))
+	assert.Equal(t, status.Writes, int64(increments))
 	assert.Equal(t, status.AnswersDropped, int64(unknown))
 	assert.Assert(t, unknown > 0)
 }
@@ -117,20 +117,20 @@
 func TestRefusedConnectionsAreUnavailable(t *testing.T) {
 	ctx := testContext(t)
 	process := startStore(t, kvstore.Config{})
-	used := open(t, etcd.Config{Endpoints: []string{process.Address()}})
-	_, err := used.Get(ctx, "a")
+	connected := newClient(t, etcd.Config{Endpoints: []string{process.Address()}})
+	_, err := connected.Get(ctx, "a")
 	assert.ErrorIs(t, err, store.ErrNotFound)
-	fresh := open(t, etcd.Config{Endpoints: []string{process.Address()}})
+	unconnected := newClient(t, etcd.Config{Endpoints: []string{process.Address()}})
 	control(t, process, outage(kvstore.OutageRefuse))
 
-	_, err = fresh.CompareAndSwap(ctx, "a", 0, nil, store.NoLease)
+	_, err = unconnected.CompareAndSwap(ctx, "a", 0, nil, store.NoLease)
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 	assert.Assert(t, !errors.Is(err, store.ErrUnknownOutcome))
-	_, err = used.List(ctx, "a")
+	_, err = connected.List(ctx, "a")
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 
 	control(t, process, clearFaults())
-	for _, client := range []*etcd.Client{used, fresh} {
+	for _, client := range []*etcd.Client{connected, unconnected} {
 		_, err = client.Get(ctx, "a")
 		assert.ErrorIs(t, err, store.ErrNotFound)
 	}
@@ -139,7 +139,7 @@
 func TestUnavailableStore(t *testing.T) {
 	ctx := testContext(t)
 	process := startStore(t, kvstore.Config{})
-	client := open(t, etcd.Config{Endpoints: []string{process.Address()}})
+	client := newClient(t, etcd.Config{Endpoints: []string{process.Address()}})
 	control(t, process, outage(kvstore.OutageUnavailable))
 	_, err := client.CompareAndSwap(ctx, "a", 0, nil, store.NoLease)
 	assert.ErrorIs(t, err, store.ErrUnavailable)
@@ -152,11 +152,12 @@
 	assert.ErrorIs(t, err, store.ErrNotFound)
 }
 
-// TestHangingStore gives up on a write that takes effect later.
-func TestHangingStore(t *testing.T) {
+// TestHangingStoreTimesOut checks that a write which times out has an unknown outcome,
+// because it takes effect once the store continues.
+func TestHangingStoreTimesOut(t *testing.T) {
 	ctx := testContext(t)
 	process := startStore(t, kvstore.Config{})
-	client := open(t, etcd.Config{Endpoints: []string{process.Address()}, RequestTimeout: shortTimeout})
+	client := newClient(t, etcd.Config{Endpoints: []string{process.Address()}, RequestTimeout: shortTimeout})
 	control(t, process, outage(kvstore.OutageHang))
 	_, err := client.Get(ctx, "a")
 	assert.ErrorIs(t, err, store.ErrUnavailable)
@@ -164,9 +165,9 @@
 	assert.ErrorIs(t, err, store.ErrUnknownOutcome)
 	assert.Assert(t, !errors.Is(err, context.DeadlineExceeded))
 
-	short, cancel := context.WithTimeout(ctx, shortTimeout/4)
+	shortCtx, cancel := context.WithTimeout(ctx, shortTimeout/4)
 	defer cancel()
-	_, err = client.CompareAndSwap(short, "b", 0, nil, store.NoLease)
+	_, err = client.CompareAndSwap(shortCtx, "b", 0, nil, store.NoLease)
 	assert.ErrorIs(t, err, store.ErrUnknownOutcome)
 	assert.ErrorIs(t, err, context.DeadlineExceeded)
 
@@ -178,29 +179,29 @@
 		}
 		assert.Equal(t, string(entry.Value), "late")
 		return poll.Success()
-	}, poll.WithTimeout(patience), poll.WithDelay(progressInterval))
+	}, poll.WithTimeout(testTimeout), poll.WithDelay(progressInterval))
 }
 
 func TestFailOver(t *testing.T) {
 	ctx := testContext(t)
-	dead := startStore(t, kvstore.Config{})
-	control(t, dead, outage(kvstore.OutageRefuse))
+	refusing := startStore(t, kvstore.Config{})
+	control(t, refusing, outage(kvstore.OutageRefuse))
 	hanging := startStore(t, kvstore.Config{})
 	control(t, hanging, outage(kvstore.OutageHang))
 	healthy := startStore(t, kvstore.Config{})
 	config := etcd.Config{RequestTimeout: shortTimeout}
 
-	config.Endpoints = []string{dead.Address(), healthy.Address()}
-	client := open(t, config)
+	config.Endpoints = []string{refusing.Address(), healthy.Address()}
+	client := newClient(t, config)
 	_, err := client.CompareAndSwap(ctx, "a", 0, nil, store.NoLease)
 	assert.NilError(t, err)
 
 	config.Endpoints = []string{hanging.Address(), healthy.Address()}
-	client = open(t, config)
+	client = newClient(t, config)
 	_, err = client.Get(ctx, "a")
 	assert.NilError(t, err)
 
-	client = open(t, config)
+	client = newClient(t, config)
 	_, err = client.CompareAndSwap(ctx, "b", 0, nil, store.NoLease)
 	assert.ErrorIs(t, err, store.ErrUnknownOutcome)
 	_, err = client.Get(ctx, "b")
@@ -210,7 +211,7 @@
 func TestStoreRateLimit(t *testing.T) {
 	ctx := testContext(t)
 	process := startStore(t, kvstore.Config{RequestsPerSecond: 0.1, Burst: 1})
-	client := open(t, etcd.Config{Endpoints: []string{process.Address()}, RequestTimeout: shortTimeout})
+	client := newClient(t, etcd.Config{Endpoints: []string{process.Address()}, RequestTimeout: shortTimeout})
 	_, err := client.CompareAndSwap(ctx, "a", 0, nil, store.NoLease)
 	assert.NilError(t, err)
 	_, err = client.CompareAndSwap(ctx, "b", 0, nil, store.NoLease)
@@ -218,14 +219,14 @@
 	_, err = client.Get(ctx, "a")
 	assert.ErrorIs(t, err, store.ErrRateLimited)
 	status := process.Status()
-	assert.Equal(t, status.RateLimited, int64(1), "the client must pause after the refusal")
+	assert.Equal(t, status.RateLimited, int64(1), "the client must pause after a 429 response")
 	assert.Equal(t, status.Writes, int64(1))
 }
 
-func TestClientKeepsItsPace(t *testing.T) {
+func TestClientStaysWithinRate(t *testing.T) {
 	ctx := testContext(t)
 	process := startStore(t, kvstore.Config{RequestsPerSecond: 100, Burst: 10})
-	client := open(t, etcd.Config{Endpoints: []string{process.Address()}, RequestsPerSecond: 80, Burst: 1})
+	client := newClient(t, etcd.Config{Endpoints: []string{process.Address()}, RequestsPerSecond: 80, Burst: 1})
 	for range 40 {
 		_, err := client.Get(ctx, "a")
 		assert.ErrorIs(t, err, store.ErrNotFound)
@@ -233,10 +234,10 @@
 	assert.Equal(t, process.Status().RateLimited, int64(0))
 }
 
-func TestClientRefusesWhatItCannotSendInTime(t *testing.T) {
+func TestClientRejectsRequestsDelayedBeyondTimeout(t *testing.T) {
 	ctx := testContext(t)
 	process := startStore(t, kvstore.Config{})
-	client := open(t, etcd.Config{
+	client := newClient(t, etcd.Config{
 		Endpoints:         []string{process.Address()},
 		RequestsPerSecond: 0.1,
 		Burst:             1,
--- a/internal/store/etcd/keys.go
+++ b/internal/store/etcd/keys.go
@@ -14,7 +14,7 @@
 // maxListEntries bounds the entries of one list.
 const maxListEntries = 100_000
 
-// errNoRevision means that an answer lacks the revision; it is not believed.
+// errNoRevision means that a response has no revision and is therefore invalid.
 var errNoRevision = errors.New("answer has no revision")
 
 // Get implements store.Store.
@@ -26,16 +26,16 @@
 	if len(response.KVs) == 0 {
 		return store.Entry{}, wrap("get", c.endpoint(), store.ErrNotFound)
 	}
-	return entryOf(response.KVs[0]), nil
+	return toEntry(response.KVs[0]), nil
 }
 
 // List implements store.Store. It reads in pages, all at the revision of the
-// first; store.ErrCompacted means that this revision was forgotten meanwhile.
+// first page; store.ErrCompacted means that this revision was compacted meanwhile.
 func (c *Client) List(ctx context.Context, prefix string) (store.Snapshot, error) {
-	span := keyspan.Prefix(prefix)
+	keys := keyspan.Prefix(prefix)
 	request := wire.RangeRequest{
-		Key:      []byte(span.From),
-		RangeEnd: []byte(span.End),
+		Key:      []byte(keys.From),
+		RangeEnd: []byte(keys.End),
 		Limit:    wire.Int64(c.config.PageEntries),
 	}
 	var snapshot store.Snapshot
@@ -48,20 +48,20 @@
 			snapshot.Revision = store.Revision(page.Header.Revision)
 			request.Revision = page.Header.Revision
 		}
-		for _, found := range page.KVs {
-			snapshot.Entries = append(snapshot.Entries, entryOf(found))
+		for _, kv := range page.KVs {
+			snapshot.Entries = append(snapshot.Entries, toEntry(kv))
 		}
 		if !page.More || len(page.KVs) == 0 {
 			return snapshot, nil
 		}
 		if len(snapshot.Entries) > maxListEntries {
-			return store.Snapshot{}, wrap("list", c.endpoint(), fmt.Errorf("%w: more than %d entries", errRefused, maxListEntries))
+			return store.Snapshot{}, wrap("list", c.endpoint(), fmt.Errorf("%w: more than %d entries", errRejected, maxListEntries))
 		}
-		request.Key = keyAfter(page.KVs[len(page.KVs)-1].Key)
+		request.Key = nextKey(page.KVs[len(page.KVs)-1].Key)
 	}
 }
 
-func keyAfter(key []byte) []byte {
+func nextKey(key []byte) []byte {
 	return append(key[:len(key):len(key)], 0)
 }
 
@@ -72,7 +72,7 @@
 		if err := json.Unmarshal(body, &response); err != nil {
 			return err
 		}
-		return requireRevision(response.Header)
+		return checkRevision(response.Header)
 	}})
 	return response, err
 }
@@ -94,15 +94,15 @@
 
 func compare(key string, expected store.Revision) wire.Compare {
 	revision := wire.Int64(expected)
-	comparison := wire.Compare{Result: wire.CompareEqual, Key: []byte(key)}
+	condition := wire.Compare{Result: wire.CompareEqual, Key: []byte(key)}
 	if expected == 0 {
-		comparison.Target = wire.TargetCreate
-		comparison.CreateRevision = &revision
-		return comparison
+		condition.Target = wire.TargetCreate
+		condition.CreateRevision = &revision
+		return condition
 	}
-	comparison.Target = wire.TargetMod
-	comparison.ModRevision = &revision
-	return comparison
+	condition.Target = wire.TargetMod
+	condition.ModRevision = &revision
+	return condition
 }
 
 func (c *Client) transact(ctx context.Context, step string, condition wire.Compare, operation wire.RequestOp) (store.Revision, error) {
@@ -113,7 +113,7 @@
 		if err := json.Unmarshal(body, &response); err != nil {
 			return err
 		}
-		if err := requireRevision(response.Header); err != nil {
+		if err := checkRevision(response.Header); err != nil {
 			return err
 		}
 		if !response.Succeeded {
@@ -125,13 +125,13 @@
 	return revision, err
 }
 
-func requireRevision(header wire.Header) error {
+func checkRevision(header wire.Header) error {
 	if header.Revision <= 0 {
 		return errNoRevision
 	}
 	return nil
 }
 
-func entryOf(found wire.KeyValue) store.Entry {
-	return store.Entry{Key: string(found.Key), Value: found.Value, Revision: store.Revision(found.ModRevision), Lease: store.LeaseID{Number: int64(found.Lease)}}
+func toEntry(kv wire.KeyValue) store.Entry {
+	return store.Entry{Key: string(kv.Key), Value: kv.Value, Revision: store.Revision(kv.ModRevision), Lease: store.LeaseID{Number: int64(kv.Lease)}}
 }
--- a/internal/store/etcd/keyspan/keyspan.go
+++ b/internal/store/etcd/keyspan/keyspan.go
@@ -1,11 +1,11 @@
-// Package keyspan has the half-open intervals of keys that the etcd v3 API uses.
+// Package keyspan implements the half-open key intervals of the etcd v3 API.
 package keyspan
 
-// endOfKeys as the end of a span means that the span has no upper bound.
-const endOfKeys = "\x00"
+// unboundedEnd is the End of a span without an upper bound.
+const unboundedEnd = "\x00"
 
-// Span is a half-open interval of keys as etcd writes it: an empty End is the
-// single key From, an End of one zero byte is every key from From on.
+// Span is a half-open interval of keys in etcd's encoding: with an empty End it
+// contains only the key From, with an End of one zero byte every key from From on.
 type Span struct {
 	From string
 	End  string
@@ -14,7 +14,7 @@
 // Prefix returns the span of all keys that have the prefix.
 func Prefix(prefix string) Span {
 	if prefix == "" {
-		return Span{From: endOfKeys, End: endOfKeys}
+		return Span{From: unboundedEnd, End: unboundedEnd}
 	}
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
@@ -23,7 +23,7 @@
 			return Span{From: prefix, End: string(end[:i+1])}
 		}
 	}
-	return Span{From: prefix, End: endOfKeys}
+	return Span{From: prefix, End: unboundedEnd}
 }
 
 // Contains reports whether the key lies in the span.
@@ -31,7 +31,7 @@
 	switch s.End {
 	case "":
 		return key == s.From
-	case endOfKeys:
+	case unboundedEnd:
 		return key >= s.From
 	default:
 		return key >= s.From && key < s.End
--- a/internal/store/etcd/leases.go
+++ b/internal/store/etcd/leases.go
@@ -11,11 +11,11 @@
 	"github.com/lugspur/lugspur/internal/store/etcd/wire"
 )
 
-var errNoLease = errors.New("answer has no lease")
+var errNoLeaseID = errors.New("answer has no lease")
 
 // GrantLease implements store.Store. Durations are rounded up to whole
-// seconds. After store.ErrUnknownOutcome a lease that nobody knows may exist;
-// it ends by itself.
+// seconds. After store.ErrUnknownOutcome a lease without a holder may exist; it
+// expires on its own.
 func (c *Client) GrantLease(ctx context.Context, duration time.Duration) (store.LeaseID, error) {
 	seconds := max((duration+time.Second-1)/time.Second, 1)
 	request := wire.LeaseGrantRequest{TTL: wire.Int64(seconds)}
@@ -26,7 +26,7 @@
 			return err
 		}
 		if response.ID == 0 {
-			return errNoLease
+			return errNoLeaseID
 		}
 		lease = store.LeaseID{Number: int64(response.ID)}
 		return nil
@@ -34,11 +34,11 @@
 	return lease, err
 }
 
-// RenewLease implements store.Store. The time left counts from some moment
-// during the call, in whole seconds.
+// RenewLease implements store.Store. The remaining time is in whole seconds and
+// starts at some moment during the call.
 func (c *Client) RenewLease(ctx context.Context, lease store.LeaseID) (time.Duration, error) {
 	request := wire.LeaseRequest{ID: wire.Int64(lease.Number)}
-	var left time.Duration
+	var remaining time.Duration
 	err := c.do(ctx, call{step: "renew-lease", path: wire.PathLeaseRenew, write: true, request: request, decode: func(body []byte) error {
 		var message wire.LeaseRenewMessage
 		if err := json.NewDecoder(bytes.NewReader(body)).Decode(&message); err != nil {
@@ -50,10 +50,10 @@
 		if message.Result.TTL <= 0 {
 			return store.ErrLeaseLost
 		}
-		left = time.Duration(message.Result.TTL) * time.Second
+		remaining = time.Duration(message.Result.TTL) * time.Second
 		return nil
 	}})
-	return left, err
+	return remaining, err
 }
 
 // RevokeLease implements store.Store.
--- a/internal/store/etcd/pace/pace.go
+++ b/internal/store/etcd/pace/pace.go
@@ -1,4 +1,4 @@
-// Package pace spaces requests in time with a token bucket.
+// Package pace limits the rate of requests with a token bucket.
 package pace
 
 import (
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// Bucket is a token bucket whose tokens can be taken in advance: each taker
-// learns how long to wait for its token. It is safe for concurrent use.
+// Bucket is a token bucket whose tokens can be reserved in advance: a reservation
+// returns how long to wait for its token. It is safe for concurrent use.
 type Bucket struct {
 	interval time.Duration
 	burst    time.Duration
 
 	mu sync.Mutex
-	// next is the time at which the bucket's next token is due, had none been
-	// saved up.
-	next time.Time
-	// pausedUntil is the time before which no token is given.
+	// nextToken is the time at which the next token would be due without a burst
+	// allowance.
+	nextToken time.Time
+	// pausedUntil is the time before which no token becomes usable.
 	pausedUntil time.Time
 }
 
-// NewBucket returns a full bucket with so many tokens a second that saves up
-// at most burst tokens (at least one). A rate of zero or less does not limit.
-func NewBucket(perSecond float64, burst int) *Bucket {
-	if perSecond <= 0 {
+// NewBucket returns a full bucket that gains rate tokens per second and holds at
+// most burst tokens, at least one. A rate of zero or less means no limit.
+func NewBucket(rate float64, burst int) *Bucket {
+	if rate <= 0 {
 		return &Bucket{}
 	}
-	interval := time.Duration(float64(time.Second) / perSecond)
+	interval := time.Duration(float64(time.Second) / rate)
 	return &Bucket{interval: interval, burst: interval * time.Duration(max(burst, 1)-1)}
 }
 
-// Take takes a token and returns how long to wait before it may be used. When
-// that is longer than limit, no token is taken, ok is false and the wait is
-// the time until a token will be free.
-func (b *Bucket) Take(now time.Time, limit time.Duration) (wait time.Duration, ok bool) {
+// Take reserves a token and returns how long to wait before it may be used. If
+// that is longer than maxWait, no token is reserved, ok is false and wait is the time
+// until a token will be available.
+func (b *Bucket) Take(now time.Time, maxWait time.Duration) (wait time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	due := b.next
+	due := b.nextToken
 	if b.interval == 0 {
-		// Without a rate only a pause holds anyone back: takers' clock readings
-		// may come in another order than the takers.
+		// Without a rate only a pause delays a caller. nextToken must not, since
+		// concurrent callers may arrive in another order than they read the clock.
 		due = now
 	}
 	if earliest := now.Add(-b.burst); due.Before(earliest) {
@@ -49,14 +49,14 @@
 		due = b.pausedUntil
 	}
 	wait = max(due.Sub(now), 0)
-	if wait > limit {
+	if wait > maxWait {
 		return wait, false
 	}
-	b.next = due.Add(b.interval)
+	b.nextToken = due.Add(b.interval)
 	return wait, true
 }
 
-// Pause gives no token before the given time.
+// Pause makes all tokens reserved from now on usable only from the given time.
 func (b *Bucket) Pause(until time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/store/etcd/pace/pace_test.go
+++ b/internal/store/etcd/pace/pace_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func TestBucketGivesBurstThenRate(t *testing.T) {
+func TestBucketAllowsBurstThenRate(t *testing.T) {
 	bucket := pace.NewBucket(10, 3)
 	for range 3 {
 		wait, ok := bucket.Take(start, 0)
@@ -31,13 +31,13 @@
 
 func TestBucketNeverExceedsRateOverTime(t *testing.T) {
 	bucket := pace.NewBucket(5, 2)
-	taken := 0
+	reserved := 0
 	for elapsed := time.Duration(0); elapsed < 10*time.Second; elapsed += 10 * time.Millisecond {
 		if _, ok := bucket.Take(start.Add(elapsed), 0); ok {
-			taken++
+			reserved++
 		}
 	}
-	assert.Assert(t, taken >= 50 && taken <= 51, "taken %d", taken)
+	assert.Assert(t, reserved >= 50 && reserved <= 51, "reserved %d", reserved)
 }
 
 func TestBucketPauses(t *testing.T) {
@@ -55,7 +55,7 @@
 		_, ok := bucket.Take(start, 0)
 		assert.Assert(t, ok)
 	}
-	// A taker that read the clock before another one, and comes after it.
+	// A caller that read the clock before another one but arrives after it.
 	_, ok := bucket.Take(start.Add(-time.Microsecond), 0)
 	assert.Assert(t, ok)
 	bucket.Pause(start.Add(time.Second))
--- a/internal/store/etcd/watch.go
+++ b/internal/store/etcd/watch.go
@@ -22,19 +22,19 @@
 )
 
 var (
-	errWatchSilent = errors.New("nothing received for too long")
-	errClosed      = errors.New("client closed")
+	errWatchIdle = errors.New("nothing received for too long")
+	errClosed    = errors.New("client closed")
 )
 
 // Watch implements store.Store. It returns store.ErrUnavailable when the
-// connection is lost or silent; the caller watches again from the last
-// progress. The batches that the service sends hold whole revisions, so the
-// progress of a batch is the revision of its last entry.
+// connection is lost or idle for too long; the caller watches again from the last
+// progress. The service never splits a revision between batches, so the progress
+// of a batch is the revision of its last entry.
 func (c *Client) Watch(ctx context.Context, prefix string, after store.Revision, handler func([]store.Entry, store.Revision)) error {
-	span := keyspan.Prefix(prefix)
+	keys := keyspan.Prefix(prefix)
 	payload, err := json.Marshal(wire.WatchRequest{Create: wire.WatchCreateRequest{
-		Key:            []byte(span.From),
-		RangeEnd:       []byte(span.End),
+		Key:            []byte(keys.From),
+		RangeEnd:       []byte(keys.End),
 		StartRevision:  wire.Int64(after + 1),
 		ProgressNotify: true,
 	}})
@@ -42,86 +42,86 @@
 		return wrap(watchStep, c.endpoint(), err)
 	}
 	stream := &watchStream{client: c, handler: handler, progress: after}
-	var last verdict
+	var result attemptResult
 	for range c.config.Endpoints {
 		endpoint := c.endpoint()
-		last = stream.attempt(ctx, endpoint, payload)
-		last.err = wrap(watchStep, endpoint, last.err)
-		if last.leave {
-			c.leave(endpoint)
+		result = stream.attempt(ctx, endpoint, payload)
+		result.err = wrap(watchStep, endpoint, result.err)
+		if result.failOver {
+			c.failOver(endpoint)
 		}
-		if !last.again || c.usable(ctx) != nil {
+		if !result.retry || c.checkUsable(ctx) != nil {
 			break
 		}
 	}
-	return last.err
+	return result.err
 }
 
-// watchStream reads one watch.
+// watchStream reads the messages of one watch.
 type watchStream struct {
 	client   *Client
 	handler  func([]store.Entry, store.Revision)
 	progress store.Revision
-	// silence ends the stream when it is not reset in time. It does not run
-	// while the handler does.
-	silence *time.Timer
+	// idleTimer ends the stream when it expires. It is stopped while the handler
+	// runs.
+	idleTimer *time.Timer
 }
 
-// attempt opens the watch at one endpoint and reads it to its end. Only a
-// watch that was not opened may go to the next endpoint at once.
-func (w *watchStream) attempt(ctx context.Context, endpoint string, payload []byte) verdict {
-	if err := w.client.awaitTurn(ctx); err != nil {
-		return verdict{err: err}
+// attempt opens the watch at one endpoint and reads it to its end. Only a watch
+// that could not be opened may be retried at the next endpoint at once.
+func (w *watchStream) attempt(ctx context.Context, endpoint string, payload []byte) attemptResult {
+	if err := w.client.waitForRateLimit(ctx); err != nil {
+		return attemptResult{err: err}
 	}
 	streamContext, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	defer context.AfterFunc(w.client.lifetime, func() { cancel(errClosed) })()
-	w.silence = time.AfterFunc(w.client.config.RequestTimeout, func() { cancel(errWatchSilent) })
-	defer w.silence.Stop()
+	defer context.AfterFunc(w.client.ctx, func() { cancel(errClosed) })()
+	w.idleTimer = time.AfterFunc(w.client.config.RequestTimeout, func() { cancel(errWatchIdle) })
+	defer w.idleTimer.Stop()
 
 	response, _, err := w.client.send(streamContext, endpoint, wire.PathWatch, payload)
 	if err != nil {
-		return w.interrupted(ctx, streamContext, err, true)
+		return w.streamError(ctx, streamContext, err, true)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return w.refused(ctx, response)
+		return w.statusResult(ctx, response)
 	}
 	err = w.read(response.Body)
-	if isOutcome(err) {
-		return verdict{err: err}
+	if isDefiniteOutcome(err) {
+		return attemptResult{err: err}
 	}
-	return w.interrupted(ctx, streamContext, err, false)
+	return w.streamError(ctx, streamContext, err, false)
 }
 
-func (w *watchStream) interrupted(ctx, streamContext context.Context, err error, again bool) verdict {
+func (w *watchStream) streamError(ctx, streamContext context.Context, err error, retry bool) attemptResult {
 	if cause := context.Cause(streamContext); cause != nil && ctx.Err() == nil {
 		err = cause
 	}
-	return verdict{err: becauseOf(ctx, store.ErrUnavailable, err), leave: ctx.Err() == nil, again: again}
+	return attemptResult{err: withCause(ctx, store.ErrUnavailable, err), failOver: ctx.Err() == nil, retry: retry}
 }
 
-func (w *watchStream) refused(ctx context.Context, response *http.Response) verdict {
+func (w *watchStream) statusResult(ctx context.Context, response *http.Response) attemptResult {
 	body, err := w.client.readBody(response.Body)
 	if err != nil {
-		return verdict{err: becauseOf(ctx, store.ErrUnavailable, err), leave: true, again: true}
+		return attemptResult{err: withCause(ctx, store.ErrUnavailable, err), failOver: true, retry: true}
 	}
-	answer := reply{status: response.StatusCode, header: response.Header, body: body}
-	return w.client.refusal(call{step: watchStep}, answer)
+	raw := rawResponse{status: response.StatusCode, header: response.Header, body: body}
+	return w.client.classifyStatus(call{step: watchStep}, raw)
 }
 
-// read handles messages, one a line, until the stream ends; it always returns
+// read handles messages, one per line, until the stream ends. It always returns
 // an error.
 func (w *watchStream) read(body io.Reader) error {
 	lines := bufio.NewScanner(body)
 	limit := w.client.config.MaxResponseBytes
 	lines.Buffer(make([]byte, 0, min(watchBufferBytes, limit)), limit)
 	for lines.Scan() {
-		w.silence.Stop()
+		w.idleTimer.Stop()
 		if err := w.handleLine(lines.Bytes()); err != nil {
 			return err
 		}
-		w.silence.Reset(w.client.config.WatchIdleTimeout)
+		w.idleTimer.Reset(w.client.config.WatchIdleTimeout)
 	}
 	if err := lines.Err(); err != nil {
 		return err
@@ -137,22 +137,22 @@
 	if err := json.Unmarshal(line, &message); err != nil {
 		return err
 	}
-	return w.handle(message)
+	return w.handleMessage(message)
 }
 
-func (w *watchStream) handle(message wire.WatchMessage) error {
+func (w *watchStream) handleMessage(message wire.WatchMessage) error {
 	if message.Error != nil {
-		return ended(message.Error.Message)
+		return cancelError(message.Error.Message)
 	}
 	response := message.Result
 	if response.CompactRevision > 0 {
 		return fmt.Errorf("%w: up to %d", store.ErrCompacted, response.CompactRevision)
 	}
 	if response.Canceled {
-		return ended(response.CancelReason)
+		return cancelError(response.CancelReason)
 	}
 	if len(response.Events) > 0 {
-		w.deliver(response.Events)
+		w.deliverEvents(response.Events)
 		return nil
 	}
 	if revision := store.Revision(response.Header.Revision); !response.Created && revision >= w.progress {
@@ -162,17 +162,17 @@
 	return nil
 }
 
-func ended(reason string) error {
+func cancelError(reason string) error {
 	if reason == wire.MessageCompacted {
 		return store.ErrCompacted
 	}
 	return errors.New("watch canceled: " + reason)
 }
 
-func (w *watchStream) deliver(events []wire.Event) {
+func (w *watchStream) deliverEvents(events []wire.Event) {
 	batch := make([]store.Entry, 0, len(events))
 	for _, event := range events {
-		entry := entryOf(event.KV)
+		entry := toEntry(event.KV)
 		entry.Deleted = event.Type == wire.EventDelete
 		batch = append(batch, entry)
 	}
--- a/internal/store/etcd/watch_test.go
+++ b/internal/store/etcd/watch_test.go
@@ -15,17 +15,18 @@
 	"github.com/lugspur/lugspur/lab/kvstore"
 )
 
-// follow watches again from the last progress until it has seen the revision.
-func follow(ctx context.Context, client *etcd.Client, until <-chan store.Revision) (seen []store.Entry, cuts int, err error) {
+// watchUntil watches, and after each interruption watches again from the last progress,
+// until the progress reaches the revision sent on lastRevision.
+func watchUntil(ctx context.Context, client *etcd.Client, lastRevision <-chan store.Revision) (received []store.Entry, cuts int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var progress, last store.Revision
 	for {
 		err := client.Watch(ctx, "w/", progress, func(batch []store.Entry, revision store.Revision) {
-			seen = append(seen, batch...)
+			received = append(received, batch...)
 			progress = revision
 			select {
-			case last = <-until:
+			case last = <-lastRevision:
 			default:
 			}
 			if last != 0 && progress >= last {
@@ -33,33 +34,33 @@
 			}
 		})
 		if ctx.Err() != nil && last != 0 && progress >= last {
-			return seen, cuts, nil
+			return received, cuts, nil
 		}
 		if !errors.Is(err, store.ErrUnavailable) || ctx.Err() != nil {
-			return seen, cuts, err
+			return received, cuts, err
 		}
 		cuts++
 	}
 }
 
-// TestCutWatchResumes cuts watches while keys are written: the follower must
-// see each change once and in order.
-func TestCutWatchResumes(t *testing.T) {
+// TestInterruptedWatchResumes interrupts watches while keys are written: each change
+// must be delivered once and in order.
+func TestInterruptedWatchResumes(t *testing.T) {
 	ctx := testContext(t)
 	process := startStore(t, kvstore.Config{})
-	client := open(t, etcd.Config{Endpoints: []string{process.Address()}})
-	until := make(chan store.Revision, 1)
-	var want []store.Entry
-	written := make(chan error, 1)
+	client := newClient(t, etcd.Config{Endpoints: []string{process.Address()}})
+	lastRevision := make(chan store.Revision, 1)
+	var expected []store.Entry
+	writeErr := make(chan error, 1)
 	go func() {
-		written <- writeAndCut(ctx, client, process, func(entry store.Entry) { want = append(want, entry) })
-		until <- want[len(want)-1].Revision
+		writeErr <- writeAndCut(ctx, client, process, func(entry store.Entry) { expected = append(expected, entry) })
+		lastRevision <- expected[len(expected)-1].Revision
 	}()
-	seen, cuts, err := follow(ctx, client, until)
+	received, cuts, err := watchUntil(ctx, client, lastRevision)
 	assert.NilError(t, err)
-	assert.NilError(t, <-written)
+	assert.NilError(t, <-writeErr)
 	assert.Assert(t, cuts > 0)
-	assert.DeepEqual(t, seen, want)
+	assert.DeepEqual(t, received, expected)
 }
 
 func writeAndCut(ctx context.Context, client *etcd.Client, process *kvstore.Process, record func(store.Entry)) error {
@@ -85,7 +86,7 @@
 	return nil
 }
 
-// cutOpenWatch waits until a watch is open, so that the cut hits one.
+// cutOpenWatch waits until a watch is open and interrupts it.
 func cutOpenWatch(ctx context.Context, process *kvstore.Process) error {
 	for process.Status().OpenWatches == 0 {
 		if err := ctx.Err(); err != nil {
@@ -96,36 +97,38 @@
 	return process.Control(kvstore.ControlRequest{CutWatches: true})
 }
 
-// TestSilentWatchEnds hangs the store below an open watch.
-func TestSilentWatchEnds(t *testing.T) {
+// TestIdleWatchTimesOut makes the store hang while a watch is open; the watch must end
+// with the idle timeout.
+func TestIdleWatchTimesOut(t *testing.T) {
 	ctx := testContext(t)
 	process := startStore(t, kvstore.Config{})
-	client := open(t, etcd.Config{Endpoints: []string{process.Address()}, WatchIdleTimeout: shortTimeout})
-	ended := make(chan error, 1)
+	client := newClient(t, etcd.Config{Endpoints: []string{process.Address()}, WatchIdleTimeout: shortTimeout})
+	watchErr := make(chan error, 1)
 	go func() {
-		ended <- client.Watch(ctx, "w/", 0, func([]store.Entry, store.Revision) {})
+		watchErr <- client.Watch(ctx, "w/", 0, func([]store.Entry, store.Revision) {})
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if process.Status().OpenWatches == 1 {
 			return poll.Success()
 		}
-		return poll.Continue("no watch yet")
-	}, poll.WithTimeout(patience), poll.WithDelay(progressInterval))
+		return poll.Continue("no watch is open")
+	}, poll.WithTimeout(testTimeout), poll.WithDelay(progressInterval))
 	control(t, process, outage(kvstore.OutageHang))
-	err := <-ended
+	err := <-watchErr
 	assert.ErrorIs(t, err, store.ErrUnavailable)
 	assert.ErrorContains(t, err, "nothing received")
 	assert.NilError(t, ctx.Err())
 }
 
-// TestWatchOpensElsewhere finds the endpoint that works.
-func TestWatchOpensElsewhere(t *testing.T) {
+// TestWatchOpensAtNextEndpoint checks that a watch is opened at the second endpoint when
+// the first hangs.
+func TestWatchOpensAtNextEndpoint(t *testing.T) {
 	ctx, cancel := context.WithCancel(testContext(t))
 	defer cancel()
 	hanging := startStore(t, kvstore.Config{})
 	control(t, hanging, outage(kvstore.OutageHang))
 	healthy := startStore(t, kvstore.Config{})
-	client := open(t, etcd.Config{
+	client := newClient(t, etcd.Config{
 		Endpoints:      []string{hanging.Address(), healthy.Address()},
 		RequestTimeout: shortTimeout,
 	})
--- a/internal/store/etcd/wire/wire.go
+++ b/internal/store/etcd/wire/wire.go
@@ -1,6 +1,6 @@
-// Package wire has the messages of the JSON-over-HTTP form of the etcd v3 API,
-// as far as lugspur uses it. Keys and values are base64 strings and 64-bit
-// integers are decimal strings; requests may carry plain numbers as well.
+// Package wire defines the messages of the JSON-over-HTTP form of the etcd v3
+// API that lugspur uses. Keys and values are base64 strings and 64-bit integers
+// are decimal strings; requests may contain JSON numbers as well.
 package wire
 
 import (
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// Paths of the API. All are requested with POST.
+// Paths of the API. All take POST requests.
 const (
 	PathRange       = "/v3/kv/range"
 	PathPut         = "/v3/kv/put"
@@ -22,15 +22,15 @@
 	PathLeaseRevoke = "/v3/lease/revoke"
 )
 
-// Int64 is a 64-bit integer that is written as a string.
+// Int64 is a 64-bit integer that is encoded as a string.
 type Int64 int64
 
-// MarshalJSON writes the number as a decimal string.
+// MarshalJSON encodes the number as a decimal string.
 func (i Int64) MarshalJSON() ([]byte, error) {
 	return strconv.AppendQuote(nil, strconv.FormatInt(int64(i), 10)), nil
 }
 
-// UnmarshalJSON reads a decimal string or a number.
+// UnmarshalJSON decodes a decimal string or a JSON number.
 func (i *Int64) UnmarshalJSON(data []byte) error {
 	if bytes.Equal(data, []byte("null")) {
 		return nil
@@ -49,12 +49,12 @@
 	return nil
 }
 
-// Header starts every answer.
+// Header is part of every response.
 type Header struct {
 	Revision Int64 `json:"revision,omitempty"`
 }
 
-// KeyValue is a key as last written.
+// KeyValue is a key with its value and the revisions of its writes.
 type KeyValue struct {
 	Key            []byte `json:"key,omitempty"`
 	CreateRevision Int64  `json:"create_revision,omitempty"`
@@ -64,7 +64,7 @@
 	Lease          Int64  `json:"lease,omitempty"`
 }
 
-// RangeRequest asks for a key or for a span of keys.
+// RangeRequest reads a key or a span of keys.
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
@@ -72,7 +72,7 @@
 	Revision Int64  `json:"revision,omitempty"`
 }
 
-// RangeResponse answers RangeRequest.
+// RangeResponse is the response to RangeRequest.
 type RangeResponse struct {
 	Header Header     `json:"header"`
 	KVs    []KeyValue `json:"kvs,omitempty"`
@@ -87,7 +87,7 @@
 	Lease Int64  `json:"lease,omitempty"`
 }
 
-// PutResponse answers PutRequest.
+// PutResponse is the response to PutRequest.
 type PutResponse struct {
 	Header Header `json:"header"`
 }
@@ -98,7 +98,7 @@
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// DeleteRangeResponse answers DeleteRangeRequest.
+// DeleteRangeResponse is the response to DeleteRangeRequest.
 type DeleteRangeResponse struct {
 	Header  Header `json:"header"`
 	Deleted Int64  `json:"deleted,omitempty"`
@@ -122,7 +122,7 @@
 	Version        *Int64 `json:"version,omitempty"`
 }
 
-// RequestOp is one operation of a transaction; one field is set.
+// RequestOp is one operation of a transaction; exactly one field is set.
 type RequestOp struct {
 	Put         *PutRequest         `json:"request_put,omitempty"`
 	DeleteRange *DeleteRangeRequest `json:"request_delete_range,omitempty"`
@@ -135,25 +135,25 @@
 	Failure []RequestOp `json:"failure,omitempty"`
 }
 
-// ResponseOp answers RequestOp.
+// ResponseOp is the response to RequestOp.
 type ResponseOp struct {
 	Put         *PutResponse         `json:"response_put,omitempty"`
 	DeleteRange *DeleteRangeResponse `json:"response_delete_range,omitempty"`
 }
 
-// TxnResponse answers TxnRequest.
+// TxnResponse is the response to TxnRequest.
 type TxnResponse struct {
 	Header    Header       `json:"header"`
 	Succeeded bool         `json:"succeeded,omitempty"`
 	Responses []ResponseOp `json:"responses,omitempty"`
 }
 
-// CompactRequest forgets the history up to a revision.
+// CompactRequest discards the history up to a revision.
 type CompactRequest struct {
 	Revision Int64 `json:"revision"`
 }
 
-// CompactResponse answers CompactRequest.
+// CompactResponse is the response to CompactRequest.
 type CompactResponse struct {
 	Header Header `json:"header"`
 }
@@ -164,32 +164,32 @@
 	ID  Int64 `json:"ID,omitempty"`
 }
 
-// LeaseGrantResponse answers LeaseGrantRequest; TTL is in seconds.
+// LeaseGrantResponse is the response to LeaseGrantRequest; TTL is in seconds.
 type LeaseGrantResponse struct {
 	Header Header `json:"header"`
 	ID     Int64  `json:"ID,omitempty"`
 	TTL    Int64  `json:"TTL,omitempty"`
 }
 
-// LeaseRequest names a lease to renew or to revoke.
+// LeaseRequest renews or revokes a lease, depending on the path.
 type LeaseRequest struct {
 	ID Int64 `json:"ID"`
 }
 
-// LeaseRenewResponse has the time left in seconds, zero for a lost lease.
+// LeaseRenewResponse has the remaining TTL in seconds, zero for a lost lease.
 type LeaseRenewResponse struct {
 	Header Header `json:"header"`
 	ID     Int64  `json:"ID,omitempty"`
 	TTL    Int64  `json:"TTL,omitempty"`
 }
 
-// LeaseRenewMessage is one message of the renewal's stream of answers.
+// LeaseRenewMessage is one message of the response stream of a renewal.
 type LeaseRenewMessage struct {
 	Result LeaseRenewResponse `json:"result"`
 	Error  *Error             `json:"error,omitempty"`
 }
 
-// LeaseRevokeResponse answers a revocation.
+// LeaseRevokeResponse is the response to a revocation.
 type LeaseRevokeResponse struct {
 	Header Header `json:"header"`
 }
@@ -199,7 +199,7 @@
 	Create WatchCreateRequest `json:"create_request"`
 }
 
-// WatchCreateRequest names the span and the first revision to report.
+// WatchCreateRequest has the span to watch and the first revision to report.
 type WatchCreateRequest struct {
 	Key            []byte `json:"key"`
 	RangeEnd       []byte `json:"range_end,omitempty"`
@@ -213,8 +213,8 @@
 	Error  *Error        `json:"error,omitempty"`
 }
 
-// WatchResponse has events, or is a progress notification when it has neither
-// events nor a flag.
+// WatchResponse has events; with neither events nor a flag it is a progress
+// notification.
 type WatchResponse struct {
 	Header          Header  `json:"header"`
 	Created         bool    `json:"created,omitempty"`
@@ -224,7 +224,7 @@
 	Events          []Event `json:"events,omitempty"`
 }
 
-// EventDelete is the type of a removal; a put has no type.
+// EventDelete is the type of a removal; the type of a put is empty.
 const EventDelete = "DELETE"
 
 // Event is one change.
@@ -233,7 +233,7 @@
 	KV   KeyValue `json:"kv"`
 }
 
-// Codes of refusals, as gRPC numbers them.
+// gRPC status codes of errors.
 const (
 	CodeInvalidArgument   = 3
 	CodeNotFound          = 5
@@ -244,7 +244,7 @@
 	CodeUnavailable       = 14
 )
 
-// Messages of refusals that clients tell apart.
+// Error messages that clients distinguish.
 const (
 	MessageCompacted     = "etcdserver: mvcc: required revision has been compacted"
 	MessageFuture        = "etcdserver: mvcc: required revision is a future revision"
@@ -255,8 +255,8 @@
 	MessageNoSpace       = "etcdserver: mvcc: database space exceeded"
 )
 
-// Error is the body of a refusal. Streams carry it with other field names, so
-// that Code may be zero there.
+// Error is the body of an error response. Errors in streams have other field
+// names, so Code may be zero there.
 type Error struct {
 	Code     int    `json:"code,omitempty"`
 	GRPCCode int    `json:"grpc_code,omitempty"`
