--- a/internal/store/memory/memory.go
+++ b/internal/store/memory/memory.go
@@ -1,5 +1,5 @@
-// Package memory is an embedded store for a node that runs alone, and for
-// tests. Everything is lost when the process ends.
+// Package memory implements store.Store in memory, for a single node and for
+// tests. Its content is lost when the process ends.
 package memory
 
 import (
@@ -18,70 +18,70 @@
 )
 
 const (
-	// watchBatchEvents is the size, in events, of a batch given to a handler.
+	// watchBatchEvents is the approximate number of events in a batch for a handler.
 	watchBatchEvents = 256
-	// leasePollInterval is how often a watch looks for expired leases.
+	// leasePollInterval is how often a watch checks for expired leases.
 	leasePollInterval = 50 * time.Millisecond
 )
 
 // Store implements store.Store. It is safe for concurrent use.
 type Store struct {
-	versions *mvcc.Store
-	epoch    atomic.Uint32
+	engine *mvcc.Store
+	epoch  atomic.Uint32
 }
 
 var _ store.Store = (*Store)(nil)
 
-// New returns an empty store whose leases expire by the given clock.
+// New returns an empty store that measures leases with the given clock.
 func New(now func() time.Time) *Store {
-	return &Store{versions: mvcc.New(mvcc.Config{Now: now})}
+	return &Store{engine: mvcc.New(mvcc.Config{Now: now})}
 }
 
-// Backup is a copy of what the store held at one moment.
+// Backup is a copy of the content of a store at one moment.
 type Backup = mvcc.Backup
 
-// Backup copies what the store holds now.
-func (s *Store) Backup() *Backup { return s.versions.Backup() }
+// Backup copies the current content of the store.
+func (s *Store) Backup() *Backup { return s.engine.Backup() }
 
-// Restore has the store come back from a copy, in the next epoch.
+// Restore replaces the content with a backup and starts the next epoch.
 func (s *Store) Restore(backup *Backup) {
 	s.epoch.Add(1)
-	s.versions.Restore(backup)
+	s.engine.Restore(backup)
 }
 
-// Epoch returns the store's epoch, which begins at zero.
+// Epoch returns the store's epoch, which starts at zero.
 func (s *Store) Epoch() store.Epoch { return store.Epoch(s.epoch.Load()) }
 
 // Newest returns the newest revision.
-func (s *Store) Newest() store.Revision { return s.revision(s.versions.Revision()) }
+func (s *Store) Newest() store.Revision { return s.revision(s.engine.Revision()) }
 
 // Get implements store.Store.
 func (s *Store) Get(ctx context.Context, key string) (store.Entry, error) {
-	if err := alive(ctx, "get"); err != nil {
+	if err := checkContext(ctx, "get"); err != nil {
 		return store.Entry{}, err
 	}
-	view, err := s.versions.Range(keyspan.Span{From: key}, 0)
+	result, err := s.engine.Range(keyspan.Span{From: key}, 0)
 	if err != nil {
-		return store.Entry{}, failure("get", err)
+		return store.Entry{}, wrapError("get", err)
 	}
-	if len(view.Entries) == 0 {
-		return store.Entry{}, failure("get", store.ErrNotFound)
+	if len(result.Entries) == 0 {
+		return store.Entry{}, wrapError("get", store.ErrNotFound)
 	}
-	return s.entryOf(view.Entries[0]), nil
+	return s.toEntry(result.Entries[0]), nil
 }
 
 // List implements store.Store.
 func (s *Store) List(ctx context.Context, prefix string) (store.Snapshot, error) {
-	if err := alive(ctx, "list"); err != nil {
+	if err := checkContext(ctx, "list"); err != nil {
 		return store.Snapshot{}, err
 	}
-	view, err := s.versions.Range(keyspan.Prefix(prefix), 0)
+	result, err := s.engine.Range(keyspan.Prefix(prefix), 0)
 	if err != nil {
-		return store.Snapshot{}, failure("list", err)
+		return store.Snapshot{}, wrapError("list", err)
 	}
-	snapshot := store.Snapshot{Revision: s.revision(view.Current)}
-	for _, found := range view.Entries {
-		snapshot.Entries = append(snapshot.Entries, s.entryOf(found))
+	snapshot := store.Snapshot{Revision: s.revision(result.Current)}
+	for _, kv := range result.Entries {
+		snapshot.Entries = append(snapshot.Entries, s.toEntry(kv))
 	}
 	return snapshot, nil
 }
@@ -89,8 +89,8 @@
 // CompareAndSwap implements store.Store.
 func (s *Store) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
 	const step = "compare-and-swap"
-	if s.lapsed(lease) {
-		return 0, failure(step, store.ErrLeaseLost)
+	if s.fromOtherEpoch(lease) {
+		return 0, wrapError(step, store.ErrLeaseLost)
 	}
 	put := mvcc.Operation{Key: key, Value: value, Lease: mvcc.LeaseID(lease.Number)}
 	return s.commit(ctx, step, key, expected, put)
@@ -99,39 +99,39 @@
 // CompareAndDelete implements store.Store.
 func (s *Store) CompareAndDelete(ctx context.Context, key string, expected store.Revision) (store.Revision, error) {
 	if expected == 0 {
-		return 0, failure("compare-and-delete", store.ErrConflict)
+		return 0, wrapError("compare-and-delete", store.ErrConflict)
 	}
 	remove := mvcc.Operation{Delete: true, Span: keyspan.Span{From: key}}
 	return s.commit(ctx, "compare-and-delete", key, expected, remove)
 }
 
 func (s *Store) commit(ctx context.Context, step, key string, expected store.Revision, operation mvcc.Operation) (store.Revision, error) {
-	if err := alive(ctx, step); err != nil {
+	if err := checkContext(ctx, step); err != nil {
 		return 0, err
 	}
 	if expected != 0 && expected.Epoch() != s.Epoch() {
-		return 0, failure(step, store.ErrConflict)
+		return 0, wrapError(step, store.ErrConflict)
 	}
-	result, err := s.versions.Commit(mvcc.Transaction{
+	result, err := s.engine.Commit(mvcc.Transaction{
 		Compare: []mvcc.Comparison{{Key: key, Field: mvcc.FieldModRevision, Value: expected.Number()}},
 		Success: []mvcc.Operation{operation},
 	})
 	if err != nil {
-		return 0, failure(step, err)
+		return 0, wrapError(step, err)
 	}
 	if !result.Succeeded {
-		return 0, failure(step, store.ErrConflict)
+		return 0, wrapError(step, store.ErrConflict)
 	}
 	return s.revision(result.Revision), nil
 }
 
-// revision returns the revision of a change that the content numbers.
+// revision returns the current epoch's revision for a revision of the engine.
 func (s *Store) revision(number store.Revision) store.Revision {
 	return store.NewRevision(s.Epoch(), int64(number))
 }
 
-// lapsed reports whether a lease is of an earlier epoch.
-func (s *Store) lapsed(lease store.LeaseID) bool {
+// fromOtherEpoch reports whether a lease was granted in another epoch.
+func (s *Store) fromOtherEpoch(lease store.LeaseID) bool {
 	return lease != store.NoLease && lease.Epoch != s.Epoch()
 }
 
@@ -142,18 +142,18 @@
 	defer poll.Stop()
 	for {
 		if ctx.Err() != nil {
-			return failure("watch", ctx.Err())
+			return wrapError("watch", ctx.Err())
 		}
-		changed := s.versions.Changed()
+		changed := s.engine.Changed()
 		if after != 0 && after.Epoch() != s.Epoch() {
-			return failure("watch", store.ErrCompacted)
+			return wrapError("watch", store.ErrCompacted)
 		}
-		batch, err := s.versions.EventsAfter(span, store.Revision(after.Number()), watchBatchEvents)
+		batch, err := s.engine.EventsAfter(span, store.Revision(after.Number()), watchBatchEvents)
 		if err != nil {
-			return failure("watch", err)
+			return wrapError("watch", err)
 		}
 		if through := s.revision(batch.Through); through > after {
-			handler(s.entriesOf(batch.Events), through)
+			handler(s.toEntries(batch.Events), through)
 			after = through
 			continue
 		}
@@ -167,73 +167,73 @@
 
 // GrantLease implements store.Store.
 func (s *Store) GrantLease(ctx context.Context, duration time.Duration) (store.LeaseID, error) {
-	if err := alive(ctx, "grant-lease"); err != nil {
+	if err := checkContext(ctx, "grant-lease"); err != nil {
 		return store.NoLease, err
 	}
-	id, err := s.versions.Grant(duration)
+	id, err := s.engine.Grant(duration)
 	if err != nil {
-		return store.NoLease, failure("grant-lease", err)
+		return store.NoLease, wrapError("grant-lease", err)
 	}
 	return store.LeaseID{Epoch: s.Epoch(), Number: int64(id)}, nil
 }
 
 // RenewLease implements store.Store.
 func (s *Store) RenewLease(ctx context.Context, lease store.LeaseID) (time.Duration, error) {
-	if err := alive(ctx, "renew-lease"); err != nil {
+	if err := checkContext(ctx, "renew-lease"); err != nil {
 		return 0, err
 	}
-	if s.lapsed(lease) {
-		return 0, failure("renew-lease", store.ErrLeaseLost)
+	if s.fromOtherEpoch(lease) {
+		return 0, wrapError("renew-lease", store.ErrLeaseLost)
 	}
-	left, err := s.versions.Renew(mvcc.LeaseID(lease.Number))
+	remaining, err := s.engine.Renew(mvcc.LeaseID(lease.Number))
 	if err != nil {
-		return 0, failure("renew-lease", err)
+		return 0, wrapError("renew-lease", err)
 	}
-	return left, nil
+	return remaining, nil
 }
 
 // RevokeLease implements store.Store.
 func (s *Store) RevokeLease(ctx context.Context, lease store.LeaseID) error {
-	if err := alive(ctx, "revoke-lease"); err != nil {
+	if err := checkContext(ctx, "revoke-lease"); err != nil {
 		return err
 	}
-	if s.lapsed(lease) {
-		return failure("revoke-lease", store.ErrLeaseLost)
+	if s.fromOtherEpoch(lease) {
+		return wrapError("revoke-lease", store.ErrLeaseLost)
 	}
-	if err := s.versions.Revoke(mvcc.LeaseID(lease.Number)); err != nil {
-		return failure("revoke-lease", err)
+	if err := s.engine.Revoke(mvcc.LeaseID(lease.Number)); err != nil {
+		return wrapError("revoke-lease", err)
 	}
 	return nil
 }
 
-func alive(ctx context.Context, step string) error {
+func checkContext(ctx context.Context, step string) error {
 	if err := ctx.Err(); err != nil {
-		return failure(step, fmt.Errorf("%w: %w", store.ErrUnavailable, err))
+		return wrapError(step, fmt.Errorf("%w: %w", store.ErrUnavailable, err))
 	}
 	return nil
 }
 
-func failure(step string, err error) error {
+func wrapError(step string, err error) error {
 	if errors.Is(err, mvcc.ErrNoSpace) {
 		err = fmt.Errorf("%w: %w", store.ErrUnavailable, err)
 	}
 	return oops.In("store").With("step", step).With("peer", "memory").Wrapf(err, "%s in memory", step)
 }
 
-func (s *Store) entriesOf(events []mvcc.Event) []store.Entry {
+func (s *Store) toEntries(events []mvcc.Event) []store.Entry {
 	entries := make([]store.Entry, 0, len(events))
 	for _, event := range events {
-		entry := s.entryOf(event.KeyValue)
+		entry := s.toEntry(event.KeyValue)
 		entry.Deleted = event.Deleted
 		entries = append(entries, entry)
 	}
 	return entries
 }
 
-func (s *Store) entryOf(found mvcc.KeyValue) store.Entry {
-	entry := store.Entry{Key: found.Key, Value: bytes.Clone(found.Value), Revision: s.revision(found.ModRevision)}
-	if found.Lease != 0 {
-		entry.Lease = store.LeaseID{Epoch: s.Epoch(), Number: int64(found.Lease)}
+func (s *Store) toEntry(kv mvcc.KeyValue) store.Entry {
+	entry := store.Entry{Key: kv.Key, Value: bytes.Clone(kv.Value), Revision: s.revision(kv.ModRevision)}
+	if kv.Lease != 0 {
+		entry.Lease = store.LeaseID{Epoch: s.Epoch(), Number: int64(kv.Lease)}
 	}
 	return entry
 }
--- a/internal/store/memory/memory_test.go
+++ b/internal/store/memory/memory_test.go
@@ -17,17 +17,17 @@
 }
 
 func TestCompaction(t *testing.T) {
-	tested := memory.New(time.Now)
-	storetest.RunCompaction(t, tested, func() {
-		fillHistory(t, tested)
+	memoryStore := memory.New(time.Now)
+	storetest.RunCompaction(t, memoryStore, func() {
+		overflowHistory(t, memoryStore)
 	})
 }
 
-// fillHistory writes until the store's first revisions are forgotten.
-func fillHistory(t *testing.T, tested store.Store) {
+// overflowHistory writes until the store has compacted its first revisions.
+func overflowHistory(t *testing.T, memoryStore store.Store) {
 	revision := store.Revision(0)
 	for range 5000 {
-		next, err := tested.CompareAndSwap(context.Background(), "filler", revision, nil, store.NoLease)
+		next, err := memoryStore.CompareAndSwap(context.Background(), "filler", revision, nil, store.NoLease)
 		assert.NilError(t, err)
 		revision = next
 	}
@@ -36,15 +36,15 @@
 func TestLeaseExpiresByTheGivenClock(t *testing.T) {
 	ctx := context.Background()
 	now := time.Unix(1000, 0)
-	tested := memory.New(func() time.Time { return now })
-	lease, err := tested.GrantLease(ctx, time.Minute)
+	memoryStore := memory.New(func() time.Time { return now })
+	lease, err := memoryStore.GrantLease(ctx, time.Minute)
 	assert.NilError(t, err)
-	_, err = tested.CompareAndSwap(ctx, "a", 0, nil, lease)
+	_, err = memoryStore.CompareAndSwap(ctx, "a", 0, nil, lease)
 	assert.NilError(t, err)
 	now = now.Add(time.Minute - 1)
-	_, err = tested.Get(ctx, "a")
+	_, err = memoryStore.Get(ctx, "a")
 	assert.NilError(t, err)
 	now = now.Add(1)
-	_, err = tested.Get(ctx, "a")
+	_, err = memoryStore.Get(ctx, "a")
 	assert.ErrorIs(t, err, store.ErrNotFound)
 }
--- a/internal/store/memory/mvcc/backup.go
+++ b/internal/store/memory/mvcc/backup.go
@@ -6,7 +6,7 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Backup is a copy of what a store held at one moment. It is never changed.
+// Backup is an immutable copy of the content of a store at one moment.
 type Backup struct {
 	revision   store.Revision
 	keys       map[string]*KeyValue
@@ -15,7 +15,7 @@
 	lastLease  LeaseID
 }
 
-// Backup copies what the store holds now, leases with the ends that they have now.
+// Backup copies the current content of the store; leases keep their expiry times.
 func (s *Store) Backup() *Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -23,8 +23,9 @@
 	return &Backup{revision: s.revision, keys: maps.Clone(s.keys), totalBytes: s.totalBytes, leases: cloneLeases(s.leases), lastLease: s.lastLease}
 }
 
-// Restore goes back to a backup and forgets all history. Revisions and leases are given out
-// again from there; leases of the backup whose time is over end.
+// Restore replaces the content with a backup and discards all history. Revisions and lease
+// IDs assigned since the backup are assigned again. Leases of the backup that have expired
+// meanwhile end at the next method call.
 func (s *Store) Restore(backup *Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -38,8 +39,8 @@
 
 func cloneLeases(leases map[LeaseID]*lease) map[LeaseID]*lease {
 	cloned := make(map[LeaseID]*lease, len(leases))
-	for id, held := range leases {
-		cloned[id] = &lease{duration: held.duration, expires: held.expires, keys: maps.Clone(held.keys)}
+	for id, l := range leases {
+		cloned[id] = &lease{duration: l.duration, expires: l.expires, keys: maps.Clone(l.keys)}
 	}
 	return cloned
 }
--- a/internal/store/memory/mvcc/commit.go
+++ b/internal/store/memory/mvcc/commit.go
@@ -8,10 +8,10 @@
 	"github.com/lugspur/lugspur/internal/store/etcd/keyspan"
 )
 
-// Field names what a comparison looks at.
+// Field is the field of a key that a comparison reads.
 type Field int
 
-// The fields that comparisons know. All are zero for a key that does not exist.
+// Fields of a key. All are zero for a key that does not exist.
 const (
 	FieldModRevision Field = iota
 	FieldCreateRevision
@@ -27,7 +27,7 @@
 
 // Operation is a put, or a removal of all keys in a span.
 type Operation struct {
-	// Delete makes the operation a removal of Span; the rest is then unused.
+	// Delete makes the operation a removal of Span; all other fields are then unused.
 	Delete bool
 	Span   keyspan.Span
 	Key    string
@@ -42,26 +42,26 @@
 	Failure []Operation
 }
 
-// Result tells what a transaction did.
+// Result is the result of a transaction.
 type Result struct {
 	Succeeded bool
 	// Revision is the store's revision after the transaction.
 	Revision store.Revision
-	// Changed tells whether the transaction wrote or removed a key.
+	// Changed reports whether the transaction wrote or removed a key.
 	Changed bool
-	// Operations are those that ran; Deleted has, for each of them, the number
-	// of keys that it removed.
+	// Operations are the executed operations; Deleted has the number of keys
+	// that each of them removed.
 	Operations []Operation
 	Deleted    []int
 }
 
-// Commit runs a transaction as a whole or not at all.
+// Commit runs a transaction atomically.
 // It returns store.ErrLeaseLost for a put with an unknown lease.
 func (s *Store) Commit(transaction Transaction) (Result, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	succeeded := s.holds(transaction.Compare)
+	succeeded := s.allHold(transaction.Compare)
 	operations := transaction.Failure
 	if succeeded {
 		operations = transaction.Success
@@ -72,7 +72,7 @@
 	result := Result{Succeeded: succeeded, Operations: operations}
 	before := len(s.history)
 	for _, operation := range operations {
-		result.Deleted = append(result.Deleted, s.run(operation))
+		result.Deleted = append(result.Deleted, s.apply(operation))
 	}
 	result.Changed = len(s.history) > before
 	if result.Changed {
@@ -82,16 +82,16 @@
 	return result, nil
 }
 
-func (s *Store) holds(comparisons []Comparison) bool {
+func (s *Store) allHold(comparisons []Comparison) bool {
 	for _, comparison := range comparisons {
-		if s.field(comparison) != comparison.Value {
+		if s.fieldValue(comparison) != comparison.Value {
 			return false
 		}
 	}
 	return true
 }
 
-func (s *Store) field(comparison Comparison) int64 {
+func (s *Store) fieldValue(comparison Comparison) int64 {
 	current, found := s.keys[comparison.Key]
 	if !found {
 		return 0
@@ -126,14 +126,14 @@
 	return nil
 }
 
-// run applies one operation under the next revision and returns the number of
+// apply executes one operation at the next revision and returns the number of
 // keys removed.
-func (s *Store) run(operation Operation) int {
+func (s *Store) apply(operation Operation) int {
 	if !operation.Delete {
 		s.put(operation)
 		return 0
 	}
-	return s.removeAll(s.keysIn(operation.Span))
+	return s.removeKeys(s.keysIn(operation.Span))
 }
 
 func (s *Store) put(operation Operation) {
@@ -150,11 +150,11 @@
 		written.CreateRevision = previous.CreateRevision
 		written.Version = previous.Version + 1
 	}
-	s.detach(previous)
-	s.attach(written)
+	s.detachLease(previous)
+	s.attachLease(written)
 	s.keys[written.Key] = written
 	s.totalBytes += written.size() - previous.size()
-	s.record(Event{KeyValue: *written, previous: previous})
+	s.appendEvent(Event{KeyValue: *written, previous: previous})
 }
 
 func (s *Store) keysIn(span keyspan.Span) []string {
@@ -168,14 +168,14 @@
 	return keys
 }
 
-func (s *Store) removeAll(keys []string) int {
+func (s *Store) removeKeys(keys []string) int {
 	for _, key := range keys {
 		previous := s.keys[key]
-		s.detach(previous)
+		s.detachLease(previous)
 		delete(s.keys, key)
 		s.totalBytes -= previous.size()
 		removed := KeyValue{Key: key, ModRevision: s.revision + 1}
-		s.record(Event{Deleted: true, KeyValue: removed, previous: previous})
+		s.appendEvent(Event{Deleted: true, KeyValue: removed, previous: previous})
 	}
 	return len(keys)
 }
--- a/internal/store/memory/mvcc/doc.go
+++ b/internal/store/memory/mvcc/doc.go
@@ -1,10 +1,9 @@
-// Package mvcc keeps keys with revisions, a bounded history of changes and
-// leases in memory. It is the engine below the in-memory store and below the
-// lab's stand-in for the platform's key-value service.
+// Package mvcc is an in-memory multi-version key-value engine with a bounded
+// history of changes and with leases. The in-memory store uses it, and so does
+// the lab's replacement for the platform's key-value service.
 //
 // Revisions start at one, as in etcd; the first write has revision two. All
 // changes of one commit, and all removals by one expired lease, share one
-// revision. Leases expire by the clock that the configuration gives; expiry
-// takes effect at the next method call, so watchers must call EventsAfter
-// from time to time.
+// revision. Leases expire by the configured clock. An expiry takes effect at the
+// next method call, so watchers must poll EventsAfter.
 package mvcc
--- a/internal/store/memory/mvcc/history.go
+++ b/internal/store/memory/mvcc/history.go
@@ -7,7 +7,7 @@
 	"github.com/lugspur/lugspur/internal/store/etcd/keyspan"
 )
 
-// Event is one change of a key. A removal has the key and its revision alone.
+// Event is one change of a key. A removal has only the key and its revision.
 type Event struct {
 	KeyValue
 	Deleted bool
@@ -19,18 +19,18 @@
 	return e.KeyValue.size() + e.previous.size()
 }
 
-// Batch is a run of events that holds whole revisions only.
+// Batch is a sequence of events that does not split a revision.
 type Batch struct {
 	Events []Event
-	// Through is the revision up to which nothing of the span is missing.
+	// Through is the revision up to which all changes of the span were returned.
 	Through store.Revision
 	// Current is the store's newest revision.
 	Current store.Revision
 }
 
-// EventsAfter returns the changes of a span after a revision, at least one
-// whole revision and about limit events. It returns store.ErrCompacted when
-// the history no longer reaches back that far.
+// EventsAfter returns the changes of a span after a revision: about limit events,
+// but at least one whole revision. It returns store.ErrCompacted if the changes
+// after that revision are no longer all in the history.
 func (s *Store) EventsAfter(span keyspan.Span, after store.Revision, limit int) (Batch, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,12 +39,12 @@
 		return Batch{}, store.ErrCompacted
 	}
 	batch := Batch{Through: max(after, s.revision), Current: s.revision}
-	for _, event := range s.history[s.firstAfter(after):] {
+	for _, event := range s.history[s.firstEventAfter(after):] {
 		if !span.Contains(event.Key) {
 			continue
 		}
-		if full := len(batch.Events); full >= limit && event.ModRevision > batch.Events[full-1].ModRevision {
-			batch.Through = batch.Events[full-1].ModRevision
+		if count := len(batch.Events); count >= limit && event.ModRevision > batch.Events[count-1].ModRevision {
+			batch.Through = batch.Events[count-1].ModRevision
 			break
 		}
 		batch.Events = append(batch.Events, event)
@@ -53,35 +53,35 @@
 }
 
 // firstAfter returns the index of the first event after a revision.
-func (s *Store) firstAfter(revision store.Revision) int {
+func (s *Store) firstEventAfter(revision store.Revision) int {
 	return sort.Search(len(s.history), func(i int) bool { return s.history[i].ModRevision > revision })
 }
 
-// Changed returns a channel that is closed at the next change. Take it before
-// reading, so that no change falls between.
+// Changed returns a channel that is closed at the next change. Call it before
+// reading, so that a change after the read is not missed.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Compact forgets the history up to and including a revision.
+// Compact discards the history up to and including a revision.
 func (s *Store) Compact(through store.Revision) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if through > s.revision {
 		return ErrFutureRevision
 	}
-	s.forgetThrough(through)
+	s.compactThrough(through)
 	return nil
 }
 
-func (s *Store) record(event Event) {
+func (s *Store) appendEvent(event Event) {
 	s.history = append(s.history, event)
 	s.historyBytes += event.size()
 }
 
-// publish makes the recorded events visible under the next revision.
+// publish makes the appended events visible at the next revision.
 func (s *Store) publish() {
 	s.revision++
 	s.trimHistory()
@@ -90,24 +90,24 @@
 }
 
 func (s *Store) trimHistory() {
-	drop := 0
+	dropped := 0
 	bytesLeft := s.historyBytes
-	for drop < len(s.history)-1 && (len(s.history)-drop > s.config.HistoryEvents || bytesLeft > s.config.HistoryBytes) {
-		bytesLeft -= s.history[drop].size()
-		drop++
+	for dropped < len(s.history)-1 && (len(s.history)-dropped > s.config.HistoryEvents || bytesLeft > s.config.HistoryBytes) {
+		bytesLeft -= s.history[dropped].size()
+		dropped++
 	}
-	if drop > 0 {
-		s.forgetThrough(s.history[drop-1].ModRevision)
+	if dropped > 0 {
+		s.compactThrough(s.history[dropped-1].ModRevision)
 	}
 }
 
-func (s *Store) forgetThrough(through store.Revision) {
-	keep := 0
-	for keep < len(s.history) && s.history[keep].ModRevision <= through {
-		s.historyBytes -= s.history[keep].size()
-		keep++
+func (s *Store) compactThrough(through store.Revision) {
+	dropped := 0
+	for dropped < len(s.history) && s.history[dropped].ModRevision <= through {
+		s.historyBytes -= s.history[dropped].size()
+		dropped++
 	}
-	clear(s.history[:keep])
-	s.history = s.history[keep:]
+	clear(s.history[:dropped])
+	s.history = s.history[dropped:]
 	s.compacted = max(s.compacted, through)
 }
--- a/internal/store/memory/mvcc/lease.go
+++ b/internal/store/memory/mvcc/lease.go
@@ -7,7 +7,7 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// LeaseID numbers a lease of this store; zero is no lease.
+// LeaseID identifies a lease of this store; zero means no lease.
 type LeaseID int64
 
 type lease struct {
@@ -16,7 +16,7 @@
 	keys     map[string]struct{}
 }
 
-// Grant creates a lease. It returns ErrNoSpace when there are too many.
+// Grant creates a lease. It returns ErrNoSpace if there are already MaxLeases leases.
 func (s *Store) Grant(duration time.Duration) (LeaseID, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -27,24 +27,24 @@
 	s.lastLease++
 	expires := s.config.Now().Add(duration)
 	s.leases[s.lastLease] = &lease{duration: duration, expires: expires, keys: make(map[string]struct{})}
-	s.expectExpiry(expires)
+	s.scheduleExpiry(expires)
 	return s.lastLease, nil
 }
 
-// Renew starts the lease's duration anew and returns it, or store.ErrLeaseLost.
+// Renew restarts the lease's duration and returns it, or store.ErrLeaseLost.
 func (s *Store) Renew(id LeaseID) (time.Duration, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	held, found := s.leases[id]
+	l, found := s.leases[id]
 	if !found {
 		return 0, store.ErrLeaseLost
 	}
-	held.expires = s.config.Now().Add(held.duration)
-	return held.duration, nil
+	l.expires = s.config.Now().Add(l.duration)
+	return l.duration, nil
 }
 
-// Revoke ends a lease and removes its keys, or returns store.ErrLeaseLost.
+// Revoke revokes a lease and removes its keys, or returns store.ErrLeaseLost.
 func (s *Store) Revoke(id LeaseID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,31 +52,31 @@
 	if _, found := s.leases[id]; !found {
 		return store.ErrLeaseLost
 	}
-	s.end(id)
+	s.endLease(id)
 	return nil
 }
 
-func (s *Store) end(id LeaseID) {
-	held := s.leases[id]
+func (s *Store) endLease(id LeaseID) {
+	l := s.leases[id]
 	delete(s.leases, id)
-	keys := make([]string, 0, len(held.keys))
-	for key := range held.keys {
+	keys := make([]string, 0, len(l.keys))
+	for key := range l.keys {
 		keys = append(keys, key)
 	}
 	slices.Sort(keys)
-	if s.removeAll(keys) > 0 {
+	if s.removeKeys(keys) > 0 {
 		s.publish()
 	}
 }
 
-func (s *Store) expectExpiry(at time.Time) {
+func (s *Store) scheduleExpiry(at time.Time) {
 	if s.nextExpiry.IsZero() || at.Before(s.nextExpiry) {
 		s.nextExpiry = at
 	}
 }
 
-// expireLeases ends the leases whose time is over. It looks at the leases only
-// when the earliest known expiry has passed.
+// expireLeases ends the expired leases. It iterates over the leases only when the
+// earliest scheduled expiry has passed.
 func (s *Store) expireLeases() {
 	now := s.config.Now()
 	if s.nextExpiry.IsZero() || now.Before(s.nextExpiry) {
@@ -84,30 +84,30 @@
 	}
 	s.nextExpiry = time.Time{}
 	var expired []LeaseID
-	for id, held := range s.leases {
-		if !now.Before(held.expires) {
+	for id, l := range s.leases {
+		if !now.Before(l.expires) {
 			expired = append(expired, id)
 			continue
 		}
-		s.expectExpiry(held.expires)
+		s.scheduleExpiry(l.expires)
 	}
 	slices.Sort(expired)
 	for _, id := range expired {
-		s.end(id)
+		s.endLease(id)
 	}
 }
 
-func (s *Store) attach(written *KeyValue) {
-	if held, found := s.leases[written.Lease]; found {
-		held.keys[written.Key] = struct{}{}
+func (s *Store) attachLease(written *KeyValue) {
+	if l, found := s.leases[written.Lease]; found {
+		l.keys[written.Key] = struct{}{}
 	}
 }
 
-func (s *Store) detach(previous *KeyValue) {
+func (s *Store) detachLease(previous *KeyValue) {
 	if previous == nil {
 		return
 	}
-	if held, found := s.leases[previous.Lease]; found {
-		delete(held.keys, previous.Key)
+	if l, found := s.leases[previous.Lease]; found {
+		delete(l.keys, previous.Key)
 	}
 }
--- a/internal/store/memory/mvcc/mvcc_test.go
+++ b/internal/store/memory/mvcc/mvcc_test.go
@@ -16,19 +16,19 @@
 
 const manyEvents = 1000
 
-// model is the plain description of the store: its keys after each revision.
+// model is the reference implementation of the store: its keys after each revision.
 type model struct {
-	states map[store.Revision]map[string]string
-	now    store.Revision
+	states  map[store.Revision]map[string]string
+	current store.Revision
 }
 
-func (m *model) advance(to store.Revision, change func(keys map[string]string)) {
+func (m *model) commit(to store.Revision, change func(keys map[string]string)) {
 	keys := make(map[string]string)
-	for key, value := range m.states[m.now] {
+	for key, value := range m.states[m.current] {
 		keys[key] = value
 	}
 	change(keys)
-	m.now = to
+	m.current = to
 	m.states[to] = keys
 }
 
@@ -40,45 +40,45 @@
 	return keys
 }
 
-// TestAgainstModel runs random commits and compares every past revision and
-// the replay of events with the model.
+// TestAgainstModel runs random commits and compares the keys at every revision and
+// the replayed events with the model.
 func TestAgainstModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tested := mvcc.New(mvcc.Config{})
-		expected := &model{states: map[store.Revision]map[string]string{1: {}}, now: 1}
+		engine := mvcc.New(mvcc.Config{})
+		expected := &model{states: map[store.Revision]map[string]string{1: {}}, current: 1}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			key := rapid.SampledFrom([]string{"a", "b", "ba", "c"}).Draw(t, "key")
 			if rapid.Bool().Draw(t, "delete") {
-				remove(t, tested, expected, key)
+				remove(t, engine, expected, key)
 				continue
 			}
-			write(t, tested, expected, key, rapid.StringN(0, 3, -1).Draw(t, "value"))
+			write(t, engine, expected, key, rapid.StringN(0, 3, -1).Draw(t, "value"))
 		}
-		for revision, want := range expected.states {
-			view, err := tested.Range(keyspan.Prefix(""), revision)
+		for revision, keys := range expected.states {
+			view, err := engine.Range(keyspan.Prefix(""), revision)
 			assert.NilError(t, err)
-			assert.DeepEqual(t, values(view), want)
+			assert.DeepEqual(t, values(view), keys)
 		}
-		replay(t, tested, expected)
+		replayEvents(t, engine, expected)
 	})
 }
 
-func write(t *rapid.T, tested *mvcc.Store, expected *model, key, value string) {
-	result, err := tested.Commit(mvcc.Transaction{Success: []mvcc.Operation{{Key: key, Value: []byte(value)}}})
+func write(t *rapid.T, engine *mvcc.Store, expected *model, key, value string) {
+	result, err := engine.Commit(mvcc.Transaction{Success: []mvcc.Operation{{Key: key, Value: []byte(value)}}})
 	assert.NilError(t, err)
-	assert.Equal(t, result.Revision, expected.now+1)
-	expected.advance(result.Revision, func(keys map[string]string) { keys[key] = value })
+	assert.Equal(t, result.Revision, expected.current+1)
+	expected.commit(result.Revision, func(keys map[string]string) { keys[key] = value })
 }
 
-func remove(t *rapid.T, tested *mvcc.Store, expected *model, prefix string) {
+func remove(t *rapid.T, engine *mvcc.Store, expected *model, prefix string) {
 	span := keyspan.Prefix(prefix)
-	result, err := tested.Commit(mvcc.Transaction{Success: []mvcc.Operation{{Delete: true, Span: span}}})
+	result, err := engine.Commit(mvcc.Transaction{Success: []mvcc.Operation{{Delete: true, Span: span}}})
 	assert.NilError(t, err)
 	if !result.Changed {
-		assert.Equal(t, result.Revision, expected.now)
+		assert.Equal(t, result.Revision, expected.current)
 		return
 	}
-	expected.advance(result.Revision, func(keys map[string]string) {
+	expected.commit(result.Revision, func(keys map[string]string) {
 		for key := range keys {
 			if span.Contains(key) {
 				delete(keys, key)
@@ -87,12 +87,12 @@
 	})
 }
 
-// replay applies the events in small batches to an empty set of keys.
-func replay(t *rapid.T, tested *mvcc.Store, expected *model) {
+// replayEvents applies the events in small batches to an empty set of keys.
+func replayEvents(t *rapid.T, engine *mvcc.Store, expected *model) {
 	keys := make(map[string]string)
 	after := store.Revision(1)
-	for after < expected.now {
-		batch, err := tested.EventsAfter(keyspan.Prefix(""), after, 2)
+	for after < expected.current {
+		batch, err := engine.EventsAfter(keyspan.Prefix(""), after, 2)
 		assert.NilError(t, err)
 		assert.Assert(t, batch.Through > after)
 		for _, event := range batch.Events {
@@ -107,9 +107,9 @@
 	}
 }
 
-func put(t *testing.T, tested *mvcc.Store, key, value string) store.Revision {
+func put(t *testing.T, engine *mvcc.Store, key, value string) store.Revision {
 	t.Helper()
-	result, err := tested.Commit(mvcc.Transaction{Success: []mvcc.Operation{{Key: key, Value: []byte(value)}}})
+	result, err := engine.Commit(mvcc.Transaction{Success: []mvcc.Operation{{Key: key, Value: []byte(value)}}})
 	assert.NilError(t, err)
 	return result.Revision
 }
@@ -121,16 +121,16 @@
 	}
 	for name, config := range limits {
 		t.Run(name, func(t *testing.T) {
-			tested := mvcc.New(config)
+			engine := mvcc.New(config)
 			var last store.Revision
 			for i := range 100 {
-				last = put(t, tested, "a", fmt.Sprint(i))
+				last = put(t, engine, "a", fmt.Sprint(i))
 			}
-			_, err := tested.EventsAfter(keyspan.Prefix(""), 1, manyEvents)
+			_, err := engine.EventsAfter(keyspan.Prefix(""), 1, manyEvents)
 			assert.ErrorIs(t, err, store.ErrCompacted)
-			_, err = tested.Range(keyspan.Prefix(""), 1)
+			_, err = engine.Range(keyspan.Prefix(""), 1)
 			assert.ErrorIs(t, err, store.ErrCompacted)
-			batch, err := tested.EventsAfter(keyspan.Prefix(""), last-5, manyEvents)
+			batch, err := engine.EventsAfter(keyspan.Prefix(""), last-5, manyEvents)
 			assert.NilError(t, err)
 			assert.Equal(t, len(batch.Events), 5)
 		})
@@ -138,9 +138,9 @@
 }
 
 func TestSpaceIsBounded(t *testing.T) {
-	tested := mvcc.New(mvcc.Config{MaxValueBytes: 10, MaxTotalBytes: 20, MaxLeases: 1})
+	engine := mvcc.New(mvcc.Config{MaxValueBytes: 10, MaxTotalBytes: 20, MaxLeases: 1})
 	commit := func(key, value string) error {
-		_, err := tested.Commit(mvcc.Transaction{Success: []mvcc.Operation{{Key: key, Value: []byte(value)}}})
+		_, err := engine.Commit(mvcc.Transaction{Success: []mvcc.Operation{{Key: key, Value: []byte(value)}}})
 		return err
 	}
 	assert.ErrorIs(t, commit("a", "12345678901"), mvcc.ErrValueTooLarge)
@@ -148,24 +148,24 @@
 	assert.ErrorIs(t, commit("b", "1234567890"), mvcc.ErrNoSpace)
 	assert.NilError(t, commit("a", "12345"))
 	assert.NilError(t, commit("b", "1234567890"))
-	_, err := tested.Grant(time.Second)
+	_, err := engine.Grant(time.Second)
 	assert.NilError(t, err)
-	_, err = tested.Grant(time.Second)
+	_, err = engine.Grant(time.Second)
 	assert.ErrorIs(t, err, mvcc.ErrNoSpace)
 }
 
 func TestExpiredLeaseRemovesItsKeysInOneRevision(t *testing.T) {
 	now := time.Unix(1000, 0)
-	tested := mvcc.New(mvcc.Config{Now: func() time.Time { return now }})
-	lease, err := tested.Grant(time.Second)
+	engine := mvcc.New(mvcc.Config{Now: func() time.Time { return now }})
+	lease, err := engine.Grant(time.Second)
 	assert.NilError(t, err)
 	for _, key := range []string{"a", "b"} {
-		_, err = tested.Commit(mvcc.Transaction{Success: []mvcc.Operation{{Key: key, Lease: lease}}})
+		_, err = engine.Commit(mvcc.Transaction{Success: []mvcc.Operation{{Key: key, Lease: lease}}})
 		assert.NilError(t, err)
 	}
-	before := put(t, tested, "c", "kept")
+	before := put(t, engine, "c", "kept")
 	now = now.Add(time.Second)
-	batch, err := tested.EventsAfter(keyspan.Prefix(""), before, 1)
+	batch, err := engine.EventsAfter(keyspan.Prefix(""), before, 1)
 	assert.NilError(t, err)
 	var removed []string
 	for _, event := range batch.Events {
--- a/internal/store/memory/mvcc/store.go
+++ b/internal/store/memory/mvcc/store.go
@@ -11,7 +11,7 @@
 	"github.com/lugspur/lugspur/internal/store/etcd/keyspan"
 )
 
-// Limits that apply where the configuration leaves a field zero.
+// Defaults of limits that are zero in the configuration.
 const (
 	// DefaultHistoryEvents is the number of changes kept for watches.
 	DefaultHistoryEvents = 4096
@@ -19,7 +19,7 @@
 	DefaultHistoryBytes = 16 << 20
 	// DefaultMaxValueBytes bounds one value, in bytes.
 	DefaultMaxValueBytes = 1 << 20
-	// DefaultMaxTotalBytes bounds all present keys and values, in bytes.
+	// DefaultMaxTotalBytes bounds all current keys and values, in bytes.
 	DefaultMaxTotalBytes = 64 << 20
 	// DefaultMaxLeases bounds the number of leases.
 	DefaultMaxLeases = 65536
@@ -27,31 +27,31 @@
 
 const initialRevision store.Revision = 1
 
-// Errors of commits, ranges and leases. Nothing took effect.
+// Errors of commits, ranges and leases. After these nothing took effect.
 var (
 	// ErrValueTooLarge means that a value is larger than MaxValueBytes.
 	ErrValueTooLarge = errors.New("value too large")
 	// ErrNoSpace means that MaxTotalBytes or MaxLeases would be exceeded.
 	ErrNoSpace = errors.New("store is full")
-	// ErrFutureRevision means that a revision has not been written yet.
+	// ErrFutureRevision means that a revision is newer than the store's newest.
 	ErrFutureRevision = errors.New("revision is in the future")
 )
 
-// Config holds the limits of a store. Zero fields take the defaults above.
+// Config holds the settings of a store. Zero fields default to the values above.
 type Config struct {
-	// Now is the clock of the leases; nil is time.Now.
+	// Now is the clock for leases; nil means time.Now.
 	Now func() time.Time
-	// HistoryEvents and HistoryBytes bound what is kept for watches.
+	// HistoryEvents and HistoryBytes bound the history kept for watches.
 	HistoryEvents int
 	HistoryBytes  int
-	// MaxValueBytes bounds one value, MaxTotalBytes everything present.
+	// MaxValueBytes bounds one value, MaxTotalBytes all current keys and values.
 	MaxValueBytes int
 	MaxTotalBytes int
 	// MaxLeases bounds the number of leases.
 	MaxLeases int
 }
 
-// KeyValue is a key as last written. The value must not be modified.
+// KeyValue is the state of a key at a revision. The value must not be modified.
 type KeyValue struct {
 	Key            string
 	Value          []byte
@@ -75,7 +75,7 @@
 	Entries []KeyValue
 }
 
-// Store is safe for concurrent use.
+// Store is a multi-version key-value store. It is safe for concurrent use.
 type Store struct {
 	config Config
 
@@ -130,9 +130,9 @@
 	return s.revision
 }
 
-// Range returns the keys of a span as they were at a revision; zero is now.
-// It returns store.ErrCompacted or ErrFutureRevision for revisions that the
-// history does not reach.
+// Range returns the keys of a span at a revision; zero means the newest. It
+// returns store.ErrCompacted for a revision that is no longer in the history and
+// ErrFutureRevision for one that does not exist yet.
 func (s *Store) Range(span keyspan.Span, at store.Revision) (View, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,16 +151,16 @@
 
 func (s *Store) entriesAt(span keyspan.Span, at store.Revision) []KeyValue {
 	if span.End == "" && at == s.revision {
-		return s.entryNow(span.From)
+		return s.currentEntry(span.From)
 	}
-	older := s.changedSince(span, at)
+	previousValues := s.changedSince(span, at)
 	var entries []KeyValue
 	for key, current := range s.keys {
-		if _, changed := older[key]; !changed && span.Contains(key) {
+		if _, changed := previousValues[key]; !changed && span.Contains(key) {
 			entries = append(entries, *current)
 		}
 	}
-	for _, previous := range older {
+	for _, previous := range previousValues {
 		if previous != nil {
 			entries = append(entries, *previous)
 		}
@@ -169,21 +169,21 @@
 	return entries
 }
 
-func (s *Store) entryNow(key string) []KeyValue {
+func (s *Store) currentEntry(key string) []KeyValue {
 	if current, found := s.keys[key]; found {
 		return []KeyValue{*current}
 	}
 	return nil
 }
 
-// changedSince returns, for each key changed after a revision, the key as it
-// was at that revision, nil when it did not exist.
+// changedSince returns, for each key changed after a revision, its state at that
+// revision, or nil if it did not exist.
 func (s *Store) changedSince(span keyspan.Span, at store.Revision) map[string]*KeyValue {
-	older := make(map[string]*KeyValue)
+	previousValues := make(map[string]*KeyValue)
 	for i := len(s.history) - 1; i >= 0 && s.history[i].ModRevision > at; i-- {
 		if event := s.history[i]; span.Contains(event.Key) {
-			older[event.Key] = event.previous
+			previousValues[event.Key] = event.previous
 		}
 	}
-	return older
+	return previousValues
 }
