--- a/internal/store/storetest/doc.go
+++ b/internal/store/storetest/doc.go
@@ -1,3 +1,3 @@
-// Package storetest is the conformance test of store implementations. Each
-// implementation's own tests call Run.
+// Package storetest contains the conformance tests for implementations of
+// store.Store. The tests of each implementation call Run.
 package storetest
--- a/internal/store/storetest/restored.go
+++ b/internal/store/storetest/restored.go
@@ -9,24 +9,24 @@
 	"github.com/lugspur/lugspur/internal/store/memory"
 )
 
-// Restored is one process's way to a store in memory that comes back from copies. Like the
-// platform's adapter it takes a while for each call and tells the epoch that it finds. It is
-// for tests in virtual time.
+// Restored is one process's client of an in-memory store that is restored from backups. Like
+// the platform's adapter it adds a latency to each call and reports the epoch that it observes.
+// It is for tests in virtual time.
 type Restored struct {
 	*memory.Store
-	// Epochs is told the epoch of the store with each call that it answers.
+	// Epochs receives the epoch of the store at each call that the store accepts.
 	Epochs *epoch.Tracker
-	// Refused reports whether the store does not answer this process now.
+	// Refused reports whether the store is currently unavailable to this process.
 	Refused func() bool
 }
 
 var _ store.Store = (*Restored)(nil)
 
-// restoredLatency is how long a call takes.
-const restoredLatency = 4 * time.Millisecond
+// callLatency is the simulated latency of a call.
+const callLatency = 4 * time.Millisecond
 
-func (s *Restored) enter() error {
-	time.Sleep(restoredLatency)
+func (s *Restored) simulateCall() error {
+	time.Sleep(callLatency)
 	if s.Refused() {
 		return store.ErrUnavailable
 	}
@@ -36,7 +36,7 @@
 
 // Get implements store.Store.
 func (s *Restored) Get(ctx context.Context, key string) (store.Entry, error) {
-	if err := s.enter(); err != nil {
+	if err := s.simulateCall(); err != nil {
 		return store.Entry{}, err
 	}
 	return s.Store.Get(ctx, key)
@@ -44,15 +44,16 @@
 
 // List implements store.Store.
 func (s *Restored) List(ctx context.Context, prefix string) (store.Snapshot, error) {
-	if err := s.enter(); err != nil {
+	if err := s.simulateCall(); err != nil {
 		return store.Snapshot{}, err
 	}
 	return s.Store.List(ctx, prefix)
 }
 
-// Watch implements store.Store. It ends when the store refuses the process.
+// Watch implements store.Store. It ends instead of calling the handler while the
+// store is unavailable to the process.
 func (s *Restored) Watch(ctx context.Context, prefix string, after store.Revision, handler func([]store.Entry, store.Revision)) error {
-	if err := s.enter(); err != nil {
+	if err := s.simulateCall(); err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(ctx)
@@ -68,7 +69,7 @@
 
 // CompareAndSwap implements store.Store.
 func (s *Restored) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
-	if err := s.enter(); err != nil {
+	if err := s.simulateCall(); err != nil {
 		return 0, err
 	}
 	return s.Store.CompareAndSwap(ctx, key, expected, value, lease)
@@ -76,7 +77,7 @@
 
 // GrantLease implements store.Store.
 func (s *Restored) GrantLease(ctx context.Context, duration time.Duration) (store.LeaseID, error) {
-	if err := s.enter(); err != nil {
+	if err := s.simulateCall(); err != nil {
 		return store.NoLease, err
 	}
 	return s.Store.GrantLease(ctx, duration)
@@ -84,7 +85,7 @@
 
 // RenewLease implements store.Store.
 func (s *Restored) RenewLease(ctx context.Context, lease store.LeaseID) (time.Duration, error) {
-	if err := s.enter(); err != nil {
+	if err := s.simulateCall(); err != nil {
 		return 0, err
 	}
 	return s.Store.RenewLease(ctx, lease)
--- a/internal/store/storetest/watches.go
+++ b/internal/store/storetest/watches.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// watchBuffer is the number of batches that a watch may be ahead.
+	// watchBuffer is the number of deliveries that a watch can buffer for the test.
 	watchBuffer = 1024
-	// watchPatience is how long a test waits for a watch.
-	watchPatience = 10 * time.Second
+	// watchTimeout bounds the wait for a delivery or for the end of a watch.
+	watchTimeout = 10 * time.Second
 )
 
 type delivery struct {
@@ -23,7 +23,7 @@
 	progress store.Revision
 }
 
-// watcher runs one watch and hands its deliveries to the test.
+// watcher runs one watch and buffers its deliveries for the test.
 type watcher struct {
 	deliveries chan delivery
 	ended      chan error
@@ -31,123 +31,123 @@
 	progress   store.Revision
 }
 
-func startWatch(ctx context.Context, tested store.Store, prefix string, after store.Revision) *watcher {
+func startWatch(ctx context.Context, s store.Store, prefix string, after store.Revision) *watcher {
 	w := &watcher{deliveries: make(chan delivery, watchBuffer), ended: make(chan error, 1)}
 	go func() {
-		w.ended <- tested.Watch(ctx, prefix, after, func(batch []store.Entry, progress store.Revision) {
+		w.ended <- s.Watch(ctx, prefix, after, func(batch []store.Entry, progress store.Revision) {
 			w.deliveries <- delivery{batch: batch, progress: progress}
 		})
 	}()
 	return w
 }
 
-func (w *watcher) next(t *testing.T) {
+func (w *watcher) receiveDelivery(t *testing.T) {
 	t.Helper()
 	select {
-	case got := <-w.deliveries:
-		w.pending = append(w.pending, got.batch...)
-		if got.progress != 0 {
-			assert.Assert(t, got.progress >= w.progress, "progress went back from %d to %d", w.progress, got.progress)
-			w.progress = got.progress
+	case received := <-w.deliveries:
+		w.pending = append(w.pending, received.batch...)
+		if received.progress != 0 {
+			assert.Assert(t, received.progress >= w.progress, "progress decreased from %d to %d", w.progress, received.progress)
+			w.progress = received.progress
 		}
 	case err := <-w.ended:
 		t.Fatalf("watch ended: %v", err)
-	case <-time.After(watchPatience):
-		t.Fatalf("nothing from the watch; have %d entries, progress %d", len(w.pending), w.progress)
+	case <-time.After(watchTimeout):
+		t.Fatalf("no delivery from the watch; %d entries pending, progress %d", len(w.pending), w.progress)
 	}
 }
 
-// take returns the next entries, exactly so many.
-func (w *watcher) take(t *testing.T, count int) []store.Entry {
+// receive returns the next entries and asserts that they are exactly count.
+func (w *watcher) receive(t *testing.T, count int) []store.Entry {
 	t.Helper()
 	for len(w.pending) < count {
-		w.next(t)
+		w.receiveDelivery(t)
 	}
 	assert.Equal(t, len(w.pending), count, "entries %v", w.pending)
-	taken := w.pending
+	entries := w.pending
 	w.pending = nil
-	return taken
+	return entries
 }
 
-// awaitProgress waits until the watch has reported the revision and returns
-// the entries that came until then.
+// awaitProgress waits until the watch has reported progress up to the revision
+// and returns the entries received by then.
 func (w *watcher) awaitProgress(t *testing.T, revision store.Revision) []store.Entry {
 	t.Helper()
 	for w.progress < revision {
-		w.next(t)
+		w.receiveDelivery(t)
 	}
-	taken := w.pending
+	entries := w.pending
 	w.pending = nil
-	return taken
+	return entries
 }
 
-func watchOrder(ctx context.Context, t *testing.T, tested store.Store) {
-	before, err := tested.List(ctx, "w/")
+func watchOrder(ctx context.Context, t *testing.T, s store.Store) {
+	before, err := s.List(ctx, "w/")
 	assert.NilError(t, err)
-	var want []store.Entry
+	var written []store.Entry
 	write := func(key string, expected store.Revision, value string) store.Revision {
-		revision := swap(ctx, t, tested, key, expected, value)
-		want = append(want, store.Entry{Key: key, Value: []byte(value), Revision: revision})
+		revision := swap(ctx, t, s, key, expected, value)
+		written = append(written, store.Entry{Key: key, Value: []byte(value), Revision: revision})
 		return revision
 	}
 	first := write("w/a", 0, "1")
-	watch := startWatch(ctx, tested, "w/", before.Revision)
+	watch := startWatch(ctx, s, "w/", before.Revision)
 	second := write("w/b", 0, "1")
 	write("w/a", first, "2")
-	removed, err := tested.CompareAndDelete(ctx, "w/b", second)
+	removed, err := s.CompareAndDelete(ctx, "w/b", second)
 	assert.NilError(t, err)
-	want = append(want, store.Entry{Key: "w/b", Revision: removed, Deleted: true})
+	written = append(written, store.Entry{Key: "w/b", Revision: removed, Deleted: true})
 	for i := range 50 {
 		write(fmt.Sprintf("w/c%d", i), 0, "1")
 	}
-	assert.DeepEqual(t, watch.awaitProgress(t, want[len(want)-1].Revision), want)
+	assert.DeepEqual(t, watch.awaitProgress(t, written[len(written)-1].Revision), written)
 }
 
-func watchResumes(ctx context.Context, t *testing.T, tested store.Store) {
-	start := create(ctx, t, tested, "w/a", "0")
-	first, cancel := context.WithCancel(ctx)
-	watch := startWatch(first, tested, "w/", start)
-	one := swap(ctx, t, tested, "w/a", start, "1")
-	assert.DeepEqual(t, watch.take(t, 1), []store.Entry{{Key: "w/a", Value: []byte("1"), Revision: one}})
-	seen := watch.progress
+func watchResumption(ctx context.Context, t *testing.T, s store.Store) {
+	first := create(ctx, t, s, "w/a", "0")
+	watchCtx, cancel := context.WithCancel(ctx)
+	watch := startWatch(watchCtx, s, "w/", first)
+	second := swap(ctx, t, s, "w/a", first, "1")
+	assert.DeepEqual(t, watch.receive(t, 1), []store.Entry{{Key: "w/a", Value: []byte("1"), Revision: second}})
+	progress := watch.progress
 	cancel()
 	assert.ErrorIs(t, <-watch.ended, context.Canceled)
-	two := swap(ctx, t, tested, "w/a", one, "2")
-	again := startWatch(ctx, tested, "w/", seen)
-	three := swap(ctx, t, tested, "w/a", two, "3")
-	assert.DeepEqual(t, again.awaitProgress(t, three), []store.Entry{
-		{Key: "w/a", Value: []byte("2"), Revision: two},
-		{Key: "w/a", Value: []byte("3"), Revision: three},
+	third := swap(ctx, t, s, "w/a", second, "2")
+	resumed := startWatch(ctx, s, "w/", progress)
+	fourth := swap(ctx, t, s, "w/a", third, "3")
+	assert.DeepEqual(t, resumed.awaitProgress(t, fourth), []store.Entry{
+		{Key: "w/a", Value: []byte("2"), Revision: third},
+		{Key: "w/a", Value: []byte("3"), Revision: fourth},
 	})
 }
 
-func watchPrefix(ctx context.Context, t *testing.T, tested store.Store) {
-	before, err := tested.List(ctx, "")
+func watchPrefix(ctx context.Context, t *testing.T, s store.Store) {
+	before, err := s.List(ctx, "")
 	assert.NilError(t, err)
-	watch := startWatch(ctx, tested, "p/", before.Revision)
+	watch := startWatch(ctx, s, "p/", before.Revision)
 	for _, outside := range []string{"p", "p.", "p0", "q/a"} {
-		create(ctx, t, tested, outside, "x")
+		create(ctx, t, s, outside, "x")
 	}
-	inside := create(ctx, t, tested, "p/a", "1")
+	inside := create(ctx, t, s, "p/a", "1")
 	assert.DeepEqual(t, watch.awaitProgress(t, inside), []store.Entry{{Key: "p/a", Value: []byte("1"), Revision: inside}})
 }
 
-func watchProgress(ctx context.Context, t *testing.T, tested store.Store) {
-	before, err := tested.List(ctx, "")
+func watchProgress(ctx context.Context, t *testing.T, s store.Store) {
+	before, err := s.List(ctx, "")
 	assert.NilError(t, err)
-	watch := startWatch(ctx, tested, "p/", before.Revision)
-	outside := create(ctx, t, tested, "q/a", "1")
+	watch := startWatch(ctx, s, "p/", before.Revision)
+	outside := create(ctx, t, s, "q/a", "1")
 	assert.Equal(t, len(watch.awaitProgress(t, outside)), 0)
 }
 
-func watchEnds(ctx context.Context, t *testing.T, tested store.Store) {
-	short, cancel := context.WithTimeout(ctx, pollInterval)
+func watchEndsWithContext(ctx context.Context, t *testing.T, s store.Store) {
+	shortCtx, cancel := context.WithTimeout(ctx, pollInterval)
 	defer cancel()
-	watch := startWatch(short, tested, "p/", 1)
+	watch := startWatch(shortCtx, s, "p/", 1)
 	select {
 	case err := <-watch.ended:
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
-	case <-time.After(watchPatience):
+	case <-time.After(watchTimeout):
 		t.Fatal("the watch did not end")
 	}
 }
