--- a/internal/store/etcd/watch_test.go
+++ b/internal/store/etcd/watch_test.go
@@ -17,7 +17,7 @@
 
 // watchUntil watches, and after each interruption watches again from the last progress,
 // until the progress reaches the revision sent on lastRevision.
-func watchUntil(ctx context.Context, client *etcd.Client, lastRevision <-chan store.Revision) (received []store.Entry, cuts int, err error) {
+func watchUntil(ctx context.Context, client *etcd.Client, lastRevision <-chan store.Revision) (received []store.Entry, interruptions int, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	var progress, last store.Revision
@@ -34,12 +34,12 @@
 			}
 		})
 		if ctx.Err() != nil && last != 0 && progress >= last {
-			return received, cuts, nil
+			return received, interruptions, nil
 		}
 		if !errors.Is(err, store.ErrUnavailable) || ctx.Err() != nil {
-			return received, cuts, err
+			return received, interruptions, err
 		}
-		cuts++
+		interruptions++
 	}
 }
 
@@ -56,10 +56,10 @@
 		writeErr <- writeAndCut(ctx, client, process, func(entry store.Entry) { expected = append(expected, entry) })
 		lastRevision <- expected[len(expected)-1].Revision
 	}()
-	received, cuts, err := watchUntil(ctx, client, lastRevision)
+	received, interruptions, err := watchUntil(ctx, client, lastRevision)
 	assert.NilError(t, err)
 	assert.NilError(t, <-writeErr)
-	assert.Assert(t, cuts > 0)
+	assert.Assert(t, interruptions > 0)
 	assert.DeepEqual(t, received, expected)
 }
 
