--- a/internal/store/etcd/client.go
+++ b/internal/store/etcd/client.go
@@ -102,7 +102,7 @@
 	if err := c.checkUsable(ctx); err != nil {
 		return err
 	}
-	wait, ok := c.limiter.Take(time.Now(), c.longestWait(ctx))
+	wait, ok := c.limiter.Reserve(time.Now(), c.longestWait(ctx))
 	if !ok {
 		return fmt.Errorf("%w: next request would leave in %s", store.ErrRateLimited, wait.Round(time.Millisecond))
 	}
--- a/internal/store/etcd/pace/pace.go
+++ b/internal/store/etcd/pace/pace.go
@@ -30,10 +30,10 @@
 	return &Bucket{interval: interval, burst: interval * time.Duration(max(burst, 1)-1)}
 }
 
-// Take reserves a token and returns how long to wait before it may be used. If
+// Reserve reserves a token and returns how long to wait before it may be used. If
 // that is longer than maxWait, no token is reserved, ok is false and wait is the time
 // until a token will be available.
-func (b *Bucket) Take(now time.Time, maxWait time.Duration) (wait time.Duration, ok bool) {
+func (b *Bucket) Reserve(now time.Time, maxWait time.Duration) (wait time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	due := b.nextToken
--- a/internal/store/storetest/restored.go
+++ b/internal/store/storetest/restored.go
@@ -9,25 +9,25 @@
 	"github.com/lugspur/lugspur/internal/store/memory"
 )
 
-// Restored is one process's client of an in-memory store that is restored from backups. Like
+// RestorableStore is one process's client of an in-memory store that is restored from backups. Like
 // the platform's adapter it adds a latency to each call and reports the epoch that it observes.
 // It is for tests in virtual time.
-type Restored struct {
+type RestorableStore struct {
 	*memory.Store
 	// Epochs receives the epoch of the store at each call that the store accepts.
 	Epochs *epoch.Tracker
-	// Refused reports whether the store is currently unavailable to this process.
-	Refused func() bool
+	// Unreachable reports whether the store is currently unavailable to this process.
+	Unreachable func() bool
 }
 
-var _ store.Store = (*Restored)(nil)
+var _ store.Store = (*RestorableStore)(nil)
 
 // callLatency is the simulated latency of a call.
 const callLatency = 4 * time.Millisecond
 
-func (s *Restored) simulateCall() error {
+func (s *RestorableStore) simulateCall() error {
 	time.Sleep(callLatency)
-	if s.Refused() {
+	if s.Unreachable() {
 		return store.ErrUnavailable
 	}
 	s.Epochs.Observe(s.Epoch(), "store")
@@ -35,7 +35,7 @@
 }
 
 // Get implements store.Store.
-func (s *Restored) Get(ctx context.Context, key string) (store.Entry, error) {
+func (s *RestorableStore) Get(ctx context.Context, key string) (store.Entry, error) {
 	if err := s.simulateCall(); err != nil {
 		return store.Entry{}, err
 	}
@@ -43,7 +43,7 @@
 }
 
 // List implements store.Store.
-func (s *Restored) List(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s *RestorableStore) List(ctx context.Context, prefix string) (store.Snapshot, error) {
 	if err := s.simulateCall(); err != nil {
 		return store.Snapshot{}, err
 	}
@@ -52,14 +52,14 @@
 
 // Watch implements store.Store. It ends instead of calling the handler while the
 // store is unavailable to the process.
-func (s *Restored) Watch(ctx context.Context, prefix string, after store.Revision, handler func([]store.Entry, store.Revision)) error {
+func (s *RestorableStore) Watch(ctx context.Context, prefix string, after store.Revision, handler func([]store.Entry, store.Revision)) error {
 	if err := s.simulateCall(); err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	return s.Store.Watch(ctx, prefix, after, func(batch []store.Entry, progress store.Revision) {
-		if s.Refused() {
+		if s.Unreachable() {
 			stop()
 			return
 		}
@@ -68,7 +68,7 @@
 }
 
 // CompareAndSwap implements store.Store.
-func (s *Restored) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
+func (s *RestorableStore) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
 	if err := s.simulateCall(); err != nil {
 		return 0, err
 	}
@@ -76,7 +76,7 @@
 }
 
 // GrantLease implements store.Store.
-func (s *Restored) GrantLease(ctx context.Context, duration time.Duration) (store.LeaseID, error) {
+func (s *RestorableStore) GrantLease(ctx context.Context, duration time.Duration) (store.LeaseID, error) {
 	if err := s.simulateCall(); err != nil {
 		return store.NoLease, err
 	}
@@ -84,7 +84,7 @@
 }
 
 // RenewLease implements store.Store.
-func (s *Restored) RenewLease(ctx context.Context, lease store.LeaseID) (time.Duration, error) {
+func (s *RestorableStore) RenewLease(ctx context.Context, lease store.LeaseID) (time.Duration, error) {
 	if err := s.simulateCall(); err != nil {
 		return 0, err
 	}
