--- a/internal/policy/cases.go
+++ b/internal/policy/cases.go
@@ -11,20 +11,20 @@
 	"github.com/samber/oops"
 )
 
-// Limits of a test file.
+// Limits on test files.
 const (
-	// MaxTestFileBytes is the length of the longest test file, in bytes.
+	// MaxTestFileBytes is the maximum size of a test file, in bytes.
 	MaxTestFileBytes = 1 << 20
-	// MaxCases is the largest number of cases in a test file.
+	// MaxCases is the maximum number of cases in a test file.
 	MaxCases = 1000
 )
 
-// TestFile holds the cases that a policy must meet before it is applied.
+// TestFile holds the test cases that a policy must pass before it is applied.
 type TestFile struct {
 	Cases []Case `toml:"case"`
 }
 
-// Case is one situation and what the policy must say to it.
+// Case is a test case: the variables and the expected results.
 type Case struct {
 	Name    string      `toml:"name"`
 	Call    Call        `toml:"call"`
@@ -33,7 +33,7 @@
 	Expect  Expectation `toml:"expect"`
 }
 
-// Expectation holds the expected results; those left out aren't evaluated.
+// Expectation holds the expected results; omitted ones aren't evaluated.
 type Expectation struct {
 	Admit  *bool   `toml:"admit"`
 	Rank   *string `toml:"rank"`
@@ -41,29 +41,29 @@
 	Refuse *int    `toml:"refuse"`
 }
 
-// CaseResult tells how a policy met one case.
+// CaseResult is the result of a test case.
 type CaseResult struct {
 	// Name is the name of the case.
 	Name string
-	// Mismatches lists the expressions that gave something else or failed.
+	// Mismatches lists the expressions with an unexpected result or an error.
 	Mismatches []Mismatch
-	// Err is the policy's compile error, when it doesn't compile.
+	// Err is the policy's compile error, if any.
 	Err error
 }
 
-// Passed reports whether the policy met the case.
+// Passed reports whether the policy passed the case.
 func (r CaseResult) Passed() bool { return r.Err == nil && len(r.Mismatches) == 0 }
 
-// Mismatch is an expression that didn't give what a case expects.
+// Mismatch is an expression whose result differs from the expected one.
 type Mismatch struct {
 	Expression string
 	Want       string
 	Got        string
-	// Err is set when the evaluation failed; Got is then the safe result.
+	// Err is the evaluation error, if any; Got is then the safe result.
 	Err error
 }
 
-// String returns the mismatch on one line.
+// String formats the mismatch on one line.
 func (m Mismatch) String() string {
 	text := fmt.Sprintf("%s: want %s, got %s", m.Expression, m.Want, m.Got)
 	if m.Err == nil {
@@ -72,34 +72,34 @@
 	return fmt.Sprintf("%s (%v)", text, m.Err)
 }
 
-// ParseTestFile reads a test file in TOML. Fields that don't exist, values
-// that a variable can't have and cases that expect nothing are errors.
+// ParseTestFile parses a TOML test file. Unknown fields, values that are
+// invalid for their variable and cases without an expectation are errors.
 func ParseTestFile(data []byte) (TestFile, error) {
-	errorIn := oops.In("policy").With("step", "parse test file")
+	errBuilder := oops.In("policy").With("step", "parse test file")
 	if len(data) > MaxTestFileBytes {
-		return TestFile{}, errorIn.Errorf("the test file is longer than %d bytes", MaxTestFileBytes)
+		return TestFile{}, errBuilder.Errorf("the test file is longer than %d bytes", MaxTestFileBytes)
 	}
 	var parsed TestFile
 	if err := toml.NewDecoder(bytes.NewReader(data)).DisallowUnknownFields().Decode(&parsed); err != nil {
-		return TestFile{}, errorIn.Wrapf(explain(err), "parse test file")
+		return TestFile{}, errBuilder.Wrapf(addPosition(err), "parse test file")
 	}
 	if err := parsed.validate(); err != nil {
-		return TestFile{}, errorIn.Wrapf(err, "check test file")
+		return TestFile{}, errBuilder.Wrapf(err, "check test file")
 	}
 	return parsed, nil
 }
 
-// explain adds the place to the library's errors, which leave it out of their
-// one-line form.
-func explain(err error) error {
+// addPosition adds the line and the column to errors of the TOML library, whose
+// one-line form omits them.
+func addPosition(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
-		var all []error
+		var fieldErrors []error
 		for _, field := range unknown.Errors {
 			row, column := field.Position()
-			all = append(all, fmt.Errorf("line %d, column %d: unknown field %v", row, column, field.Key()))
+			fieldErrors = append(fieldErrors, fmt.Errorf("line %d, column %d: unknown field %v", row, column, field.Key()))
 		}
-		return errors.Join(all...)
+		return errors.Join(fieldErrors...)
 	}
 	var malformed *toml.DecodeError
 	if errors.As(err, &malformed) {
@@ -118,19 +118,19 @@
 	}
 	seen := make(map[string]bool, len(f.Cases))
 	var faults []error
-	for i, one := range f.Cases {
-		if one.Name == "" || seen[one.Name] {
-			faults = append(faults, fmt.Errorf("case %d: the name %q is empty or used twice", i+1, one.Name))
+	for i, testCase := range f.Cases {
+		if testCase.Name == "" || seen[testCase.Name] {
+			faults = append(faults, fmt.Errorf("case %d: the name %q is empty or used twice", i+1, testCase.Name))
 		}
-		seen[one.Name] = true
-		faults = append(faults, one.validate()...)
+		seen[testCase.Name] = true
+		faults = append(faults, testCase.validate()...)
 	}
 	return errors.Join(faults...)
 }
 
 func (c Case) validate() []error {
 	var faults []error
-	limited := []struct {
+	enumerated := []struct {
 		field, value string
 		allowed      []string
 	}{
@@ -139,9 +139,9 @@
 		{"outcome.executed", c.Outcome.Executed, append([]string{""}, enumerations["outcome.executed"].values...)},
 		{"outcome.reason", c.Outcome.Reason, enumerations["outcome.reason"].values},
 	}
-	for _, one := range limited {
-		if !slices.Contains(one.allowed, one.value) {
-			faults = append(faults, fmt.Errorf("case %q: %s can't be %q, allowed are %q", c.Name, one.field, one.value, one.allowed))
+	for _, variable := range enumerated {
+		if !slices.Contains(variable.allowed, variable.value) {
+			faults = append(faults, fmt.Errorf("case %q: %s can't be %q, allowed are %q", c.Name, variable.field, variable.value, variable.allowed))
 		}
 	}
 	if c.Expect == (Expectation{}) {
@@ -153,37 +153,37 @@
 	return faults
 }
 
-// RunCases compiles a policy and runs its cases, in order. When the policy
-// doesn't compile each result carries the compile error.
+// RunCases compiles a policy and runs its test cases in order. If the policy
+// doesn't compile, every result has the compile error.
 func RunCases(source Source, cases []Case) []CaseResult {
 	program, err := Compile(source)
 	results := make([]CaseResult, 0, len(cases))
-	for _, one := range cases {
-		result := CaseResult{Name: one.Name, Err: err}
+	for _, testCase := range cases {
+		result := CaseResult{Name: testCase.Name, Err: err}
 		if err == nil {
-			result.Mismatches = program.mismatches(one)
+			result.Mismatches = program.mismatches(testCase)
 		}
 		results = append(results, result)
 	}
 	return results
 }
 
-func (p *Program) mismatches(one Case) []Mismatch {
+func (p *Program) mismatches(testCase Case) []Mismatch {
 	var found []Mismatch
-	if want := one.Expect.Admit; want != nil {
-		got, err := p.Admit(one.Call, one.Load)
+	if want := testCase.Expect.Admit; want != nil {
+		got, err := p.Admit(testCase.Call, testCase.Load)
 		found = appendMismatch(found, ExpressionAdmit, *want, got, err)
 	}
-	if want := one.Expect.Rank; want != nil {
-		got, err := p.Rank(one.Call)
+	if want := testCase.Expect.Rank; want != nil {
+		got, err := p.Rank(testCase.Call)
 		found = appendMismatch(found, ExpressionRank, *want, got.String(), err)
 	}
-	if want := one.Expect.Retry; want != nil {
-		got, err := p.Retry(one.Call, one.Outcome)
+	if want := testCase.Expect.Retry; want != nil {
+		got, err := p.Retry(testCase.Call, testCase.Outcome)
 		found = appendMismatch(found, ExpressionRetry, *want, got, err)
 	}
-	if want := one.Expect.Refuse; want != nil {
-		got, err := p.RefuseSeconds(one.Call, one.Load, one.Outcome)
+	if want := testCase.Expect.Refuse; want != nil {
+		got, err := p.RefuseSeconds(testCase.Call, testCase.Load, testCase.Outcome)
 		found = appendMismatch(found, ExpressionRefuse, *want, got, err)
 	}
 	return found
--- a/internal/policy/cases_test.go
+++ b/internal/policy/cases_test.go
@@ -13,8 +13,8 @@
 
 const exampleDirectory = "../../examples/policies"
 
-// objectFile is an operator's file with one policy.
-type objectFile struct {
+// policyFile is an object file with one policy.
+type policyFile struct {
 	Kind string `toml:"kind"`
 	Name string `toml:"name"`
 	Spec Source `toml:"spec"`
@@ -27,11 +27,11 @@
 	return data
 }
 
-func TestExamplePoliciesMeetTheirCases(t *testing.T) {
+func TestExamplePoliciesPassTheirCases(t *testing.T) {
 	services := []string{"houseview", "ventctl", "logpull", "cropcal", "payslip", "disburse", "register", "taxlookup"}
 	for _, service := range services {
 		t.Run(service, func(t *testing.T) {
-			var object objectFile
+			var object policyFile
 			decoder := toml.NewDecoder(bytes.NewReader(readExample(t, service+".toml")))
 			assert.NilError(t, decoder.DisallowUnknownFields().Decode(&object))
 			assert.Equal(t, object.Kind, "policy")
@@ -48,10 +48,10 @@
 	}
 	files, err := filepath.Glob(filepath.Join(exampleDirectory, "*.toml"))
 	assert.NilError(t, err)
-	assert.Equal(t, len(files), 2*len(services), "each policy has its cases and is tested here")
+	assert.Equal(t, len(files), 2*len(services), "every policy must have a case file and be listed in this test")
 }
 
-func TestRunCasesTellsMismatches(t *testing.T) {
+func TestRunCasesReportsMismatches(t *testing.T) {
 	tests, err := ParseTestFile([]byte(`
 [[case]]
 name = "all wrong"
@@ -73,16 +73,16 @@
 		Admit: `call.method == "GET"`, Rank: `call.method == "POST" ? "critical-plus" : "sheddable"`, Retry: "call.hops - 1",
 	}
 	results := RunCases(source, tests.Cases)
-	var told []string
+	var reported []string
 	for _, mismatch := range results[0].Mismatches {
-		told = append(told, mismatch.String())
+		reported = append(reported, mismatch.String())
 	}
-	assert.DeepEqual(t, told, []string{
+	assert.DeepEqual(t, reported, []string{
 		"admit: want true, got false", "rank: want critical, got critical-plus",
 		"retry: want 2, got 1", "refuse: want 9, got 1",
 	})
 	assert.Assert(t, results[1].Passed())
-	assert.Assert(t, !results[2].Passed(), "an evaluation error is no pass, even when the safe result fits")
+	assert.Assert(t, !results[2].Passed(), "a case with an evaluation error must fail, even if the safe result matches")
 	assert.ErrorIs(t, results[2].Mismatches[0].Err, ErrInputTooLong)
 
 	for _, result := range RunCases(Source{Admit: "1"}, tests.Cases) {
@@ -91,7 +91,7 @@
 	}
 }
 
-func TestParseTestFileRefuses(t *testing.T) {
+func TestParseTestFileRejectsInvalidFiles(t *testing.T) {
 	tests := []struct{ name, text, message string }{
 		{"grammar", "[[case]\n", "line 1"},
 		{"unknown field", "[[case]]\nname = \"a\"\ncall = { verb = \"GET\" }\nexpect = { retry = 1 }", "line 3, column 10: unknown field"},
--- a/internal/policy/check.go
+++ b/internal/policy/check.go
@@ -8,35 +8,35 @@
 	"github.com/lugspur/lugspur/internal/criticality"
 )
 
-// checker finds every fault of one parsed expression and types its nodes.
+// checker type-checks a parsed expression and collects its faults.
 type checker struct {
 	specification *specification
 	text          string
 	faults        []Fault
-	// types holds the types found so far: a node is checked once, however
-	// often its type is asked for.
+	// types caches the types of checked nodes, so that a node is checked only
+	// once.
 	types map[ast.Node]valueType
 }
 
-// fault lists a fault at a node.
+// fault records a fault at a node and returns the faulty type.
 func (c *checker) fault(node ast.Node, allowed []string, format string, arguments ...any) valueType {
 	message := fmt.Sprintf(format, arguments...)
-	found := faultAt(c.specification.name, c.text, node.Location(), message, allowed)
-	c.faults = append(c.faults, found)
-	return faulty
+	fault := faultAt(c.specification.name, c.text, node.Location(), message, allowed)
+	c.faults = append(c.faults, fault)
+	return faultyValue
 }
 
-// check returns the type of a node after checking it and all below it.
+// check checks a node and its children and returns its type.
 func (c *checker) check(node ast.Node) valueType {
-	if known, found := c.types[node]; found {
-		return known
+	if cached, found := c.types[node]; found {
+		return cached
 	}
-	found := c.inspect(node)
-	c.types[node] = found
-	return found
+	inferred := c.inferType(node)
+	c.types[node] = inferred
+	return inferred
 }
 
-func (c *checker) inspect(node ast.Node) valueType {
+func (c *checker) inferType(node ast.Node) valueType {
 	switch n := node.(type) {
 	case *ast.BoolNode:
 		return boolValue
@@ -61,12 +61,13 @@
 	case *ast.CallNode:
 		return c.call(n)
 	default:
-		return c.fault(node, nil, "%s not part of the policy language", describe(node))
+		return c.fault(node, nil, "%s not part of the policy language", describeConstruct(node))
 	}
 }
 
-// describe names the parts of expr that the policy language leaves out.
-func describe(node ast.Node) string {
+// describeConstruct names the constructs of expr that the policy language
+// excludes.
+func describeConstruct(node ast.Node) string {
 	switch node.(type) {
 	case *ast.NilNode:
 		return "nil is"
@@ -95,27 +96,27 @@
 	return c.unknownVariable(node, node.Value)
 }
 
-// unknownVariable tells a variable that doesn't exist from one that another
-// expression could use.
+// unknownVariable reports a variable that doesn't exist or that is available
+// only to other expressions.
 func (c *checker) unknownVariable(node ast.Node, name string) valueType {
 	allowed := variableNames(c.specification.variables)
-	if _, elsewhere := fields[name]; elsewhere {
+	if _, exists := variableGroups[name]; exists {
 		return c.fault(node, allowed, "%s is not known when %s is evaluated", name, c.specification.name)
 	}
 	return c.fault(node, allowed, "unknown variable %s", name)
 }
 
 func (c *checker) member(node *ast.MemberNode) valueType {
-	group, groupIsName := node.Node.(*ast.IdentifierNode)
-	field, fieldIsName := node.Property.(*ast.StringNode)
-	if !groupIsName || !fieldIsName || node.Optional || node.Method {
+	group, groupIsIdentifier := node.Node.(*ast.IdentifierNode)
+	field, fieldIsString := node.Property.(*ast.StringNode)
+	if !groupIsIdentifier || !fieldIsString || node.Optional || node.Method {
 		allowed := variableNames(c.specification.variables)
 		return c.fault(node, allowed, "a variable is written as group.name")
 	}
 	if !slices.Contains(c.specification.variables, group.Value) {
 		return c.unknownVariable(group, group.Value)
 	}
-	variable, found := fields[group.Value][field.Value]
+	variable, found := variableGroups[group.Value][field.Value]
 	if !found {
 		allowed := variableNames([]string{group.Value})
 		return c.fault(node, allowed, "unknown variable %s.%s", group.Value, field.Value)
@@ -131,10 +132,10 @@
 	left := c.check(node.Exp1)
 	right := c.check(node.Exp2)
 	if left.kind == kindFaulty || right.kind == kindFaulty {
-		return faulty
+		return faultyValue
 	}
 	if left.kind.numeric() && right.kind.numeric() {
-		return wider(left, right)
+		return promoteNumeric(left, right)
 	}
 	if left.kind != right.kind {
 		return c.fault(node.Exp2, nil, "both sides of : must have one type, they are %s and %s", left.kind, right.kind)
@@ -143,8 +144,8 @@
 }
 
 func (c *checker) call(node *ast.CallNode) valueType {
-	callee, isName := node.Callee.(*ast.IdentifierNode)
-	if !isName {
+	callee, isIdentifier := node.Callee.(*ast.IdentifierNode)
+	if !isIdentifier {
 		return c.fault(node.Callee, functionSignatures, "variables have no methods")
 	}
 	return c.function(node, callee.Value, node.Arguments)
@@ -160,22 +161,22 @@
 		return c.fault(node, functionSignatures, "%s takes 2 arguments, it has %d", name, len(arguments))
 	}
 	if name == functionMin || name == functionMax {
-		return c.numbers(name, arguments[0], arguments[1])
+		return c.numericArguments(name, arguments[0], arguments[1])
 	}
 	for _, argument := range arguments {
 		if c.check(argument).kind != kindFaulty {
-			c.criticality(argument)
+			c.checkCriticality(argument)
 		}
 	}
 	return levelValue
 }
 
-// criticality checks that a well-typed node can only give a criticality.
-func (c *checker) criticality(node ast.Node) {
+// checkCriticality checks that a well-typed node always yields a criticality.
+func (c *checker) checkCriticality(node ast.Node) {
 	switch n := node.(type) {
 	case *ast.ConditionalNode:
-		c.criticality(n.Exp1)
-		c.criticality(n.Exp2)
+		c.checkCriticality(n.Exp1)
+		c.checkCriticality(n.Exp2)
 		return
 	case *ast.StringNode:
 		if !slices.Contains(criticality.Names(), n.Value) {
@@ -183,7 +184,7 @@
 		}
 		return
 	}
-	if given := c.check(node); slices.Contains(given.values, levelValue.values[0]) {
+	if actual := c.check(node); slices.Contains(actual.values, levelValue.values[0]) {
 		return
 	}
 	c.fault(node, criticality.Names(), "a criticality is needed here")
--- a/internal/policy/comparison/comparison_test.go
+++ b/internal/policy/comparison/comparison_test.go
@@ -1,6 +1,6 @@
-// Package comparison measures the libraries that could evaluate policies
-// against each other, on the same expressions. The decision that rests on it
-// is docs/decisions/0001-policy-language.md, which also gives the command.
+// Package comparison benchmarks candidate expression libraries for policies on
+// the same expressions. docs/decisions/0001-policy-language.md documents the
+// resulting decision and the command to run.
 package comparison
 
 import (
@@ -16,18 +16,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// serviceCount is the number of services of the size to design for.
+// serviceCount is the number of services that the design is sized for.
 const serviceCount = 23
 
-// texts are the four expressions of one service in one language.
-type texts struct{ admit, rank, retry, refuse string }
+// expressionTexts are the four expressions of one service in one language.
+type expressionTexts struct{ admit, rank, retry, refuse string }
 
-func (t texts) all() []string { return []string{t.admit, t.rank, t.retry, t.refuse} }
+func (t expressionTexts) all() []string { return []string{t.admit, t.rank, t.retry, t.refuse} }
 
-// exprTexts and celTexts say the same in both languages, with literals that
-// differ from service to service.
-func exprTexts(service int) texts {
-	return texts{
+// exprTexts and celTexts return equivalent expressions in the two languages,
+// with literals that differ between services.
+func exprTexts(service int) expressionTexts {
+	return expressionTexts{
 		admit:  fmt.Sprintf(`call.timeout_ms >= %d && (load.queue_ms < %d.5 || call.method == "POST")`, 20+service, 200+service),
 		rank:   fmt.Sprintf(`call.method == "POST" && call.path startsWith "/vents/%d" ? "critical-plus" : "sheddable"`, service),
 		retry:  fmt.Sprintf(`call.repeatable && outcome.executed != "yes" && call.hops < %d ? 2 : 0`, 3+service),
@@ -35,8 +35,8 @@
 	}
 }
 
-func celTexts(service int) texts {
-	return texts{
+func celTexts(service int) expressionTexts {
+	return expressionTexts{
 		admit:  fmt.Sprintf(`call.timeout_ms >= %d && (load.queue_ms < %d.5 || call.method == "POST")`, 20+service, 200+service),
 		rank:   fmt.Sprintf(`call.method == "POST" && call.path.startsWith("/vents/%d") ? "critical-plus" : "sheddable"`, service),
 		retry:  fmt.Sprintf(`call.repeatable && outcome.executed != "yes" && call.hops < %d ? 2 : 0`, 3+service),
@@ -44,11 +44,11 @@
 	}
 }
 
-// situation holds the values that every language evaluates.
+// Variables of the benchmarked evaluations, the same for every library.
 var (
-	situationCall    = policy.Call{Service: "ventctl", Method: "POST", Path: "/vents/7/open", Repeatable: true, Hops: 2, TimeoutMs: 900}
-	situationLoad    = policy.Load{ShedLevel: "sheddable", QueueMs: 12.5, InFlight: 70, Limit: 80}
-	situationOutcome = policy.Outcome{Status: 503, Executed: policy.ExecutedNo, Attempt: 1}
+	sampleCall    = policy.Call{Service: "ventctl", Method: "POST", Path: "/vents/7/open", Repeatable: true, Hops: 2, TimeoutMs: 900}
+	sampleLoad    = policy.Load{ShedLevel: "sheddable", QueueMs: 12.5, InFlight: 70, Limit: 80}
+	sampleOutcome = policy.Outcome{Status: 503, Executed: policy.ExecutedNo, Attempt: 1}
 )
 
 // exprVariables is the environment of the plain expr programs.
@@ -64,7 +64,7 @@
 	return program
 }
 
-// celVariables is a cel activation that reads the variables without a map.
+// celVariables is a CEL activation that resolves the variables without a map.
 type celVariables struct {
 	call    policy.Call
 	load    policy.Load
@@ -119,7 +119,7 @@
 	return program
 }
 
-// compileAll compiles the policies of every service and returns the programs.
+// compileAllExpr compiles the policies of all services and returns the programs.
 func compileAllExpr(tb testing.TB) any {
 	var programs []*vm.Program
 	for service := range serviceCount {
@@ -156,76 +156,76 @@
 	return program
 }
 
-// BenchmarkCompile compiles the policies of 23 services, 92 expressions, in
-// each round and reports what the programs retain.
+// BenchmarkCompile compiles the policies of 23 services, 92 expressions, per
+// iteration and reports the heap that the programs retain.
 func BenchmarkCompile(b *testing.B) {
-	ways := []struct {
+	libraries := []struct {
 		name    string
 		compile func(testing.TB) any
 	}{{"policy", compileAllPolicies}, {"expr", compileAllExpr}, {"cel", compileAllCel}}
-	for _, way := range ways {
-		b.Run(way.name, func(b *testing.B) {
+	for _, library := range libraries {
+		b.Run(library.name, func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				way.compile(b)
+				library.compile(b)
 			}
 			b.StopTimer()
-			b.ReportMetric(retainedBytes(b, way.compile), "retained-B")
+			b.ReportMetric(retainedBytes(b, library.compile), "retained-B")
 		})
 	}
 }
 
-// retainedBytes returns the heap that the programs of 23 services keep alive.
+// retainedBytes returns the heap retained by the programs of 23 services.
 func retainedBytes(b *testing.B, compile func(testing.TB) any) float64 {
 	const rounds = 10
-	kept := make([]any, 0, rounds)
+	retained := make([]any, 0, rounds)
 	before := heapInUse()
 	for range rounds {
-		kept = append(kept, compile(b))
+		retained = append(retained, compile(b))
 	}
 	after := heapInUse()
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(retained)
 	return float64(after-before) / rounds
 }
 
 func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
-	var statistics runtime.MemStats
-	runtime.ReadMemStats(&statistics)
-	return int64(statistics.HeapAlloc)
+	var stats runtime.MemStats
+	runtime.ReadMemStats(&stats)
+	return int64(stats.HeapAlloc)
 }
 
-// BenchmarkEvaluate evaluates each expression of one service in each way, one
-// after the other, so that a machine that gets busier treats all alike.
+// BenchmarkEvaluate evaluates each expression of one service with each library
+// in turn, so that a change of the machine's load affects all of them alike.
 func BenchmarkEvaluate(b *testing.B) {
 	const service = 7
 	evaluations := policyEvaluations(compilePolicy(b, service))
-	variables := &exprVariables{Call: situationCall, Load: situationLoad, Outcome: situationOutcome}
-	activation := &celVariables{call: situationCall, load: situationLoad, outcome: situationOutcome}
+	variables := &exprVariables{Call: sampleCall, Load: sampleLoad, Outcome: sampleOutcome}
+	activation := &celVariables{call: sampleCall, load: sampleLoad, outcome: sampleOutcome}
 	environment := newCelEnvironment(b)
 	for i, name := range []string{"admit", "rank", "retry", "refuse"} {
-		measure(b, name+"/policy", evaluations[i])
+		benchmark(b, name+"/policy", evaluations[i])
 		machine, plain := &vm.VM{}, compileExpr(b, exprTexts(service).all()[i])
-		measure(b, name+"/expr", func() error { _, err := machine.Run(plain, variables); return err })
+		benchmark(b, name+"/expr", func() error { _, err := machine.Run(plain, variables); return err })
 		checked := compileCel(b, environment, celTexts(service).all()[i])
-		measure(b, name+"/cel", func() error { _, _, err := checked.Eval(activation); return err })
+		benchmark(b, name+"/cel", func() error { _, _, err := checked.Eval(activation); return err })
 	}
 }
 
 func policyEvaluations(program *policy.Program) []func() error {
 	return []func() error{
-		func() error { _, err := program.Admit(situationCall, situationLoad); return err },
-		func() error { _, err := program.Rank(situationCall); return err },
-		func() error { _, err := program.Retry(situationCall, situationOutcome); return err },
+		func() error { _, err := program.Admit(sampleCall, sampleLoad); return err },
+		func() error { _, err := program.Rank(sampleCall); return err },
+		func() error { _, err := program.Retry(sampleCall, sampleOutcome); return err },
 		func() error {
-			_, err := program.RefuseSeconds(situationCall, situationLoad, situationOutcome)
+			_, err := program.RefuseSeconds(sampleCall, sampleLoad, sampleOutcome)
 			return err
 		},
 	}
 }
 
-func measure(b *testing.B, name string, evaluate func() error) {
+func benchmark(b *testing.B, name string, evaluate func() error) {
 	b.Run(name, func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
@@ -236,24 +236,25 @@
 	})
 }
 
-// TestLanguagesAgree checks that the measured expressions say the same.
-func TestLanguagesAgree(t *testing.T) {
+// TestExprAndCELAgree checks that the benchmarked expressions return the same
+// results in both languages.
+func TestExprAndCELAgree(t *testing.T) {
 	environment := newCelEnvironment(t)
-	variables := &exprVariables{Call: situationCall, Load: situationLoad, Outcome: situationOutcome}
-	activation := &celVariables{call: situationCall, load: situationLoad, outcome: situationOutcome}
+	variables := &exprVariables{Call: sampleCall, Load: sampleLoad, Outcome: sampleOutcome}
+	activation := &celVariables{call: sampleCall, load: sampleLoad, outcome: sampleOutcome}
 	for service := range serviceCount {
 		for i, text := range exprTexts(service).all() {
-			ours, err := vm.Run(compileExpr(t, text), variables)
+			exprResult, err := vm.Run(compileExpr(t, text), variables)
 			assert.NilError(t, err)
-			theirs, _, err := compileCel(t, environment, celTexts(service).all()[i]).Eval(activation)
+			celResult, _, err := compileCel(t, environment, celTexts(service).all()[i]).Eval(activation)
 			assert.NilError(t, err)
-			assert.Equal(t, fmt.Sprint(ours), fmt.Sprint(theirs.Value()), "%s", text)
+			assert.Equal(t, fmt.Sprint(exprResult), fmt.Sprint(celResult.Value()), "%s", text)
 		}
 	}
 }
 
-// TestErrorMessages prints what each says to the same mistakes; run it with
-// -v to compare. All must refuse each of them.
+// TestErrorMessages logs the error messages of the libraries for the same
+// mistakes; run it with -v to compare them. Every library must reject each one.
 func TestErrorMessages(t *testing.T) {
 	mistakes := []string{
 		`call.verb == "GET"`,
@@ -268,7 +269,7 @@
 		_, exprErr := expr.Compile(text, expr.Env(exprVariables{}), expr.DisableAllBuiltins(), expr.AsBool())
 		celErr := celError(environment, text)
 		assert.Assert(t, policyErr != nil && exprErr != nil && celErr != nil, "%s", text)
-		t.Logf("%s\npolicy: %s\nexpr: %s\ncel: %s", text, indent(policyErr), indent(exprErr), indent(celErr))
+		t.Logf("%s\npolicy: %s\nexpr: %s\ncel: %s", text, indentError(policyErr), indentError(exprErr), indentError(celErr))
 	}
 }
 
@@ -278,9 +279,9 @@
 		return issues.Err()
 	}
 	if !checked.OutputType().IsEquivalentType(cel.BoolType) {
-		return fmt.Errorf("gives %s, bool is needed", checked.OutputType())
+		return fmt.Errorf("result type is %s, expected bool", checked.OutputType())
 	}
 	return nil
 }
 
-func indent(err error) string { return strings.ReplaceAll(err.Error(), "\n", "\n    ") }
+func indentError(err error) string { return strings.ReplaceAll(err.Error(), "\n", "\n    ") }
--- a/internal/policy/compile.go
+++ b/internal/policy/compile.go
@@ -14,8 +14,7 @@
 	"github.com/expr-lang/expr/vm"
 )
 
-// Program is a compiled policy. It doesn't change and is safe for concurrent
-// use.
+// Program is a compiled policy. It is immutable and safe for concurrent use.
 type Program struct {
 	admit  expression
 	rank   expression
@@ -23,38 +22,40 @@
 	refuse expression
 }
 
-// expression is one compiled expression. One that is a single literal is
-// kept as its value and needs no evaluation.
+// expression is a compiled expression. A single literal is stored as its value
+// and needs no evaluation.
 type expression struct {
 	program *vm.Program
 	literal any
 }
 
-// defaults holds the compiled default expressions, which all policies share.
-var defaults = sync.OnceValue(compileDefaults)
+// defaultProgram returns the compiled default expressions, which all policies
+// share.
+var defaultProgram = sync.OnceValue(compileDefaultProgram)
 
-func compileDefaults() *Program {
+func compileDefaultProgram() *Program {
 	program := &Program{}
-	for _, part := range program.parts(Source{}) {
-		compiled, faults := compileExpression(part.specification, part.specification.defaults)
+	for _, slot := range program.slots(Source{}) {
+		compiled, faults := compileExpression(slot.specification, slot.specification.defaultText)
 		if len(faults) > 0 {
 			panic((&CompileError{Faults: faults}).Error())
 		}
-		*part.target = compiled
+		*slot.destination = compiled
 	}
 	return program
 }
 
-// part ties an expression's text to the place of its compiled form.
-type part struct {
+// expressionSlot connects the source text of an expression with the field of
+// the Program that holds its compiled form.
+type expressionSlot struct {
 	specification *specification
 	text          string
-	target        *expression
+	destination   *expression
 	fallback      func(*Program) expression
 }
 
-func (p *Program) parts(source Source) []part {
-	return []part{
+func (p *Program) slots(source Source) []expressionSlot {
+	return []expressionSlot{
 		{&admitSpecification, source.Admit, &p.admit, func(d *Program) expression { return d.admit }},
 		{&rankSpecification, source.Rank, &p.rank, func(d *Program) expression { return d.rank }},
 		{&retrySpecification, source.Retry, &p.retry, func(d *Program) expression { return d.retry }},
@@ -62,20 +63,20 @@
 	}
 }
 
-// Compile checks and compiles a policy. The error is a *CompileError that
-// lists every fault of every expression; only the first fault of grammar is
-// found in each, as nothing after it can be read.
+// Compile checks and compiles a policy. The error is a *CompileError that lists
+// every fault of every expression, but only the first syntax error of each:
+// parsing stops there.
 func Compile(source Source) (*Program, error) {
 	program := &Program{}
 	var faults []Fault
-	for _, part := range program.parts(source) {
-		if isDefault(part.text) && len(part.text) <= MaxSourceBytes {
-			*part.target = part.fallback(defaults())
+	for _, slot := range program.slots(source) {
+		if isBlank(slot.text) && len(slot.text) <= MaxSourceBytes {
+			*slot.destination = slot.fallback(defaultProgram())
 			continue
 		}
-		compiled, found := compileExpression(part.specification, part.text)
-		*part.target = compiled
-		faults = append(faults, found...)
+		compiled, slotFaults := compileExpression(slot.specification, slot.text)
+		*slot.destination = compiled
+		faults = append(faults, slotFaults...)
 	}
 	if len(faults) > 0 {
 		return nil, &CompileError{Faults: faults}
@@ -83,8 +84,8 @@
 	return program, nil
 }
 
-// compileExpression turns a panic of the compiler into a fault: a policy
-// comes from outside, so it must not be able to end a node.
+// compileExpression reports a panic of the compiler as a fault: a policy is
+// external input and must not be able to crash a node.
 func compileExpression(specification *specification, text string) (compiled expression, faults []Fault) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -106,7 +107,7 @@
 		return expression{}, faults
 	}
 	checker := &checker{specification: specification, text: text, types: map[ast.Node]valueType{}}
-	checker.result(root)
+	checker.checkResult(root)
 	if len(checker.faults) > 0 {
 		return expression{}, checker.faults
 	}
@@ -120,7 +121,8 @@
 	return expression{program: program}, nil
 }
 
-// parse returns the root of the expression's tree, of bounded size.
+// parse returns the root of the expression's syntax tree, which has at most
+// MaxNodes nodes.
 func parse(specification *specification, text string) (ast.Node, []Fault) {
 	config := conf.CreateNew()
 	for _, option := range options() {
@@ -130,21 +132,21 @@
 	if err != nil {
 		return nil, []Fault{libraryFault(specification, text, err)}
 	}
-	if exceeds(tree.Node, MaxNodes) {
+	if exceedsNodeLimit(tree.Node, MaxNodes) {
 		message := fmt.Sprintf("the expression has more than %d operators, variables, literals and calls", MaxNodes)
 		return nil, []Fault{faultAt(specification.name, text, file.Location{}, message, nil)}
 	}
 	return tree.Node, nil
 }
 
-// libraryFault turns an error of the expr library into a fault.
+// libraryFault converts an error of the expr library to a fault.
 func libraryFault(specification *specification, text string, err error) Fault {
-	var placed *file.Error
-	if !errors.As(err, &placed) {
+	var located *file.Error
+	if !errors.As(err, &located) {
 		return faultAt(specification.name, text, file.Location{}, err.Error(), nil)
 	}
-	message := strings.ReplaceAll(placed.Message, "\n", " ")
-	return faultAt(specification.name, text, placed.Location, message, nil)
+	message := strings.ReplaceAll(located.Message, "\n", " ")
+	return faultAt(specification.name, text, located.Location, message, nil)
 }
 
 func literalOf(node ast.Node) (value any, isLiteral bool) {
--- a/internal/policy/compile_test.go
+++ b/internal/policy/compile_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func faultsOf(t *testing.T, source Source) []Fault {
+func compileFaults(t *testing.T, source Source) []Fault {
 	t.Helper()
 	program, err := Compile(source)
 	var compileError *CompileError
@@ -17,7 +17,7 @@
 	return compileError.Faults
 }
 
-func TestFaultsHaveTheirPlace(t *testing.T) {
+func TestFaultPositions(t *testing.T) {
 	tests := []struct {
 		name         string
 		source       Source
@@ -80,7 +80,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			first := faultsOf(t, test.source)[0]
+			first := compileFaults(t, test.source)[0]
 			assert.Assert(t, strings.Contains(first.Message, test.message), "%s", first)
 			assert.Equal(t, first.Line, test.line, "%s", first)
 			assert.Equal(t, first.Column, test.column, "%s", first)
--- a/internal/policy/evaluate.go
+++ b/internal/policy/evaluate.go
@@ -11,18 +11,18 @@
 	"github.com/samber/oops"
 )
 
-// ErrInputTooLong tells that a string variable is longer than MaxInputBytes.
+// ErrInputTooLong means that a string variable is longer than MaxInputBytes.
 var ErrInputTooLong = errors.New("a string variable is longer than the policy's input limit")
 
-// ErrWrongResult tells that an expression gave a value of another type than
-// it was checked to give.
+// ErrWrongResult means that the type of an expression's value differs from the
+// type that the checker derived.
 var ErrWrongResult = errors.New("the expression gave a value of the wrong type")
 
-// errorRefuseSeconds is told in Retry-After when refuse can't be evaluated.
-const errorRefuseSeconds = 30
+// fallbackRefuseSeconds is the Retry-After value if refuse can't be evaluated.
+const fallbackRefuseSeconds = 30
 
-// evaluator is the working memory of one evaluation. Evaluators are pooled,
-// so that an evaluation allocates little.
+// evaluator holds the virtual machine and the variables of one evaluation.
+// Evaluators are pooled to reduce allocations.
 type evaluator struct {
 	machine     vm.VM
 	environment environment
@@ -30,7 +30,7 @@
 
 var evaluators = sync.Pool{New: func() any { return new(evaluator) }}
 
-// run evaluates an expression. An evaluator that met an error isn't pooled.
+// run evaluates an expression. An evaluator isn't reused after an error.
 func (e *expression) run(name string, call *Call, load *Load, outcome *Outcome) (any, error) {
 	if e.program == nil {
 		return e.literal, nil
@@ -38,20 +38,20 @@
 	if call.oversized() || load.oversized() || outcome.oversized() {
 		return nil, ErrInputTooLong
 	}
-	worker := evaluators.Get().(*evaluator)
-	worker.environment.Call = *call
+	evaluation := evaluators.Get().(*evaluator)
+	evaluation.environment.Call = *call
 	if load != nil {
-		worker.environment.Load = *load
+		evaluation.environment.Load = *load
 	}
 	if outcome != nil {
-		worker.environment.Outcome = *outcome
+		evaluation.environment.Outcome = *outcome
 	}
-	result, err := worker.machine.Run(e.program, &worker.environment)
+	result, err := evaluation.machine.Run(e.program, &evaluation.environment)
 	if err != nil {
 		return nil, oops.In("policy").With("step", "evaluate").With("expression", name).Wrapf(err, "evaluate %s", name)
 	}
-	worker.environment = environment{}
-	evaluators.Put(worker)
+	evaluation.environment = environment{}
+	evaluators.Put(evaluation)
 	return result, nil
 }
 
@@ -59,9 +59,9 @@
 	return oops.In("policy").With("step", "evaluate").With("expression", name).Wrapf(ErrWrongResult, "evaluate %s: got %T", name, result)
 }
 
-// Admit reports whether the call may go ahead. On an error the call is
-// admitted: rank and the limits of targets still protect the service, and a
-// fault in a policy must not turn away the most important calls.
+// Admit reports whether the call is admitted. On an error it is: rank and the
+// limits of targets still protect the service, and a faulty policy must not
+// reject the most important calls.
 func (p *Program) Admit(call Call, load Load) (bool, error) {
 	result, err := p.admit.run(ExpressionAdmit, &call, &load, nil)
 	if err != nil {
@@ -74,8 +74,8 @@
 	return admitted, nil
 }
 
-// Rank returns the call's criticality. On an error it is the lowest one. An
-// expression that gives "" leaves the rank at "sheddable-plus".
+// Rank returns the call's criticality, on an error the lowest one. An empty
+// result means "sheddable-plus".
 func (p *Program) Rank(call Call) (criticality.Level, error) {
 	result, err := p.rank.run(ExpressionRank, &call, nil, nil)
 	if err != nil {
@@ -95,7 +95,7 @@
 	return level, nil
 }
 
-// Retry returns the largest number of retries that this hop may make for the
+// Retry returns the maximum number of retries that this hop may make for the
 // call after the given outcome, from 0 to MaxRetries. On an error it is 0.
 func (p *Program) Retry(call Call, outcome Outcome) (int, error) {
 	result, err := p.retry.run(ExpressionRetry, &call, nil, &outcome)
@@ -109,30 +109,30 @@
 	return min(max(retries, 0), MaxRetries), nil
 }
 
-// RefuseSeconds returns the seconds to tell in Retry-After, from
-// MinRefuseSeconds to MaxRefuseSeconds; a fraction is rounded up. On an error
-// it is the longest, which asks the least of a service in trouble.
+// RefuseSeconds returns the value of Retry-After in seconds, from
+// MinRefuseSeconds to MaxRefuseSeconds; fractions are rounded up. On an error it
+// is fallbackRefuseSeconds, a long delay that spares a service in trouble.
 func (p *Program) RefuseSeconds(call Call, load Load, outcome Outcome) (int, error) {
 	result, err := p.refuse.run(ExpressionRefuse, &call, &load, &outcome)
 	if err != nil {
-		return errorRefuseSeconds, err
+		return fallbackRefuseSeconds, err
 	}
 	switch seconds := result.(type) {
 	case int:
 		return min(max(seconds, MinRefuseSeconds), MaxRefuseSeconds), nil
 	case float64:
-		return wholeSeconds(seconds), nil
+		return ceilSeconds(seconds), nil
 	default:
-		return errorRefuseSeconds, wrongResult(ExpressionRefuse, result)
+		return fallbackRefuseSeconds, wrongResult(ExpressionRefuse, result)
 	}
 }
 
-// RefuseDelay is RefuseSeconds with fractions of a second and without a least
-// value, for callers that take them.
+// RefuseDelay is like RefuseSeconds, but keeps fractions of a second and has no
+// minimum.
 func (p *Program) RefuseDelay(call Call, load Load, outcome Outcome) (time.Duration, error) {
 	result, err := p.refuse.run(ExpressionRefuse, &call, &load, &outcome)
 	if err != nil {
-		return errorRefuseSeconds * time.Second, err
+		return fallbackRefuseSeconds * time.Second, err
 	}
 	switch seconds := result.(type) {
 	case int:
@@ -143,12 +143,13 @@
 		}
 		return time.Duration(min(max(seconds, 0), MaxRefuseSeconds) * float64(time.Second)), nil
 	default:
-		return errorRefuseSeconds * time.Second, wrongResult(ExpressionRefuse, result)
+		return fallbackRefuseSeconds * time.Second, wrongResult(ExpressionRefuse, result)
 	}
 }
 
-// wholeSeconds rounds up inside the bounds; what isn't a number is the longest.
-func wholeSeconds(seconds float64) int {
+// ceilSeconds rounds up to whole seconds within the bounds; NaN yields
+// MaxRefuseSeconds.
+func ceilSeconds(seconds float64) int {
 	if math.IsNaN(seconds) || seconds >= MaxRefuseSeconds {
 		return MaxRefuseSeconds
 	}
--- a/internal/policy/evaluate_test.go
+++ b/internal/policy/evaluate_test.go
@@ -17,8 +17,8 @@
 	return program
 }
 
-func TestEveryFaultIsListed(t *testing.T) {
-	faults := faultsOf(t, Source{
+func TestCompileReportsEveryFault(t *testing.T) {
+	faults := compileFaults(t, Source{
 		Admit:  "call.verb == \"GET\" && zone == 1 ||\n outcome.status > \"x\"",
 		Rank:   `call.keyed ? "high" : "low"`,
 		Retry:  "load.limit + call.nothing",
@@ -35,21 +35,21 @@
 	assert.DeepEqual(t, faults[3].Allowed, criticality.Names())
 }
 
-func TestCostIsCapped(t *testing.T) {
-	nested := strings.Repeat("1<(", 150) + "1" + strings.Repeat(")<1", 150)
+func TestCompileLimitsCost(t *testing.T) {
+	deeplyNested := strings.Repeat("1<(", 150) + "1" + strings.Repeat(")<1", 150)
 	tests := []struct {
 		name, admit, message string
 	}{
 		{"length", "true" + strings.Repeat(" ", MaxSourceBytes), "longer than 1024 bytes"},
 		{"blank length", strings.Repeat(" ", MaxSourceBytes+1), "longer than 1024 bytes"},
 		{"nodes", strings.Repeat("true&&", 64) + "true", "more than 128"},
-		{"deep shared operands", nested, "more than 128"},
+		{"deep shared operands", deeplyNested, "more than 128"},
 		{"shared operands", strings.Repeat("1<(", 20) + "1" + strings.Repeat(")<1", 20), "more than 128"},
 		{"list", "call.hops in [" + strings.Repeat("1,", 130) + "1]", "more than 128"},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			faults := faultsOf(t, Source{Admit: test.admit})
+			faults := compileFaults(t, Source{Admit: test.admit})
 			assert.Equal(t, len(faults), 1)
 			assert.Assert(t, strings.Contains(faults[0].Message, test.message), "%s", faults[0])
 		})
@@ -84,14 +84,14 @@
 		{true, ExecutedUnknown, 1}, {true, ExecutedYes, 1}, {false, ExecutedNo, 1},
 		{false, ExecutedUnknown, 0}, {false, ExecutedYes, 0},
 	}
-	for _, one := range retries {
-		allowed, err := program.Retry(Call{Repeatable: one.repeatable}, Outcome{Executed: one.executed})
+	for _, test := range retries {
+		allowed, err := program.Retry(Call{Repeatable: test.repeatable}, Outcome{Executed: test.executed})
 		assert.NilError(t, err)
-		assert.Equal(t, allowed, one.want, "%+v", one)
+		assert.Equal(t, allowed, test.want, "%+v", test)
 	}
 
-	for shed, want := range map[string]int{"": 1, "sheddable": 5} {
-		seconds, err := program.RefuseSeconds(Call{}, Load{ShedLevel: shed}, Outcome{})
+	for shedLevel, want := range map[string]int{"": 1, "sheddable": 5} {
+		seconds, err := program.RefuseSeconds(Call{}, Load{ShedLevel: shedLevel}, Outcome{})
 		assert.NilError(t, err)
 		assert.Equal(t, seconds, want)
 	}
@@ -130,7 +130,7 @@
 	}
 }
 
-func TestRankFunctionsPassOverNoRank(t *testing.T) {
+func TestRankFunctionsIgnoreEmptyCriticality(t *testing.T) {
 	for _, text := range []string{
 		`most_important(call.incoming_rank, "critical")`,
 		`least_important("critical", call.incoming_rank)`,
@@ -161,13 +161,13 @@
 		assert.NilError(t, err)
 		assert.Equal(t, got, want, "%v ms", queue)
 	}
-	notANumber := mustCompile(t, Source{Refuse: "load.queue_ms * 1e300 * 1e300 * 0"})
-	got, err := notANumber.RefuseSeconds(Call{}, Load{QueueMs: 1e300}, Outcome{})
+	nan := mustCompile(t, Source{Refuse: "load.queue_ms * 1e300 * 1e300 * 0"})
+	got, err := nan.RefuseSeconds(Call{}, Load{QueueMs: 1e300}, Outcome{})
 	assert.NilError(t, err)
 	assert.Equal(t, got, MaxRefuseSeconds)
 }
 
-func TestErrorsGiveTheSafeResult(t *testing.T) {
+func TestEvaluationErrorsReturnSafeResult(t *testing.T) {
 	program := mustCompile(t, Source{
 		Admit:  `call.path == "/"`,
 		Rank:   `call.path == "/" ? "critical-plus" : "critical"`,
@@ -190,7 +190,7 @@
 
 	seconds, err := program.RefuseSeconds(Call{Path: long}, Load{}, Outcome{})
 	assert.ErrorIs(t, err, ErrInputTooLong)
-	assert.Equal(t, seconds, errorRefuseSeconds)
+	assert.Equal(t, seconds, fallbackRefuseSeconds)
 
 	forged := mustCompile(t, Source{})
 	level, err = forged.Rank(Call{IncomingRank: "emperor"})
@@ -209,8 +209,8 @@
 	for worker := range 8 {
 		workers.Go(func() {
 			for i := range 500 {
-				if complaint := evaluateOnce(program, worker+i); complaint != "" {
-					failures <- complaint
+				if failure := evaluateOnce(program, worker+i); failure != "" {
+					failures <- failure
 					return
 				}
 			}
@@ -218,12 +218,13 @@
 	}
 	workers.Wait()
 	close(failures)
-	for complaint := range failures {
-		t.Error(complaint)
+	for failure := range failures {
+		t.Error(failure)
 	}
 }
 
-// evaluateOnce returns what was wrong with one round of evaluations.
+// evaluateOnce evaluates each expression once and describes the first wrong
+// result, if any.
 func evaluateOnce(program *Program, number int) string {
 	caller, want := "odd", criticality.Sheddable
 	if number%2 == 0 {
@@ -244,9 +245,9 @@
 	return ""
 }
 
-// TestEvaluationAllocatesLittle holds the number of allocations down: the
-// variables that an expression reads are boxed, the rest is pooled.
-func TestEvaluationAllocatesLittle(t *testing.T) {
+// TestEvaluationAllocations limits the allocations of an evaluation: the
+// variables that an expression reads are boxed, everything else is pooled.
+func TestEvaluationAllocations(t *testing.T) {
 	program := mustCompile(t, Source{Rank: `call.method == "POST" ? "critical-plus" : "sheddable"`})
 	call := Call{Method: "POST", Path: "/vents/7/open"}
 	allocations := testing.AllocsPerRun(200, func() { _, _ = program.Rank(call) })
@@ -276,7 +277,7 @@
 	})
 }
 
-// evaluateAll checks that what compiles also evaluates.
+// evaluateAll checks that a compiled policy evaluates without errors.
 func evaluateAll(t *testing.T, program *Program) {
 	_, err := program.Admit(Call{}, Load{})
 	assert.NilError(t, err)
--- a/internal/policy/fault.go
+++ b/internal/policy/fault.go
@@ -7,20 +7,20 @@
 	"github.com/expr-lang/expr/file"
 )
 
-// Fault is one thing wrong with one expression.
+// Fault is an error in an expression.
 type Fault struct {
 	// Expression is the name of the faulty expression.
 	Expression string
-	// Line and Column say where the fault is, counted from 1; the column
+	// Line and Column are the position of the fault, counted from 1; the column
 	// counts characters.
 	Line, Column int
-	// Message says what is wrong.
+	// Message describes the fault.
 	Message string
-	// Allowed lists what could stand there; empty when the message says it.
+	// Allowed lists the valid alternatives; empty if the message names them.
 	Allowed []string
 }
 
-// String returns the fault on one line.
+// String formats the fault on one line.
 func (f Fault) String() string {
 	text := fmt.Sprintf("%s:%d:%d: %s", f.Expression, f.Line, f.Column, f.Message)
 	if len(f.Allowed) == 0 {
@@ -29,13 +29,12 @@
 	return text + "; allowed: " + strings.Join(f.Allowed, ", ")
 }
 
-// CompileError lists every fault found in a policy, in the order of the
-// expressions.
+// CompileError lists all faults of a policy, in the order of the expressions.
 type CompileError struct {
 	Faults []Fault
 }
 
-// Error returns the faults, one a line.
+// Error returns the faults, one per line.
 func (e *CompileError) Error() string {
 	lines := make([]string, 0, len(e.Faults)+1)
 	lines = append(lines, fmt.Sprintf("policy has %d fault(s)", len(e.Faults)))
@@ -45,7 +44,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// position returns the line and column of an offset counted in characters.
+// position converts an offset in characters to a line and a column.
 func position(text string, offset int) (line, column int) {
 	line, column = 1, 1
 	seen := 0
@@ -63,8 +62,8 @@
 	return line, column
 }
 
-// faultAt makes a fault at a place in an expression's text.
-func faultAt(expression, text string, at file.Location, message string, allowed []string) Fault {
-	line, column := position(text, at.From)
+// faultAt returns a fault at a location in an expression's text.
+func faultAt(expression, text string, location file.Location, message string, allowed []string) Fault {
+	line, column := position(text, location.From)
 	return Fault{Expression: expression, Line: line, Column: column, Message: message, Allowed: allowed}
 }
--- a/internal/policy/functions.go
+++ b/internal/policy/functions.go
@@ -7,7 +7,7 @@
 	"github.com/lugspur/lugspur/internal/criticality"
 )
 
-// The functions that expressions may call; each takes two arguments.
+// Functions of the policy language; each takes two arguments.
 const (
 	functionMin            = "min"
 	functionMax            = "max"
@@ -15,7 +15,7 @@
 	functionLeastImportant = "least_important"
 )
 
-// functionSignatures tells operators what there is to call.
+// functionSignatures lists the functions for error messages.
 var functionSignatures = []string{
 	"min(number, number)",
 	"max(number, number)",
@@ -23,40 +23,40 @@
 	"least_important(criticality, criticality)",
 }
 
-// options configure the expr compiler for every expression. The variables
-// and the operators are narrowed further by the checker.
+// options returns the options of the expr compiler, the same for every
+// expression. The checker restricts variables and operators further.
 func options() []expr.Option {
-	levels := new(func(string, string) (string, error))
+	signature := new(func(string, string) (string, error))
 	return []expr.Option{
 		expr.Env(environment{}),
 		expr.DisableAllBuiltins(),
 		expr.EnableBuiltin(functionMin),
 		expr.EnableBuiltin(functionMax),
-		expr.Function(functionMostImportant, mostImportant, levels),
-		expr.Function(functionLeastImportant, leastImportant, levels),
+		expr.Function(functionMostImportant, mostImportant, signature),
+		expr.Function(functionLeastImportant, leastImportant, signature),
 		expr.DisableIfOperator(),
 	}
 }
 
-// mostImportant returns the more important of two criticalities. An empty
-// one is no criticality, so that the other is returned.
+// mostImportant returns the more important of two criticalities. If one is
+// empty, it returns the other.
 func mostImportant(arguments ...any) (any, error) {
-	return chooseLevel(arguments, func(left, right criticality.Level) bool { return left <= right })
+	return selectLevel(arguments, func(left, right criticality.Level) bool { return left <= right })
 }
 
-// leastImportant returns the less important of two criticalities. An empty
-// one is no criticality, so that the other is returned.
+// leastImportant returns the less important of two criticalities. If one is
+// empty, it returns the other.
 func leastImportant(arguments ...any) (any, error) {
-	return chooseLevel(arguments, func(left, right criticality.Level) bool { return left >= right })
+	return selectLevel(arguments, func(left, right criticality.Level) bool { return left >= right })
 }
 
-func chooseLevel(arguments []any, prefersLeft func(left, right criticality.Level) bool) (any, error) {
+func selectLevel(arguments []any, prefersLeft func(left, right criticality.Level) bool) (any, error) {
 	if len(arguments) != 2 {
 		return "", fmt.Errorf("two criticalities are needed, got %d", len(arguments))
 	}
-	left, leftIsText := arguments[0].(string)
-	right, rightIsText := arguments[1].(string)
-	if !leftIsText || !rightIsText {
+	left, leftIsString := arguments[0].(string)
+	right, rightIsString := arguments[1].(string)
+	if !leftIsString || !rightIsString {
 		return "", fmt.Errorf("criticalities are strings, got %T and %T", arguments[0], arguments[1])
 	}
 	if left == "" {
--- a/internal/policy/operators.go
+++ b/internal/policy/operators.go
@@ -7,14 +7,15 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// operatorNames tells operators what they can write between values.
+// operatorNames lists the operators of the policy language for error messages.
 var operatorNames = []string{
 	"&&", "||", "!", "and", "or", "not", "==", "!=", "<", "<=", ">", ">=",
 	"+", "-", "*", "/", "%", "in", "not in", "startsWith", "endsWith", "contains", "? :",
 }
 
-// wider returns the type of an operation on two numbers.
-func wider(left, right valueType) valueType {
+// promoteNumeric returns the result type of an operation on two numbers: int if
+// both are ints, otherwise float.
+func promoteNumeric(left, right valueType) valueType {
 	if left.kind == kindInt && right.kind == kindInt {
 		return intValue
 	}
@@ -24,7 +25,7 @@
 func (c *checker) unary(node *ast.UnaryNode) valueType {
 	operand := c.check(node.Node)
 	if operand.kind == kindFaulty {
-		return faulty
+		return faultyValue
 	}
 	switch node.Operator {
 	case "!", "not":
@@ -67,31 +68,32 @@
 func isNumber(k kind) bool { return k.numeric() }
 func isString(k kind) bool { return k == kindString }
 
-// operands checks both sides of an operator that takes one sort of value.
-func (c *checker) operands(node *ast.BinaryNode, result valueType, sort string, fits func(kind) bool) valueType {
+// operands checks both operands of a binary operator that needs one kind of
+// value.
+func (c *checker) operands(node *ast.BinaryNode, result valueType, needed string, accepts func(kind) bool) valueType {
 	left := c.check(node.Left)
 	right := c.check(node.Right)
 	if left.kind == kindFaulty || right.kind == kindFaulty {
-		return faulty
+		return faultyValue
 	}
-	if !fits(left.kind) || !fits(right.kind) {
-		return c.fault(node, nil, "%s needs two %s, it has %s and %s", node.Operator, sort, left.kind, right.kind)
+	if !accepts(left.kind) || !accepts(right.kind) {
+		return c.fault(node, nil, "%s needs two %s, it has %s and %s", node.Operator, needed, left.kind, right.kind)
 	}
 	return result
 }
 
 func (c *checker) arithmetic(node *ast.BinaryNode) valueType {
 	if c.operands(node, intValue, "numbers", isNumber).kind == kindFaulty {
-		return faulty
+		return faultyValue
 	}
-	return wider(c.check(node.Left), c.check(node.Right))
+	return promoteNumeric(c.check(node.Left), c.check(node.Right))
 }
 
-// numbers checks the arguments of a function that takes two numbers.
-func (c *checker) numbers(name string, left, right ast.Node) valueType {
+// numericArguments checks the arguments of a function of two numbers.
+func (c *checker) numericArguments(name string, left, right ast.Node) valueType {
 	leftType, rightType := c.check(left), c.check(right)
 	if leftType.kind == kindFaulty || rightType.kind == kindFaulty {
-		return faulty
+		return faultyValue
 	}
 	if !leftType.kind.numeric() {
 		return c.fault(left, nil, "%s needs two numbers, this is %s", name, leftType.kind)
@@ -99,14 +101,14 @@
 	if !rightType.kind.numeric() {
 		return c.fault(right, nil, "%s needs two numbers, this is %s", name, rightType.kind)
 	}
-	return wider(leftType, rightType)
+	return promoteNumeric(leftType, rightType)
 }
 
-// division allows only divisors that are literals other than zero, so that
-// it can't fail when a call is waiting.
+// division accepts only nonzero literals as divisors, so that evaluation can't
+// fail.
 func (c *checker) division(node *ast.BinaryNode) valueType {
 	if c.operands(node, floatValue, "numbers", isNumber).kind == kindFaulty {
-		return faulty
+		return faultyValue
 	}
 	if !nonzeroLiteral(node.Right) {
 		return c.fault(node.Right, nil, "the divisor of %s must be a literal other than 0", node.Operator)
@@ -114,7 +116,7 @@
 	if node.Operator == "/" {
 		return floatValue
 	}
-	if wider(c.check(node.Left), c.check(node.Right)).kind != kindInt {
+	if promoteNumeric(c.check(node.Left), c.check(node.Right)).kind != kindInt {
 		return c.fault(node, nil, "%% needs two ints")
 	}
 	return intValue
@@ -135,32 +137,32 @@
 	left := c.check(node.Left)
 	right := c.check(node.Right)
 	if left.kind == kindFaulty || right.kind == kindFaulty {
-		return faulty
+		return faultyValue
 	}
 	if left.kind != right.kind && !(left.kind.numeric() && right.kind.numeric()) {
 		return c.fault(node, nil, "%s needs two values of one type, it has %s and %s", node.Operator, left.kind, right.kind)
 	}
-	c.literal(node.Right, left.values)
-	c.literal(node.Left, right.values)
+	c.checkLiteral(node.Right, left.values)
+	c.checkLiteral(node.Left, right.values)
 	return boolValue
 }
 
-// literal checks that a string compared with a variable of few values is one
-// of these: otherwise the comparison could never hold.
-func (c *checker) literal(node ast.Node, values []string) {
-	text, isText := node.(*ast.StringNode)
-	if !isText || values == nil || slices.Contains(values, text.Value) {
+// checkLiteral checks that a string literal compared with an enumerated
+// variable is one of its values: otherwise the comparison is never true.
+func (c *checker) checkLiteral(node ast.Node, values []string) {
+	literal, isString := node.(*ast.StringNode)
+	if !isString || values == nil || slices.Contains(values, literal.Value) {
 		return
 	}
-	c.fault(node, quoted(values), "%q is never equal to this variable", text.Value)
+	c.fault(node, quoteAll(values), "%q is never equal to this variable", literal.Value)
 }
 
-func quoted(values []string) []string {
-	marked := make([]string, len(values))
+func quoteAll(values []string) []string {
+	quotes := make([]string, len(values))
 	for i, value := range values {
-		marked[i] = strconv.Quote(value)
+		quotes[i] = strconv.Quote(value)
 	}
-	return marked
+	return quotes
 }
 
 // membership checks "value in [literal, ...]".
@@ -171,27 +173,27 @@
 		return c.fault(node.Right, nil, "in needs a list of literals on its right")
 	}
 	if left.kind == kindFaulty {
-		return faulty
+		return faultyValue
 	}
 	if left.kind != kindString && left.kind != kindInt {
 		return c.fault(node, nil, "in needs a string or an int on its left, it has %s", left.kind)
 	}
 	for _, element := range list.Nodes {
-		c.element(element, left)
+		c.checkElement(element, left)
 	}
 	return boolValue
 }
 
-func (c *checker) element(node ast.Node, wanted valueType) {
+func (c *checker) checkElement(node ast.Node, expected valueType) {
 	switch node.(type) {
 	case *ast.StringNode, *ast.IntegerNode:
 	default:
 		c.fault(node, nil, "a list holds only string and int literals")
 		return
 	}
-	if given := c.check(node); given.kind != wanted.kind {
-		c.fault(node, nil, "the list must hold %s values, this is %s", wanted.kind, given.kind)
+	if actual := c.check(node); actual.kind != expected.kind {
+		c.fault(node, nil, "the list must hold %s values, this is %s", expected.kind, actual.kind)
 		return
 	}
-	c.literal(node, wanted.values)
+	c.checkLiteral(node, expected.values)
 }
--- a/internal/policy/results.go
+++ b/internal/policy/results.go
@@ -4,44 +4,45 @@
 	"github.com/expr-lang/expr/ast"
 )
 
-// result checks that an expression gives what its specification says.
-func (c *checker) result(root ast.Node) {
-	given := c.check(root)
-	if given.kind == kindFaulty {
+// checkResult checks the type and range of an expression's result against its
+// specification.
+func (c *checker) checkResult(root ast.Node) {
+	result := c.check(root)
+	if result.kind == kindFaulty {
 		return
 	}
 	switch c.specification.result {
 	case resultBool:
-		if given.kind != kindBool {
-			c.fault(root, nil, "admit must give a bool, it gives %s", given.kind)
+		if result.kind != kindBool {
+			c.fault(root, nil, "admit must give a bool, it gives %s", result.kind)
 		}
 	case resultCriticality:
-		if given.kind != kindString {
-			c.fault(root, levelValue.values, "rank must give a criticality, it gives %s", given.kind)
+		if result.kind != kindString {
+			c.fault(root, levelValue.values, "rank must give a criticality, it gives %s", result.kind)
 			return
 		}
-		c.criticality(root)
+		c.checkCriticality(root)
 	case resultRetries:
-		if given.kind != kindInt {
-			c.fault(root, nil, "retry must give an int, it gives %s", given.kind)
+		if result.kind != kindInt {
+			c.fault(root, nil, "retry must give an int, it gives %s", result.kind)
 			return
 		}
-		c.literalRange(root, 0, MaxRetries)
+		c.checkLiteralRange(root, 0, MaxRetries)
 	case resultSeconds:
-		if !given.kind.numeric() {
-			c.fault(root, nil, "refuse must give a number of seconds, it gives %s", given.kind)
+		if !result.kind.numeric() {
+			c.fault(root, nil, "refuse must give a number of seconds, it gives %s", result.kind)
 			return
 		}
-		c.literalRange(root, MinRefuseSeconds, MaxRefuseSeconds)
+		c.checkLiteralRange(root, MinRefuseSeconds, MaxRefuseSeconds)
 	}
 }
 
-// literalRange finds literal results outside the range. Computed results
-// are moved to the nearer bound when they are used.
-func (c *checker) literalRange(node ast.Node, lowest, highest int) {
+// checkLiteralRange reports literal results outside the range. Computed results
+// are clamped at evaluation.
+func (c *checker) checkLiteralRange(node ast.Node, lowest, highest int) {
 	if conditional, isConditional := node.(*ast.ConditionalNode); isConditional {
-		c.literalRange(conditional.Exp1, lowest, highest)
-		c.literalRange(conditional.Exp2, lowest, highest)
+		c.checkLiteralRange(conditional.Exp1, lowest, highest)
+		c.checkLiteralRange(conditional.Exp2, lowest, highest)
 		return
 	}
 	value, isLiteral := numberLiteral(node)
@@ -70,16 +71,16 @@
 	}
 }
 
-// exceeds reports whether evaluating a tree could visit more than limit
-// nodes. A chain of comparisons shares its middle operands, so nodes are
-// counted as often as they are reached, and counting stops at the limit.
-func exceeds(root ast.Node, limit int) bool {
+// exceedsNodeLimit reports whether evaluating a tree could visit more than limit
+// nodes. A chain of comparisons shares its middle operands, so a node is counted
+// each time that it is reached, and counting stops at the limit.
+func exceedsNodeLimit(root ast.Node, limit int) bool {
 	remaining := limit
-	count(root, &remaining)
+	countNodes(root, &remaining)
 	return remaining < 0
 }
 
-func count(node ast.Node, remaining *int) {
+func countNodes(node ast.Node, remaining *int) {
 	*remaining--
 	if *remaining < 0 {
 		return
@@ -88,12 +89,12 @@
 		if *remaining < 0 {
 			return
 		}
-		count(child, remaining)
+		countNodes(child, remaining)
 	}
 }
 
-// children returns the direct operands of the nodes that the language has.
-// Other nodes are refused by the checker, which doesn't look below them.
+// children returns the operands of a node of the policy language. The checker
+// rejects all other nodes without visiting their children.
 func children(node ast.Node) []ast.Node {
 	switch n := node.(type) {
 	case *ast.UnaryNode:
--- a/internal/policy/source.go
+++ b/internal/policy/source.go
@@ -2,27 +2,27 @@
 
 import "strings"
 
-// Limits of a policy.
+// Limits on policies and their results.
 const (
-	// MaxSourceBytes is the length of the longest expression, in bytes.
+	// MaxSourceBytes is the maximum length of an expression, in bytes.
 	MaxSourceBytes = 1024
-	// MaxNodes is the largest number of operators, variables, literals and
+	// MaxNodes is the maximum number of operators, variables, literals and
 	// calls in an expression; a variable counts as two. Each is evaluated at
-	// most once, so it is the cap on an expression's cost.
+	// most once, so this bounds the cost of an expression.
 	MaxNodes = 128
-	// MaxInputBytes is the length of the longest string variable, in bytes.
-	// A call with a longer one isn't evaluated: it gets the safe result.
+	// MaxInputBytes is the maximum length of a string variable, in bytes. With
+	// a longer one the expression isn't evaluated and the safe result is used.
 	MaxInputBytes = 4096
-	// MaxRetries is the largest number of retries that a policy can allow a
-	// hop; a larger result is lowered to it.
+	// MaxRetries is the maximum number of retries that a policy can allow a
+	// hop; larger results are clamped to it.
 	MaxRetries = 5
-	// MinRefuseSeconds and MaxRefuseSeconds bound Retry-After, in seconds; a
-	// result outside is moved to the nearer bound.
+	// MinRefuseSeconds and MaxRefuseSeconds bound Retry-After, in seconds;
+	// results outside the range are clamped.
 	MinRefuseSeconds = 1
 	MaxRefuseSeconds = 300
 )
 
-// The expressions that stand in for those which a policy leaves out.
+// Default expressions, used for those that a policy omits.
 const (
 	DefaultAdmit  = `true`
 	DefaultRank   = `call.incoming_rank != "" ? call.incoming_rank : "sheddable-plus"`
@@ -30,7 +30,7 @@
 	DefaultRefuse = `load.shed_level == "" ? 1 : 5`
 )
 
-// The names of the expressions, as faults and results give them.
+// Names of the expressions, as reported in faults and results.
 const (
 	ExpressionAdmit  = "admit"
 	ExpressionRank   = "rank"
@@ -38,7 +38,7 @@
 	ExpressionRefuse = "refuse"
 )
 
-// Source is a policy as its operator writes it. An empty expression means its
+// Source is the source text of a policy. An empty expression selects its
 // default.
 type Source struct {
 	Admit  string `toml:"admit"`
@@ -47,15 +47,15 @@
 	Refuse string `toml:"refuse"`
 }
 
-// specification says what one of the four expressions may use and give.
+// specification defines the variables and the result type of an expression.
 type specification struct {
-	name      string
-	defaults  string
-	variables []string
-	result    resultType
+	name        string
+	defaultText string
+	variables   []string
+	result      resultType
 }
 
-// resultType is what an expression gives.
+// resultType is the kind of result that an expression must return.
 type resultType uint8
 
 const (
@@ -67,22 +67,22 @@
 
 var (
 	admitSpecification = specification{
-		name: ExpressionAdmit, defaults: DefaultAdmit,
+		name: ExpressionAdmit, defaultText: DefaultAdmit,
 		variables: []string{"call", "load"}, result: resultBool,
 	}
 	rankSpecification = specification{
-		name: ExpressionRank, defaults: DefaultRank,
+		name: ExpressionRank, defaultText: DefaultRank,
 		variables: []string{"call"}, result: resultCriticality,
 	}
 	retrySpecification = specification{
-		name: ExpressionRetry, defaults: DefaultRetry,
+		name: ExpressionRetry, defaultText: DefaultRetry,
 		variables: []string{"call", "outcome"}, result: resultRetries,
 	}
 	refuseSpecification = specification{
-		name: ExpressionRefuse, defaults: DefaultRefuse,
+		name: ExpressionRefuse, defaultText: DefaultRefuse,
 		variables: []string{"call", "load", "outcome"}, result: resultSeconds,
 	}
 )
 
-// isDefault reports whether the operator left the expression out.
-func isDefault(text string) bool { return strings.TrimSpace(text) == "" }
+// isBlank reports whether the policy omits the expression.
+func isBlank(text string) bool { return strings.TrimSpace(text) == "" }
--- a/internal/policy/symbols.go
+++ b/internal/policy/symbols.go
@@ -12,8 +12,8 @@
 type kind uint8
 
 const (
-	// kindFaulty marks a value whose fault is already listed, so that one
-	// mistake isn't told twice.
+	// kindFaulty marks a value whose fault has already been reported, so that
+	// a mistake isn't reported twice.
 	kindFaulty kind = iota
 	kindBool
 	kindInt
@@ -27,15 +27,15 @@
 
 func (k kind) numeric() bool { return k == kindInt || k == kindFloat }
 
-// valueType is the type of a value and, for a string that can only be one of
-// a few, the values it can have.
+// valueType is the type of a value. For an enumerated string it also lists the
+// possible values.
 type valueType struct {
 	kind   kind
 	values []string
 }
 
 var (
-	faulty       = valueType{}
+	faultyValue  = valueType{}
 	boolValue    = valueType{kind: kindBool}
 	intValue     = valueType{kind: kindInt}
 	floatValue   = valueType{kind: kindFloat}
@@ -44,7 +44,7 @@
 	levelOrEmpty = valueType{kind: kindString, values: append([]string{""}, criticality.Names()...)}
 )
 
-// enumerations are the variables that can have only a few values.
+// enumerations are the variables with a fixed set of values.
 var enumerations = map[string]valueType{
 	"call.incoming_rank": levelOrEmpty,
 	"load.shed_level":    levelOrEmpty,
@@ -52,7 +52,7 @@
 	"outcome.reason":     {kind: kindString, values: append([]string{""}, reasonNames()...)},
 }
 
-// reasonNames lists the problems that an attempt or a refusal can end in.
+// reasonNames lists the problem reasons of failed attempts and refusals.
 func reasonNames() []string {
 	reasons := []problem.Reason{
 		problem.BadRequest, problem.BadContext, problem.BodyTooLarge, problem.UnknownService,
@@ -68,30 +68,30 @@
 	return names
 }
 
-// fields are the variables of each group: the group's name, then the field's.
-var fields = describeGroups(reflect.TypeFor[environment]())
+// variableGroups maps the name of each group to its variables by field name.
+var variableGroups = describeGroups(reflect.TypeFor[environment]())
 
 func describeGroups(groups reflect.Type) map[string]map[string]valueType {
-	described := make(map[string]map[string]valueType, groups.NumField())
+	result := make(map[string]map[string]valueType, groups.NumField())
 	for i := range groups.NumField() {
 		group := groups.Field(i)
 		name := group.Tag.Get("expr")
-		described[name] = describeFields(name, group.Type)
+		result[name] = describeFields(name, group.Type)
 	}
-	return described
+	return result
 }
 
 func describeFields(group string, structure reflect.Type) map[string]valueType {
-	described := make(map[string]valueType, structure.NumField())
+	result := make(map[string]valueType, structure.NumField())
 	for i := range structure.NumField() {
 		field := structure.Field(i)
 		name := field.Tag.Get("expr")
-		described[name] = typeOf(group+"."+name, field.Type.Kind())
+		result[name] = variableType(group+"."+name, field.Type.Kind())
 	}
-	return described
+	return result
 }
 
-func typeOf(variable string, goKind reflect.Kind) valueType {
+func variableType(variable string, goKind reflect.Kind) valueType {
 	if enumeration, found := enumerations[variable]; found {
 		return enumeration
 	}
@@ -107,13 +107,13 @@
 	}
 }
 
-// variableNames lists the variables of some groups as an expression writes
-// them, sorted inside each group.
+// variableNames lists the variables of the groups as written in an expression
+// (group.field), sorted within each group.
 func variableNames(groups []string) []string {
 	var names []string
 	for _, group := range groups {
 		var inGroup []string
-		for field := range fields[group] {
+		for field := range variableGroups[group] {
 			inGroup = append(inGroup, group+"."+field)
 		}
 		slices.Sort(inGroup)
