--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -16,12 +16,13 @@
 
 const (
 	targetSpec  = `{"service":"ventctl","zone":"a","address":"10.0.0.1:8080","slots":8,"connections":120}`
-	biggerSpec  = `{"service":"ventctl","zone":"a","address":"10.0.0.1:8080","slots":16,"connections":120}`
+	updatedSpec = `{"service":"ventctl","zone":"a","address":"10.0.0.1:8080","slots":16,"connections":120}`
 	targetPath  = "/v1/targets/ventctl-1"
 	serviceSpec = `{"calls":["cropcal"]}`
 )
 
-// call sends a request with the token and decodes the answer, whatever it is.
+// call sends a request with the token and decodes the response, whatever its
+// status.
 func call[T any](t *testing.T, node *admintest.Node, method, path, body string, headers ...string) (*http.Response, T) {
 	t.Helper()
 	request, err := http.NewRequestWithContext(t.Context(), method, node.Server.URL+path, strings.NewReader(body))
@@ -40,7 +41,7 @@
 	return response, document
 }
 
-// refused sends a request that must be answered with a problem.
+// refused sends a request and requires a problem with the given status.
 func refused(t *testing.T, node *admintest.Node, status int, method, path, body string, headers ...string) admin.Problem {
 	t.Helper()
 	response, problem := call[admin.Problem](t, node, method, path, body, headers...)
@@ -72,13 +73,13 @@
 	assert.Equal(t, object.LastChange.Author, "meera")
 	assert.Equal(t, string(object.Spec), targetSpec)
 
-	changed := accepted(t, node, "PUT", targetPath, biggerSpec, "If-Match", etag)
+	changed := accepted(t, node, "PUT", targetPath, updatedSpec, "If-Match", etag)
 	assert.Assert(t, changed.Revision > created.Revision)
 	assert.Assert(t, changed.ChangeID != "")
 
 	problem := refused(t, node, http.StatusConflict, "DELETE", targetPath, "", "If-Match", etag)
 	assert.Equal(t, *problem.CurrentRevision, changed.Revision)
-	assert.Equal(t, string(problem.Current.Spec), biggerSpec)
+	assert.Equal(t, string(problem.Current.Spec), updatedSpec)
 	assert.Equal(t, problem.Outcome, admin.OutcomeRefused)
 
 	accepted(t, node, "PUT", "/v1/services/ventctl?expected_revision=0", serviceSpec)
@@ -166,7 +167,7 @@
 	assert.Equal(t, len(problem.Faults), 4, "%v", problem.Faults)
 }
 
-func TestNoTokenMeansNoWrites(t *testing.T) {
+func TestWritesRequireConfiguredToken(t *testing.T) {
 	mux := http.NewServeMux()
 	admin.NewServer(admin.Options{}).Register(mux)
 	node := &admintest.Node{Server: serve(t, mux)}
@@ -175,7 +176,7 @@
 	assert.Equal(t, problem.Outcome, admin.OutcomeRefused)
 }
 
-func TestStoreDown(t *testing.T) {
+func TestStoreUnavailable(t *testing.T) {
 	node := admintest.Start(t)
 	node.Break(admintest.Down)
 	response, problem := call[admin.Problem](t, node, "PUT", targetPath+"?expected_revision=0", targetSpec)
@@ -189,8 +190,8 @@
 
 func targetID() resource.ID { return resource.ID{Kind: resource.KindTarget, Name: "ventctl-1"} }
 
-func TestLostAnswerIsUnknownAndCanBeAskedFor(t *testing.T) {
-	for _, lost := range []struct {
+func TestLostResponseCanBeResolved(t *testing.T) {
+	for _, test := range []struct {
 		fault   admintest.Fault
 		outcome admin.Outcome
 	}{
@@ -199,24 +200,25 @@
 	} {
 		node := admintest.Start(t)
 		created := accepted(t, node, "PUT", targetPath+"?expected_revision=0", targetSpec)
-		node.Break(lost.fault)
-		problem := refused(t, node, http.StatusGatewayTimeout, "PUT", targetPath+"?expected_revision="+itoa(created.Revision), biggerSpec, "Lugspur-Change-Id", "c2")
+		node.Break(test.fault)
+		problem := refused(t, node, http.StatusGatewayTimeout, "PUT", targetPath+"?expected_revision="+itoa(created.Revision), updatedSpec, "Lugspur-Change-Id", "c2")
 		assert.Equal(t, problem.Outcome, admin.OutcomeUnknown)
 		assert.Equal(t, problem.ChangeID, "c2")
 
-		asked := refused(t, node, http.StatusServiceUnavailable, "GET", problem.AskURL, "")
-		assert.Equal(t, asked.Outcome, admin.OutcomeUnknown)
+		unresolved := refused(t, node, http.StatusServiceUnavailable, "GET", problem.AskURL, "")
+		assert.Equal(t, unresolved.Outcome, admin.OutcomeUnknown)
 
 		node.Break(admintest.Healthy)
 		_, change := call[admin.ChangeAnswer](t, node, "GET", problem.AskURL, "")
-		assert.Equal(t, change.Outcome, lost.outcome)
+		assert.Equal(t, change.Outcome, test.outcome)
 		assert.Equal(t, change.ChangeID, "c2")
 	}
 }
 
-// TestLostCreationNamesTheDeletion: the revision to ask with is that of the
-// deletion which the creation would have replaced.
-func TestLostCreationNamesTheDeletion(t *testing.T) {
+// TestLostCreationResolvesAgainstDeletion checks that the lost creation of a
+// deleted object is resolved with the revision of the deletion, which it would
+// have replaced.
+func TestLostCreationResolvesAgainstDeletion(t *testing.T) {
 	node := admintest.Start(t)
 	created := accepted(t, node, "PUT", targetPath+"?expected_revision=0", targetSpec)
 	deleted := accepted(t, node, "DELETE", targetPath+"?expected_revision="+itoa(created.Revision), "")
@@ -225,18 +227,18 @@
 	assert.Equal(t, problem.AskURL, admin.AskURL(targetID(), problem.ChangeID, deleted.Revision))
 
 	node.Break(admintest.Healthy)
-	accepted(t, node, "PUT", targetPath+"?expected_revision=0", biggerSpec)
+	accepted(t, node, "PUT", targetPath+"?expected_revision=0", updatedSpec)
 	_, change := call[admin.ChangeAnswer](t, node, "GET", problem.AskURL, "")
 	assert.Equal(t, change.Outcome, admin.OutcomeRefused)
 }
 
-func TestRepeatedChangeIsAcceptedOnce(t *testing.T) {
+func TestRepeatedChangeIsIdempotent(t *testing.T) {
 	node := admintest.Start(t)
 	path := targetPath + "?expected_revision=0"
 	first := accepted(t, node, "PUT", path, targetSpec, "Lugspur-Change-Id", "c1")
 	second := accepted(t, node, "PUT", path, targetSpec, "Lugspur-Change-Id", "c1")
 	assert.Equal(t, first.Revision, second.Revision)
-	problem := refused(t, node, 400, "PUT", path, biggerSpec, "Lugspur-Change-Id", "c1")
+	problem := refused(t, node, 400, "PUT", path, updatedSpec, "Lugspur-Change-Id", "c1")
 	assert.Assert(t, strings.Contains(problem.Detail, "another change"))
 	_, object := call[admin.Object](t, node, "GET", targetPath, "")
 	assert.Equal(t, string(object.Spec), targetSpec)
--- a/internal/admin/admintest/admintest.go
+++ b/internal/admin/admintest/admintest.go
@@ -1,5 +1,5 @@
-// Package admintest serves the administration API of one node in a test, over
-// a store in memory whose faults the test chooses.
+// Package admintest provides a test server for the administration API of one
+// node, backed by an in-memory store with fault injection.
 package admintest
 
 import (
@@ -20,43 +20,43 @@
 	"github.com/lugspur/lugspur/internal/store/memory"
 )
 
-// Token is what writes must show.
+// Token is the bearer token that writes require.
 const Token = "token-of-the-tests"
 
-// WriteTimeout bounds a write at the node.
+// WriteTimeout is the node's time limit of a write.
 const WriteTimeout = 300 * time.Millisecond
 
-// Fault is how the store fails.
+// Fault is an injected fault of the store.
 type Fault int32
 
-// The faults of the store.
+// Faults of the store.
 const (
-	// Healthy answers everything.
+	// Healthy injects no fault.
 	Healthy Fault = iota
-	// Down refuses everything; nothing takes effect.
+	// Down rejects all requests; none takes effect.
 	Down
-	// AnswersLost takes writes and loses their answers; reads fail.
+	// AnswersLost applies writes and drops their responses; reads fail.
 	AnswersLost
-	// WritesLost loses writes together with their answers; reads fail.
+	// WritesLost drops writes and returns an unknown outcome; reads fail.
 	WritesLost
-	// ReadOnly loses writes together with their answers; reads succeed.
+	// ReadOnly drops writes and returns an unknown outcome; reads succeed.
 	ReadOnly
 )
 
-// Node is a node's administration API with what stands behind it.
+// Node is the administration API of a node with its dependencies.
 type Node struct {
 	Server  *httptest.Server
 	Replica *configuration.Replica
 	Writer  *configuration.Writer
 	// Emergency holds the emergency drains.
 	Emergency *configuration.EmergencyDrains
-	// Status is what the node answers.
+	// Status is the status that the API returns.
 	Status admin.Status
 
 	store *faultyStore
 }
 
-// Start serves a node until the test ends.
+// Start starts a node that is closed when the test ends.
 func Start(t testing.TB) *Node {
 	t.Helper()
 	node := &Node{store: &faultyStore{Store: memory.New(time.Now)}, Status: readyStatus()}
@@ -85,52 +85,52 @@
 		Token:        Token,
 		Writer:       n.Writer,
 		Replica:      n.Replica,
-		Status:       source{node: n},
-		Emergency:    emergency{drains: n.Emergency},
+		Status:       statusSource{node: n},
+		Emergency:    emergencyDrainer{drains: n.Emergency},
 		Log:          log,
 		WriteTimeout: WriteTimeout,
 	}
 }
 
-// Break makes the store fail, or heals it.
+// Break injects a fault into the store; Healthy removes it.
 func (n *Node) Break(fault Fault) { n.store.fault.Store(int32(fault)) }
 
-// BehindTheReplica writes an object to the store, unseen by the replica, as
-// another node does whose news has not arrived yet.
+// BehindTheReplica writes an object to the store without updating the replica,
+// like a write of another node that has not been propagated yet.
 func (n *Node) BehindTheReplica(t testing.TB, next resource.Envelope, expected store.Revision, change resource.Change) resource.Versioned {
 	t.Helper()
-	other := configuration.NewReplica(time.Now)
-	writer := configuration.NewWriter(n.store, other, func(...resource.Versioned) {}, time.Now)
+	otherReplica := configuration.NewReplica(time.Now)
+	writer := configuration.NewWriter(n.store, otherReplica, func(...resource.Versioned) {}, time.Now)
 	written, err := writer.Write(t.Context(), next, expected, change)
 	if err != nil {
-		t.Fatalf("write behind the replica: %v", err)
+		t.Fatalf("write without updating the replica: %v", err)
 	}
 	return written
 }
 
-type source struct{ node *Node }
+type statusSource struct{ node *Node }
 
-func (s source) Status() admin.Status       { return s.node.Status }
-func (s source) Readiness() admin.Readiness { return s.node.Status.Node.Readiness }
+func (s statusSource) Status() admin.Status       { return s.node.Status }
+func (s statusSource) Readiness() admin.Readiness { return s.node.Status.Node.Readiness }
 
-type emergency struct {
+type emergencyDrainer struct {
 	drains *configuration.EmergencyDrains
 }
 
-func (e emergency) EmergencyDrain(name string) error {
+func (e emergencyDrainer) EmergencyDrain(name string) error {
 	e.drains.Add(name)
 	return nil
 }
 
-func (e emergency) EmergencyDrained(name string) bool { return e.drains.Drained(name) }
+func (e emergencyDrainer) EmergencyDrained(name string) bool { return e.drains.Drained(name) }
 
-// faultyStore fails as it is told to.
+// faultyStore is a store that fails according to fault.
 type faultyStore struct {
 	store.Store
 	fault atomic.Int32
 }
 
-// Get fails as the fault says.
+// Get implements store.Store.
 func (s *faultyStore) Get(ctx context.Context, key string) (store.Entry, error) {
 	if fault := Fault(s.fault.Load()); fault != Healthy && fault != ReadOnly {
 		return store.Entry{}, store.ErrUnavailable
@@ -138,7 +138,7 @@
 	return s.Store.Get(ctx, key)
 }
 
-// CompareAndSwap fails as the fault says.
+// CompareAndSwap implements store.Store.
 func (s *faultyStore) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
 	switch Fault(s.fault.Load()) {
 	case Down:
--- a/internal/admin/doc.go
+++ b/internal/admin/doc.go
@@ -1,9 +1,9 @@
-// Package admin serves the administration API: operators read and change
-// targets, services, policies and drains, and see what a node does.
+// Package admin serves the administration API, with which operators read and
+// change targets, services, policies and drains and read the status of a node.
 //
-// Every node serves it. Reads come from the node's replica of the
-// configuration and may be a little behind the store. Writes go to the store,
-// whose compare-and-swap is the only acceptance; a write whose answer was lost
-// is answered with the outcome "unknown" and the URL at which to ask for it.
+// Every node serves the API. Reads use the node's replica of the configuration,
+// which may lag behind the store. Writes go to the store; a change is accepted
+// if and only if its compare-and-swap succeeds. If the store's response is lost,
+// the outcome is "unknown" and the response has the URL that resolves it.
 // docs/ADMIN-API.md lists every route.
 package admin
--- a/internal/admin/drain.go
+++ b/internal/admin/drain.go
@@ -10,29 +10,29 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// maxDrainAttempts bounds how often a drain or join is tried against the
-// revision that a conflict names. Trying again is right: both say how things
-// shall be, whatever they were.
+// maxDrainAttempts is the maximum number of attempts of a drain or join that
+// fail with revision conflicts. Retrying is safe: the requested state doesn't
+// depend on the previous one.
 const maxDrainAttempts = 3
 
-// handleDrain marks a target or a machine as leaving.
+// handleDrain drains a target or a machine.
 func (s *Server) handleDrain(prefix string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		request, problem := s.readDrain(r, prefix)
 		if problem != nil {
-			s.answerProblem(w, problem)
+			s.writeProblem(w, problem)
 			return
 		}
 		specification, problem := readReason(w, r)
 		if problem != nil {
-			s.answerProblem(w, problem)
+			s.writeProblem(w, problem)
 			return
 		}
 		next := resource.Envelope{ID: request.id, Drain: specification}
 		if faults := Check(next); len(faults) > 0 {
 			problem = newProblem(kindInvalid, "the drain has faults")
 			problem.Faults = faults
-			s.answerProblem(w, problem)
+			s.writeProblem(w, problem)
 			return
 		}
 		s.drain(w, r, next, request)
@@ -49,13 +49,13 @@
 	return request, problem
 }
 
-// readReason reads the optional body of a drain.
+// readReason reads the optional body of a drain request.
 func readReason(w http.ResponseWriter, r *http.Request) (*resource.Drain, *Problem) {
 	body, problem := readBody(w, r)
 	if problem != nil || len(body) == 0 {
 		return &resource.Drain{}, problem
 	}
-	specification, err := decodeStrictly[resource.Drain](body)
+	specification, err := decodeStrict[resource.Drain](body)
 	if errors.Is(err, io.EOF) {
 		return &resource.Drain{}, nil
 	}
@@ -65,36 +65,36 @@
 	return specification, nil
 }
 
-// drain creates the drain. Only the store tells that there is one already: the
-// replica may be behind.
+// drain creates the drain. Only the store decides whether one exists already, as
+// the replica may be stale.
 func (s *Server) drain(w http.ResponseWriter, r *http.Request, next resource.Envelope, request writeRequest) {
 	ctx, cancel := s.writeContext(r)
 	defer cancel()
-	warnings := s.warningsFor(next)
+	warnings := s.objectWarnings(next)
 	for attempt := 1; ; attempt++ {
 		accepted, err := s.options.Writer.Write(ctx, next, 0, request.change)
 		if err == nil {
-			s.answerAccepted(w, r, request, accepted.Revision, warnings)
+			s.writeAccepted(w, r, request, accepted.Revision, warnings)
 			return
 		}
 		var conflict *configuration.ConflictError
 		isConflict := errors.As(err, &conflict)
 		if isConflict && exists(conflict.Current) {
-			s.answerUnchanged(w, request, conflict.Current, warnings)
+			s.writeUnchanged(w, request, conflict.Current, warnings)
 			return
 		}
 		if isConflict && attempt < maxDrainAttempts {
 			continue
 		}
-		s.answerFailedDrain(w, r, request, err, warnings)
+		s.handleFailedDrain(w, r, request, err, warnings)
 		return
 	}
 }
 
 func exists(version resource.Versioned) bool { return version.Revision != 0 && !version.Deleted }
 
-func (s *Server) answerUnchanged(w http.ResponseWriter, request writeRequest, current resource.Versioned, warnings []string) {
-	answerJSON(w, WriteAnswer{
+func (s *Server) writeUnchanged(w http.ResponseWriter, request writeRequest, current resource.Versioned, warnings []string) {
+	writeJSON(w, WriteAnswer{
 		Outcome:  OutcomeUnchanged,
 		Kind:     request.id.Kind,
 		Name:     request.id.Name,
@@ -103,24 +103,24 @@
 	})
 }
 
-// answerFailedDrain spreads the drain from node to node if the operator asked
-// for it and the store has not decided.
-func (s *Server) answerFailedDrain(w http.ResponseWriter, r *http.Request, request writeRequest, err error, warnings []string) {
-	problem := writeProblem(request, err)
-	undecided := problem.Outcome == OutcomeUnknown || errors.Is(err, configuration.ErrUnavailable)
-	if !undecided || r.URL.Query().Get(EmergencyParameter) != "true" {
+// handleFailedDrain starts an emergency drain, which the nodes propagate, if the
+// operator requested it and the store was unavailable or the outcome is unknown.
+func (s *Server) handleFailedDrain(w http.ResponseWriter, r *http.Request, request writeRequest, err error, warnings []string) {
+	problem := problemOfWrite(request, err)
+	inconclusive := problem.Outcome == OutcomeUnknown || errors.Is(err, configuration.ErrUnavailable)
+	if !inconclusive || r.URL.Query().Get(EmergencyParameter) != "true" {
 		s.logWrite(r, request, problem.Outcome, 0, err)
-		s.answerProblem(w, problem)
+		s.writeProblem(w, problem)
 		return
 	}
-	if failed := s.options.Emergency.EmergencyDrain(request.id.Name); failed != nil {
-		problem.Detail += fmt.Sprintf("; emergency drain: %v", failed)
-		s.logWrite(r, request, problem.Outcome, 0, errors.Join(err, failed))
-		s.answerProblem(w, problem)
+	if drainErr := s.options.Emergency.EmergencyDrain(request.id.Name); drainErr != nil {
+		problem.Detail += fmt.Sprintf("; emergency drain: %v", drainErr)
+		s.logWrite(r, request, problem.Outcome, 0, errors.Join(err, drainErr))
+		s.writeProblem(w, problem)
 		return
 	}
 	s.logWrite(r, request, OutcomeEmergency, 0, err)
-	answerJSON(w, WriteAnswer{
+	writeJSON(w, WriteAnswer{
 		Outcome:  OutcomeEmergency,
 		Kind:     request.id.Kind,
 		Name:     request.id.Name,
@@ -129,27 +129,27 @@
 	})
 }
 
-// handleJoin takes a drain back.
+// handleJoin removes a drain.
 func (s *Server) handleJoin(prefix string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		request, problem := s.readDrain(r, prefix)
 		if problem != nil {
-			s.answerProblem(w, problem)
+			s.writeProblem(w, problem)
 			return
 		}
 		s.join(w, r, request)
 	}
 }
 
-// join deletes the drain. It starts from the revision that the replica holds,
-// or from any other if it holds none: a conflict names the right one.
+// join deletes the drain. The first attempt expects the replica's revision, or
+// an arbitrary one if the replica has none: a conflict returns the current one.
 func (s *Server) join(w http.ResponseWriter, r *http.Request, request writeRequest) {
 	ctx, cancel := s.writeContext(r)
 	defer cancel()
 	request.change.Deleted = true
 	request.expected = 1
-	if known, ok := s.options.Replica.Get(request.id); ok && exists(known) {
-		request.expected = known.Revision
+	if current, ok := s.options.Replica.Get(request.id); ok && exists(current) {
+		request.expected = current.Revision
 	}
 	next := resource.Envelope{ID: request.id, Deleted: true}
 	warnings := s.joinWarnings(request.id)
@@ -157,22 +157,22 @@
 		request.change.Replaces = request.expected
 		accepted, err := s.options.Writer.Write(ctx, next, request.expected, request.change)
 		if err == nil {
-			s.answerAccepted(w, r, request, accepted.Revision, warnings)
+			s.writeAccepted(w, r, request, accepted.Revision, warnings)
 			return
 		}
 		var conflict *configuration.ConflictError
 		isConflict := errors.As(err, &conflict)
 		if isConflict && !exists(conflict.Current) {
-			s.answerUnchanged(w, request, conflict.Current, warnings)
+			s.writeUnchanged(w, request, conflict.Current, warnings)
 			return
 		}
 		if isConflict && attempt < maxDrainAttempts {
 			request.expected = conflict.Current.Revision
 			continue
 		}
-		problem := writeProblem(request, err)
+		problem := problemOfWrite(request, err)
 		s.logWrite(r, request, problem.Outcome, 0, err)
-		s.answerProblem(w, problem)
+		s.writeProblem(w, problem)
 		return
 	}
 }
--- a/internal/admin/drain_test.go
+++ b/internal/admin/drain_test.go
@@ -22,7 +22,7 @@
 
 var drainID = resource.ID{Kind: resource.KindDrain, Name: "target.ventctl-1"}
 
-func drained(t *testing.T, node *admintest.Node) bool {
+func isDrained(t *testing.T, node *admintest.Node) bool {
 	t.Helper()
 	version, ok := node.Replica.Get(drainID)
 	return ok && !version.Deleted
@@ -35,20 +35,20 @@
 		first := accepted(t, node, "POST", "/v1/drain/targets/ventctl-1", `{"reason":"moves"}`)
 		assert.Equal(t, first.Outcome, admin.OutcomeAccepted)
 		assert.Equal(t, len(first.Warnings), 0)
-		assert.Assert(t, drained(t, node))
+		assert.Assert(t, isDrained(t, node))
 		again := accepted(t, node, "POST", "/v1/drain/targets/ventctl-1", "")
 		assert.Equal(t, again.Outcome, admin.OutcomeUnchanged)
 		assert.Equal(t, again.Revision, first.Revision)
 
 		joined := accepted(t, node, "POST", "/v1/join/targets/ventctl-1", "")
 		assert.Equal(t, joined.Outcome, admin.OutcomeAccepted)
-		assert.Assert(t, !drained(t, node))
+		assert.Assert(t, !isDrained(t, node))
 		joined = accepted(t, node, "POST", "/v1/join/targets/ventctl-1", "")
 		assert.Equal(t, joined.Outcome, admin.OutcomeUnchanged)
 	}
 }
 
-func TestDrainOfUnknownNameWarns(t *testing.T) {
+func TestDrainOfUnknownNameReturnsWarning(t *testing.T) {
 	node := admintest.Start(t)
 	for _, path := range []string{"/v1/drain/targets/ventctl-9", "/v1/drain/machines/m9"} {
 		answer := accepted(t, node, "POST", path, "")
@@ -59,9 +59,9 @@
 	assert.Assert(t, ok)
 }
 
-// TestDrainBehindTheReplica drains and joins while the node's replica has
-// missed what another node wrote: only the store may decide.
-func TestDrainBehindTheReplica(t *testing.T) {
+// TestDrainWithStaleReplica drains and joins while the replica lacks a write of
+// another node: the outcome must depend on the store only.
+func TestDrainWithStaleReplica(t *testing.T) {
 	node := admintest.Start(t)
 	drain := resource.Envelope{ID: drainID, Drain: &resource.Drain{}}
 	node.BehindTheReplica(t, drain, 0, resource.Change{ID: "elsewhere"})
@@ -73,7 +73,7 @@
 	node.BehindTheReplica(t, resource.Envelope{ID: drainID}, written.Revision, resource.Change{ID: "elsewhere-3", Deleted: true})
 	answer := accepted(t, node, "POST", "/v1/drain/targets/ventctl-1", "")
 	assert.Equal(t, answer.Outcome, admin.OutcomeAccepted)
-	assert.Assert(t, drained(t, node))
+	assert.Assert(t, isDrained(t, node))
 }
 
 func TestEmergencyDrain(t *testing.T) {
--- a/internal/admin/health.go
+++ b/internal/admin/health.go
@@ -5,11 +5,11 @@
 func (s *Server) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	status := s.options.Status.Status()
 	status.Warnings = append(status.Warnings, s.allWarnings()...)
-	answerJSON(w, withoutNulls(status))
+	writeJSON(w, withEmptyLists(status))
 }
 
-// withoutNulls lets empty lists be encoded as lists.
-func withoutNulls(status Status) Status {
+// withEmptyLists replaces nil slices, which JSON encodes as null, by empty ones.
+func withEmptyLists(status Status) Status {
 	status.Members = append([]MemberStatus{}, status.Members...)
 	status.Homes = append([]HomeStatus{}, status.Homes...)
 	status.Targets = append([]TargetStatus{}, status.Targets...)
@@ -17,12 +17,12 @@
 	return status
 }
 
-// handleLive answers as long as the process answers anything.
+// handleLive always succeeds: a response proves that the process is alive.
 func handleLive(w http.ResponseWriter, _ *http.Request) {
-	answerJSON(w, liveness{Live: true})
+	writeJSON(w, liveness{Live: true})
 }
 
-// liveness answers /livez.
+// liveness is the response of /livez.
 type liveness struct {
 	Live bool `json:"live"`
 }
@@ -33,5 +33,5 @@
 	if !readiness.Ready {
 		status = http.StatusServiceUnavailable
 	}
-	answer(w, status, "application/json", readiness)
+	writeDocument(w, status, "application/json", readiness)
 }
--- a/internal/admin/problem.go
+++ b/internal/admin/problem.go
@@ -8,10 +8,11 @@
 	"strings"
 )
 
-// typePrefix starts the type member of every problem document.
+// typePrefix is the prefix of the type member of all problem documents.
 const typePrefix = "urn:lugspur:admin:"
 
-// problemKind is the last part of a document's type, with its status.
+// problemKind is the last part of a problem type with its HTTP status and the
+// outcome that it implies.
 type problemKind struct {
 	name    string
 	status  int
@@ -19,18 +20,18 @@
 }
 
 var (
-	kindInvalid      = problemKind{"invalid", http.StatusBadRequest, OutcomeRefused}
-	kindUnauthorized = problemKind{"unauthorized", http.StatusUnauthorized, OutcomeRefused}
-	kindForbidden    = problemKind{"forbidden", http.StatusForbidden, OutcomeRefused}
-	kindNotFound     = problemKind{"not-found", http.StatusNotFound, ""}
-	kindConflict     = problemKind{"conflict", http.StatusConflict, OutcomeRefused}
-	kindTooLarge     = problemKind{"too-large", http.StatusRequestEntityTooLarge, OutcomeRefused}
-	kindNoRevision   = problemKind{"revision-required", http.StatusPreconditionRequired, OutcomeRefused}
-	kindBusy         = problemKind{"busy", http.StatusServiceUnavailable, OutcomeRefused}
-	kindTooMany      = problemKind{"too-many-objects", http.StatusInsufficientStorage, OutcomeRefused}
-	kindUnavailable  = problemKind{"store-unavailable", http.StatusServiceUnavailable, OutcomeRefused}
-	kindInternal     = problemKind{"internal", http.StatusInternalServerError, ""}
-	kindUnknown      = problemKind{"outcome-unknown", http.StatusGatewayTimeout, OutcomeUnknown}
+	kindInvalid          = problemKind{"invalid", http.StatusBadRequest, OutcomeRefused}
+	kindUnauthorized     = problemKind{"unauthorized", http.StatusUnauthorized, OutcomeRefused}
+	kindForbidden        = problemKind{"forbidden", http.StatusForbidden, OutcomeRefused}
+	kindNotFound         = problemKind{"not-found", http.StatusNotFound, ""}
+	kindConflict         = problemKind{"conflict", http.StatusConflict, OutcomeRefused}
+	kindTooLarge         = problemKind{"too-large", http.StatusRequestEntityTooLarge, OutcomeRefused}
+	kindRevisionRequired = problemKind{"revision-required", http.StatusPreconditionRequired, OutcomeRefused}
+	kindBusy             = problemKind{"busy", http.StatusServiceUnavailable, OutcomeRefused}
+	kindTooManyObjects   = problemKind{"too-many-objects", http.StatusInsufficientStorage, OutcomeRefused}
+	kindStoreUnavailable = problemKind{"store-unavailable", http.StatusServiceUnavailable, OutcomeRefused}
+	kindInternal         = problemKind{"internal", http.StatusInternalServerError, ""}
+	kindOutcomeUnknown   = problemKind{"outcome-unknown", http.StatusGatewayTimeout, OutcomeUnknown}
 )
 
 func newProblem(kind problemKind, format string, arguments ...any) *Problem {
@@ -43,17 +44,17 @@
 	}
 }
 
-func (p *Problem) retryLater() *Problem {
+func (p *Problem) withRetryAfter() *Problem {
 	p.RetryAfterSeconds = int(retryAfter.Seconds())
 	return p
 }
 
-func (p *Problem) at(step string) *Problem {
+func (p *Problem) withStep(step string) *Problem {
 	p.Step = step
 	return p
 }
 
-func (s *Server) answerProblem(w http.ResponseWriter, problem *Problem) {
+func (s *Server) writeProblem(w http.ResponseWriter, problem *Problem) {
 	problem.Peer = s.options.NodeName
 	if problem.RetryAfterSeconds > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(problem.RetryAfterSeconds))
@@ -61,14 +62,14 @@
 	if problem.Status == http.StatusUnauthorized {
 		w.Header().Set("WWW-Authenticate", "Bearer")
 	}
-	answer(w, problem.Status, ProblemContentType, problem)
+	writeDocument(w, problem.Status, ProblemContentType, problem)
 }
 
-func answerJSON[T any](w http.ResponseWriter, document T) {
-	answer(w, http.StatusOK, "application/json", document)
+func writeJSON[T any](w http.ResponseWriter, document T) {
+	writeDocument(w, http.StatusOK, "application/json", document)
 }
 
-func answer[T any](w http.ResponseWriter, status int, contentType string, document T) {
+func writeDocument[T any](w http.ResponseWriter, status int, contentType string, document T) {
 	body, err := json.Marshal(document)
 	if err != nil {
 		http.Error(w, "encode answer: "+err.Error(), http.StatusInternalServerError)
@@ -82,7 +83,7 @@
 	_, _ = w.Write(body)
 }
 
-// String returns the fault in one line.
+// String formats the fault on one line.
 func (f Fault) String() string {
 	text := f.Message
 	if f.Expression != "" {
--- a/internal/admin/read.go
+++ b/internal/admin/read.go
@@ -14,20 +14,20 @@
 func (s *Server) handleList(kind resource.Kind) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		list := ObjectList{Kind: kind, Items: []Object{}}
-		for _, version := range s.live(kind) {
+		for _, version := range s.liveObjects(kind) {
 			object, err := newObject(version)
 			if err != nil {
-				s.answerProblem(w, newProblem(kindInternal, "%v", err).at("encode object"))
+				s.writeProblem(w, newProblem(kindInternal, "%v", err).withStep("encode object"))
 				return
 			}
 			list.Items = append(list.Items, object)
 		}
-		answerJSON(w, list)
+		writeJSON(w, list)
 	}
 }
 
-// live returns the objects of a kind that are not deleted, ordered by name.
-func (s *Server) live(kind resource.Kind) []resource.Versioned {
+// liveObjects returns the objects of a kind without deleted ones, ordered by name.
+func (s *Server) liveObjects(kind resource.Kind) []resource.Versioned {
 	versions := slices.Clone(s.options.Replica.List(kind))
 	versions = slices.DeleteFunc(versions, func(v resource.Versioned) bool { return v.Deleted })
 	slices.SortFunc(versions, func(a, b resource.Versioned) int { return cmp.Compare(a.ID.Name, b.ID.Name) })
@@ -54,16 +54,16 @@
 		id := resource.ID{Kind: kind, Name: r.PathValue("name")}
 		version, ok := s.options.Replica.Get(id)
 		if !ok || version.Deleted {
-			s.answerProblem(w, notFound(id))
+			s.writeProblem(w, notFound(id))
 			return
 		}
 		object, err := newObject(version)
 		if err != nil {
-			s.answerProblem(w, newProblem(kindInternal, "%v", err).at("encode object"))
+			s.writeProblem(w, newProblem(kindInternal, "%v", err).withStep("encode object"))
 			return
 		}
-		setRevision(w, version.Revision)
-		answerJSON(w, object)
+		setRevisionHeaders(w, version.Revision)
+		writeJSON(w, object)
 	}
 }
 
@@ -71,7 +71,7 @@
 	return newProblem(kindNotFound, "this node knows no %s named %q", id.Kind, id.Name)
 }
 
-func setRevision(w http.ResponseWriter, revision store.Revision) {
+func setRevisionHeaders(w http.ResponseWriter, revision store.Revision) {
 	text := strconv.FormatInt(int64(revision), 10)
 	w.Header().Set("ETag", `"`+text+`"`)
 	w.Header().Set(RevisionHeader, text)
@@ -82,16 +82,16 @@
 		id := resource.ID{Kind: kind, Name: r.PathValue("name")}
 		version, ok := s.options.Replica.Get(id)
 		if !ok {
-			s.answerProblem(w, notFound(id))
+			s.writeProblem(w, notFound(id))
 			return
 		}
-		setRevision(w, version.Revision)
-		answerJSON(w, newHistory(version))
+		setRevisionHeaders(w, version.Revision)
+		writeJSON(w, newHistory(version))
 	}
 }
 
-// newHistory gives every change its revision: the one that its successor
-// replaced.
+// newHistory assigns each change its revision, which is the one that the next
+// change replaced.
 func newHistory(version resource.Versioned) History {
 	history := History{Kind: version.ID.Kind, Name: version.ID.Name, Changes: []HistoryEntry{}}
 	revision := version.Revision
@@ -102,33 +102,33 @@
 	return history
 }
 
-// handleChange answers what became of a change.
+// handleChange returns the outcome of a change.
 func (s *Server) handleChange(w http.ResponseWriter, r *http.Request) {
 	id := resource.ID{Kind: resource.Kind(r.PathValue("kind")), Name: r.PathValue("name")}
 	if err := id.Validate(); err != nil {
-		s.answerProblem(w, newProblem(kindInvalid, "%v", err))
+		s.writeProblem(w, newProblem(kindInvalid, "%v", err))
 		return
 	}
 	expected, problem := readExpected(r)
 	if problem != nil {
-		s.answerProblem(w, problem)
+		s.writeProblem(w, problem)
 		return
 	}
-	s.answerChange(w, r, id, expected)
+	s.resolveChange(w, r, id, expected)
 }
 
-func (s *Server) answerChange(w http.ResponseWriter, r *http.Request, id resource.ID, expected store.Revision) {
+func (s *Server) resolveChange(w http.ResponseWriter, r *http.Request, id resource.ID, expected store.Revision) {
 	ctx, cancel := s.writeContext(r)
 	defer cancel()
 	changeID := r.PathValue("change_id")
 	resolution, revision, err := s.options.Writer.Resolve(ctx, id, changeID, expected)
 	if err != nil {
-		problem := newProblem(kindUnavailable, "%v", err).at("resolve change").retryLater()
+		problem := newProblem(kindStoreUnavailable, "%v", err).withStep("resolve change").withRetryAfter()
 		problem.Outcome, problem.ChangeID = OutcomeUnknown, changeID
-		s.answerProblem(w, problem)
+		s.writeProblem(w, problem)
 		return
 	}
-	answerJSON(w, ChangeAnswer{
+	writeJSON(w, ChangeAnswer{
 		Outcome:  outcomeOf(resolution),
 		Kind:     id.Kind,
 		Name:     id.Name,
--- a/internal/admin/request.go
+++ b/internal/admin/request.go
@@ -14,25 +14,25 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// MaxAuthorLength bounds the name of an author, in bytes.
+// MaxAuthorLength is the maximum length of an author's name, in bytes.
 const MaxAuthorLength = 100
 
 var changeIDPattern = regexp.MustCompile(`^[A-Za-z0-9._-]{1,64}$`)
 
-// authorPattern takes printable ASCII.
+// authorPattern matches printable ASCII.
 var authorPattern = regexp.MustCompile(`^[ -~]{0,100}$`)
 
-// NewChangeID returns an id that no other change has.
+// NewChangeID returns a random, unique change id.
 func NewChangeID() string { return rand.Text() }
 
-// writeRequest is what the header and the query of a write say.
+// writeRequest holds the path, headers and query parameters of a write.
 type writeRequest struct {
 	id       resource.ID
 	expected store.Revision
 	change   resource.Change
 }
 
-// readChange reads who makes which change.
+// readChange reads the id and the author of a change from the headers.
 func (s *Server) readChange(r *http.Request) (resource.Change, *Problem) {
 	change := resource.Change{
 		ID:     r.Header.Get(ChangeIDHeader),
@@ -51,7 +51,7 @@
 	return change, nil
 }
 
-// readWrite reads the header and the query of a PUT or DELETE.
+// readWrite reads the path, headers and query parameters of a PUT or DELETE.
 func (s *Server) readWrite(r *http.Request, kind resource.Kind) (writeRequest, *Problem) {
 	request := writeRequest{id: resource.ID{Kind: kind, Name: r.PathValue("name")}}
 	if err := request.id.Validate(); err != nil {
@@ -68,13 +68,13 @@
 // readExpected reads the expected revision from the query or from If-Match.
 func readExpected(r *http.Request) (store.Revision, *Problem) {
 	parameter := r.URL.Query().Get(ExpectedRevisionParameter)
-	match := r.Header.Get("If-Match")
-	if parameter == "" && match == "" {
-		return 0, newProblem(kindNoRevision, "a write needs the revision that it replaces: %s=REVISION or If-Match: \"REVISION\"; zero creates", ExpectedRevisionParameter)
+	ifMatch := r.Header.Get("If-Match")
+	if parameter == "" && ifMatch == "" {
+		return 0, newProblem(kindRevisionRequired, "a write needs the revision that it replaces: %s=REVISION or If-Match: \"REVISION\"; zero creates", ExpectedRevisionParameter)
 	}
-	unquoted := strings.Trim(match, `"`)
-	if parameter != "" && match != "" && parameter != unquoted {
-		return 0, newProblem(kindInvalid, "%s=%s and If-Match: %s differ", ExpectedRevisionParameter, parameter, match)
+	unquoted := strings.Trim(ifMatch, `"`)
+	if parameter != "" && ifMatch != "" && parameter != unquoted {
+		return 0, newProblem(kindInvalid, "%s=%s and If-Match: %s differ", ExpectedRevisionParameter, parameter, ifMatch)
 	}
 	if parameter == "" {
 		parameter = unquoted
@@ -94,7 +94,7 @@
 	return store.Revision(number), nil
 }
 
-// readBody reads a bounded body.
+// readBody reads a body of at most MaxBodyBytes.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, *Problem) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -13,75 +13,77 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Writer changes objects in the store.
+// Writer writes objects to the store.
 type Writer interface {
-	// Write writes the object if its revision is expected. Every error but
-	// those that package configuration names as having no effect is answered
-	// as an unknown outcome.
+	// Write writes the object if its current revision is the expected one.
+	// Errors have an unknown outcome unless package configuration defines them
+	// as having no effect.
 	Write(ctx context.Context, next resource.Envelope, expected store.Revision, change resource.Change) (resource.Versioned, error)
-	// Resolve asks the store what became of a change.
+	// Resolve queries the store for the outcome of a change.
 	Resolve(ctx context.Context, id resource.ID, changeID string, expected store.Revision) (configuration.Resolution, store.Revision, error)
 }
 
-// Replica is the node's copy of the configuration. Deleted objects may be in
-// it, marked as such.
+// Replica is the node's copy of the configuration. It may contain tombstones of
+// deleted objects.
 type Replica interface {
 	Get(id resource.ID) (resource.Versioned, bool)
 	List(kind resource.Kind) []resource.Versioned
 }
 
-// StatusSource tells what the node does.
-type StatusSource interface {
+// StatusProvider provides the status of the node.
+type StatusProvider interface {
 	Status() Status
 	Readiness() Readiness
 }
 
-// EmergencyDrainer spreads drains from node to node, without the store. Names
-// are those of drain objects.
+// EmergencyDrainer propagates drains between nodes without the store. Names are
+// those of drain objects.
 type EmergencyDrainer interface {
-	// EmergencyDrain marks as leaving what the drain of that name marks, for a
-	// while.
+	// EmergencyDrain drains the target or machine of the named drain for a
+	// limited time.
 	EmergencyDrain(name string) error
-	// EmergencyDrained reports whether such a mark holds.
+	// EmergencyDrained reports whether an emergency drain of that name is active.
 	EmergencyDrained(name string) bool
 }
 
-// Times and bounds of the server.
+// Timeouts and limits of the server.
 const (
-	// DefaultWriteTimeout bounds a write, from its request to its answer.
+	// DefaultWriteTimeout is the time limit of a write, from request to response.
 	DefaultWriteTimeout = 10 * time.Second
-	// MaxConcurrentWrites bounds the requests that use the store at one time.
+	// MaxConcurrentWrites is the maximum number of concurrent requests to the
+	// store.
 	MaxConcurrentWrites = 64
-	// retryAfter is when a refused writer may come back.
+	// retryAfter is the Retry-After delay of requests that may be retried.
 	retryAfter = 2 * time.Second
 )
 
-// Options are what a Server works with. All but WriteTimeout and Now must be
-// given.
+// Options configure a Server. All fields except WriteTimeout and Now are
+// required.
 type Options struct {
-	// NodeName names the node in problem documents.
+	// NodeName is the name of the node in problem documents.
 	NodeName string
-	// Token is what writes must show; empty means that no write is taken.
+	// Token is the bearer token that writes require; if empty, all writes are
+	// rejected.
 	Token     string
 	Writer    Writer
 	Replica   Replica
-	Status    StatusSource
+	Status    StatusProvider
 	Emergency EmergencyDrainer
 	Log       logrus.FieldLogger
-	// WriteTimeout bounds a write; zero means DefaultWriteTimeout.
+	// WriteTimeout is the time limit of a write; zero means DefaultWriteTimeout.
 	WriteTimeout time.Duration
-	// Now is the clock of the changes' times; nil means time.Now.
+	// Now returns the time of a change; nil means time.Now.
 	Now func() time.Time
 }
 
-// Server answers the administration API. It is safe for concurrent use.
+// Server serves the administration API. It is safe for concurrent use.
 type Server struct {
-	options Options
-	token   [sha256.Size]byte
-	writes  chan struct{}
+	options     Options
+	tokenDigest [sha256.Size]byte
+	storeSlots  chan struct{}
 }
 
-// NewServer returns a server.
+// NewServer creates a Server from the options, with defaults applied.
 func NewServer(options Options) *Server {
 	if options.WriteTimeout == 0 {
 		options.WriteTimeout = DefaultWriteTimeout
@@ -90,21 +92,21 @@
 		options.Now = time.Now
 	}
 	return &Server{
-		options: options,
-		token:   sha256.Sum256([]byte(options.Token)),
-		writes:  make(chan struct{}, MaxConcurrentWrites),
+		options:     options,
+		tokenDigest: sha256.Sum256([]byte(options.Token)),
+		storeSlots:  make(chan struct{}, MaxConcurrentWrites),
 	}
 }
 
-// Register adds the API's routes to a mux.
+// Register registers the API's routes on a mux.
 func (s *Server) Register(mux *http.ServeMux) {
 	for _, kind := range resource.OperatorKinds() {
 		s.registerKind(mux, kind)
 	}
-	mux.HandleFunc("GET /v1/changes/{kind}/{name}/{change_id}", s.bounded(s.handleChange))
+	mux.HandleFunc("GET /v1/changes/{kind}/{name}/{change_id}", s.limitStoreRequests(s.handleChange))
 	for path, prefix := range drainPrefixes {
-		mux.HandleFunc("POST /v1/drain/"+path+"/{name}", s.guarded(s.handleDrain(prefix)))
-		mux.HandleFunc("POST /v1/join/"+path+"/{name}", s.guarded(s.handleJoin(prefix)))
+		mux.HandleFunc("POST /v1/drain/"+path+"/{name}", s.requireToken(s.handleDrain(prefix)))
+		mux.HandleFunc("POST /v1/join/"+path+"/{name}", s.requireToken(s.handleJoin(prefix)))
 	}
 	mux.HandleFunc("GET /v1/status", s.handleStatus)
 	mux.HandleFunc("GET /livez", handleLive)
@@ -116,8 +118,8 @@
 	mux.HandleFunc("GET "+collection, s.handleList(kind))
 	mux.HandleFunc("GET "+collection+"/{name}", s.handleGet(kind))
 	mux.HandleFunc("GET "+collection+"/{name}/history", s.handleHistory(kind))
-	mux.HandleFunc("PUT "+collection+"/{name}", s.guarded(s.handlePut(kind)))
-	mux.HandleFunc("DELETE "+collection+"/{name}", s.guarded(s.handleDelete(kind)))
+	mux.HandleFunc("PUT "+collection+"/{name}", s.requireToken(s.handlePut(kind)))
+	mux.HandleFunc("DELETE "+collection+"/{name}", s.requireToken(s.handleDelete(kind)))
 }
 
 // Plural returns the name of a kind's collection.
@@ -128,8 +130,8 @@
 	return string(kind) + "s"
 }
 
-// drainPrefixes maps the collections of what can leave to the prefix of its
-// drain's name.
+// drainPrefixes maps the collections that can be drained to the prefixes of the
+// names of their drains.
 var drainPrefixes = map[string]string{
 	"targets":  resource.DrainTargetPrefix,
 	"machines": resource.DrainMachinePrefix,
--- a/internal/admin/specification.go
+++ b/internal/admin/specification.go
@@ -10,27 +10,27 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// DecodeSpecification reads an object's specification from JSON. Fields that
-// the kind does not have are an error.
+// DecodeSpecification decodes an object's specification from JSON. Unknown
+// fields are an error.
 func DecodeSpecification(id resource.ID, body []byte) (resource.Envelope, error) {
 	envelope := resource.Envelope{ID: id}
 	var err error
 	switch id.Kind {
 	case resource.KindTarget:
-		envelope.Target, err = decodeStrictly[resource.Target](body)
+		envelope.Target, err = decodeStrict[resource.Target](body)
 	case resource.KindService:
-		envelope.Service, err = decodeStrictly[resource.Service](body)
+		envelope.Service, err = decodeStrict[resource.Service](body)
 	case resource.KindPolicy:
-		envelope.Policy, err = decodeStrictly[resource.Policy](body)
+		envelope.Policy, err = decodeStrict[resource.Policy](body)
 	case resource.KindDrain:
-		envelope.Drain, err = decodeStrictly[resource.Drain](body)
+		envelope.Drain, err = decodeStrict[resource.Drain](body)
 	default:
 		err = id.Validate()
 	}
 	return envelope, err
 }
 
-func decodeStrictly[T any](body []byte) (*T, error) {
+func decodeStrict[T any](body []byte) (*T, error) {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
 	var specification T
@@ -61,8 +61,7 @@
 	return nil, nil
 }
 
-// Check returns what is wrong with an object: its form, and for a policy also
-// its program.
+// Check validates an object and returns its faults. A policy is also compiled.
 func Check(envelope resource.Envelope) []Fault {
 	if err := envelope.Validate(); err != nil {
 		return faultsOf(err)
@@ -83,24 +82,24 @@
 	if err == nil {
 		return nil
 	}
-	var broken *policy.CompileError
-	if errors.As(err, &broken) {
-		return policyFaults(broken)
+	var compileError *policy.CompileError
+	if errors.As(err, &compileError) {
+		return policyFaults(compileError)
 	}
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) {
 		return []Fault{{Message: err.Error()}}
 	}
 	var faults []Fault
-	for _, one := range joined.Unwrap() {
-		faults = append(faults, Fault{Message: one.Error()})
+	for _, cause := range joined.Unwrap() {
+		faults = append(faults, Fault{Message: cause.Error()})
 	}
 	return faults
 }
 
-func policyFaults(broken *policy.CompileError) []Fault {
-	faults := make([]Fault, 0, len(broken.Faults))
-	for _, fault := range broken.Faults {
+func policyFaults(compileError *policy.CompileError) []Fault {
+	faults := make([]Fault, 0, len(compileError.Faults))
+	for _, fault := range compileError.Faults {
 		faults = append(faults, Fault{
 			Expression: fault.Expression,
 			Line:       fault.Line,
--- a/internal/admin/write.go
+++ b/internal/admin/write.go
@@ -18,20 +18,20 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		request, problem := s.readWrite(r, kind)
 		if problem != nil {
-			s.answerProblem(w, problem)
+			s.writeProblem(w, problem)
 			return
 		}
 		next, problem := readObject(w, r, request.id)
 		if problem != nil {
-			s.answerProblem(w, problem)
+			s.writeProblem(w, problem)
 			return
 		}
 		s.write(w, r, next, request)
 	}
 }
 
-// readObject reads and checks the object of a PUT, so that nothing faulty is
-// sent to the store.
+// readObject reads and validates the object of a PUT, so that no invalid object
+// is sent to the store.
 func readObject(w http.ResponseWriter, r *http.Request, id resource.ID) (resource.Envelope, *Problem) {
 	body, problem := readBody(w, r)
 	if problem != nil {
@@ -56,7 +56,7 @@
 			problem = newProblem(kindInvalid, "a deletion needs the revision that it deletes")
 		}
 		if problem != nil {
-			s.answerProblem(w, problem)
+			s.writeProblem(w, problem)
 			return
 		}
 		request.change.Deleted = true
@@ -64,25 +64,25 @@
 	}
 }
 
-// write sends a change to the store and answers what became of it.
+// write sends a change to the store and responds with its outcome.
 func (s *Server) write(w http.ResponseWriter, r *http.Request, next resource.Envelope, request writeRequest) {
 	ctx, cancel := s.writeContext(r)
 	defer cancel()
 	request.change.Replaces = request.expected
 	accepted, err := s.options.Writer.Write(ctx, next, request.expected, request.change)
 	if err != nil {
-		problem := writeProblem(request, err)
+		problem := problemOfWrite(request, err)
 		s.logWrite(r, request, problem.Outcome, 0, err)
-		s.answerProblem(w, problem)
+		s.writeProblem(w, problem)
 		return
 	}
-	s.answerAccepted(w, r, request, accepted.Revision, s.warningsFor(next))
+	s.writeAccepted(w, r, request, accepted.Revision, s.objectWarnings(next))
 }
 
-func (s *Server) answerAccepted(w http.ResponseWriter, r *http.Request, request writeRequest, revision store.Revision, warnings []string) {
+func (s *Server) writeAccepted(w http.ResponseWriter, r *http.Request, request writeRequest, revision store.Revision, warnings []string) {
 	s.logWrite(r, request, OutcomeAccepted, revision, nil)
-	setRevision(w, revision)
-	answerJSON(w, WriteAnswer{
+	setRevisionHeaders(w, revision)
+	writeJSON(w, WriteAnswer{
 		Outcome:  OutcomeAccepted,
 		Kind:     request.id.Kind,
 		Name:     request.id.Name,
@@ -96,9 +96,9 @@
 	return context.WithTimeout(r.Context(), s.options.WriteTimeout)
 }
 
-// writeProblem turns an error of a write into a problem. An error that is not
-// known to have no effect leaves the outcome unknown.
-func writeProblem(request writeRequest, err error) *Problem {
+// problemOfWrite converts the error of a write to a problem. The outcome is
+// unknown unless the error is defined as having no effect.
+func problemOfWrite(request writeRequest, err error) *Problem {
 	var conflict *configuration.ConflictError
 	var invalid *configuration.InvalidError
 	var problem *Problem
@@ -111,14 +111,14 @@
 	case errors.Is(err, configuration.ErrChangeIDReused):
 		problem = newProblem(kindInvalid, "%s %s names another change", ChangeIDHeader, request.change.ID)
 	case errors.Is(err, configuration.ErrTooManyObjects):
-		problem = newProblem(kindTooMany, "there are %d objects already", configuration.MaxObjects)
+		problem = newProblem(kindTooManyObjects, "there are %d objects already", configuration.MaxObjects)
 	case errors.Is(err, configuration.ErrUnavailable):
-		problem = newProblem(kindUnavailable, "%v", err).retryLater()
+		problem = newProblem(kindStoreUnavailable, "%v", err).withRetryAfter()
 	default:
 		problem = unknownProblem(request, err)
 	}
 	problem.ChangeID = request.change.ID
-	return problem.at("write " + request.id.String())
+	return problem.withStep("write " + request.id.String())
 }
 
 func conflictProblem(request writeRequest, conflict *configuration.ConflictError) *Problem {
@@ -141,17 +141,17 @@
 	if errors.As(err, &unknown) {
 		expected = unknown.Expected
 	}
-	problem := newProblem(kindUnknown, "%v", err).retryLater()
+	problem := newProblem(kindOutcomeUnknown, "%v", err).withRetryAfter()
 	problem.AskURL = AskURL(request.id, request.change.ID, expected)
 	return problem
 }
 
-// AskURL returns the path and query at which to ask for a change's outcome.
+// AskURL returns the path and query that resolve the outcome of a change.
 func AskURL(id resource.ID, changeID string, expected store.Revision) string {
 	return fmt.Sprintf("/v1/changes/%s/%s/%s?%s=%d", id.Kind, url.PathEscape(id.Name), url.PathEscape(changeID), ExpectedRevisionParameter, expected)
 }
 
-// logWrite leaves a trace of every write that reached the store.
+// logWrite logs a write that was sent to the store.
 func (s *Server) logWrite(r *http.Request, request writeRequest, outcome Outcome, revision store.Revision, err error) {
 	entry := s.options.Log.WithFields(logrus.Fields{
 		"object":   request.id.String(),
