--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -13,36 +13,37 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// Times of the client.
+// Timeouts and intervals of the client.
 const (
-	// DefaultReadTimeout bounds one read at one node.
+	// DefaultReadTimeout is the time limit of a read from one node.
 	DefaultReadTimeout = 5 * time.Second
-	// DefaultWriteTimeout bounds one write; it is longer than a node's own.
+	// DefaultWriteTimeout is the time limit of a write; it is longer than the
+	// node's own.
 	DefaultWriteTimeout = admin.DefaultWriteTimeout + 2*time.Second
-	// DefaultResolveTimeout bounds the asking for a lost outcome; it is longer
-	// than a node works on a write.
+	// DefaultResolveTimeout is the time limit for resolving an unknown outcome;
+	// it is longer than a node's time limit of a write.
 	DefaultResolveTimeout = admin.DefaultWriteTimeout + 5*time.Second
-	// resolvePause is the time between two questions for a lost outcome.
-	resolvePause = 250 * time.Millisecond
+	// resolveInterval is the polling interval for an unknown outcome.
+	resolveInterval = 250 * time.Millisecond
 )
 
-// MaxAnswerBytes bounds an answer, in bytes.
-const MaxAnswerBytes = 16 << 20
+// MaxResponseBytes is the maximum size of a response, in bytes.
+const MaxResponseBytes = 16 << 20
 
-// Options are what a Client works with. Addresses must be given.
+// Options configure a Client. Addresses is required.
 type Options struct {
 	// Addresses are admin addresses of nodes: IP:port, with or without
 	// "http://".
 	Addresses []string
-	// Token is what writes show.
+	// Token is the bearer token of writes.
 	Token string
-	// Author names who makes the changes.
+	// Author is the author of the changes.
 	Author string
-	// HTTP is the client to use; nil means a plain one.
+	// HTTP is the HTTP client; nil means a default one that follows no redirects.
 	HTTP *http.Client
 	// Timeouts; zero means the defaults.
 	ReadTimeout, WriteTimeout, ResolveTimeout time.Duration
-	// NodeWriteTimeout is how long a node works on a write at most; zero means
+	// NodeWriteTimeout is a node's time limit of a write; zero means
 	// admin.DefaultWriteTimeout.
 	NodeWriteTimeout time.Duration
 }
@@ -50,11 +51,11 @@
 // Client calls the administration API. It is safe for concurrent use.
 type Client struct {
 	options Options
-	// preferred is the index of the address that answered last.
+	// preferred is the index of the address that responded last.
 	preferred atomic.Int64
 }
 
-// New returns a client.
+// New creates a client from the options, with defaults applied.
 func New(options Options) (*Client, error) {
 	if len(options.Addresses) == 0 {
 		return nil, oops.In("adminclient").Errorf("no admin address")
@@ -65,7 +66,7 @@
 	}
 	options.Addresses = addresses
 	if options.HTTP == nil {
-		options.HTTP = &http.Client{CheckRedirect: refuseRedirect}
+		options.HTTP = &http.Client{CheckRedirect: rejectRedirect}
 	}
 	setDefault(&options.ReadTimeout, DefaultReadTimeout)
 	setDefault(&options.WriteTimeout, DefaultWriteTimeout)
@@ -80,8 +81,9 @@
 	}
 }
 
-// refuseRedirect keeps the token with the node that it was meant for.
-func refuseRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
+// rejectRedirect disables redirects, so that the token is sent only to the
+// configured nodes.
+func rejectRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 func baseURL(address string) string {
 	if !strings.Contains(address, "://") {
@@ -90,7 +92,8 @@
 	return strings.TrimRight(address, "/")
 }
 
-// Get returns an object; its error wraps ErrNotFound if the node knows none.
+// Get returns an object; the error wraps ErrNotFound if it doesn't exist at the
+// node.
 func (c *Client) Get(ctx context.Context, id resource.ID) (admin.Object, error) {
 	return read[admin.Object](ctx, c, objectPath(id))
 }
@@ -100,31 +103,31 @@
 	return read[admin.ObjectList](ctx, c, "/v1/"+admin.Plural(kind))
 }
 
-// History returns the last changes of an object, also of a deleted one.
+// History returns the latest changes of an object, which may be deleted.
 func (c *Client) History(ctx context.Context, id resource.ID) (admin.History, error) {
 	return read[admin.History](ctx, c, objectPath(id)+"/history")
 }
 
-// Status returns the status of the node that answers.
+// Status returns the status of the first node that responds.
 func (c *Client) Status(ctx context.Context) (admin.Status, error) {
 	return read[admin.Status](ctx, c, "/v1/status")
 }
 
-// read asks the nodes in turn, from the one that answered last, until one
-// answers.
+// read queries the nodes in turn, starting with the one that responded last,
+// until one responds.
 func read[T any](ctx context.Context, c *Client, path string) (T, error) {
 	var document T
-	var last error
+	var lastErr error
 	first := c.preferred.Load()
 	for i := range int64(len(c.options.Addresses)) {
 		index := (first + i) % int64(len(c.options.Addresses))
-		last = c.readAt(ctx, c.options.Addresses[index], path, &document)
-		if !worthAnotherNode(last) || ctx.Err() != nil {
+		lastErr = c.readAt(ctx, c.options.Addresses[index], path, &document)
+		if !isRetryableElsewhere(lastErr) || ctx.Err() != nil {
 			c.preferred.Store(index)
-			return document, last
+			return document, lastErr
 		}
 	}
-	return document, last
+	return document, lastErr
 }
 
 func (c *Client) readAt(ctx context.Context, address, path string, document any) error {
@@ -132,7 +135,7 @@
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, address+path, nil)
 	if err != nil {
-		return failure("make request", address, err)
+		return newError("make request", address, err)
 	}
 	return c.do(request, "read", address, document)
 }
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -19,15 +19,15 @@
 )
 
 var (
-	serviceID = resource.ID{Kind: resource.KindService, Name: "cropcal"}
-	spec      = []byte(`{"timeout_ms":100}`)
-	otherSpec = []byte(`{"timeout_ms":200}`)
-	target    = adminclient.Leaving{Collection: "targets", Name: "cropcal-1"}
+	serviceID     = resource.ID{Kind: resource.KindService, Name: "cropcal"}
+	serviceSpec   = []byte(`{"timeout_ms":100}`)
+	updatedSpec   = []byte(`{"timeout_ms":200}`)
+	drainedTarget = adminclient.Leaving{Collection: "targets", Name: "cropcal-1"}
 )
 
-func client(t *testing.T, transport http.RoundTripper, addresses ...string) *adminclient.Client {
+func newClient(t *testing.T, transport http.RoundTripper, addresses ...string) *adminclient.Client {
 	t.Helper()
-	made, err := adminclient.New(adminclient.Options{
+	created, err := adminclient.New(adminclient.Options{
 		Addresses:        addresses,
 		Token:            admintest.Token,
 		Author:           "meera",
@@ -36,11 +36,11 @@
 		NodeWriteTimeout: admintest.WriteTimeout,
 	})
 	assert.NilError(t, err)
-	return made
+	return created
 }
 
-// refusing returns an address at which nothing listens.
-func refusing(t *testing.T) string {
+// closedAddress returns an address without a listener.
+func closedAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -48,21 +48,22 @@
 	return listener.Addr().String()
 }
 
-// dropping passes requests on and loses the answers of writes.
-type dropping struct {
+// responseDropper is a transport that forwards requests and drops the responses
+// of writes.
+type responseDropper struct {
 	writes atomic.Int32
-	// lose says whether the request is lost as well.
-	lose bool
+	// dropRequests also drops the requests of writes.
+	dropRequests bool
 }
 
 var errDropped = errors.New("connection reset")
 
-func (d *dropping) RoundTrip(request *http.Request) (*http.Response, error) {
+func (d *responseDropper) RoundTrip(request *http.Request) (*http.Response, error) {
 	if request.Method == http.MethodGet {
 		return http.DefaultTransport.RoundTrip(request)
 	}
 	d.writes.Add(1)
-	if !d.lose {
+	if !d.dropRequests {
 		response, err := http.DefaultTransport.RoundTrip(request)
 		if err != nil {
 			return nil, err
@@ -74,28 +75,28 @@
 
 func TestWritesAndReads(t *testing.T) {
 	node := admintest.Start(t)
-	c := client(t, nil, node.Server.URL)
+	c := newClient(t, nil, node.Server.URL)
 	_, err := c.Get(t.Context(), serviceID)
 	assert.ErrorIs(t, err, adminclient.ErrNotFound)
 
-	answer, err := c.Put(t.Context(), serviceID, spec, 0)
+	answer, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
 	object, err := c.Get(t.Context(), serviceID)
 	assert.NilError(t, err)
 	assert.Equal(t, object.Revision, answer.Revision)
 	assert.Equal(t, object.LastChange.Author, "meera")
 
-	_, err = c.Put(t.Context(), serviceID, otherSpec, 0)
+	_, err = c.Put(t.Context(), serviceID, updatedSpec, 0)
 	assert.ErrorIs(t, err, adminclient.ErrConflict)
 	_, err = c.Put(t.Context(), serviceID, []byte(`{"timeout":1}`), answer.Revision)
 	assert.ErrorIs(t, err, adminclient.ErrInvalid)
 
-	_, err = c.Drain(t.Context(), target, resource.Drain{Reason: "moves"}, false)
+	_, err = c.Drain(t.Context(), drainedTarget, resource.Drain{Reason: "moves"}, false)
 	assert.NilError(t, err)
 	list, err := c.List(t.Context(), resource.KindDrain)
 	assert.NilError(t, err)
 	assert.Equal(t, list.Items[0].Name, "target.cropcal-1")
-	_, err = c.Join(t.Context(), target)
+	_, err = c.Join(t.Context(), drainedTarget)
 	assert.NilError(t, err)
 
 	_, err = c.Delete(t.Context(), serviceID, answer.Revision)
@@ -108,11 +109,11 @@
 	assert.Equal(t, status.Node.Name, "node-a1")
 }
 
-func TestWrongTokenIsDenied(t *testing.T) {
+func TestInvalidTokenIsDenied(t *testing.T) {
 	node := admintest.Start(t)
 	c, err := adminclient.New(adminclient.Options{Addresses: []string{node.Server.URL}})
 	assert.NilError(t, err)
-	_, err = c.Put(t.Context(), serviceID, spec, 0)
+	_, err = c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.ErrorIs(t, err, adminclient.ErrDenied)
 }
 
@@ -121,27 +122,27 @@
 	broken := httptest.NewServer(http.NotFoundHandler())
 	broken.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) })
 	defer broken.Close()
-	c := client(t, nil, refusing(t), broken.URL, node.Server.URL)
+	c := newClient(t, nil, closedAddress(t), broken.URL, node.Server.URL)
 	_, err := c.Status(t.Context())
 	assert.NilError(t, err)
-	_, err = c.Put(t.Context(), serviceID, spec, 0)
+	_, err = c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
 
-	unreachable := client(t, nil, refusing(t), refusing(t))
+	unreachable := newClient(t, nil, closedAddress(t), closedAddress(t))
 	_, err = unreachable.Status(t.Context())
 	assert.ErrorIs(t, err, adminclient.ErrUnavailable)
-	_, err = unreachable.Put(t.Context(), serviceID, spec, 0)
+	_, err = unreachable.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.ErrorIs(t, err, adminclient.ErrUnavailable)
 	assert.Assert(t, !errors.Is(err, adminclient.ErrUnknownOutcome))
 }
 
-// TestLostAnswerIsResolved loses the answer between node and client: the
-// change is found by its id, and it is sent once.
-func TestLostAnswerIsResolved(t *testing.T) {
+// TestLostResponseIsResolved drops the response between node and client: the
+// client must find the change by its id and send it only once.
+func TestLostResponseIsResolved(t *testing.T) {
 	node, other := admintest.Start(t), admintest.Start(t)
-	transport := &dropping{}
-	c := client(t, transport, node.Server.URL, other.Server.URL)
-	answer, err := c.Put(t.Context(), serviceID, spec, 0)
+	transport := &responseDropper{}
+	c := newClient(t, transport, node.Server.URL, other.Server.URL)
+	answer, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, answer.Outcome, admin.OutcomeAccepted)
 	assert.Equal(t, transport.writes.Load(), int32(1))
@@ -151,7 +152,7 @@
 	_, ok = other.Replica.Get(serviceID)
 	assert.Assert(t, !ok)
 
-	_, err = c.Drain(t.Context(), target, resource.Drain{}, false)
+	_, err = c.Drain(t.Context(), drainedTarget, resource.Drain{}, false)
 	assert.NilError(t, err)
 	answer, err = c.Delete(t.Context(), serviceID, answer.Revision)
 	assert.NilError(t, err)
@@ -160,56 +161,56 @@
 	assert.Equal(t, version.Revision, answer.Revision)
 }
 
-func TestLostRequestIsNotReportedAsAccepted(t *testing.T) {
+func TestLostRequestHasUnknownOutcome(t *testing.T) {
 	node := admintest.Start(t)
-	c := client(t, nil, node.Server.URL)
-	created, err := c.Put(t.Context(), serviceID, spec, 0)
+	c := newClient(t, nil, node.Server.URL)
+	created, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
-	losing := client(t, &dropping{lose: true}, node.Server.URL)
-	_, err = losing.Put(t.Context(), serviceID, otherSpec, created.Revision)
+	lossyClient := newClient(t, &responseDropper{dropRequests: true}, node.Server.URL)
+	_, err = lossyClient.Put(t.Context(), serviceID, updatedSpec, created.Revision)
 	assert.ErrorIs(t, err, adminclient.ErrUnknownOutcome)
 	assert.ErrorIs(t, err, errDropped)
 	var failed *adminclient.Error
 	assert.Assert(t, errors.As(err, &failed))
 	assert.Assert(t, strings.HasPrefix(failed.Problem.AskURL, "/v1/changes/service/cropcal/"))
 
-	_, err = c.Put(t.Context(), serviceID, otherSpec, created.Revision)
+	_, err = c.Put(t.Context(), serviceID, updatedSpec, created.Revision)
 	assert.NilError(t, err)
-	_, err = losing.Put(t.Context(), serviceID, spec, created.Revision)
+	_, err = lossyClient.Put(t.Context(), serviceID, serviceSpec, created.Revision)
 	assert.ErrorIs(t, err, adminclient.ErrConflict)
 }
 
-// TestUnknownAtNodeIsResolved lets the node itself lose the store's answer.
+// TestUnknownAtNodeIsResolved drops the response of the store to the node.
 func TestUnknownAtNodeIsResolved(t *testing.T) {
 	node := admintest.Start(t)
-	c := client(t, nil, node.Server.URL)
-	created, err := c.Put(t.Context(), serviceID, spec, 0)
+	c := newClient(t, nil, node.Server.URL)
+	created, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
 	node.Break(admintest.AnswersLost)
-	healing := time.AfterFunc(2*admintest.WriteTimeout, func() { node.Break(admintest.Healthy) })
-	defer healing.Stop()
-	changed, err := c.Put(t.Context(), serviceID, otherSpec, created.Revision)
+	recovery := time.AfterFunc(2*admintest.WriteTimeout, func() { node.Break(admintest.Healthy) })
+	defer recovery.Stop()
+	changed, err := c.Put(t.Context(), serviceID, updatedSpec, created.Revision)
 	assert.NilError(t, err)
 	assert.Assert(t, changed.Revision > created.Revision)
 }
 
-func TestOutcomeStaysUnknownWhileTheStoreIsSilent(t *testing.T) {
+func TestOutcomeIsUnknownWhileStoreIsUnavailable(t *testing.T) {
 	node := admintest.Start(t)
-	c := client(t, nil, node.Server.URL)
-	created, err := c.Put(t.Context(), serviceID, spec, 0)
+	c := newClient(t, nil, node.Server.URL)
+	created, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
 	node.Break(admintest.Down)
-	_, err = c.Put(t.Context(), serviceID, otherSpec, created.Revision)
+	_, err = c.Put(t.Context(), serviceID, updatedSpec, created.Revision)
 	assert.ErrorIs(t, err, adminclient.ErrUnavailable)
 	assert.Assert(t, !errors.Is(err, adminclient.ErrUnknownOutcome))
 	node.Break(admintest.AnswersLost)
-	_, err = c.Put(t.Context(), serviceID, otherSpec, created.Revision)
+	_, err = c.Put(t.Context(), serviceID, updatedSpec, created.Revision)
 	assert.ErrorIs(t, err, adminclient.ErrUnknownOutcome)
 }
 
-// TestStrangeAnswerLeavesTheOutcomeUnknown: what is not the node's own document
-// proves nothing about the write.
-func TestStrangeAnswerLeavesTheOutcomeUnknown(t *testing.T) {
+// TestUnrecognizedResponseLeavesOutcomeUnknown checks that an error response
+// without the node's problem document leaves the outcome of a write unknown.
+func TestUnrecognizedResponseLeavesOutcomeUnknown(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
 			_, _ = w.Write([]byte(`{"outcome":"unknown"}`))
@@ -218,18 +219,19 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}))
 	defer server.Close()
-	_, err := client(t, nil, server.URL).Put(t.Context(), serviceID, spec, 3)
+	_, err := newClient(t, nil, server.URL).Put(t.Context(), serviceID, serviceSpec, 3)
 	assert.ErrorIs(t, err, adminclient.ErrUnknownOutcome)
 }
 
-// TestEarlyRefusalOfCreationIsNotBelieved: while the node may still work on a
-// creation, another node's refusal proves nothing.
-func TestEarlyRefusalOfCreationIsNotBelieved(t *testing.T) {
-	var asked atomic.Int32
+// TestEarlyRefusalOfCreationIsNotConclusive checks that a refusal, which may come
+// from another node, is ignored while the first node may still be processing the
+// creation.
+func TestEarlyRefusalOfCreationIsNotConclusive(t *testing.T) {
+	var queries atomic.Int32
 	handler := http.NewServeMux()
 	handler.HandleFunc("GET /v1/changes/", func(w http.ResponseWriter, _ *http.Request) {
 		outcome := `{"outcome":"refused"}`
-		if asked.Add(1) > 1 {
+		if queries.Add(1) > 1 {
 			outcome = `{"outcome":"accepted","revision":7}`
 		}
 		_, _ = w.Write([]byte(outcome))
@@ -238,12 +240,12 @@
 	defer server.Close()
 	c, err := adminclient.New(adminclient.Options{
 		Addresses:        []string{server.URL},
-		HTTP:             &http.Client{Transport: &dropping{}},
+		HTTP:             &http.Client{Transport: &responseDropper{}},
 		ResolveTimeout:   5 * time.Second,
 		NodeWriteTimeout: 5 * time.Second,
 	})
 	assert.NilError(t, err)
-	answer, err := c.Put(t.Context(), serviceID, spec, 0)
+	answer, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, int64(answer.Revision), int64(7))
 }
--- a/internal/adminclient/errors.go
+++ b/internal/adminclient/errors.go
@@ -8,43 +8,43 @@
 	"github.com/lugspur/lugspur/internal/admin"
 )
 
-// What an Error means, for errors.Is.
+// Errors that an Error wraps, for errors.Is.
 var (
-	// ErrInvalid means that the request or its object has faults.
+	// ErrInvalid means that the request or its object is invalid.
 	ErrInvalid = errors.New("invalid")
 	// ErrDenied means that the token is missing or wrong.
 	ErrDenied = errors.New("denied")
-	// ErrNotFound means that there is no such object.
+	// ErrNotFound means that the object doesn't exist.
 	ErrNotFound = errors.New("not found")
-	// ErrConflict means that the object has another revision; the write took no
+	// ErrConflict means that the object has another revision; the write had no
 	// effect.
 	ErrConflict = errors.New("conflict")
 	// ErrUnknownOutcome means that the write may or may not take effect.
 	ErrUnknownOutcome = errors.New("outcome unknown")
-	// ErrUnavailable means that no node, or not the store, was reached; a write
-	// took no effect.
+	// ErrUnavailable means that no node responded or that the store was
+	// unavailable; a write had no effect.
 	ErrUnavailable = errors.New("unavailable")
 )
 
-// Error is a failed request. Errors.Is finds what it means.
+// Error is a failed request. It wraps one of the errors above and its cause.
 type Error struct {
-	// Step is what failed: read, write or resolve.
+	// Step is the failed operation, such as read, write or resolve.
 	Step string
-	// Address is the node that failed or answered.
+	// Address is the address of the node.
 	Address string
-	// Problem is the node's answer; nil if there was none.
+	// Problem is the node's problem document; nil if there was no response.
 	Problem *admin.Problem
-	// Cause is why there was no answer; nil if there was one.
+	// Cause is the reason why there was no valid response; nil if there was one.
 	Cause error
-	// Unknown marks a write that may have taken effect.
+	// Unknown marks a write that may take effect.
 	Unknown bool
 }
 
-func failure(step, address string, cause error) *Error {
+func newError(step, address string, cause error) *Error {
 	return &Error{Step: step, Address: address, Cause: cause}
 }
 
-// Error says the step, the peer and what went wrong.
+// Error returns the step, the address and the problem or cause.
 func (e *Error) Error() string {
 	if e.Problem != nil {
 		return fmt.Sprintf("%s at %s: %v", e.Step, e.Address, e.Problem)
@@ -52,11 +52,11 @@
 	return fmt.Sprintf("%s at %s: %v", e.Step, e.Address, e.Cause)
 }
 
-// Unwrap returns the cause and the meaning.
+// Unwrap returns the sentinel error and the cause.
 func (e *Error) Unwrap() []error {
 	causes := []error{}
-	if meaning := e.meaning(); meaning != nil {
-		causes = append(causes, meaning)
+	if sentinel := e.sentinel(); sentinel != nil {
+		causes = append(causes, sentinel)
 	}
 	if e.Cause != nil {
 		causes = append(causes, e.Cause)
@@ -64,7 +64,7 @@
 	return causes
 }
 
-func (e *Error) meaning() error {
+func (e *Error) sentinel() error {
 	if e.Unknown {
 		return ErrUnknownOutcome
 	}
@@ -74,10 +74,10 @@
 	if e.Problem.Outcome == admin.OutcomeUnknown {
 		return ErrUnknownOutcome
 	}
-	return meanings[e.Problem.Status]
+	return statusErrors[e.Problem.Status]
 }
 
-var meanings = map[int]error{
+var statusErrors = map[int]error{
 	http.StatusBadRequest:            ErrInvalid,
 	http.StatusRequestEntityTooLarge: ErrInvalid,
 	http.StatusPreconditionRequired:  ErrInvalid,
@@ -88,9 +88,8 @@
 	http.StatusServiceUnavailable:    ErrUnavailable,
 }
 
-// worthAnotherNode reports whether another node may answer a read that failed
-// so.
-func worthAnotherNode(err error) bool {
+// isRetryableElsewhere reports whether a failed read may succeed at another node.
+func isRetryableElsewhere(err error) bool {
 	var failed *Error
 	if !errors.As(err, &failed) {
 		return false
--- a/internal/adminclient/write.go
+++ b/internal/adminclient/write.go
@@ -18,7 +18,7 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// change is one write with what is needed to ask for its outcome.
+// change is a write with the parameters needed to resolve its outcome.
 type change struct {
 	method   string
 	path     string
@@ -28,8 +28,8 @@
 	expected store.Revision
 }
 
-// Put writes an object's specification if the object is at the expected
-// revision; zero creates it.
+// Put writes an object's specification if the object has the expected revision;
+// zero creates the object.
 func (c *Client) Put(ctx context.Context, id resource.ID, specification json.RawMessage, expected store.Revision) (admin.WriteAnswer, error) {
 	return c.write(ctx, change{
 		method:   http.MethodPut,
@@ -40,7 +40,7 @@
 	})
 }
 
-// Delete removes an object if it is at the expected revision.
+// Delete deletes an object if it has the expected revision.
 func (c *Client) Delete(ctx context.Context, id resource.ID, expected store.Revision) (admin.WriteAnswer, error) {
 	return c.write(ctx, change{
 		method:   http.MethodDelete,
@@ -50,7 +50,7 @@
 	})
 }
 
-// Leaving names what can be drained: the collection and the name in it.
+// Leaving identifies a target or a machine to drain.
 type Leaving struct {
 	// Collection is "targets" or "machines".
 	Collection string
@@ -65,12 +65,12 @@
 	return resource.ID{Kind: resource.KindDrain, Name: prefix + l.Name}
 }
 
-// Drain marks a target or a machine as leaving. With emergency the nodes tell
-// each other if the store can't accept it.
+// Drain drains a target or a machine. If emergency is set, the nodes propagate
+// the drain themselves if the store can't accept it.
 func (c *Client) Drain(ctx context.Context, leaving Leaving, drain resource.Drain, emergency bool) (admin.WriteAnswer, error) {
 	body, err := json.Marshal(drain)
 	if err != nil {
-		return admin.WriteAnswer{}, failure("encode drain", "", err)
+		return admin.WriteAnswer{}, newError("encode drain", "", err)
 	}
 	path := "/v1/drain/" + leaving.Collection + "/" + url.PathEscape(leaving.Name)
 	if emergency {
@@ -79,7 +79,7 @@
 	return c.write(ctx, change{method: http.MethodPost, path: path, body: body, id: leaving.id()})
 }
 
-// Join takes a drain back.
+// Join removes a drain.
 func (c *Client) Join(ctx context.Context, leaving Leaving) (admin.WriteAnswer, error) {
 	path := "/v1/join/" + leaving.Collection + "/" + url.PathEscape(leaving.Name)
 	return c.write(ctx, change{method: http.MethodPost, path: path, id: leaving.id()})
@@ -93,24 +93,24 @@
 	return "?" + admin.ExpectedRevisionParameter + "=" + strconv.FormatInt(int64(expected), 10)
 }
 
-// write sends the change once, to a node that answers, and finds out about its
-// outcome if the answer was lost.
+// write sends the change once, to a reachable node, and resolves its outcome if
+// the response is lost.
 func (c *Client) write(ctx context.Context, change change) (admin.WriteAnswer, error) {
 	change.changeID = admin.NewChangeID()
-	address, err := c.reachable(ctx)
+	address, err := c.reachableAddress(ctx)
 	if err != nil {
 		return admin.WriteAnswer{}, err
 	}
 	answer, err := c.writeAt(ctx, address, change)
-	if !isUnknown(err) {
+	if !isOutcomeUnknown(err) {
 		return answer, err
 	}
 	return c.resolve(ctx, address, change, err)
 }
 
-// reachable returns the address of a node that answers now: a write is not
-// sent to a second one after the first has failed.
-func (c *Client) reachable(ctx context.Context) (string, error) {
+// reachableAddress returns the address of a reachable node. It is determined
+// before a write, as a write that failed isn't sent to another node.
+func (c *Client) reachableAddress(ctx context.Context) (string, error) {
 	if len(c.options.Addresses) > 1 {
 		if _, err := read[struct{}](ctx, c, "/livez"); err != nil {
 			return "", err
@@ -125,7 +125,7 @@
 	var answer admin.WriteAnswer
 	request, err := http.NewRequestWithContext(ctx, change.method, address+change.path, bytes.NewReader(change.body))
 	if err != nil {
-		return answer, failure("make request", address, err)
+		return answer, newError("make request", address, err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Authorization", "Bearer "+c.options.Token)
@@ -136,80 +136,80 @@
 	err = c.do(request, "write", address, &answer)
 	var failed *Error
 	if errors.As(err, &failed) {
-		failed.Unknown = leavesUnknown(failed)
+		failed.Unknown = mayTakeEffect(failed)
 	}
 	return answer, err
 }
 
-// leavesUnknown reports whether a write that failed so may take effect: it may
-// unless it was never sent or the node has said what became of it.
-func leavesUnknown(failed *Error) bool {
+// mayTakeEffect reports whether a failed write may still take effect: it may
+// unless it was never sent or the node reported its outcome.
+func mayTakeEffect(failed *Error) bool {
 	if failed.Problem == nil {
 		return !neverSent(failed.Cause)
 	}
 	return failed.Problem.Status >= http.StatusInternalServerError && failed.Problem.Outcome != admin.OutcomeRefused
 }
 
-// neverSent reports whether no byte of the request left: the connection was
-// not made.
+// neverSent reports whether no byte of the request was sent, because the
+// connection could not be established.
 func neverSent(err error) bool {
 	var network *net.OpError
 	return errors.As(err, &network) && network.Op == "dial"
 }
 
-func isUnknown(err error) bool { return errors.Is(err, ErrUnknownOutcome) }
+func isOutcomeUnknown(err error) bool { return errors.Is(err, ErrUnknownOutcome) }
 
-// resolve asks for the change until its outcome is certain or the time is up.
-// The caller's context may be what ended the write, so that asking has its own
-// time.
-func (c *Client) resolve(ctx context.Context, address string, change change, lost error) (admin.WriteAnswer, error) {
+// resolve polls the change until its outcome is conclusive or ResolveTimeout has
+// passed. It ignores cancellation of the caller's context, which may be the
+// reason why the write failed.
+func (c *Client) resolve(ctx context.Context, address string, change change, writeErr error) (admin.WriteAnswer, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.options.ResolveTimeout)
 	defer cancel()
-	question := newQuestion(change, lost, time.Now().Add(c.options.NodeWriteTimeout))
+	query := newOutcomeQuery(change, writeErr, time.Now().Add(c.options.NodeWriteTimeout))
 	for {
-		answer, err := read[admin.ChangeAnswer](ctx, c, question.path)
-		if err == nil && question.certain(answer, time.Now()) {
-			return resolved(address, change, answer)
+		answer, err := read[admin.ChangeAnswer](ctx, c, query.path)
+		if err == nil && query.isConclusive(answer, time.Now()) {
+			return resolvedResult(address, change, answer)
 		}
-		if !pause.For(ctx, resolvePause) {
-			return admin.WriteAnswer{}, unresolved(address, change, question.path, lost)
+		if !pause.For(ctx, resolveInterval) {
+			return admin.WriteAnswer{}, unresolvedError(address, change, query.path, writeErr)
 		}
 	}
 }
 
-// question is how to ask for a lost outcome.
-type question struct {
+// outcomeQuery is a query for the unknown outcome of a write.
+type outcomeQuery struct {
 	path string
-	// refusalCertainAt is when a refusal can be believed: a creation may be
-	// refused at one node while another, whose answer was lost, still works on
-	// it. Any other refusal is certain at once.
-	refusalCertainAt time.Time
+	// refusalFinalAt is the time from which a refusal is conclusive: one node may
+	// report a creation as refused while another, whose response was lost, is
+	// still processing it. Other refusals are conclusive immediately.
+	refusalFinalAt time.Time
 }
 
-func newQuestion(change change, lost error, nodeDeadline time.Time) question {
-	asked := question{path: admin.AskURL(change.id, change.changeID, change.expected)}
+func newOutcomeQuery(change change, writeErr error, nodeDeadline time.Time) outcomeQuery {
+	query := outcomeQuery{path: admin.AskURL(change.id, change.changeID, change.expected)}
 	var failed *Error
-	if errors.As(lost, &failed) && failed.Problem != nil && strings.HasPrefix(failed.Problem.AskURL, "/") {
-		asked.path = failed.Problem.AskURL
-		return asked
+	if errors.As(writeErr, &failed) && failed.Problem != nil && strings.HasPrefix(failed.Problem.AskURL, "/") {
+		query.path = failed.Problem.AskURL
+		return query
 	}
 	if change.expected == 0 {
-		asked.refusalCertainAt = nodeDeadline
+		query.refusalFinalAt = nodeDeadline
 	}
-	return asked
+	return query
 }
 
-func (q question) certain(answer admin.ChangeAnswer, now time.Time) bool {
+func (q outcomeQuery) isConclusive(answer admin.ChangeAnswer, now time.Time) bool {
 	switch answer.Outcome {
 	case admin.OutcomeAccepted:
 		return true
 	case admin.OutcomeRefused:
-		return !now.Before(q.refusalCertainAt)
+		return !now.Before(q.refusalFinalAt)
 	}
 	return false
 }
 
-func resolved(address string, change change, answer admin.ChangeAnswer) (admin.WriteAnswer, error) {
+func resolvedResult(address string, change change, answer admin.ChangeAnswer) (admin.WriteAnswer, error) {
 	if answer.Outcome == admin.OutcomeAccepted {
 		return admin.WriteAnswer{
 			Outcome:  admin.OutcomeAccepted,
@@ -228,8 +228,8 @@
 	}}
 }
 
-func unresolved(address string, change change, path string, lost error) error {
-	return &Error{Step: "resolve", Address: address, Unknown: true, Cause: lost, Problem: &admin.Problem{
+func unresolvedError(address string, change change, path string, writeErr error) error {
+	return &Error{Step: "resolve", Address: address, Unknown: true, Cause: writeErr, Problem: &admin.Problem{
 		Title:    http.StatusText(http.StatusGatewayTimeout),
 		Status:   http.StatusGatewayTimeout,
 		Detail:   "the change may or may not take effect",
