--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -54,9 +54,9 @@
 
 func accepted(t *testing.T, node *admintest.Node, method, path, body string, headers ...string) admin.WriteAnswer {
 	t.Helper()
-	response, answer := call[admin.WriteAnswer](t, node, method, path, body, headers...)
+	response, result := call[admin.WriteAnswer](t, node, method, path, body, headers...)
 	assert.Equal(t, response.StatusCode, http.StatusOK)
-	return answer
+	return result
 }
 
 func TestObjectLifeCycle(t *testing.T) {
--- a/internal/admin/drain_test.go
+++ b/internal/admin/drain_test.go
@@ -51,9 +51,9 @@
 func TestDrainOfUnknownNameReturnsWarning(t *testing.T) {
 	node := admintest.Start(t)
 	for _, path := range []string{"/v1/drain/targets/ventctl-9", "/v1/drain/machines/m9"} {
-		answer := accepted(t, node, "POST", path, "")
-		assert.Equal(t, answer.Outcome, admin.OutcomeAccepted)
-		assert.Equal(t, len(answer.Warnings), 1)
+		result := accepted(t, node, "POST", path, "")
+		assert.Equal(t, result.Outcome, admin.OutcomeAccepted)
+		assert.Equal(t, len(result.Warnings), 1)
 	}
 	_, ok := node.Replica.Get(resource.ID{Kind: resource.KindDrain, Name: "machine.m9"})
 	assert.Assert(t, ok)
@@ -71,8 +71,8 @@
 	written := node.BehindTheReplica(t, drain, 0, resource.Change{ID: "elsewhere-2"})
 	node.Replica.Apply(written)
 	node.BehindTheReplica(t, resource.Envelope{ID: drainID}, written.Revision, resource.Change{ID: "elsewhere-3", Deleted: true})
-	answer := accepted(t, node, "POST", "/v1/drain/targets/ventctl-1", "")
-	assert.Equal(t, answer.Outcome, admin.OutcomeAccepted)
+	result := accepted(t, node, "POST", "/v1/drain/targets/ventctl-1", "")
+	assert.Equal(t, result.Outcome, admin.OutcomeAccepted)
 	assert.Assert(t, isDrained(t, node))
 }
 
@@ -88,10 +88,10 @@
 		assert.Assert(t, response.StatusCode >= 500)
 		assert.Assert(t, !node.Emergency.Drained(drainID.Name))
 
-		answer := accepted(t, node, "POST", path+"?emergency=true", "")
-		assert.Equal(t, answer.Outcome, admin.OutcomeEmergency)
+		result := accepted(t, node, "POST", path+"?emergency=true", "")
+		assert.Equal(t, result.Outcome, admin.OutcomeEmergency)
 		assert.Assert(t, node.Emergency.Drained(drainID.Name))
-		assert.Equal(t, len(answer.Warnings), 1)
+		assert.Equal(t, len(result.Warnings), 1)
 
 		node.Break(admintest.Healthy)
 		joined := accepted(t, node, "POST", "/v1/join/targets/ventctl-1", "")
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -50,9 +50,9 @@
 const (
 	// DefaultWriteTimeout is the time limit of a write, from request to response.
 	DefaultWriteTimeout = 10 * time.Second
-	// MaxConcurrentWrites is the maximum number of concurrent requests to the
+	// MaxConcurrentStoreRequests is the maximum number of concurrent requests to the
 	// store.
-	MaxConcurrentWrites = 64
+	MaxConcurrentStoreRequests = 64
 	// retryAfter is the Retry-After delay of requests that may be retried.
 	retryAfter = 2 * time.Second
 )
@@ -94,7 +94,7 @@
 	return &Server{
 		options:     options,
 		tokenDigest: sha256.Sum256([]byte(options.Token)),
-		storeSlots:  make(chan struct{}, MaxConcurrentWrites),
+		storeSlots:  make(chan struct{}, MaxConcurrentStoreRequests),
 	}
 }
 
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -79,16 +79,16 @@
 	_, err := c.Get(t.Context(), serviceID)
 	assert.ErrorIs(t, err, adminclient.ErrNotFound)
 
-	answer, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
+	response, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
 	object, err := c.Get(t.Context(), serviceID)
 	assert.NilError(t, err)
-	assert.Equal(t, object.Revision, answer.Revision)
+	assert.Equal(t, object.Revision, response.Revision)
 	assert.Equal(t, object.LastChange.Author, "meera")
 
 	_, err = c.Put(t.Context(), serviceID, updatedSpec, 0)
 	assert.ErrorIs(t, err, adminclient.ErrConflict)
-	_, err = c.Put(t.Context(), serviceID, []byte(`{"timeout":1}`), answer.Revision)
+	_, err = c.Put(t.Context(), serviceID, []byte(`{"timeout":1}`), response.Revision)
 	assert.ErrorIs(t, err, adminclient.ErrInvalid)
 
 	_, err = c.Drain(t.Context(), drainedTarget, resource.Drain{Reason: "moves"}, false)
@@ -99,7 +99,7 @@
 	_, err = c.Join(t.Context(), drainedTarget)
 	assert.NilError(t, err)
 
-	_, err = c.Delete(t.Context(), serviceID, answer.Revision)
+	_, err = c.Delete(t.Context(), serviceID, response.Revision)
 	assert.NilError(t, err)
 	history, err := c.History(t.Context(), serviceID)
 	assert.NilError(t, err)
@@ -119,10 +119,10 @@
 
 func TestReadsFailOver(t *testing.T) {
 	node := admintest.Start(t)
-	broken := httptest.NewServer(http.NotFoundHandler())
-	broken.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) })
-	defer broken.Close()
-	c := newClient(t, nil, closedAddress(t), broken.URL, node.Server.URL)
+	badGateway := httptest.NewServer(http.NotFoundHandler())
+	badGateway.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusBadGateway) })
+	defer badGateway.Close()
+	c := newClient(t, nil, closedAddress(t), badGateway.URL, node.Server.URL)
 	_, err := c.Status(t.Context())
 	assert.NilError(t, err)
 	_, err = c.Put(t.Context(), serviceID, serviceSpec, 0)
@@ -142,23 +142,23 @@
 	node, other := admintest.Start(t), admintest.Start(t)
 	transport := &responseDropper{}
 	c := newClient(t, transport, node.Server.URL, other.Server.URL)
-	answer, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
+	response, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
-	assert.Equal(t, answer.Outcome, admin.OutcomeAccepted)
+	assert.Equal(t, response.Outcome, admin.OutcomeAccepted)
 	assert.Equal(t, transport.writes.Load(), int32(1))
 	version, ok := node.Replica.Get(serviceID)
 	assert.Assert(t, ok)
-	assert.Equal(t, version.Revision, answer.Revision)
+	assert.Equal(t, version.Revision, response.Revision)
 	_, ok = other.Replica.Get(serviceID)
 	assert.Assert(t, !ok)
 
 	_, err = c.Drain(t.Context(), drainedTarget, resource.Drain{}, false)
 	assert.NilError(t, err)
-	answer, err = c.Delete(t.Context(), serviceID, answer.Revision)
+	response, err = c.Delete(t.Context(), serviceID, response.Revision)
 	assert.NilError(t, err)
 	version, _ = node.Replica.Get(serviceID)
 	assert.Assert(t, version.Deleted)
-	assert.Equal(t, version.Revision, answer.Revision)
+	assert.Equal(t, version.Revision, response.Revision)
 }
 
 func TestLostRequestHasUnknownOutcome(t *testing.T) {
@@ -245,7 +245,7 @@
 		NodeWriteTimeout: 5 * time.Second,
 	})
 	assert.NilError(t, err)
-	answer, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
+	response, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
-	assert.Equal(t, int64(answer.Revision), int64(7))
+	assert.Equal(t, int64(response.Revision), int64(7))
 }
--- a/internal/adminclient/errors.go
+++ b/internal/adminclient/errors.go
@@ -26,15 +26,18 @@
 	ErrUnavailable = errors.New("unavailable")
 )
 
-// Error is a failed request. It wraps one of the errors above and its cause.
+// Error is a failed request. It wraps its cause and the error above that applies,
+// if any.
 type Error struct {
 	// Step is the failed operation, such as read, write or resolve.
 	Step string
 	// Address is the address of the node.
 	Address string
-	// Problem is the node's problem document; nil if there was no response.
+	// Problem is the problem document of the node or, for an unresolved write, of
+	// the client; nil if there was no valid response.
 	Problem *admin.Problem
-	// Cause is the reason why there was no valid response; nil if there was one.
+	// Cause is the error of the request, such as a lost response; nil if a problem
+	// document was received.
 	Cause error
 	// Unknown marks a write that may take effect.
 	Unknown bool
--- a/internal/adminclient/write.go
+++ b/internal/adminclient/write.go
@@ -101,9 +101,9 @@
 	if err != nil {
 		return admin.WriteAnswer{}, err
 	}
-	answer, err := c.writeAt(ctx, address, change)
+	response, err := c.writeAt(ctx, address, change)
 	if !isOutcomeUnknown(err) {
-		return answer, err
+		return response, err
 	}
 	return c.resolve(ctx, address, change, err)
 }
@@ -122,10 +122,10 @@
 func (c *Client) writeAt(ctx context.Context, address string, change change) (admin.WriteAnswer, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.WriteTimeout)
 	defer cancel()
-	var answer admin.WriteAnswer
+	var response admin.WriteAnswer
 	request, err := http.NewRequestWithContext(ctx, change.method, address+change.path, bytes.NewReader(change.body))
 	if err != nil {
-		return answer, newError("make request", address, err)
+		return response, newError("make request", address, err)
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set("Authorization", "Bearer "+c.options.Token)
@@ -133,12 +133,12 @@
 	if c.options.Author != "" {
 		request.Header.Set(admin.AuthorHeader, c.options.Author)
 	}
-	err = c.do(request, "write", address, &answer)
+	err = c.do(request, "write", address, &response)
 	var failed *Error
 	if errors.As(err, &failed) {
 		failed.Unknown = mayTakeEffect(failed)
 	}
-	return answer, err
+	return response, err
 }
 
 // mayTakeEffect reports whether a failed write may still take effect: it may
@@ -167,9 +167,9 @@
 	defer cancel()
 	query := newOutcomeQuery(change, writeErr, time.Now().Add(c.options.NodeWriteTimeout))
 	for {
-		answer, err := read[admin.ChangeAnswer](ctx, c, query.path)
-		if err == nil && query.isConclusive(answer, time.Now()) {
-			return resolvedResult(address, change, answer)
+		response, err := read[admin.ChangeAnswer](ctx, c, query.path)
+		if err == nil && query.isConclusive(response, time.Now()) {
+			return resolvedResult(address, change, response)
 		}
 		if !pause.For(ctx, resolveInterval) {
 			return admin.WriteAnswer{}, unresolvedError(address, change, query.path, writeErr)
@@ -199,8 +199,8 @@
 	return query
 }
 
-func (q outcomeQuery) isConclusive(answer admin.ChangeAnswer, now time.Time) bool {
-	switch answer.Outcome {
+func (q outcomeQuery) isConclusive(response admin.ChangeAnswer, now time.Time) bool {
+	switch response.Outcome {
 	case admin.OutcomeAccepted:
 		return true
 	case admin.OutcomeRefused:
@@ -209,14 +209,14 @@
 	return false
 }
 
-func resolvedResult(address string, change change, answer admin.ChangeAnswer) (admin.WriteAnswer, error) {
-	if answer.Outcome == admin.OutcomeAccepted {
+func resolvedResult(address string, change change, response admin.ChangeAnswer) (admin.WriteAnswer, error) {
+	if response.Outcome == admin.OutcomeAccepted {
 		return admin.WriteAnswer{
 			Outcome:  admin.OutcomeAccepted,
-			Kind:     answer.Kind,
-			Name:     answer.Name,
-			Revision: answer.Revision,
-			ChangeID: answer.ChangeID,
+			Kind:     response.Kind,
+			Name:     response.Name,
+			Revision: response.Revision,
+			ChangeID: response.ChangeID,
 		}, nil
 	}
 	return admin.WriteAnswer{}, &Error{Step: "resolve", Address: address, Problem: &admin.Problem{
