--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -52,9 +52,9 @@
 	return problem
 }
 
-func accepted(t *testing.T, node *admintest.Node, method, path, body string, headers ...string) admin.WriteAnswer {
+func accepted(t *testing.T, node *admintest.Node, method, path, body string, headers ...string) admin.WriteResponse {
 	t.Helper()
-	response, result := call[admin.WriteAnswer](t, node, method, path, body, headers...)
+	response, result := call[admin.WriteResponse](t, node, method, path, body, headers...)
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	return result
 }
@@ -178,13 +178,13 @@
 
 func TestStoreUnavailable(t *testing.T) {
 	node := admintest.Start(t)
-	node.Break(admintest.Down)
+	node.SetFault(admintest.Unavailable)
 	response, problem := call[admin.Problem](t, node, "PUT", targetPath+"?expected_revision=0", targetSpec)
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, response.Header.Get("Retry-After"), "2")
 	assert.Equal(t, problem.Outcome, admin.OutcomeRefused)
-	node.Break(admintest.Healthy)
-	_, change := call[admin.ChangeAnswer](t, node, "GET", admin.AskURL(targetID(), problem.ChangeID, 0), "")
+	node.SetFault(admintest.Healthy)
+	_, change := call[admin.ChangeResponse](t, node, "GET", admin.ResolveURL(targetID(), problem.ChangeID, 0), "")
 	assert.Assert(t, change.Outcome != admin.OutcomeAccepted)
 }
 
@@ -195,21 +195,21 @@
 		fault   admintest.Fault
 		outcome admin.Outcome
 	}{
-		{admintest.AnswersLost, admin.OutcomeAccepted},
+		{admintest.ResponsesLost, admin.OutcomeAccepted},
 		{admintest.WritesLost, admin.OutcomeUnknown},
 	} {
 		node := admintest.Start(t)
 		created := accepted(t, node, "PUT", targetPath+"?expected_revision=0", targetSpec)
-		node.Break(test.fault)
+		node.SetFault(test.fault)
 		problem := refused(t, node, http.StatusGatewayTimeout, "PUT", targetPath+"?expected_revision="+itoa(created.Revision), updatedSpec, "Lugspur-Change-Id", "c2")
 		assert.Equal(t, problem.Outcome, admin.OutcomeUnknown)
 		assert.Equal(t, problem.ChangeID, "c2")
 
-		unresolved := refused(t, node, http.StatusServiceUnavailable, "GET", problem.AskURL, "")
+		unresolved := refused(t, node, http.StatusServiceUnavailable, "GET", problem.ResolveURL, "")
 		assert.Equal(t, unresolved.Outcome, admin.OutcomeUnknown)
 
-		node.Break(admintest.Healthy)
-		_, change := call[admin.ChangeAnswer](t, node, "GET", problem.AskURL, "")
+		node.SetFault(admintest.Healthy)
+		_, change := call[admin.ChangeResponse](t, node, "GET", problem.ResolveURL, "")
 		assert.Equal(t, change.Outcome, test.outcome)
 		assert.Equal(t, change.ChangeID, "c2")
 	}
@@ -222,13 +222,13 @@
 	node := admintest.Start(t)
 	created := accepted(t, node, "PUT", targetPath+"?expected_revision=0", targetSpec)
 	deleted := accepted(t, node, "DELETE", targetPath+"?expected_revision="+itoa(created.Revision), "")
-	node.Break(admintest.ReadOnly)
+	node.SetFault(admintest.ReadOnly)
 	problem := refused(t, node, http.StatusGatewayTimeout, "PUT", targetPath+"?expected_revision=0", targetSpec)
-	assert.Equal(t, problem.AskURL, admin.AskURL(targetID(), problem.ChangeID, deleted.Revision))
+	assert.Equal(t, problem.ResolveURL, admin.ResolveURL(targetID(), problem.ChangeID, deleted.Revision))
 
-	node.Break(admintest.Healthy)
+	node.SetFault(admintest.Healthy)
 	accepted(t, node, "PUT", targetPath+"?expected_revision=0", updatedSpec)
-	_, change := call[admin.ChangeAnswer](t, node, "GET", problem.AskURL, "")
+	_, change := call[admin.ChangeResponse](t, node, "GET", problem.ResolveURL, "")
 	assert.Equal(t, change.Outcome, admin.OutcomeRefused)
 }
 
--- a/internal/admin/admintest/admintest.go
+++ b/internal/admin/admintest/admintest.go
@@ -33,10 +33,10 @@
 const (
 	// Healthy injects no fault.
 	Healthy Fault = iota
-	// Down rejects all requests; none takes effect.
-	Down
-	// AnswersLost applies writes and drops their responses; reads fail.
-	AnswersLost
+	// Unavailable rejects all requests; none takes effect.
+	Unavailable
+	// ResponsesLost applies writes and drops their responses; reads fail.
+	ResponsesLost
 	// WritesLost drops writes and returns an unknown outcome; reads fail.
 	WritesLost
 	// ReadOnly drops writes and returns an unknown outcome; reads succeed.
@@ -92,12 +92,12 @@
 	}
 }
 
-// Break injects a fault into the store; Healthy removes it.
-func (n *Node) Break(fault Fault) { n.store.fault.Store(int32(fault)) }
+// SetFault injects a fault into the store; Healthy removes it.
+func (n *Node) SetFault(fault Fault) { n.store.fault.Store(int32(fault)) }
 
-// BehindTheReplica writes an object to the store without updating the replica,
+// WriteBypassingReplica writes an object to the store without updating the replica,
 // like a write of another node that has not been propagated yet.
-func (n *Node) BehindTheReplica(t testing.TB, next resource.Envelope, expected store.Revision, change resource.Change) resource.Versioned {
+func (n *Node) WriteBypassingReplica(t testing.TB, next resource.Envelope, expected store.Revision, change resource.Change) resource.Versioned {
 	t.Helper()
 	otherReplica := configuration.NewReplica(time.Now)
 	writer := configuration.NewWriter(n.store, otherReplica, func(...resource.Versioned) {}, time.Now)
@@ -141,11 +141,11 @@
 // CompareAndSwap implements store.Store.
 func (s *faultyStore) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
 	switch Fault(s.fault.Load()) {
-	case Down:
+	case Unavailable:
 		return 0, store.ErrUnavailable
 	case WritesLost, ReadOnly:
 		return 0, store.ErrUnknownOutcome
-	case AnswersLost:
+	case ResponsesLost:
 		_, _ = s.Store.CompareAndSwap(ctx, key, expected, value, lease)
 		return 0, store.ErrUnknownOutcome
 	}
--- a/internal/admin/documents.go
+++ b/internal/admin/documents.go
@@ -80,8 +80,8 @@
 	Changes []HistoryEntry `json:"changes"`
 }
 
-// WriteAnswer is the response to a write that was accepted or not needed.
-type WriteAnswer struct {
+// WriteResponse is the response to a write that was accepted or not needed.
+type WriteResponse struct {
 	Outcome  Outcome        `json:"outcome"`
 	Kind     resource.Kind  `json:"kind"`
 	Name     string         `json:"name"`
@@ -91,8 +91,8 @@
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// ChangeAnswer is the response to a query for the outcome of a change.
-type ChangeAnswer struct {
+// ChangeResponse is the response to a query for the outcome of a change.
+type ChangeResponse struct {
 	Outcome  Outcome        `json:"outcome"`
 	Kind     resource.Kind  `json:"kind"`
 	Name     string         `json:"name"`
@@ -122,8 +122,8 @@
 	Outcome Outcome `json:"outcome,omitempty"`
 	// ChangeID is the id of the change that Outcome belongs to.
 	ChangeID string `json:"change_id,omitempty"`
-	// AskURL is the URL that resolves an unknown outcome, relative to the API.
-	AskURL string `json:"ask_url,omitempty"`
+	// ResolveURL is the URL that resolves an unknown outcome, relative to the API.
+	ResolveURL string `json:"ask_url,omitempty"`
 	// CurrentRevision is the revision of the object that caused a conflict; zero
 	// means that the object doesn't exist.
 	CurrentRevision *store.Revision `json:"current_revision,omitempty"`
--- a/internal/admin/read.go
+++ b/internal/admin/read.go
@@ -128,7 +128,7 @@
 		s.writeProblem(w, problem)
 		return
 	}
-	writeJSON(w, ChangeAnswer{
+	writeJSON(w, ChangeResponse{
 		Outcome:  outcomeOf(resolution),
 		Kind:     id.Kind,
 		Name:     id.Name,
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -22,7 +22,7 @@
 	serviceID     = resource.ID{Kind: resource.KindService, Name: "cropcal"}
 	serviceSpec   = []byte(`{"timeout_ms":100}`)
 	updatedSpec   = []byte(`{"timeout_ms":200}`)
-	drainedTarget = adminclient.Leaving{Collection: "targets", Name: "cropcal-1"}
+	drainedTarget = adminclient.DrainSubject{Collection: "targets", Name: "cropcal-1"}
 )
 
 func newClient(t *testing.T, transport http.RoundTripper, addresses ...string) *adminclient.Client {
@@ -172,7 +172,7 @@
 	assert.ErrorIs(t, err, errDropped)
 	var failed *adminclient.Error
 	assert.Assert(t, errors.As(err, &failed))
-	assert.Assert(t, strings.HasPrefix(failed.Problem.AskURL, "/v1/changes/service/cropcal/"))
+	assert.Assert(t, strings.HasPrefix(failed.Problem.ResolveURL, "/v1/changes/service/cropcal/"))
 
 	_, err = c.Put(t.Context(), serviceID, updatedSpec, created.Revision)
 	assert.NilError(t, err)
@@ -186,8 +186,8 @@
 	c := newClient(t, nil, node.Server.URL)
 	created, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
-	node.Break(admintest.AnswersLost)
-	recovery := time.AfterFunc(2*admintest.WriteTimeout, func() { node.Break(admintest.Healthy) })
+	node.SetFault(admintest.ResponsesLost)
+	recovery := time.AfterFunc(2*admintest.WriteTimeout, func() { node.SetFault(admintest.Healthy) })
 	defer recovery.Stop()
 	changed, err := c.Put(t.Context(), serviceID, updatedSpec, created.Revision)
 	assert.NilError(t, err)
@@ -199,11 +199,11 @@
 	c := newClient(t, nil, node.Server.URL)
 	created, err := c.Put(t.Context(), serviceID, serviceSpec, 0)
 	assert.NilError(t, err)
-	node.Break(admintest.Down)
+	node.SetFault(admintest.Unavailable)
 	_, err = c.Put(t.Context(), serviceID, updatedSpec, created.Revision)
 	assert.ErrorIs(t, err, adminclient.ErrUnavailable)
 	assert.Assert(t, !errors.Is(err, adminclient.ErrUnknownOutcome))
-	node.Break(admintest.AnswersLost)
+	node.SetFault(admintest.ResponsesLost)
 	_, err = c.Put(t.Context(), serviceID, updatedSpec, created.Revision)
 	assert.ErrorIs(t, err, adminclient.ErrUnknownOutcome)
 }
--- a/internal/adminclient/write.go
+++ b/internal/adminclient/write.go
@@ -30,7 +30,7 @@
 
 // Put writes an object's specification if the object has the expected revision;
 // zero creates the object.
-func (c *Client) Put(ctx context.Context, id resource.ID, specification json.RawMessage, expected store.Revision) (admin.WriteAnswer, error) {
+func (c *Client) Put(ctx context.Context, id resource.ID, specification json.RawMessage, expected store.Revision) (admin.WriteResponse, error) {
 	return c.write(ctx, change{
 		method:   http.MethodPut,
 		path:     objectPath(id) + expectedQuery(expected),
@@ -41,7 +41,7 @@
 }
 
 // Delete deletes an object if it has the expected revision.
-func (c *Client) Delete(ctx context.Context, id resource.ID, expected store.Revision) (admin.WriteAnswer, error) {
+func (c *Client) Delete(ctx context.Context, id resource.ID, expected store.Revision) (admin.WriteResponse, error) {
 	return c.write(ctx, change{
 		method:   http.MethodDelete,
 		path:     objectPath(id) + expectedQuery(expected),
@@ -50,14 +50,14 @@
 	})
 }
 
-// Leaving identifies a target or a machine to drain.
-type Leaving struct {
+// DrainSubject identifies a target or a machine to drain.
+type DrainSubject struct {
 	// Collection is "targets" or "machines".
 	Collection string
 	Name       string
 }
 
-func (l Leaving) id() resource.ID {
+func (l DrainSubject) id() resource.ID {
 	prefix := resource.DrainTargetPrefix
 	if l.Collection == "machines" {
 		prefix = resource.DrainMachinePrefix
@@ -67,10 +67,10 @@
 
 // Drain drains a target or a machine. If emergency is set, the nodes propagate
 // the drain themselves if the store can't accept it.
-func (c *Client) Drain(ctx context.Context, leaving Leaving, drain resource.Drain, emergency bool) (admin.WriteAnswer, error) {
+func (c *Client) Drain(ctx context.Context, leaving DrainSubject, drain resource.Drain, emergency bool) (admin.WriteResponse, error) {
 	body, err := json.Marshal(drain)
 	if err != nil {
-		return admin.WriteAnswer{}, newError("encode drain", "", err)
+		return admin.WriteResponse{}, newError("encode drain", "", err)
 	}
 	path := "/v1/drain/" + leaving.Collection + "/" + url.PathEscape(leaving.Name)
 	if emergency {
@@ -80,7 +80,7 @@
 }
 
 // Join removes a drain.
-func (c *Client) Join(ctx context.Context, leaving Leaving) (admin.WriteAnswer, error) {
+func (c *Client) Join(ctx context.Context, leaving DrainSubject) (admin.WriteResponse, error) {
 	path := "/v1/join/" + leaving.Collection + "/" + url.PathEscape(leaving.Name)
 	return c.write(ctx, change{method: http.MethodPost, path: path, id: leaving.id()})
 }
@@ -95,11 +95,11 @@
 
 // write sends the change once, to a reachable node, and resolves its outcome if
 // the response is lost.
-func (c *Client) write(ctx context.Context, change change) (admin.WriteAnswer, error) {
+func (c *Client) write(ctx context.Context, change change) (admin.WriteResponse, error) {
 	change.changeID = admin.NewChangeID()
 	address, err := c.reachableAddress(ctx)
 	if err != nil {
-		return admin.WriteAnswer{}, err
+		return admin.WriteResponse{}, err
 	}
 	response, err := c.writeAt(ctx, address, change)
 	if !isOutcomeUnknown(err) {
@@ -119,10 +119,10 @@
 	return c.options.Addresses[c.preferred.Load()], nil
 }
 
-func (c *Client) writeAt(ctx context.Context, address string, change change) (admin.WriteAnswer, error) {
+func (c *Client) writeAt(ctx context.Context, address string, change change) (admin.WriteResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.WriteTimeout)
 	defer cancel()
-	var response admin.WriteAnswer
+	var response admin.WriteResponse
 	request, err := http.NewRequestWithContext(ctx, change.method, address+change.path, bytes.NewReader(change.body))
 	if err != nil {
 		return response, newError("make request", address, err)
@@ -162,17 +162,17 @@
 // resolve polls the change until its outcome is conclusive or ResolveTimeout has
 // passed. It ignores cancellation of the caller's context, which may be the
 // reason why the write failed.
-func (c *Client) resolve(ctx context.Context, address string, change change, writeErr error) (admin.WriteAnswer, error) {
+func (c *Client) resolve(ctx context.Context, address string, change change, writeErr error) (admin.WriteResponse, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.options.ResolveTimeout)
 	defer cancel()
 	query := newOutcomeQuery(change, writeErr, time.Now().Add(c.options.NodeWriteTimeout))
 	for {
-		response, err := read[admin.ChangeAnswer](ctx, c, query.path)
+		response, err := read[admin.ChangeResponse](ctx, c, query.path)
 		if err == nil && query.isConclusive(response, time.Now()) {
 			return resolvedResult(address, change, response)
 		}
 		if !pause.For(ctx, resolveInterval) {
-			return admin.WriteAnswer{}, unresolvedError(address, change, query.path, writeErr)
+			return admin.WriteResponse{}, unresolvedError(address, change, query.path, writeErr)
 		}
 	}
 }
@@ -187,10 +187,10 @@
 }
 
 func newOutcomeQuery(change change, writeErr error, nodeDeadline time.Time) outcomeQuery {
-	query := outcomeQuery{path: admin.AskURL(change.id, change.changeID, change.expected)}
+	query := outcomeQuery{path: admin.ResolveURL(change.id, change.changeID, change.expected)}
 	var failed *Error
-	if errors.As(writeErr, &failed) && failed.Problem != nil && strings.HasPrefix(failed.Problem.AskURL, "/") {
-		query.path = failed.Problem.AskURL
+	if errors.As(writeErr, &failed) && failed.Problem != nil && strings.HasPrefix(failed.Problem.ResolveURL, "/") {
+		query.path = failed.Problem.ResolveURL
 		return query
 	}
 	if change.expected == 0 {
@@ -199,7 +199,7 @@
 	return query
 }
 
-func (q outcomeQuery) isConclusive(response admin.ChangeAnswer, now time.Time) bool {
+func (q outcomeQuery) isConclusive(response admin.ChangeResponse, now time.Time) bool {
 	switch response.Outcome {
 	case admin.OutcomeAccepted:
 		return true
@@ -209,9 +209,9 @@
 	return false
 }
 
-func resolvedResult(address string, change change, response admin.ChangeAnswer) (admin.WriteAnswer, error) {
+func resolvedResult(address string, change change, response admin.ChangeResponse) (admin.WriteResponse, error) {
 	if response.Outcome == admin.OutcomeAccepted {
-		return admin.WriteAnswer{
+		return admin.WriteResponse{
 			Outcome:  admin.OutcomeAccepted,
 			Kind:     response.Kind,
 			Name:     response.Name,
@@ -219,7 +219,7 @@
 			ChangeID: response.ChangeID,
 		}, nil
 	}
-	return admin.WriteAnswer{}, &Error{Step: "resolve", Address: address, Problem: &admin.Problem{
+	return admin.WriteResponse{}, &Error{Step: "resolve", Address: address, Problem: &admin.Problem{
 		Title:    http.StatusText(http.StatusConflict),
 		Status:   http.StatusConflict,
 		Detail:   "the answer was lost; another change has won, and this one never takes effect",
@@ -230,11 +230,11 @@
 
 func unresolvedError(address string, change change, path string, writeErr error) error {
 	return &Error{Step: "resolve", Address: address, Unknown: true, Cause: writeErr, Problem: &admin.Problem{
-		Title:    http.StatusText(http.StatusGatewayTimeout),
-		Status:   http.StatusGatewayTimeout,
-		Detail:   "the change may or may not take effect",
-		Outcome:  admin.OutcomeUnknown,
-		ChangeID: change.changeID,
-		AskURL:   path,
+		Title:      http.StatusText(http.StatusGatewayTimeout),
+		Status:     http.StatusGatewayTimeout,
+		Detail:     "the change may or may not take effect",
+		Outcome:    admin.OutcomeUnknown,
+		ChangeID:   change.changeID,
+		ResolveURL: path,
 	}}
 }
