--- a/lab/emulator/command.go
+++ b/lab/emulator/command.go
@@ -15,7 +15,7 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Commands returns the lab's commands of this package.
+// Commands returns the lab commands of this package.
 func Commands() []subcommands.Command { return []subcommands.Command{&targetsCommand{}} }
 
 type targetsCommand struct {
@@ -28,9 +28,9 @@
 }
 
 func (*targetsCommand) Name() string     { return "targets" }
-func (*targetsCommand) Synopsis() string { return "run the stand-in targets of a mesh file" }
+func (*targetsCommand) Synopsis() string { return "run emulated targets for a mesh file" }
 func (*targetsCommand) Usage() string {
-	return `targets -mesh FILE [flags]: run the stand-in targets of a mesh file.
+	return `targets -mesh FILE [flags]: run emulated targets for a mesh file.
 
 Prints one JSON line with the addresses, then runs until it is interrupted.
 
@@ -45,12 +45,12 @@
 	flags.StringVar(&c.meshFile, "mesh", "", "mesh `file`")
 	flags.Var(&c.meshAddresses, "mesh-address", "`zone=address` of a mesh listener, separated by commas; may be repeated")
 	flags.StringVar(&c.control, "control", "127.0.0.1:0", "`address` of the control listener")
-	flags.StringVar(&c.recordsFile, "records", "", "`file` for finished executions, as JSON lines")
+	flags.StringVar(&c.recordsFile, "records", "", "`file` to which finished executions are written, as JSON lines")
 	flags.Uint64Var(&c.seed, "seed", 1, "`seed` of service times and faults")
-	flags.IntVar(&c.attempts, "downstream-attempts", 1, "how often a target tries each call of its own")
+	flags.IntVar(&c.attempts, "downstream-attempts", 1, "maximum `attempts` of a target for each of its downstream calls")
 }
 
-// startLine is the line that the command prints when its targets listen.
+// startLine is the line that the command prints once its targets listen.
 type startLine struct {
 	Targets []TargetInfo `json:"targets"`
 	Control string       `json:"control"`
--- a/lab/emulator/config.go
+++ b/lab/emulator/config.go
@@ -11,45 +11,47 @@
 const (
 	// DefaultMaxRecords is the number of finished executions kept in memory.
 	DefaultMaxRecords = 500_000
-	// maxRequestBytes bounds a request's body, in bytes.
+	// maxRequestBytes is the maximum size of a request body.
 	maxRequestBytes = 1 << 20
-	// maxAnswerBytes bounds the answer of a downstream call, in bytes.
+	// maxAnswerBytes is the maximum size of a downstream call's answer.
 	maxAnswerBytes = 16 << 20
-	// maxMeshIdleConnections is the number of idle connections kept to one
+	// maxMeshIdleConnections is the maximum number of idle connections to one
 	// mesh address.
 	maxMeshIdleConnections = 1024
-	// reportInterval is the time between two samples of load and health.
+	// reportInterval is the interval at which load and health are sampled.
 	reportInterval = 20 * time.Millisecond
-	// maxReportLag bounds how far reports may lag.
+	// maxReportLag is the maximum lag of reports.
 	maxReportLag = time.Minute
-	// defaultDownstreamTimeout bounds a downstream call without a deadline.
+	// defaultDownstreamTimeout is the timeout of every attempt of a downstream
+	// call; an earlier deadline of the caller takes precedence.
 	defaultDownstreamTimeout = 30 * time.Second
 )
 
-// Config says what an emulator runs.
+// Config is the configuration of an emulator.
 type Config struct {
 	Mesh *mesh.Mesh
-	// MeshAddresses are the addresses, by zone, that targets send their
-	// downstream calls to; they can be set later.
+	// MeshAddresses are the addresses, by zone, to which targets send their
+	// downstream calls. SetMeshAddresses changes them later.
 	MeshAddresses map[string]string
-	// ControlAddress is where the control listener listens; empty means that
-	// there is none.
+	// ControlAddress is the address of the control listener; empty disables
+	// it.
 	ControlAddress string
-	// Records receives every finished execution as a JSON line; nil means
-	// that records are only kept in memory.
+	// Records receives every finished execution as a JSON line; with nil,
+	// records are only kept in memory.
 	Records io.Writer
-	// MaxRecords bounds the finished executions in memory; the oldest go
-	// first. Zero means DefaultMaxRecords.
+	// MaxRecords is the maximum number of finished executions in memory; the
+	// oldest are dropped first. Zero means DefaultMaxRecords.
 	MaxRecords int
-	// Seed makes service times and faults repeatable.
+	// Seed seeds the random sources of service times and faults.
 	Seed uint64
-	// DownstreamAttempts is how often a target tries each downstream call on
-	// its own; zero and one mean no retry. It is for baselines of targets
-	// that retry at every hop.
+	// DownstreamAttempts is the maximum number of attempts of a target for
+	// each downstream call; zero and one disable retries. Baselines use it
+	// for targets that retry at every hop.
 	DownstreamAttempts int
 	// OnlyZones restricts the emulator to the targets of these zones; empty
-	// means all.
+	// means all zones.
 	OnlyZones []string
-	// WarmStart skips the cold start of the first start.
+	// WarmStart makes targets start as if their cold start were over. A
+	// restart is still cold.
 	WarmStart bool
 }
--- a/lab/emulator/control.go
+++ b/lab/emulator/control.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// controlRoutes are the control listener's paths.
+// controlRoutes returns the handler of the control listener.
 func (e *Emulator) controlRoutes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /state", e.serveState)
@@ -22,13 +22,13 @@
 	writeJSON(w, http.StatusOK, e.State())
 }
 
-// serveRecords writes the executions as a JSON array; the query may name a
-// request_id, a service or an idempotency_key.
+// serveRecords writes the executions as a JSON array. The query parameters
+// request_id, service and idempotency_key filter them.
 func (e *Emulator) serveRecords(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	matches := func(name, value string) bool {
-		wanted := query.Get(name)
-		return wanted == "" || wanted == value
+		filter := query.Get(name)
+		return filter == "" || filter == value
 	}
 	selected := []Record{}
 	for _, record := range e.Records() {
@@ -45,7 +45,7 @@
 	if !ok {
 		return
 	}
-	answerControl(w, e.SetMeshAddresses(addresses))
+	writeControlResult(w, e.SetMeshAddresses(addresses))
 }
 
 func (e *Emulator) serveFaults(w http.ResponseWriter, r *http.Request) {
@@ -53,17 +53,17 @@
 	if !ok {
 		return
 	}
-	answerControl(w, e.SetFaults(r.PathValue("name"), faults))
+	writeControlResult(w, e.SetFaults(r.PathValue("name"), faults))
 }
 
-// serveDrain starts a drain; the query "off=true" ends it.
+// serveDrain starts a drain, or ends it if the query is "off=true".
 func (e *Emulator) serveDrain(w http.ResponseWriter, r *http.Request) {
 	draining := r.URL.Query().Get("off") != "true"
-	answerControl(w, e.SetDraining(r.PathValue("name"), draining))
+	writeControlResult(w, e.SetDraining(r.PathValue("name"), draining))
 }
 
 func (e *Emulator) serveRestart(w http.ResponseWriter, r *http.Request) {
-	answerControl(w, e.Restart(r.PathValue("name")))
+	writeControlResult(w, e.Restart(r.PathValue("name")))
 }
 
 func decodeControl[T any](w http.ResponseWriter, r *http.Request) (T, bool) {
@@ -77,7 +77,7 @@
 	return decoded, true
 }
 
-func answerControl(w http.ResponseWriter, err error) {
+func writeControlResult(w http.ResponseWriter, err error) {
 	switch {
 	case err == nil:
 		w.WriteHeader(http.StatusNoContent)
--- a/lab/emulator/downstream.go
+++ b/lab/emulator/downstream.go
@@ -20,11 +20,12 @@
 
 var errNoMeshAddress = errors.New("no mesh address is set for the zone")
 
-// copiedHeaders go from a target's call to its own calls unchanged.
+// copiedHeaders are copied unchanged from a call that a target received to its
+// downstream calls.
 var copiedHeaders = []string{callcontext.BaggageHeader, "Traceparent", callcontext.CallerHeader, answer.NonceHeader}
 
-// downstream makes the calls of one zone's targets through the zone's mesh
-// address. It may be used by several goroutines.
+// downstream makes the downstream calls of one zone's targets through the zone's
+// mesh address. It is safe for concurrent use.
 type downstream struct {
 	zone     string
 	attempts int
@@ -65,27 +66,27 @@
 }
 
 // callAll makes the sequential calls in order, then the parallel ones, and
-// returns the answers that came. The first failure of a required call stops
-// it.
+// returns the answers received. It stops at the first failure of a required
+// call.
 func (d *downstream) callAll(ctx context.Context, header http.Header, calls []mesh.Call) ([]answer.Answer, *callFailure) {
 	answers := make([]*answer.Answer, len(calls))
 	for i, call := range calls {
 		if call.Parallel {
 			continue
 		}
-		got, failure := d.call(ctx, header, call)
+		received, failure := d.call(ctx, header, call)
 		if failure != nil && !call.Optional {
 			return nil, failure
 		}
-		answers[i] = got
+		answers[i] = received
 	}
 	if failure := d.callParallel(ctx, header, calls, answers); failure != nil {
 		return nil, failure
 	}
 	parts := make([]answer.Answer, 0, len(answers))
-	for _, got := range answers {
-		if got != nil {
-			parts = append(parts, *got)
+	for _, received := range answers {
+		if received != nil {
+			parts = append(parts, *received)
 		}
 	}
 	return parts, nil
@@ -111,8 +112,9 @@
 	return firstRequiredFailure(calls, failures)
 }
 
-// firstRequiredFailure prefers a failure that isn't the echo of another one's
-// cancellation.
+// firstRequiredFailure returns the first failure of a required call. Failures
+// that aren't cancellations take precedence, as a failed call cancels the
+// others.
 func firstRequiredFailure(calls []mesh.Call, failures []*callFailure) *callFailure {
 	var first *callFailure
 	for i, failure := range failures {
@@ -129,10 +131,10 @@
 func (d *downstream) call(ctx context.Context, header http.Header, call mesh.Call) (*answer.Answer, *callFailure) {
 	var failure *callFailure
 	for range d.attempts {
-		var got *answer.Answer
-		got, failure = d.attempt(ctx, header, call)
+		var received *answer.Answer
+		received, failure = d.attempt(ctx, header, call)
 		if failure == nil {
-			return got, nil
+			return received, nil
 		}
 		if ctx.Err() != nil {
 			break
@@ -146,25 +148,25 @@
 	defer cancel()
 	request, err := d.request(ctx, header, call)
 	if err != nil {
-		return nil, d.failed(call, "make request", err)
+		return nil, d.newFailure(call, "make request", err)
 	}
 	response, err := d.client.Do(request)
 	if err != nil {
-		return nil, d.failed(call, "send request", err)
+		return nil, d.newFailure(call, "send request", err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		return nil, d.failed(call, "read answer", err)
+		return nil, d.newFailure(call, "read answer", err)
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, d.refused(call, response, body)
+		return nil, d.statusFailure(call, response, body)
 	}
-	var got answer.Answer
-	if err := json.Unmarshal(body, &got); err != nil {
-		return nil, d.failed(call, "decode answer", err)
+	var received answer.Answer
+	if err := json.Unmarshal(body, &received); err != nil {
+		return nil, d.newFailure(call, "decode answer", err)
 	}
-	return &got, nil
+	return &received, nil
 }
 
 func (d *downstream) request(ctx context.Context, header http.Header, call mesh.Call) (*http.Request, error) {
@@ -189,18 +191,18 @@
 	return request, nil
 }
 
-func (d *downstream) failed(call mesh.Call, step string, cause error) *callFailure {
+func (d *downstream) newFailure(call mesh.Call, step string, cause error) *callFailure {
 	err := oops.In("emulator").With("step", step).With("peer", call.Service).Wrapf(cause, "call %s in zone %s", call.Service, d.zone)
 	return &callFailure{status: http.StatusBadGateway, err: err}
 }
 
-func (d *downstream) refused(call mesh.Call, response *http.Response, body []byte) *callFailure {
+func (d *downstream) statusFailure(call mesh.Call, response *http.Response, body []byte) *callFailure {
 	document, parseErr := problem.Parse(body)
 	cause := fmt.Errorf("status %d", response.StatusCode)
 	if parseErr == nil {
 		cause = fmt.Errorf("status %d at %s of %s, %s", response.StatusCode, document.Step, document.Peer, document.Reason)
 	}
-	failure := d.failed(call, "answer", cause)
+	failure := d.newFailure(call, "answer", cause)
 	failure.retryAfter = response.Header.Get("Retry-After")
 	failure.executed = response.Header.Get(problem.ExecutedHeader)
 	if parseErr == nil && document.Executed != "" {
--- a/lab/emulator/emulator.go
+++ b/lab/emulator/emulator.go
@@ -17,11 +17,10 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// ErrUnknownTarget means that no target has the name.
+// ErrUnknownTarget is returned for a name that no target has.
 var ErrUnknownTarget = errors.New("unknown target")
 
-// Emulator runs the targets of a mesh. Its methods may be used by several
-// goroutines.
+// Emulator runs the targets of a mesh. Its methods are safe for concurrent use.
 type Emulator struct {
 	config      Config
 	recorder    *recorder
@@ -33,12 +32,12 @@
 	closed      sync.Once
 	running     sync.WaitGroup
 
-	mutex    sync.Mutex // orders enter before Close
+	mutex    sync.Mutex // orders beginHandler before Close
 	stopped  bool
 	handlers sync.WaitGroup
 }
 
-// TargetInfo tells where a target listens.
+// TargetInfo describes a running target and its address.
 type TargetInfo struct {
 	Name        string `json:"name"`
 	Service     string `json:"service"`
@@ -51,7 +50,7 @@
 // Start starts the targets and the control listener.
 func Start(config Config) (*Emulator, error) {
 	if config.Mesh == nil {
-		return nil, oops.In("emulator").With("step", "start").Errorf("no mesh is given")
+		return nil, oops.In("emulator").With("step", "start").Errorf("config has no mesh")
 	}
 	e := &Emulator{
 		config:      config,
@@ -71,7 +70,7 @@
 		if !e.hasZone(zone) {
 			return oops.In("emulator").With("step", "start").Errorf("mesh address for unknown zone %q", zone)
 		}
-		e.downstreamOf(zone).setAddress(address)
+		e.downstreamFor(zone).setAddress(address)
 	}
 	for i, settings := range e.config.Mesh.Targets {
 		if len(e.config.OnlyZones) > 0 && !slices.Contains(e.config.OnlyZones, settings.Zone) {
@@ -84,7 +83,7 @@
 	if err := e.startControl(); err != nil {
 		return err
 	}
-	e.running.Go(e.report)
+	e.running.Go(e.runSampler)
 	return nil
 }
 
@@ -111,25 +110,27 @@
 		return oops.In("emulator").With("step", "listen").With("peer", e.config.ControlAddress).Wrapf(err, "start control listener")
 	}
 	e.control = listener
-	e.controlHTTP = &http.Server{Handler: e.controlRoutes(), ReadHeaderTimeout: 10 * time.Second, ErrorLog: quietLog()}
+	e.controlHTTP = &http.Server{Handler: e.controlRoutes(), ReadHeaderTimeout: 10 * time.Second, ErrorLog: discardLog()}
 	e.running.Go(func() { _ = e.controlHTTP.Serve(listener) })
 	return nil
 }
 
-// quietLog drops what net/http says about connections that faults have cut.
-func quietLog() *log.Logger { return log.New(io.Discard, "", 0) }
+// discardLog returns a logger that discards the messages of net/http about
+// connections that faults have closed.
+func discardLog() *log.Logger { return log.New(io.Discard, "", 0) }
 
-func (e *Emulator) downstreamOf(zone string) *downstream {
-	found, ok := e.downstreams[zone]
+func (e *Emulator) downstreamFor(zone string) *downstream {
+	client, ok := e.downstreams[zone]
 	if !ok {
-		found = newDownstream(zone, e.config.DownstreamAttempts)
-		e.downstreams[zone] = found
+		client = newDownstream(zone, e.config.DownstreamAttempts)
+		e.downstreams[zone] = client
 	}
-	return found
+	return client
 }
 
-// report samples loads for the lagging reports and flushes the record stream.
-func (e *Emulator) report() {
+// runSampler periodically samples the targets for lagging reports and flushes the
+// record stream.
+func (e *Emulator) runSampler() {
 	ticker := time.NewTicker(reportInterval)
 	defer ticker.Stop()
 	for {
@@ -145,7 +146,7 @@
 	}
 }
 
-// Close stops all listeners, cancels running work and flushes the records.
+// Close closes all listeners, cancels running executions and flushes the records.
 func (e *Emulator) Close() error {
 	e.closed.Do(func() {
 		e.mutex.Lock()
@@ -167,8 +168,9 @@
 	return e.recorder.flush()
 }
 
-// enter counts a call in; it is false once the emulator is closing.
-func (e *Emulator) enter() bool {
+// beginHandler registers a running handler, for which Close waits. It returns
+// false once the emulator is closing.
+func (e *Emulator) beginHandler() bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.stopped {
@@ -178,7 +180,8 @@
 	return true
 }
 
-// ControlAddress returns the address of the control listener, or "".
+// ControlAddress returns the address of the control listener, or "" if there
+// is none.
 func (e *Emulator) ControlAddress() string {
 	if e.control == nil {
 		return ""
@@ -186,7 +189,7 @@
 	return e.control.Addr().String()
 }
 
-// Targets tells where the targets listen, in the order of the mesh file.
+// Targets describes the targets, in the order of the mesh file.
 func (e *Emulator) Targets() []TargetInfo {
 	infos := make([]TargetInfo, 0, len(e.targets))
 	for _, t := range e.targets {
@@ -202,7 +205,8 @@
 	return infos
 }
 
-// SetMeshAddresses sets where the targets of the named zones send their calls.
+// SetMeshAddresses sets the addresses, by zone, to which targets send their
+// downstream calls.
 func (e *Emulator) SetMeshAddresses(addresses map[string]string) error {
 	for zone := range addresses {
 		if _, ok := e.downstreams[zone]; !ok {
@@ -215,7 +219,7 @@
 	return nil
 }
 
-// Records returns the executions: the finished ones in memory, oldest first,
+// Records returns the finished executions that are in memory, oldest first, and
 // then the running ones.
 func (e *Emulator) Records() []Record { return e.recorder.snapshot() }
 
@@ -224,30 +228,31 @@
 	if err := faults.Validate(); err != nil {
 		return err
 	}
-	return e.onTarget(name, func(t *target) { t.setFaults(faults) })
+	return e.updateTarget(name, func(t *target) { t.setFaults(faults) })
 }
 
 // SetDraining starts or ends the drain of a target.
 func (e *Emulator) SetDraining(name string, draining bool) error {
-	return e.onTarget(name, func(t *target) { t.setDraining(draining) })
+	return e.updateTarget(name, func(t *target) { t.setDraining(draining) })
 }
 
-// Restart resets a target's connections and makes it cold.
+// Restart resets a target's connections, ends its drain and starts its cold
+// start again.
 func (e *Emulator) Restart(name string) error {
-	return e.onTarget(name, func(t *target) { t.restart() })
+	return e.updateTarget(name, func(t *target) { t.restart() })
 }
 
-func (e *Emulator) onTarget(name string, change func(*target)) error {
+func (e *Emulator) updateTarget(name string, update func(*target)) error {
 	for _, t := range e.targets {
 		if t.settings.Name == name {
-			change(t)
+			update(t)
 			return nil
 		}
 	}
 	return fmt.Errorf("%w %q", ErrUnknownTarget, name)
 }
 
-// WaitIdle waits until no execution is running; the context bounds the wait.
+// WaitIdle waits until no execution is running or the context is done.
 func (e *Emulator) WaitIdle(ctx context.Context) error {
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
--- a/lab/emulator/emulator_test.go
+++ b/lab/emulator/emulator_test.go
@@ -21,7 +21,8 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// testMesh has a front service that calls a required and an optional one.
+// testMesh returns a mesh whose front service calls one required and one
+// optional service.
 func testMesh() *mesh.Mesh {
 	quick := mesh.ServiceTime{Distribution: mesh.Lognormal, MedianMs: 0.1}
 	target := func(service string) mesh.Target {
@@ -42,19 +43,20 @@
 	}
 }
 
-// fakeMesh forwards /<service>/<path> to the service's target, or refuses it.
+// fakeMesh forwards /<service>/<path> to the service's target, or refuses calls
+// of the services in refuse.
 type fakeMesh struct {
 	mutex     sync.Mutex
 	addresses map[string]string
 	refuse    map[string]bool
-	seen      []http.Header
+	received  []http.Header
 }
 
 func (f *fakeMesh) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	service, path, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	f.mutex.Lock()
 	address, refused := f.addresses[service], f.refuse[service]
-	f.seen = append(f.seen, r.Header.Clone())
+	f.received = append(f.received, r.Header.Clone())
 	f.mutex.Unlock()
 	if refused {
 		problem.New(problem.Overloaded, problem.ExecutedNo, "admission", "node", "shed").WithRetryAfter(2 * time.Second).Write(w)
@@ -150,7 +152,7 @@
 	return header
 }
 
-func TestChainAnswersCompletelyAndIsRecorded(t *testing.T) {
+func TestDownstreamAnswersAndRecords(t *testing.T) {
 	f := start(t, testMesh())
 	got := f.get(t.Context(), "front", "/view", callHeader("n1"))
 	assert.NilError(t, got.err)
@@ -158,9 +160,9 @@
 	expected := answer.Expectation{Service: "front", Nonce: "n1", Required: []answer.Expectation{{Service: "back"}, {Service: "extra"}}}
 	assert.Equal(t, len(answer.Verify(got.body, expected)), 0)
 	assert.Equal(t, got.header.Get(LoadHeader), "0.000")
-	for _, seen := range f.mesh.seen {
+	for _, forwarded := range f.mesh.received {
 		for _, name := range copiedHeaders {
-			assert.Equal(t, seen.Get(name), callHeader("n1").Get(name))
+			assert.Equal(t, forwarded.Get(name), callHeader("n1").Get(name))
 		}
 	}
 	assert.NilError(t, f.WaitIdle(t.Context()))
@@ -202,8 +204,9 @@
 	assert.Equal(t, f.get(t.Context(), "front", "/view", nil).status, http.StatusBadGateway)
 }
 
-// occupy makes a call whose work lasts until it is cancelled.
-func (f *fixture) occupy(t *testing.T, header http.Header) (cancel func(), done <-chan reply) {
+// occupySlot starts a call of back and waits until it holds a slot. The call runs
+// until it is canceled if back is slowed down.
+func (f *fixture) occupySlot(t *testing.T, header http.Header) (cancel func(), done <-chan reply) {
 	t.Helper()
 	ctx, stop := context.WithCancel(t.Context())
 	finished := make(chan reply, 1)
--- a/lab/emulator/fault.go
+++ b/lab/emulator/fault.go
@@ -7,39 +7,43 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Faults is what is wrong with a target. The zero value is a sound target.
+// Faults are the injected faults of a target. The zero value injects none.
 type Faults struct {
 	// SlowFactor multiplies service times; zero means one.
 	SlowFactor float64 `json:"slow_factor,omitempty"`
-	// ErrorRate is the fraction of calls answered 500 after their work.
+	// ErrorRate is the fraction of calls answered with status 500 after their
+	// work.
 	ErrorRate float64 `json:"error_rate,omitempty"`
 	// ResetRate is the fraction of calls whose connection is reset after
-	// their work, in place of an answer.
+	// their work instead of an answer.
 	ResetRate float64 `json:"reset_rate,omitempty"`
-	// TruncateRate is the fraction of answers cut in the middle.
+	// TruncateRate is the fraction of answers of which only the first half is
+	// sent.
 	TruncateRate float64 `json:"truncate_rate,omitempty"`
-	// Chunked answers carry no Content-Length.
+	// Chunked sends answers with chunked encoding, without Content-Length.
 	Chunked bool `json:"chunked,omitempty"`
-	// FreezeAnswers holds finished answers back until it is lifted.
+	// FreezeAnswers delays finished answers until it is cleared.
 	FreezeAnswers bool `json:"freeze_answers,omitempty"`
 	// Down resets open connections and refuses new ones.
 	Down bool `json:"down,omitempty"`
-	// HealthLie replaces the reported health; empty means the truth.
+	// HealthLie replaces the reported health; empty means the actual health.
 	HealthLie Health `json:"health_lie,omitempty"`
-	// LoadLie replaces the reported load; nil means the truth.
+	// LoadLie replaces the reported load; nil means the actual load.
 	LoadLie *float64 `json:"load_lie,omitempty"`
-	// ReportLagMs replaces the lag of the reports; nil means the mesh's.
+	// ReportLagMs replaces the lag of reports; nil means the service's value.
 	ReportLagMs *float64 `json:"report_lag_ms,omitempty"`
-	// ShedWaiting replaces the bound on waiting calls; nil means the mesh's.
+	// ShedWaiting replaces the limit of waiting calls; nil means the service's
+	// value.
 	ShedWaiting *int `json:"shed_waiting,omitempty"`
-	// IgnoreCancellation makes the target finish work nobody waits for.
+	// IgnoreCancellation makes the target complete executions after their
+	// callers have disconnected or their deadlines have passed.
 	IgnoreCancellation bool `json:"ignore_cancellation,omitempty"`
 }
 
-// Health is what a target says of itself.
+// Health is the health that a target reports.
 type Health string
 
-// The reported states of health.
+// Values of Health.
 const (
 	Healthy   Health = "healthy"
 	Draining  Health = "draining"
@@ -48,7 +52,7 @@
 
 var errFaultRange = errors.New("rates and loads go from 0 to 1, factors and lags aren't negative")
 
-// Validate reports values out of range.
+// Validate returns an error if a value is out of range.
 func (f Faults) Validate() error {
 	for _, rate := range []float64{f.ErrorRate, f.ResetRate, f.TruncateRate} {
 		if rate < 0 || rate > 1 {
@@ -78,12 +82,13 @@
 	return f.SlowFactor
 }
 
-// coldFactor returns how much slower a target is at the given age.
+// coldFactor returns the factor by which a cold start increases service times,
+// given the time since the start.
 func coldFactor(cold mesh.ColdStart, age time.Duration) float64 {
 	duration := mesh.Milliseconds(cold.DurationMs)
 	if duration == 0 || cold.SlowFactor <= 1 || age >= duration {
 		return 1
 	}
-	left := 1 - age.Seconds()/duration.Seconds()
-	return 1 + (cold.SlowFactor-1)*left
+	remaining := 1 - age.Seconds()/duration.Seconds()
+	return 1 + (cold.SlowFactor-1)*remaining
 }
--- a/lab/emulator/fault_test.go
+++ b/lab/emulator/fault_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, f.control(t, "/targets/none/faults", `{}`), http.StatusNotFound)
 }
 
-func TestFrozenAnswersComeAfterTheThaw(t *testing.T) {
+func TestFrozenAnswersSentAfterUnfreeze(t *testing.T) {
 	f := start(t, testMesh())
 	assert.NilError(t, f.SetFaults("back-1", Faults{FreezeAnswers: true}))
 	done := make(chan reply, 1)
@@ -69,7 +69,7 @@
 	return report
 }
 
-func TestDrainIsReportedLate(t *testing.T) {
+func TestDrainReportLag(t *testing.T) {
 	m := testMesh()
 	m.Services[1].ReportLagMs = 60_000
 	f := start(t, m)
@@ -77,7 +77,7 @@
 	got := f.get(t.Context(), "back", "/x", nil)
 	assert.Equal(t, got.status, http.StatusServiceUnavailable)
 	assert.Equal(t, got.header.Get(DrainingHeader), "true")
-	assert.Equal(t, f.health(t).Health, Healthy) // still the old report
+	assert.Equal(t, f.health(t).Health, Healthy) // the report lags by a minute
 	assert.Equal(t, f.control(t, "/targets/back-1/faults", `{"report_lag_ms":0}`), http.StatusNoContent)
 	assert.Equal(t, f.health(t).Health, Draining)
 	assert.Equal(t, f.control(t, "/targets/back-1/restart", ""), http.StatusNoContent)
@@ -85,7 +85,7 @@
 	assert.Equal(t, len(f.Records()), 0)
 }
 
-func TestReportsLieWhenTold(t *testing.T) {
+func TestReportOverrides(t *testing.T) {
 	f := start(t, testMesh())
 	assert.Equal(t, f.control(t, "/targets/back-1/faults", `{"load_lie":0.9,"health_lie":"unhealthy"}`), http.StatusNoContent)
 	report := f.health(t)
@@ -94,7 +94,7 @@
 	assert.Equal(t, f.get(t.Context(), "back", "/x", nil).header.Get(LoadHeader), "0.900")
 }
 
-func TestColdFactorFallsToOne(t *testing.T) {
+func TestColdFactorDecreasesLinearly(t *testing.T) {
 	cold := mesh.ColdStart{DurationMs: 1000, SlowFactor: 5}
 	assert.Equal(t, coldFactor(cold, 0), 5.0)
 	assert.Equal(t, coldFactor(cold, 500*time.Millisecond), 3.0)
--- a/lab/emulator/handler.go
+++ b/lab/emulator/handler.go
@@ -18,11 +18,11 @@
 
 // Headers of a target's answers.
 const (
-	// LoadHeader is the share of busy slots, from 0 to 1, as reported.
+	// LoadHeader carries the reported share of busy slots, from 0 to 1.
 	LoadHeader = "Target-Load"
-	// ShedHeader marks a refusal of a call that the target hasn't started.
+	// ShedHeader marks the refusal of a call that the target hasn't started.
 	ShedHeader = "Target-Shed"
-	// DrainingHeader marks a refusal of a draining target.
+	// DrainingHeader marks a refusal by a draining target.
 	DrainingHeader = "Target-Draining"
 )
 
@@ -36,7 +36,7 @@
 	return mux
 }
 
-// HealthReport is the body of /health and /load.
+// HealthReport is the response body of /health and /load.
 type HealthReport struct {
 	Target string  `json:"target"`
 	Health Health  `json:"health"`
@@ -44,17 +44,17 @@
 }
 
 func (t *target) healthReport() HealthReport {
-	said := t.reported()
-	return HealthReport{Target: t.settings.Name, Health: said.health, Load: said.load}
+	current := t.currentReport()
+	return HealthReport{Target: t.settings.Name, Health: current.health, Load: current.load}
 }
 
 func (t *target) serveHealth(w http.ResponseWriter, _ *http.Request) {
-	said := t.healthReport()
+	body := t.healthReport()
 	status := http.StatusOK
-	if said.Health != Healthy {
+	if body.Health != Healthy {
 		status = http.StatusServiceUnavailable
 	}
-	writeJSON(w, status, said)
+	writeJSON(w, status, body)
 }
 
 func (t *target) serveLoad(w http.ResponseWriter, _ *http.Request) {
@@ -68,16 +68,16 @@
 }
 
 func (t *target) serveCall(w http.ResponseWriter, r *http.Request) {
-	if !t.emulator.enter() {
+	if !t.emulator.beginHandler() {
 		panic(http.ErrAbortHandler)
 	}
 	defer t.emulator.handlers.Done()
-	// A body that was read to its end lets the server notice a disconnect.
+	// net/http detects a disconnect only after the body was read to its end.
 	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxRequestBytes)); err != nil {
 		http.Error(w, "unreadable body", http.StatusBadRequest)
 		return
 	}
-	w.Header().Set(LoadHeader, strconv.FormatFloat(t.reported().load, 'f', 3, 64))
+	w.Header().Set(LoadHeader, strconv.FormatFloat(t.currentReport().load, 'f', 3, 64))
 	work, ok := t.service.Work(r.Method, r.URL.Path)
 	if !ok {
 		http.Error(w, "no such operation", http.StatusNotFound)
@@ -98,15 +98,16 @@
 	t.execute(ctx, w, r, work)
 }
 
-// shed refuses a call that hasn't been started.
+// shed refuses a call that hasn't been started, with status 503.
 func (t *target) shed(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", "1")
 	w.Header().Set(ShedHeader, "true")
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
 
-// workContext ends with the caller and the deadline, unless the target doesn't
-// accept cancellation.
+// workContext returns the context of an execution. It is canceled when the
+// caller disconnects or the deadline passes, unless the target ignores
+// cancellation.
 func (t *target) workContext(r *http.Request) (context.Context, context.CancelFunc) {
 	if t.service.IgnoresCancellation || t.currentFaults().IgnoreCancellation {
 		return context.WithCancel(context.WithoutCancel(r.Context()))
@@ -118,7 +119,7 @@
 	return context.WithTimeout(r.Context(), time.Duration(millis)*time.Millisecond)
 }
 
-// acquire takes a slot, waiting in line for it.
+// acquire acquires a slot; calls wait for one in FIFO order.
 func (t *target) acquire(ctx context.Context) error {
 	if ctx.Err() != nil {
 		return errNotStarted
@@ -129,8 +130,8 @@
 	}
 	waiting := t.waiting.Add(1)
 	defer t.waiting.Add(-1)
-	if bound := t.shedWaiting(); bound > 0 && waiting > int64(bound) {
-		return fmt.Errorf("more than %d calls are waiting", bound)
+	if limit := t.shedWaiting(); limit > 0 && waiting > int64(limit) {
+		return fmt.Errorf("more than %d calls are waiting", limit)
 	}
 	if err := t.slots.Acquire(ctx, 1); err != nil {
 		return errNotStarted
@@ -144,16 +145,16 @@
 	t.slots.Release(1)
 }
 
-// execution is one call that holds or has held a slot.
+// execution is one call that has acquired a slot.
 type execution struct {
-	target *target
-	record *Record
-	work   mesh.Work
-	held   bool
+	target    *target
+	record    *Record
+	work      mesh.Work
+	holdsSlot bool
 }
 
 func (t *target) execute(ctx context.Context, w http.ResponseWriter, r *http.Request, work mesh.Work) {
-	e := &execution{target: t, work: work, held: true}
+	e := &execution{target: t, work: work, holdsSlot: true}
 	e.record = t.emulator.recorder.start(Record{
 		RequestID:      r.Header.Get(callcontext.RequestIDHeader),
 		Target:         t.settings.Name,
@@ -177,8 +178,8 @@
 }
 
 func (e *execution) releaseSlot() {
-	if e.held {
-		e.held = false
+	if e.holdsSlot {
+		e.holdsSlot = false
 		e.target.release()
 	}
 }
@@ -205,14 +206,14 @@
 		e.releaseSlot()
 	}
 	parts, failure := e.target.downstream.callAll(ctx, r.Header, e.work.Calls)
-	if failure != nil || e.held {
+	if failure != nil || e.holdsSlot {
 		return parts, failure
 	}
 	if err := e.target.slots.Acquire(ctx, 1); err != nil {
 		return nil, &callFailure{status: http.StatusServiceUnavailable, err: err}
 	}
 	e.target.busy.Add(1)
-	e.held = true
+	e.holdsSlot = true
 	return parts, nil
 }
 
@@ -229,7 +230,7 @@
 	}
 }
 
-// answerFailure passes on what a required downstream call was answered.
+// answerFailure responds with the failure of a required downstream call.
 func (e *execution) answerFailure(ctx context.Context, w http.ResponseWriter, failure *callFailure) Outcome {
 	if failure.retryAfter != "" {
 		w.Header().Set("Retry-After", failure.retryAfter)
--- a/lab/emulator/listener.go
+++ b/lab/emulator/listener.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// limitedListener resets connections above a limit, makes new connections
-// cost time, and can reset all of them at once.
+// limitedListener resets new connections above a limit, delays the first read of
+// each connection, and can reset all connections.
 type limitedListener struct {
 	net.Listener
-	limit   int
-	connect time.Duration
+	limit int
+	delay time.Duration
 
 	mutex   sync.Mutex
 	open    map[*targetConn]struct{}
@@ -19,8 +19,8 @@
 	refused int64
 }
 
-func newLimitedListener(inner net.Listener, limit int, connect time.Duration) *limitedListener {
-	return &limitedListener{Listener: inner, limit: limit, connect: connect, open: make(map[*targetConn]struct{})}
+func newLimitedListener(inner net.Listener, limit int, delay time.Duration) *limitedListener {
+	return &limitedListener{Listener: inner, limit: limit, delay: delay, open: make(map[*targetConn]struct{})}
 }
 
 // Accept returns the next connection within the limit.
@@ -44,25 +44,25 @@
 		l.refused++
 		return nil, false
 	}
-	conn := &targetConn{Conn: accepted, owner: l, readyAt: time.Now().Add(l.connect)}
+	conn := &targetConn{Conn: accepted, listener: l, readyAt: time.Now().Add(l.delay)}
 	l.open[conn] = struct{}{}
 	return conn, true
 }
 
-func (l *limitedListener) forget(conn *targetConn) {
+func (l *limitedListener) remove(conn *targetConn) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	delete(l.open, conn)
 }
 
-// counts returns the open connections and the refused ones so far.
+// counts returns the number of open connections and the total of refused ones.
 func (l *limitedListener) counts() (open int, refused int64) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return len(l.open), l.refused
 }
 
-// setDown refuses new connections while down and resets the open ones.
+// setDown resets the open connections and refuses new ones while down is set.
 func (l *limitedListener) setDown(down bool) {
 	l.mutex.Lock()
 	l.down = down
@@ -84,24 +84,24 @@
 	}
 }
 
-// targetConn is a connection that counts against its listener's limit.
+// targetConn is a connection that counts towards its listener's limit.
 type targetConn struct {
 	net.Conn
-	owner   *limitedListener
-	readyAt time.Time
-	waited  sync.Once
-	closed  sync.Once
+	listener  *limitedListener
+	readyAt   time.Time
+	delayOnce sync.Once
+	closeOnce sync.Once
 }
 
-// Read waits until the connection has been paid for.
+// Read waits before the first read until the connection delay is over.
 func (c *targetConn) Read(buffer []byte) (int, error) {
-	c.waited.Do(func() { time.Sleep(time.Until(c.readyAt)) })
+	c.delayOnce.Do(func() { time.Sleep(time.Until(c.readyAt)) })
 	return c.Conn.Read(buffer)
 }
 
-// Close gives the connection's place back.
+// Close closes the connection, which then no longer counts towards the limit.
 func (c *targetConn) Close() error {
-	c.closed.Do(func() { c.owner.forget(c) })
+	c.closeOnce.Do(func() { c.listener.remove(c) })
 	return c.Conn.Close()
 }
 
--- a/lab/emulator/record.go
+++ b/lab/emulator/record.go
@@ -9,29 +9,30 @@
 	"time"
 )
 
-// Outcome is how an execution ended.
+// Outcome is the result of an execution.
 type Outcome string
 
-// The outcomes of executions.
+// Values of Outcome.
 const (
-	// OutcomeRunning executions haven't ended yet.
+	// OutcomeRunning is an execution that hasn't ended.
 	OutcomeRunning Outcome = "running"
-	// OutcomeComplete executions finished their work and wrote the answer.
+	// OutcomeComplete is an execution that completed and wrote its answer.
 	OutcomeComplete Outcome = "complete"
-	// OutcomeCancelled executions were stopped by the caller's leaving or the
-	// deadline.
+	// OutcomeCancelled is an execution that ended as the caller disconnected or
+	// the deadline passed.
 	OutcomeCancelled Outcome = "cancelled"
-	// OutcomeChildFailed executions stopped as a required call failed.
+	// OutcomeChildFailed is an execution that ended as a required downstream
+	// call failed.
 	OutcomeChildFailed Outcome = "child-failed"
-	// OutcomeTruncated executions finished their work and wrote half of the
+	// OutcomeTruncated is an execution that completed and wrote half of its
 	// answer.
 	OutcomeTruncated Outcome = "truncated"
-	// OutcomeFault executions finished their work; a fault spoilt the answer.
+	// OutcomeFault is an execution that completed; a fault replaced its answer.
 	OutcomeFault Outcome = "fault"
 )
 
-// Record is one execution that a target has started, that is, for which it has
-// taken a slot.
+// Record describes one execution. An execution starts when its call acquires a
+// slot of a target.
 type Record struct {
 	RequestID      string    `json:"request_id"`
 	Target         string    `json:"target"`
@@ -43,14 +44,14 @@
 	Nonce          string    `json:"nonce,omitempty"`
 	Start          time.Time `json:"start"`
 	End            time.Time `json:"end"`
-	// Effect says that the downstream calls were done and the target's own
-	// work, such as the credit of a salary, had begun.
+	// Effect is set once the downstream calls have completed and the target's
+	// own work, such as the credit of a salary, has started.
 	Effect  bool    `json:"effect"`
 	Outcome Outcome `json:"outcome"`
 }
 
-// recorder keeps the running and the latest finished executions and streams
-// the finished ones. It may be used by several goroutines.
+// recorder stores the running and the latest finished executions and writes the
+// finished ones to a stream. It is safe for concurrent use.
 type recorder struct {
 	mutex    sync.Mutex
 	running  map[*Record]struct{}
@@ -77,13 +78,13 @@
 }
 
 func (r *recorder) start(record Record) *Record {
-	started := &record
-	started.Outcome = OutcomeRunning
+	stored := &record
+	stored.Outcome = OutcomeRunning
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.running[started] = struct{}{}
+	r.running[stored] = struct{}{}
 	r.started++
-	return started
+	return stored
 }
 
 func (r *recorder) markEffect(record *Record) {
@@ -98,13 +99,13 @@
 	record.End = now
 	record.Outcome = outcome
 	delete(r.running, record)
-	r.keep(*record)
+	r.storeFinished(*record)
 	if r.encoder != nil && r.err == nil {
 		r.err = r.encoder.Encode(record)
 	}
 }
 
-func (r *recorder) keep(record Record) {
+func (r *recorder) storeFinished(record Record) {
 	if len(r.finished) < r.limit {
 		r.finished = append(r.finished, record)
 		return
@@ -114,7 +115,8 @@
 	r.dropped++
 }
 
-// snapshot returns the finished executions, oldest first, then the running.
+// snapshot returns the finished executions, oldest first, and then the running
+// ones.
 func (r *recorder) snapshot() []Record {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -152,7 +154,7 @@
 	return r.err
 }
 
-// ReadRecords reads records that were written as JSON lines.
+// ReadRecords reads records from JSON lines.
 func ReadRecords(source io.Reader) ([]Record, error) {
 	decoder := json.NewDecoder(source)
 	var records []Record
--- a/lab/emulator/reply.go
+++ b/lab/emulator/reply.go
@@ -8,8 +8,8 @@
 	"github.com/lugspur/lugspur/lab/answer"
 )
 
-// answer writes the answer of a call whose work is done, or spoils it as the
-// faults say.
+// answer writes the answer of an execution whose work is done, or fails as the
+// injected faults require.
 func (e *execution) answer(ctx context.Context, w http.ResponseWriter, parts []answer.Answer) Outcome {
 	t := e.target
 	body, err := answer.Answer{
@@ -24,12 +24,12 @@
 		http.Error(w, "encode answer", http.StatusInternalServerError)
 		return OutcomeFault
 	}
-	t.waitThawed(ctx)
+	t.waitUnfrozen(ctx)
 	faults := t.currentFaults()
-	if t.chance(faults.ResetRate) {
+	if t.drawFault(faults.ResetRate) {
 		return resetAnswer(w)
 	}
-	if t.chance(faults.ErrorRate) {
+	if t.drawFault(faults.ErrorRate) {
 		http.Error(w, "injected error", http.StatusInternalServerError)
 		return OutcomeFault
 	}
@@ -37,7 +37,7 @@
 	if !faults.Chunked {
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	}
-	if t.chance(faults.TruncateRate) {
+	if t.drawFault(faults.TruncateRate) {
 		return truncateAnswer(w, body)
 	}
 	return writeAnswer(w, body, faults.Chunked)
@@ -54,7 +54,8 @@
 	return OutcomeComplete
 }
 
-// truncateAnswer writes half an answer; the caller then aborts the connection.
+// truncateAnswer writes half of an answer. execute aborts the connection for
+// OutcomeTruncated.
 func truncateAnswer(w http.ResponseWriter, body []byte) Outcome {
 	_, _ = w.Write(body[:len(body)/2])
 	_ = http.NewResponseController(w).Flush()
--- a/lab/emulator/report.go
+++ b/lab/emulator/report.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// report is what a target says of itself at one moment.
+// report is a sample of a target's load and health.
 type report struct {
 	at     time.Time
 	load   float64
 	health Health
 }
 
-// reportHistory keeps samples so that reports can lag.
+// reportHistory is a ring buffer of samples, from which lagging reports are read.
 type reportHistory struct {
 	mutex   sync.Mutex
 	samples []report
@@ -34,9 +34,9 @@
 	h.next = (h.next + 1) % len(h.samples)
 }
 
-// before returns the youngest sample that isn't after the given moment, or
-// the oldest one.
-func (h *reportHistory) before(moment time.Time) (report, bool) {
+// latestAt returns the latest sample that isn't after the given time, or the
+// oldest sample if all are. It returns false if there is no sample.
+func (h *reportHistory) latestAt(at time.Time) (report, bool) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
 	count := len(h.samples)
@@ -45,7 +45,7 @@
 	}
 	for back := 1; back <= count; back++ {
 		sample := h.samples[(h.next+count-back)%count]
-		if !sample.at.After(moment) {
+		if !sample.at.After(at) {
 			return sample, true
 		}
 	}
--- a/lab/emulator/slot_test.go
+++ b/lab/emulator/slot_test.go
@@ -13,10 +13,10 @@
 	"github.com/lugspur/lugspur/internal/callcontext"
 )
 
-func TestSlotsWaitInLineAndCancellationFreesThem(t *testing.T) {
+func TestSlotQueueIsFIFOAndCancellationFreesSlot(t *testing.T) {
 	f := start(t, testMesh())
 	assert.NilError(t, f.SetFaults("back-1", Faults{SlowFactor: 1e6}))
-	cancelFirst, first := f.occupy(t, nil)
+	cancelFirst, first := f.occupySlot(t, nil)
 	second := make(chan reply, 1)
 	go func() { second <- f.get(t.Context(), "back", "/x", callHeader("n2")) }()
 	f.waitFor(t, func(s TargetState) bool { return s.Waiting == 1 }, "back")
@@ -30,10 +30,10 @@
 	assert.Equal(t, f.Records()[1].Outcome, OutcomeComplete)
 }
 
-func TestDeadlineEndsWaitingWithoutStarting(t *testing.T) {
+func TestDeadlineExpiresInQueue(t *testing.T) {
 	f := start(t, testMesh())
 	assert.NilError(t, f.SetFaults("back-1", Faults{SlowFactor: 1e6}))
-	cancel, _ := f.occupy(t, nil)
+	cancel, _ := f.occupySlot(t, nil)
 	defer cancel()
 	for _, timeout := range []string{"20", "0"} {
 		header := callHeader("n2")
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestPassedDeadlineStartsNothingInAFreeSlot(t *testing.T) {
+func TestExpiredDeadlineRefusedWithFreeSlot(t *testing.T) {
 	f := start(t, testMesh())
 	header := callHeader("n1")
 	header.Set(callcontext.TimeoutHeader, "0")
@@ -53,12 +53,12 @@
 	assert.Equal(t, len(f.Records()), 0)
 }
 
-func TestIgnoredCancellationFinishesTheWork(t *testing.T) {
+func TestIgnoreCancellationCompletesWork(t *testing.T) {
 	m := testMesh()
 	m.Services[1].IgnoresCancellation = true
 	m.Services[1].Time.MedianMs = 50
 	f := start(t, m)
-	cancel, done := f.occupy(t, nil)
+	cancel, done := f.occupySlot(t, nil)
 	cancel()
 	<-done
 	assert.NilError(t, f.WaitIdle(t.Context()))
@@ -66,25 +66,25 @@
 	assert.Assert(t, record.End.Sub(record.Start) >= 50*time.Millisecond, "%+v", record)
 }
 
-func TestCloseEndsRunningWork(t *testing.T) {
+func TestCloseCancelsRunningWork(t *testing.T) {
 	before := goleak.IgnoreCurrent()
 	started, err := Start(Config{Mesh: testMesh(), ControlAddress: "127.0.0.1:0"})
 	assert.NilError(t, err)
 	assert.NilError(t, started.SetFaults("back-1", Faults{SlowFactor: 1e6, IgnoreCancellation: true}))
 	f := &fixture{Emulator: started, addresses: map[string]string{"back": started.Targets()[1].Address}}
-	_, done := f.occupy(t, nil)
+	_, done := f.occupySlot(t, nil)
 	assert.NilError(t, started.Close())
 	<-done
 	assert.NilError(t, started.WaitIdle(t.Context()))
 	goleak.VerifyNone(t, before)
 }
 
-func TestOwnShedding(t *testing.T) {
+func TestTargetShedsExcessWaiting(t *testing.T) {
 	m := testMesh()
 	m.Services[1].ShedWaiting = 1
 	f := start(t, m)
 	assert.NilError(t, f.SetFaults("back-1", Faults{SlowFactor: 1e6}))
-	cancel, _ := f.occupy(t, nil)
+	cancel, _ := f.occupySlot(t, nil)
 	defer cancel()
 	go f.get(t.Context(), "back", "/x", nil)
 	f.waitFor(t, func(s TargetState) bool { return s.Waiting == 1 }, "back")
@@ -94,12 +94,12 @@
 	assert.Equal(t, got.header.Get("Retry-After"), "1")
 }
 
-func TestConnectionsAboveTheLimitAreRefused(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	m := testMesh()
 	m.Targets[1].Connections = 1
 	f := start(t, m)
 	assert.NilError(t, f.SetFaults("back-1", Faults{SlowFactor: 1e6}))
-	cancel, done := f.occupy(t, nil)
+	cancel, done := f.occupySlot(t, nil)
 	got := f.get(t.Context(), "back", "/x", nil)
 	assert.Assert(t, got.err != nil)
 	cancel()
--- a/lab/emulator/state.go
+++ b/lab/emulator/state.go
@@ -1,6 +1,6 @@
 package emulator
 
-// TargetState is what a target is doing now.
+// TargetState is the current state of a target.
 type TargetState struct {
 	TargetInfo
 	Busy               int64  `json:"busy"`
@@ -11,14 +11,14 @@
 	Faults             Faults `json:"faults"`
 }
 
-// State is what the emulator is doing now.
+// State is the current state of the emulator.
 type State struct {
 	Targets        []TargetState `json:"targets"`
 	Started        int64         `json:"started"`
 	DroppedRecords int64         `json:"dropped_records"`
 }
 
-// State returns what the emulator is doing now.
+// State returns the current state of the emulator.
 func (e *Emulator) State() State {
 	var state State
 	for i, info := range e.Targets() {
--- a/lab/emulator/target.go
+++ b/lab/emulator/target.go
@@ -14,15 +14,14 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// target is one emulated machine. Its methods may be used by several
-// goroutines.
+// target is one emulated target. Its methods are safe for concurrent use.
 type target struct {
 	settings   mesh.Target
 	service    mesh.Service
 	emulator   *Emulator
 	listener   *limitedListener
 	server     *http.Server
-	slots      *semaphore.Weighted // first come, first served
+	slots      *semaphore.Weighted // FIFO
 	downstream *downstream
 	reports    *reportHistory
 	busy       atomic.Int64
@@ -31,33 +30,33 @@
 	mutex     sync.Mutex
 	random    *rand.Rand
 	faults    Faults
-	thawed    chan struct{} // closed while answers aren't frozen
+	unfrozen  chan struct{} // closed while answers aren't frozen
 	draining  bool
 	startedAt time.Time
 }
 
-func newTarget(owner *Emulator, settings mesh.Target, seed uint64) (*target, error) {
+func newTarget(emulator *Emulator, settings mesh.Target, seed uint64) (*target, error) {
 	inner, err := net.Listen("tcp", settings.Address)
 	if err != nil {
 		return nil, err
 	}
-	service, _ := owner.config.Mesh.Service(settings.Service)
+	service, _ := emulator.config.Mesh.Service(settings.Service)
 	t := &target{
 		settings:   settings,
 		service:    service,
-		emulator:   owner,
+		emulator:   emulator,
 		listener:   newLimitedListener(inner, settings.Connections, mesh.Milliseconds(settings.ConnectMs)),
 		slots:      semaphore.NewWeighted(int64(settings.Slots)),
-		downstream: owner.downstreamOf(settings.Zone),
+		downstream: emulator.downstreamFor(settings.Zone),
 		reports:    newReportHistory(),
-		random:     rand.New(rand.NewPCG(owner.config.Seed, seed)),
-		thawed:     closedChannel(),
+		random:     rand.New(rand.NewPCG(emulator.config.Seed, seed)),
+		unfrozen:   closedChannel(),
 		startedAt:  time.Now(),
 	}
-	if owner.config.WarmStart {
+	if emulator.config.WarmStart {
 		t.startedAt = t.startedAt.Add(-mesh.Milliseconds(settings.ColdStart.DurationMs))
 	}
-	t.server = &http.Server{Handler: t.routes(), ReadHeaderTimeout: 10 * time.Second, ErrorLog: quietLog()}
+	t.server = &http.Server{Handler: t.routes(), ReadHeaderTimeout: 10 * time.Second, ErrorLog: discardLog()}
 	t.sample(t.startedAt)
 	return t, nil
 }
@@ -82,10 +81,10 @@
 	wasDown := t.faults.Down
 	t.faults = faults
 	if faults.FreezeAnswers && !wasFrozen {
-		t.thawed = make(chan struct{})
+		t.unfrozen = make(chan struct{})
 	}
 	if !faults.FreezeAnswers && wasFrozen {
-		close(t.thawed)
+		close(t.unfrozen)
 	}
 	t.mutex.Unlock()
 	if faults.Down != wasDown {
@@ -93,13 +92,14 @@
 	}
 }
 
-// waitThawed waits while answers are frozen; the caller's leaving ends it.
-func (t *target) waitThawed(ctx context.Context) {
+// waitUnfrozen waits while answers are frozen, until the context is done or the
+// emulator closes.
+func (t *target) waitUnfrozen(ctx context.Context) {
 	t.mutex.Lock()
-	thawed := t.thawed
+	unfrozen := t.unfrozen
 	t.mutex.Unlock()
 	select {
-	case <-thawed:
+	case <-unfrozen:
 	case <-ctx.Done():
 	case <-t.emulator.closing:
 	}
@@ -117,7 +117,7 @@
 	return t.draining
 }
 
-// restart resets every connection and makes the target cold and not draining.
+// restart resets every connection, ends a drain and starts the cold start again.
 func (t *target) restart() {
 	t.mutex.Lock()
 	t.draining = false
@@ -126,7 +126,8 @@
 	t.listener.resetAll()
 }
 
-// serviceTime draws the time of one call's own work.
+// serviceTime samples the duration of one call's own work, with the factors of
+// faults and of the cold start.
 func (t *target) serviceTime(distribution mesh.ServiceTime) time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -135,8 +136,8 @@
 	return time.Duration(base * factor * float64(time.Second))
 }
 
-// chance draws true with the given probability.
-func (t *target) chance(probability float64) bool {
+// drawFault returns true with the given probability.
+func (t *target) drawFault(probability float64) bool {
 	if probability <= 0 {
 		return false
 	}
@@ -145,7 +146,7 @@
 	return t.random.Float64() < probability
 }
 
-// load is the share of busy slots now.
+// load returns the current share of busy slots.
 func (t *target) load() float64 {
 	return min(1, float64(t.busy.Load())/float64(t.settings.Slots))
 }
@@ -158,33 +159,34 @@
 	t.reports.add(report{at: now, load: t.load(), health: health})
 }
 
-// reported is what the target says of itself: late, and false if so set.
-func (t *target) reported() report {
+// currentReport returns the load and health that the target reports, with the
+// lag of the reports and the overrides of the faults applied.
+func (t *target) currentReport() report {
 	faults := t.currentFaults()
 	lag := mesh.Milliseconds(t.service.ReportLagMs)
 	if faults.ReportLagMs != nil {
 		lag = mesh.Milliseconds(*faults.ReportLagMs)
 	}
-	said, _ := t.reports.before(time.Now().Add(-lag))
+	current, _ := t.reports.latestAt(time.Now().Add(-lag))
 	if lag == 0 {
-		said.load = t.load()
-		said.health = Healthy
+		current.load = t.load()
+		current.health = Healthy
 		if t.isDraining() {
-			said.health = Draining
+			current.health = Draining
 		}
 	}
 	if faults.HealthLie != "" {
-		said.health = faults.HealthLie
+		current.health = faults.HealthLie
 	}
 	if faults.LoadLie != nil {
-		said.load = *faults.LoadLie
+		current.load = *faults.LoadLie
 	}
-	return said
+	return current
 }
 
 func (t *target) shedWaiting() int {
-	if bound := t.currentFaults().ShedWaiting; bound != nil {
-		return *bound
+	if limit := t.currentFaults().ShedWaiting; limit != nil {
+		return *limit
 	}
 	return t.service.ShedWaiting
 }
