--- a/lab/load/call.go
+++ b/lab/load/call.go
@@ -7,34 +7,36 @@
 	"github.com/lugspur/lugspur/lab/answer"
 )
 
-// Verdict is how a call ended for its client.
+// Verdict is the result of a call as its client observed it.
 type Verdict string
 
-// The verdicts.
+// Values of Verdict.
 const (
-	// VerdictComplete calls got the complete answer in time.
+	// VerdictComplete means the complete answer before the deadline.
 	VerdictComplete Verdict = "complete"
-	// VerdictRefused calls got a problem document.
+	// VerdictRefused means a problem document.
 	VerdictRefused Verdict = "refused"
-	// VerdictWrong calls got an answer that isn't the complete one to them.
+	// VerdictWrong means status 200 with an answer that isn't the complete one to
+	// this call.
 	VerdictWrong Verdict = "wrong"
-	// VerdictError calls got another status or none at all.
+	// VerdictError means another status, or no response.
 	VerdictError Verdict = "error"
-	// VerdictTimeout calls got nothing before the client's deadline.
+	// VerdictTimeout means no answer before the client's deadline.
 	VerdictTimeout Verdict = "timeout"
-	// VerdictNotSent calls exceeded the calls in flight; the run is invalid.
+	// VerdictNotSent means that the call wasn't sent as Plan.MaxInFlight calls
+	// were open; the run is invalid.
 	VerdictNotSent Verdict = "not-sent"
 )
 
-// Attempt is one try of a call.
+// Attempt is one attempt of a call.
 type Attempt struct {
 	Start   time.Time `json:"start"`
 	End     time.Time `json:"end"`
 	Status  int       `json:"status,omitempty"`
 	Verdict Verdict   `json:"verdict"`
-	// RequestID is the answer's Lugspur-Request-Id.
+	// RequestID is the Lugspur-Request-Id header of the response.
 	RequestID string `json:"request_id,omitempty"`
-	// Executed, Reason and RetryAfterSeconds are a refusal's.
+	// Executed, Reason and RetryAfterSeconds are set for a refusal.
 	Executed          problem.Executed `json:"executed,omitempty"`
 	Reason            problem.Reason   `json:"reason,omitempty"`
 	RetryAfterSeconds int              `json:"retry_after_seconds,omitempty"`
@@ -42,8 +44,7 @@
 	Error             string           `json:"error,omitempty"`
 }
 
-// Call is one call of a client with all its tries. The verdict is that of the
-// last one.
+// Call is one call of a client with all its attempts.
 type Call struct {
 	Kind           string    `json:"kind"`
 	Caller         string    `json:"caller"`
@@ -55,7 +56,8 @@
 	Attempts       []Attempt `json:"attempts"`
 }
 
-// Last returns the last try; a call that wasn't sent has the zero one.
+// Last returns the last attempt. For a call that wasn't sent it returns an
+// attempt with VerdictNotSent.
 func (c Call) Last() Attempt {
 	if len(c.Attempts) == 0 {
 		return Attempt{Verdict: VerdictNotSent}
@@ -63,10 +65,11 @@
 	return c.Attempts[len(c.Attempts)-1]
 }
 
-// Verdict returns how the call ended.
+// Verdict returns the verdict of the last attempt.
 func (c Call) Verdict() Verdict { return c.Last().Verdict }
 
-// Latency is the time from the intended start to the end.
+// Latency returns the time from the intended start to the end of the last
+// attempt.
 func (c Call) Latency() time.Duration {
 	if len(c.Attempts) == 0 {
 		return 0
@@ -74,8 +77,8 @@
 	return c.Last().End.Sub(c.Intended)
 }
 
-// ToldNotRun reports whether the client was told on every try that nothing of
-// the call had been run.
+// ToldNotRun reports whether the response to every attempt stated that the call
+// was not executed.
 func (c Call) ToldNotRun() bool {
 	for _, attempt := range c.Attempts {
 		if attempt.Executed != problem.ExecutedNo {
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -16,12 +16,12 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// client makes calls. It may be used by several goroutines.
+// client makes calls. It is safe for concurrent use.
 type client struct {
 	plan         *Plan
 	transport    *http.Transport
 	latency      time.Duration
-	expectations []answer.Expectation // by kind, without nonce
+	expectations []answer.Expectation // by index of the kind, without nonce
 }
 
 func newClient(plan *Plan) *client {
@@ -37,28 +37,29 @@
 		c.latency = plan.Mesh.ClientLatency()
 	}
 	for _, kind := range plan.Mesh.Kinds {
-		c.expectations = append(c.expectations, expectationOf(plan.Mesh, kind.Service, kind.Method, kind.Path))
+		c.expectations = append(c.expectations, expectationFor(plan.Mesh, kind.Service, kind.Method, kind.Path))
 	}
 	return c
 }
 
 func (c *client) close() { c.transport.CloseIdleConnections() }
 
-// expectationOf follows the required downstream calls of a call.
-func expectationOf(m *mesh.Mesh, name, method, path string) answer.Expectation {
+// expectationFor returns the complete answer to a call, including those of its
+// required downstream calls.
+func expectationFor(m *mesh.Mesh, name, method, path string) answer.Expectation {
 	expected := answer.Expectation{Service: name}
 	service, _ := m.Service(name)
 	work, _ := service.Work(method, path)
 	for _, call := range work.Calls {
 		if !call.Optional {
-			expected.Required = append(expected.Required, expectationOf(m, call.Service, call.Method, call.Path))
+			expected.Required = append(expected.Required, expectationFor(m, call.Service, call.Method, call.Path))
 		}
 	}
 	return expected
 }
 
-// do makes a call with its tries.
-func (c *client) do(ctx context.Context, a arrival, intended time.Time) Call {
+// run makes a call, with retries as the plan allows.
+func (c *client) run(ctx context.Context, a arrival, intended time.Time) Call {
 	kind := c.plan.Mesh.Kinds[a.kind]
 	call := Call{
 		Kind:           kind.Name,
@@ -72,14 +73,14 @@
 	for {
 		attempt := c.attempt(ctx, a, kind)
 		call.Attempts = append(call.Attempts, attempt)
-		if !c.tryAgain(ctx, call) {
+		if !c.shouldRetry(ctx, call) {
 			return call
 		}
 		pause.For(ctx, c.plan.Retry.Pause)
 	}
 }
 
-func (c *client) tryAgain(ctx context.Context, call Call) bool {
+func (c *client) shouldRetry(ctx context.Context, call Call) bool {
 	if len(call.Attempts) >= c.plan.Retry.Attempts || ctx.Err() != nil {
 		return false
 	}
@@ -108,16 +109,16 @@
 	return attempt
 }
 
-// exchange sends one request and judges the answer.
+// exchange sends one request and sets the attempt's verdict.
 func (c *client) exchange(ctx context.Context, a arrival, kind mesh.Kind, attempt *Attempt) {
 	request, err := c.request(ctx, a, kind)
 	if err != nil {
-		attempt.fail(err)
+		attempt.setError(err)
 		return
 	}
 	response, err := c.transport.RoundTrip(request)
 	if err != nil {
-		attempt.fail(err)
+		attempt.setError(err)
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
@@ -125,14 +126,14 @@
 	attempt.RequestID = response.Header.Get(callcontext.RequestIDHeader)
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
 	if err != nil {
-		attempt.fail(err)
+		attempt.setError(err)
 		return
 	}
 	if response.StatusCode == http.StatusOK {
 		c.verify(a, body, attempt)
 		return
 	}
-	attempt.refused(response, body)
+	attempt.setRefusal(response, body)
 }
 
 func (c *client) request(ctx context.Context, a arrival, kind mesh.Kind) (*http.Request, error) {
@@ -164,7 +165,7 @@
 	}
 }
 
-func (a *Attempt) fail(err error) {
+func (a *Attempt) setError(err error) {
 	a.Verdict = VerdictError
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		a.Verdict = VerdictTimeout
@@ -172,7 +173,7 @@
 	a.Error = err.Error()
 }
 
-func (a *Attempt) refused(response *http.Response, body []byte) {
+func (a *Attempt) setRefusal(response *http.Response, body []byte) {
 	document, err := problem.Parse(body)
 	if err != nil {
 		a.Verdict = VerdictError
--- a/lab/load/collector.go
+++ b/lab/load/collector.go
@@ -9,37 +9,36 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range of the histograms, in microseconds.
+// Range of the histograms, in microseconds, and their significant digits.
 const (
-	histogramMin    = 1
-	histogramMax    = 120_000_000
-	histogramDigits = 3
-	// bucketDigits keeps the many histograms of the timeline small.
-	bucketDigits = 2
+	histogramMin               = 1
+	histogramMax               = 120_000_000
+	histogramSignificantDigits = 3
+	// bucketSignificantDigits is lower, as the timeline has many histograms.
+	bucketSignificantDigits = 2
 )
 
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(histogramMin, histogramMax, histogramDigits)
+	return hdrhistogram.New(histogramMin, histogramMax, histogramSignificantDigits)
 }
 
-// collector gathers the results of a run. It may be used by several
-// goroutines.
+// collector collects the results of a run. It is safe for concurrent use.
 type collector struct {
-	plan     *Plan
-	mutex    sync.Mutex
-	measured Result
-	kinds    map[string]int
-	lateness *hdrhistogram.Histogram
-	stream   *bufio.Writer
-	encoder  *json.Encoder
-	err      error
+	plan      *Plan
+	mutex     sync.Mutex
+	measured  Result
+	kindIndex map[string]int
+	lateness  *hdrhistogram.Histogram
+	stream    *bufio.Writer
+	encoder   *json.Encoder
+	err       error
 }
 
 func newCollector(plan *Plan, start time.Time) *collector {
-	c := &collector{plan: plan, kinds: make(map[string]int), lateness: newHistogram()}
+	c := &collector{plan: plan, kindIndex: make(map[string]int), lateness: newHistogram()}
 	c.measured.Start = start
 	for i, kind := range plan.Mesh.Kinds {
-		c.kinds[kind.Name] = i
+		c.kindIndex[kind.Name] = i
 		c.measured.Kinds = append(c.measured.Kinds, KindResult{Kind: kind.Name, Latency: newHistogram()})
 	}
 	buckets := int((plan.duration() + plan.Bucket - 1) / plan.Bucket)
@@ -47,7 +46,7 @@
 		c.measured.Timeline = append(c.measured.Timeline, Bucket{
 			Offset:  time.Duration(i) * plan.Bucket,
 			Kinds:   make(map[string]Counts),
-			Latency: hdrhistogram.New(histogramMin, histogramMax, bucketDigits),
+			Latency: hdrhistogram.New(histogramMin, histogramMax, bucketSignificantDigits),
 		})
 	}
 	if plan.History != nil {
@@ -57,19 +56,21 @@
 	return c
 }
 
-// late records the delay of a start.
-func (c *collector) late(delay time.Duration) {
+// recordStartDelay records the delay between the intended and the actual start of a
+// call.
+func (c *collector) recordStartDelay(delay time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	record(c.lateness, delay)
+	recordDuration(c.lateness, delay)
 }
 
-func record(histogram *hdrhistogram.Histogram, value time.Duration) {
+func recordDuration(histogram *hdrhistogram.Histogram, value time.Duration) {
 	_ = histogram.RecordValue(min(max(value.Microseconds(), histogramMin), histogramMax))
 }
 
-// notSent records a call that the bound on open calls has stopped.
-func (c *collector) notSent(a arrival, intended time.Time) {
+// recordNotSent records a call that wasn't sent as too many calls were open, and
+// marks the run invalid.
+func (c *collector) recordNotSent(a arrival, intended time.Time) {
 	c.add(Call{
 		Kind:           c.plan.Mesh.Kinds[a.kind].Name,
 		Caller:         a.caller,
@@ -82,7 +83,7 @@
 	c.invalidate("calls weren't sent as too many were open")
 }
 
-// invalidate marks the run; the first reason stays.
+// invalidate marks the run as invalid; the first reason is kept.
 func (c *collector) invalidate(reason string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -95,26 +96,26 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.measured.Total.add(call)
-	kind := &c.measured.Kinds[c.kinds[call.Kind]]
+	kind := &c.measured.Kinds[c.kindIndex[call.Kind]]
 	kind.add(call)
-	bucket := c.bucketOf(call)
+	bucket := c.bucketFor(call)
 	bucket.Total.add(call)
 	counts := bucket.Kinds[call.Kind]
 	counts.add(call)
 	bucket.Kinds[call.Kind] = counts
 	if call.Verdict() == VerdictComplete {
-		record(kind.Latency, call.Latency())
-		record(bucket.Latency, call.Latency())
+		recordDuration(kind.Latency, call.Latency())
+		recordDuration(bucket.Latency, call.Latency())
 	}
-	c.keep(call)
+	c.storeCall(call)
 }
 
-func (c *collector) bucketOf(call Call) *Bucket {
+func (c *collector) bucketFor(call Call) *Bucket {
 	index := int(call.Intended.Sub(c.measured.Start) / c.plan.Bucket)
 	return &c.measured.Timeline[min(max(index, 0), len(c.measured.Timeline)-1)]
 }
 
-func (c *collector) keep(call Call) {
+func (c *collector) storeCall(call Call) {
 	if c.plan.KeepHistory {
 		c.measured.History = append(c.measured.History, call)
 	}
--- a/lab/load/command.go
+++ b/lab/load/command.go
@@ -15,7 +15,7 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Commands returns the lab's commands of this package.
+// Commands returns the lab commands of this package.
 func Commands() []subcommands.Command { return []subcommands.Command{&loadCommand{}} }
 
 type loadCommand struct {
@@ -48,12 +48,12 @@
 func (c *loadCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.meshFile, "mesh", "", "mesh `file`")
 	flags.Var(&c.edges, "edge", "`zone=address` of an edge listener, separated by commas; may be repeated")
-	flags.Float64Var(&c.rate, "rate", 100, "calls a `second`")
+	flags.Float64Var(&c.rate, "rate", 100, "calls per `second`")
 	flags.DurationVar(&c.duration, "duration", 10*time.Second, "`length` of the run")
 	flags.Uint64Var(&c.seed, "seed", 1, "`seed` of arrivals")
-	flags.StringVar(&c.historyFile, "out", "", "`file` for the history, as JSON lines")
-	flags.IntVar(&c.attempts, "attempts", 1, "how often a client tries a call; above 1 it tries hard, without a pause")
-	flags.BoolVar(&c.clientLatency, "client-latency", false, "add the mesh file's latency to clients")
+	flags.StringVar(&c.historyFile, "out", "", "`file` to which the calls are written, as JSON lines")
+	flags.IntVar(&c.attempts, "attempts", 1, "maximum `attempts` of a client for each call; retries follow without a delay, also after refusals")
+	flags.BoolVar(&c.clientLatency, "client-latency", false, "emulate the latency between zones and clients that the mesh file sets")
 	flags.BoolVar(&c.requireComplete, "require-complete", false, "fail unless every call was answered completely")
 }
 
@@ -85,7 +85,7 @@
 		Rate:                 c.rate,
 		Phases:               []Phase{{Name: "steady", Duration: c.duration, Multiplier: 1}},
 		Seed:                 c.seed,
-		Retry:                HardRetry(c.attempts),
+		Retry:                ImmediateRetry(c.attempts),
 		EmulateClientLatency: c.clientLatency,
 	}
 	if c.historyFile == "" {
--- a/lab/load/doc.go
+++ b/lab/load/doc.go
@@ -1,9 +1,9 @@
-// Package load is an open-loop load generator for a mesh: calls start at
-// moments drawn from a seeded Poisson process, whether or not earlier ones
-// have been answered, and latencies count from the intended start, so that a
+// Package load is an open-loop load generator for a mesh. Calls start at the
+// arrival times of a seeded Poisson process, whether or not earlier calls have
+// been answered, and latencies are measured from the intended start, so that a
 // slow mesh can't slow the generator down.
 //
-// Every answer is checked to be the complete one to its call. The generator
-// measures its own lateness and says when it was the bottleneck; a run in
-// which calls couldn't be sent is marked invalid.
+// Every answer is checked to be the complete answer to its call. The generator
+// measures the delay of its own starts and reports when it was the bottleneck; a
+// run in which calls couldn't be sent is marked invalid.
 package load
--- a/lab/load/emulator_test.go
+++ b/lab/load/emulator_test.go
@@ -15,36 +15,36 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// router sends /<service>/<path> to the service's targets in turn.
+// router forwards /<service>/<path> to the service's targets in round-robin order.
 func router(targets []emulator.TargetInfo) http.Handler {
 	addresses := make(map[string][]string)
 	for _, target := range targets {
 		addresses[target.Service] = append(addresses[target.Service], target.Address)
 	}
-	var turn atomic.Uint64
+	var requests atomic.Uint64
 	return &httputil.ReverseProxy{
 		Transport: &http.Transport{MaxIdleConnsPerHost: 100, DisableCompression: true},
 		Rewrite: func(r *httputil.ProxyRequest) {
 			service, path, _ := strings.Cut(strings.TrimPrefix(r.In.URL.Path, "/"), "/")
-			choices := addresses[service]
+			candidates := addresses[service]
 			r.Out.URL.Scheme = "http"
-			r.Out.URL.Host = choices[turn.Add(1)%uint64(len(choices))]
+			r.Out.URL.Host = candidates[requests.Add(1)%uint64(len(candidates))]
 			r.Out.URL.Path = "/" + path
 		},
 	}
 }
 
-// patience is by how much callers wait longer than the examples say: answers must be
-// complete, and how fast they come on a busy machine is not what the test is about.
-const patience = 20
+// deadlineFactor multiplies the deadlines of the example meshes. The test checks
+// that answers are complete; on a busy machine they may exceed those deadlines.
+const deadlineFactor = 20
 
-func TestExampleMeshesAnswerTheirLoad(t *testing.T) {
+func TestExampleMeshesAnswerCompletely(t *testing.T) {
 	for _, name := range []string{"naidu", "ppba"} {
 		t.Run(name, func(t *testing.T) {
 			loaded, err := mesh.Load("../../examples/" + name + "/mesh.toml")
 			assert.NilError(t, err)
 			for i := range loaded.Kinds {
-				loaded.Kinds[i].DeadlineMs *= patience
+				loaded.Kinds[i].DeadlineMs *= deadlineFactor
 			}
 			targets, err := emulator.Start(emulator.Config{Mesh: loaded, Seed: 1, WarmStart: true})
 			assert.NilError(t, err)
@@ -74,7 +74,8 @@
 	}
 }
 
-// checkExecutions compares the calls with what was run, by their nonces.
+// checkExecutions checks, by nonce, that the executions of each call are complete
+// and that none is missing or repeated.
 func checkExecutions(t *testing.T, loaded *mesh.Mesh, calls []Call, records []emulator.Record) {
 	t.Helper()
 	executions := make(map[string]int)
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-func answerWhole(w http.ResponseWriter, r *http.Request, nonce string) {
+func writeCompleteAnswer(w http.ResponseWriter, r *http.Request, nonce string) {
 	service, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	body, _ := answer.Answer{Service: service, Nonce: nonce}.Encode()
 	w.Header().Set(callcontext.RequestIDHeader, "id-"+nonce)
@@ -66,7 +66,7 @@
 			http.Error(w, "bad headers", http.StatusBadRequest)
 			return
 		}
-		answerWhole(w, r, r.Header.Get(answer.NonceHeader))
+		writeCompleteAnswer(w, r, r.Header.Get(answer.NonceHeader))
 	})
 	var history bytes.Buffer
 	plan.History = &history
@@ -90,11 +90,11 @@
 	cases := []struct {
 		name    string
 		handler http.HandlerFunc
-		want    func(Counts) int64
+		count   func(Counts) int64
 	}{
-		{"someone else's answer", func(w http.ResponseWriter, r *http.Request) { answerWhole(w, r, "other") },
+		{"answer to another call", func(w http.ResponseWriter, r *http.Request) { writeCompleteAnswer(w, r, "other") },
 			func(c Counts) int64 { return c.Wrong }},
-		{"half an answer", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"service":"vi`)) },
+		{"truncated answer", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(`{"service":"vi`)) },
 			func(c Counts) int64 { return c.Wrong }},
 		{"refused, not run", func(w http.ResponseWriter, _ *http.Request) {
 			problem.New(problem.Overloaded, problem.ExecutedNo, "admission", "n", "shed").WithRetryAfter(time.Second).Write(w)
@@ -104,22 +104,22 @@
 		}, func(c Counts) int64 { return c.RefusedUnknown }},
 		{"plain error", func(w http.ResponseWriter, _ *http.Request) { http.Error(w, "no", http.StatusInternalServerError) },
 			func(c Counts) int64 { return c.Error }},
-		{"connection cut", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		{"connection closed", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 			func(c Counts) int64 { return c.Error }},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			result := run(t, planFor(t, c.handler))
 			assert.Assert(t, result.Total.Sent > 0)
-			assert.Equal(t, c.want(result.Total), result.Total.Sent)
+			assert.Equal(t, c.count(result.Total), result.Total.Sent)
 			assert.Assert(t, !result.AllComplete())
 		})
 	}
 }
 
-func TestDeadlineIsATimeout(t *testing.T) {
+func TestDeadlineTimeout(t *testing.T) {
 	plan := planFor(t, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body) // the server notices a disconnect only after the body
+		_, _ = io.Copy(io.Discard, r.Body) // the server detects a disconnect only after reading the body
 		<-r.Context().Done()
 	})
 	for i := range plan.Mesh.Kinds {
@@ -129,33 +129,33 @@
 	assert.Equal(t, result.Total.Timeout, result.Total.Sent)
 }
 
-func TestHardClientsRetryWithTheSameKey(t *testing.T) {
-	var tries atomic.Int64
+func TestImmediateRetryKeepsTheKey(t *testing.T) {
+	var requests atomic.Int64
 	plan := planFor(t, func(w http.ResponseWriter, r *http.Request) {
-		if tries.Add(1)%2 == 1 {
+		if requests.Add(1)%2 == 1 {
 			problem.New(problem.Overloaded, problem.ExecutedNo, "admission", "n", "shed").Write(w)
 			return
 		}
-		answerWhole(w, r, r.Header.Get(answer.NonceHeader))
+		writeCompleteAnswer(w, r, r.Header.Get(answer.NonceHeader))
 	})
 	plan.Rate = 30
-	plan.Retry = HardRetry(50)
+	plan.Retry = ImmediateRetry(50)
 	result := run(t, plan)
 	assert.Assert(t, result.AllComplete())
-	assert.Equal(t, result.Total.Attempts, tries.Load())
+	assert.Equal(t, result.Total.Attempts, requests.Load())
 	assert.Assert(t, result.Total.Attempts > result.Total.Sent)
 	for _, call := range result.History {
 		assert.Assert(t, !call.ToldNotRun())
 	}
 }
 
-func TestOpenLoopDoesNotWaitAndMarksDrops(t *testing.T) {
+func TestMaxInFlightDropsCalls(t *testing.T) {
 	release := make(chan struct{})
 	var open atomic.Int64
 	plan := planFor(t, func(w http.ResponseWriter, r *http.Request) {
 		open.Add(1)
 		<-release
-		answerWhole(w, r, r.Header.Get(answer.NonceHeader))
+		writeCompleteAnswer(w, r, r.Header.Get(answer.NonceHeader))
 	})
 	plan.MaxInFlight = 10
 	time.AfterFunc(plan.Phases[0].Duration+50*time.Millisecond, func() { close(release) })
@@ -166,12 +166,12 @@
 	assert.Assert(t, result.Bottleneck && result.Invalid != "" && !result.AllComplete())
 }
 
-func TestLatencyCountsFromTheIntendedStart(t *testing.T) {
+func TestLatencyFromIntendedStart(t *testing.T) {
 	plan := planFor(t, nil)
 	plan.setDefaults()
 	start := time.Now()
 	results := newCollector(&plan, start)
-	results.late(time.Second)
+	results.recordStartDelay(time.Second)
 	results.add(Call{Kind: "look", Intended: start, Attempts: []Attempt{
 		{Start: start.Add(time.Second), End: start.Add(1100 * time.Millisecond), Verdict: VerdictComplete}}})
 	result := results.result(time.Second)
@@ -179,7 +179,7 @@
 	assert.Assert(t, result.Bottleneck)
 }
 
-func TestScheduleIsRepeatableAndFollowsPhases(t *testing.T) {
+func TestScheduleIsDeterministicAndFollowsPhases(t *testing.T) {
 	plan := Plan{
 		Mesh:  testMesh(),
 		Edges: mesh.ZoneAddresses{"a": {"h:1", "h:2"}, "b": {"h:3"}},
@@ -191,15 +191,15 @@
 			{Duration: 10 * time.Second, Multiplier: 3, KindMultipliers: map[string]float64{"vent": 0}},
 		},
 	}
-	draw := func() []arrival {
-		var all []arrival
+	arrivalsOf := func() []arrival {
+		var arrivals []arrival
 		s := newSchedule(&plan)
 		for next, ok := s.next(); ok; next, ok = s.next() {
-			all = append(all, next)
+			arrivals = append(arrivals, next)
 		}
-		return all
+		return arrivals
 	}
-	first, second := draw(), draw()
+	first, second := arrivalsOf(), arrivalsOf()
 	assert.Equal(t, len(first), len(second))
 	counts := [3]int{}
 	vents := [3]int{}
@@ -218,17 +218,17 @@
 	assert.Assert(t, near(counts[2], 22_500) && vents[2] == 0, "%v %v", counts, vents)
 }
 
-func TestPlansAreChecked(t *testing.T) {
-	good := planFor(t, nil)
-	for name, spoil := range map[string]func(*Plan){
+func TestPlanValidation(t *testing.T) {
+	valid := planFor(t, nil)
+	for name, invalidate := range map[string]func(*Plan){
 		"mesh":  func(p *Plan) { p.Mesh = nil },
 		"rate":  func(p *Plan) { p.Rate = 0 },
 		"edge":  func(p *Plan) { p.Edges = nil },
 		"phase": func(p *Plan) { p.Phases = nil },
 		"kind":  func(p *Plan) { p.Phases = []Phase{{Duration: 1, KindMultipliers: map[string]float64{"x": 1}}} },
 	} {
-		plan := good
-		spoil(&plan)
+		plan := valid
+		invalidate(&plan)
 		_, err := Run(context.Background(), plan)
 		assert.ErrorContains(t, err, name)
 	}
--- a/lab/load/plan.go
+++ b/lab/load/plan.go
@@ -11,70 +11,71 @@
 
 // Defaults and limits of a plan.
 const (
-	// DefaultMaxInFlight bounds the calls that are open at once.
+	// DefaultMaxInFlight is the default maximum number of open calls.
 	DefaultMaxInFlight = 20_000
-	// DefaultMaxCalls bounds the calls of a run.
+	// DefaultMaxCalls is the default maximum number of calls of a run.
 	DefaultMaxCalls = 5_000_000
-	// DefaultBucket is the width of the timeline's buckets.
+	// DefaultBucket is the default width of the timeline's buckets.
 	DefaultBucket = time.Second
-	// maxLateness is the 99th percentile of the start delay above which the
-	// generator calls itself the bottleneck.
+	// maxLateness is the 99th percentile of the start delay above which a result
+	// is marked as limited by the generator.
 	maxLateness = 10 * time.Millisecond
-	// maxAnswerBytes bounds an answer, in bytes.
+	// maxAnswerBytes is the maximum size of an answer.
 	maxAnswerBytes = 16 << 20
-	// maxIdlePerEdge is the number of idle connections kept to an edge.
+	// maxIdlePerEdge is the maximum number of idle connections to an edge address.
 	maxIdlePerEdge = 4096
 )
 
-// Phase is a part of a run with its own rate.
+// Phase is a part of a run with a constant rate.
 type Phase struct {
 	Name     string
 	Duration time.Duration
-	// Multiplier scales the plan's rate.
+	// Multiplier is multiplied with the plan's rate.
 	Multiplier float64
-	// KindMultipliers scale single kinds on top; a kind without one keeps its
-	// share.
+	// KindMultipliers are multiplied with the rates of single kinds, in addition
+	// to Multiplier. The default is 1.
 	KindMultipliers map[string]float64
 }
 
-// Retry is what a client does by itself after a call that wasn't answered
+// Retry is the retry policy of clients for calls that weren't answered
 // completely.
 type Retry struct {
-	// Attempts is the number of tries in all; zero and one mean no retry.
+	// Attempts is the maximum number of attempts; zero and one disable retries.
 	Attempts int
-	// Pause between two tries; hard clients have none.
+	// Pause is the delay between two attempts.
 	Pause time.Duration
-	// IgnoreRefusals makes the client try again although it was told, by a
-	// refusal without Retry-After, that coming back is of no use.
+	// IgnoreRefusals makes the client also retry after a refusal without
+	// Retry-After, which means that a retry is not useful.
 	IgnoreRefusals bool
 }
 
-// NoRetry is the behaviour of a client that gives up at once.
+// NoRetry returns a policy without retries.
 func NoRetry() Retry { return Retry{Attempts: 1} }
 
-// HardRetry is the behaviour of a client that tries at once and always again,
-// up to a number of tries.
-func HardRetry(attempts int) Retry { return Retry{Attempts: attempts, IgnoreRefusals: true} }
+// ImmediateRetry returns a policy that retries every incomplete call without a
+// delay, also after refusals, up to the given number of attempts.
+func ImmediateRetry(attempts int) Retry { return Retry{Attempts: attempts, IgnoreRefusals: true} }
 
-// Plan is a run of the generator.
+// Plan describes a run of the generator.
 type Plan struct {
 	Mesh *mesh.Mesh
 	// Edges are the edge addresses by zone.
 	Edges mesh.ZoneAddresses
-	// Rate is the calls a second of all kinds at multiplier one.
+	// Rate is the total rate of all kinds at multiplier one, in calls per second.
 	Rate   float64
 	Phases []Phase
 	Seed   uint64
 	Retry  Retry
-	// EmulateClientLatency adds the mesh's latency between clients and zones
-	// on both ways.
+	// EmulateClientLatency adds the mesh's latency between clients and zones in
+	// both directions.
 	EmulateClientLatency bool
-	// MaxInFlight and MaxCalls bound the run; zero means the defaults.
+	// MaxInFlight is the maximum number of open calls and MaxCalls the maximum
+	// number of calls of the run; zero means the defaults.
 	MaxInFlight int
 	MaxCalls    int
 	// Bucket is the width of the timeline's buckets; zero means the default.
 	Bucket time.Duration
-	// KeepHistory keeps every call in the result.
+	// KeepHistory stores every call in the result.
 	KeepHistory bool
 	// History receives every call as a JSON line, if set.
 	History io.Writer
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// WriteTable writes the result by kind, as text for people.
+// WriteTable writes the result by kind as a table.
 func (r *Result) WriteTable(w io.Writer) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, _ = fmt.Fprintln(table, "kind\tsent\tcomplete\trefused\twrong\tfailed\tp50 ms\tp99 ms\t")
--- a/lab/load/result.go
+++ b/lab/load/result.go
@@ -8,14 +8,14 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-// Counts are numbers of calls by how they ended.
+// Counts are numbers of calls by verdict.
 type Counts struct {
-	// Sent counts the calls; Attempts their tries.
+	// Sent counts the calls that were sent, Attempts their attempts.
 	Sent     int64 `json:"sent"`
 	Attempts int64 `json:"attempts"`
 	Complete int64 `json:"complete"`
-	// RefusedNo and RefusedUnknown are refusals by what they said of the
-	// call's execution.
+	// RefusedNo counts refusals that stated that the call was not executed,
+	// RefusedUnknown all others.
 	RefusedNo      int64 `json:"refused_no"`
 	RefusedUnknown int64 `json:"refused_unknown"`
 	Wrong          int64 `json:"wrong"`
@@ -24,10 +24,10 @@
 	NotSent        int64 `json:"not_sent"`
 }
 
-// Refused is the number of refusals.
+// Refused returns the number of refusals.
 func (c Counts) Refused() int64 { return c.RefusedNo + c.RefusedUnknown }
 
-// Failed is the number of errors and timeouts.
+// Failed returns the number of errors and timeouts.
 func (c Counts) Failed() int64 { return c.Error + c.Timeout }
 
 func (c *Counts) add(call Call) {
@@ -56,20 +56,20 @@
 type KindResult struct {
 	Kind string `json:"kind"`
 	Counts
-	// Latency of complete calls from the intended start, in microseconds.
+	// Latency of complete calls, from the intended start, in microseconds.
 	Latency *hdrhistogram.Histogram `json:"-"`
 }
 
-// Quantile returns a latency of complete calls; the quantile goes from 0 to
-// 100. Without complete calls it is zero.
+// Quantile returns a quantile of the latency of complete calls. The argument is
+// a percentage from 0 to 100. Without complete calls the result is zero.
 func (k KindResult) Quantile(quantile float64) time.Duration {
 	return time.Duration(k.Latency.ValueAtQuantile(quantile)) * time.Microsecond
 }
 
-// Bucket is what became of the calls that were meant to start in one part of
-// the run.
+// Bucket is the result of the calls whose intended start is in one interval of
+// the timeline.
 type Bucket struct {
-	// Offset of the bucket's start from the start of the run.
+	// Offset is the time from the start of the run to the start of the bucket.
 	Offset time.Duration     `json:"offset"`
 	Total  Counts            `json:"total"`
 	Kinds  map[string]Counts `json:"kinds"`
@@ -77,7 +77,7 @@
 	Latency *hdrhistogram.Histogram `json:"-"`
 }
 
-// Result is what a run has measured.
+// Result is the result of a run.
 type Result struct {
 	Start    time.Time     `json:"start"`
 	Duration time.Duration `json:"duration"`
@@ -85,19 +85,19 @@
 	Kinds    []KindResult  `json:"kinds"`
 	Timeline []Bucket      `json:"timeline"`
 	// Lateness99 is the 99th percentile of the delay between the intended and
-	// the real start of calls.
+	// the actual start of calls.
 	Lateness99 time.Duration `json:"lateness_99"`
-	// Bottleneck says that the generator was too slow for the plan; latencies
-	// then tell more of it than of the mesh.
+	// Bottleneck is set if the generator was too slow for the plan; latencies
+	// then depend more on the generator than on the mesh.
 	Bottleneck bool `json:"bottleneck"`
-	// Invalid says why the run can't be used; empty means that it can.
+	// Invalid is the reason for which the result can't be used; empty if it can.
 	Invalid string `json:"invalid,omitempty"`
-	// History holds every call, if the plan asks for it, in the order of the
-	// ends.
+	// History contains every call in the order in which they ended, if
+	// Plan.KeepHistory is set.
 	History []Call `json:"-"`
 }
 
-// Kind returns the result of a kind; one that made no call is zero.
+// Kind returns the result of a kind, which is empty for an unknown one.
 func (r *Result) Kind(name string) KindResult {
 	for _, kind := range r.Kinds {
 		if kind.Kind == name {
--- a/lab/load/schedule.go
+++ b/lab/load/schedule.go
@@ -10,7 +10,7 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// arrival is one call that is to be made.
+// arrival is a scheduled call.
 type arrival struct {
 	offset  time.Duration // from the start of the run
 	kind    int           // index into the mesh's kinds
@@ -21,19 +21,20 @@
 	key     string // Idempotency-Key, or ""
 }
 
-// schedule draws the arrivals of a plan: a Poisson process with the rate of
-// each phase. The same plan gives the same arrivals. It is for one goroutine.
+// schedule generates the arrivals of a plan: a Poisson process with the rate of
+// each phase. The same plan gives the same arrivals. It is not safe for
+// concurrent use.
 type schedule struct {
-	plan       *Plan
-	random     *rand.Rand
-	zones      []string
-	nextEdge   map[string]int
-	phase      int
-	phaseStart time.Duration
-	now        time.Duration
-	count      int
-	weights    []float64 // cumulated shares in the phase
-	rate       float64   // calls a second in the phase
+	plan             *Plan
+	random           *rand.Rand
+	zones            []string
+	nextEdge         map[string]int
+	phase            int
+	phaseStart       time.Duration
+	now              time.Duration
+	count            int
+	cumulativeShares []float64 // by index of the kind, in the current phase
+	rate             float64   // calls per second in the current phase
 }
 
 func newSchedule(plan *Plan) *schedule {
@@ -43,19 +44,19 @@
 		zones:    slices.Sorted(maps.Keys(plan.Edges)),
 		nextEdge: make(map[string]int),
 	}
-	s.enterPhase()
+	s.startPhase()
 	return s
 }
 
-// enterPhase computes the rate and weights of the current phase.
-func (s *schedule) enterPhase() {
+// startPhase computes the rate and the cumulative shares of the current phase.
+func (s *schedule) startPhase() {
 	phase := s.plan.Phases[s.phase]
 	baseTotal, total := 0.0, 0.0
-	s.weights = s.weights[:0]
+	s.cumulativeShares = s.cumulativeShares[:0]
 	for _, kind := range s.plan.Mesh.Kinds {
 		baseTotal += kind.Share
 		total += kind.Share * kindMultiplier(phase, kind)
-		s.weights = append(s.weights, total)
+		s.cumulativeShares = append(s.cumulativeShares, total)
 	}
 	s.rate = s.plan.Rate * phase.Multiplier * total / baseTotal
 }
@@ -67,20 +68,20 @@
 	return 1
 }
 
-// next returns the next arrival; false means that the plan is at its end.
+// next returns the next arrival, or false at the end of the plan.
 func (s *schedule) next() (arrival, bool) {
 	for s.phase < len(s.plan.Phases) {
 		end := s.phaseStart + s.plan.Phases[s.phase].Duration
-		if at, ok := s.drawTime(); ok && at < end {
+		if at, ok := s.drawArrivalTime(); ok && at < end {
 			s.now = at
-			return s.draw(), true
+			return s.drawArrival(), true
 		}
-		s.leavePhase(end)
+		s.endPhase(end)
 	}
 	return arrival{}, false
 }
 
-func (s *schedule) drawTime() (time.Duration, bool) {
+func (s *schedule) drawArrivalTime() (time.Duration, bool) {
 	if s.rate <= 0 {
 		return 0, false
 	}
@@ -88,17 +89,18 @@
 	return s.now + time.Duration(gap*float64(time.Second)), true
 }
 
-// leavePhase drops the arrival that would have been after the end: a Poisson
-// process has no memory, so the next phase draws anew.
-func (s *schedule) leavePhase(end time.Duration) {
+// endPhase starts the next phase at the end of the current one. The arrival that
+// was drawn past the end is dropped: a Poisson process is memoryless, so the next
+// phase can draw a new one.
+func (s *schedule) endPhase(end time.Duration) {
 	s.now, s.phaseStart = end, end
 	s.phase++
 	if s.phase < len(s.plan.Phases) {
-		s.enterPhase()
+		s.startPhase()
 	}
 }
 
-func (s *schedule) draw() arrival {
+func (s *schedule) drawArrival() arrival {
 	kindIndex := s.drawKind()
 	kind := s.plan.Mesh.Kinds[kindIndex]
 	zone := s.zones[s.random.IntN(len(s.zones))]
@@ -107,7 +109,7 @@
 	s.nextEdge[zone]++
 	s.count++
 	group := kind.Callers[s.random.IntN(len(kind.Callers))]
-	drawn := arrival{
+	next := arrival{
 		offset:  s.now,
 		kind:    kindIndex,
 		caller:  fmt.Sprintf("%s-%d", group, s.random.IntN(kind.CallersEach)),
@@ -116,18 +118,18 @@
 		nonce:   fmt.Sprintf("%08x-%016x", s.count, s.random.Uint64()),
 	}
 	if kind.Keyed {
-		drawn.key = "key-" + drawn.nonce
+		next.key = "key-" + next.nonce
 	}
-	return drawn
+	return next
 }
 
 func (s *schedule) drawKind() int {
-	total := s.weights[len(s.weights)-1]
+	total := s.cumulativeShares[len(s.cumulativeShares)-1]
 	point := s.random.Float64() * total
-	for i, cumulated := range s.weights {
-		if point < cumulated {
+	for i, cumulative := range s.cumulativeShares {
+		if point < cumulative {
 			return i
 		}
 	}
-	return len(s.weights) - 1
+	return len(s.cumulativeShares) - 1
 }
