--- a/lab/cluster/await.go
+++ b/lab/cluster/await.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// startTimeout bounds the time until all nodes have what was applied.
+	// startTimeout is the timeout for nodes to become members and to load the
+	// configuration.
 	startTimeout = 30 * time.Second
-	// pollInterval is how often nodes are asked for their status.
+	// pollInterval is the interval at which the status of nodes is polled.
 	pollInterval = 50 * time.Millisecond
 )
 
-// AwaitMembers waits until every node that runs knows all the others.
+// AwaitMembers waits until every running node is ready and reports at least as many
+// live members as nodes are running.
 func (c *Cluster) AwaitMembers(ctx context.Context) error {
-	running := c.running()
-	return c.await(ctx, "membership", func(ctx context.Context) bool {
+	running := c.runningNodes()
+	return c.waitUntil(ctx, "membership", func(ctx context.Context) bool {
 		for _, node := range running {
 			status, err := node.Status(ctx)
 			if err != nil || aliveMembers(status.Members) < len(running) || !status.Node.Ready {
@@ -28,12 +30,12 @@
 	})
 }
 
-// AwaitReady waits until every running node has all objects of the mesh and
-// knows the claim replicas.
+// AwaitReady waits until every running node is ready, has all targets of the mesh
+// and a claim epoch, and has a configuration floor of at least the first node's.
 func (c *Cluster) AwaitReady(ctx context.Context) error {
-	return c.await(ctx, "configuration", func(ctx context.Context) bool {
+	return c.waitUntil(ctx, "configuration", func(ctx context.Context) bool {
 		var floor int64
-		for i, node := range c.running() {
+		for i, node := range c.runningNodes() {
 			status, err := node.Status(ctx)
 			if err != nil || !status.Node.Ready || status.Node.ClaimEpoch == 0 || len(status.Targets) < len(c.Mesh.Targets) {
 				return false
@@ -49,7 +51,7 @@
 	})
 }
 
-func (c *Cluster) running() []*Node {
+func (c *Cluster) runningNodes() []*Node {
 	var running []*Node
 	for _, node := range c.Nodes {
 		if node.Process != nil && node.Running() {
@@ -59,15 +61,15 @@
 	return running
 }
 
-func (c *Cluster) await(ctx context.Context, what string, holds func(context.Context) bool) error {
+func (c *Cluster) waitUntil(ctx context.Context, subject string, condition func(context.Context) bool) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for !holds(ctx) {
+	for !condition(ctx) {
 		select {
 		case <-ctx.Done():
-			return oops.In("cluster").With("step", "await "+what).Wrapf(ctx.Err(), "nodes have no complete %s", what)
+			return oops.In("cluster").With("step", "await "+subject).Wrapf(ctx.Err(), "nodes have no complete %s", subject)
 		case <-ticker.C:
 		}
 	}
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -1,6 +1,5 @@
-// Package cluster runs a mesh with lugspur in front of it as separate processes
-// on the loopback interface: the store, the targets, and the nodes of every
-// zone.
+// Package cluster runs a mesh behind lugspur as separate processes on the loopback
+// interface: the store, the targets, and the nodes of every zone.
 package cluster
 
 import (
@@ -21,42 +20,42 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Token is the token of the administration API of a cluster's nodes.
+// Token is the token for the administration API of the nodes.
 const Token = "cluster-administration-token"
 
-// Config says what a cluster consists of.
+// Config is the configuration of a cluster.
 type Config struct {
-	// Lugspur and Lab are the programs.
+	// Lugspur and Lab are the paths of the programs.
 	Lugspur, Lab string
-	// MeshFile is the mesh that the targets come from.
+	// MeshFile is the path of the mesh file.
 	MeshFile string
 	// Policies is the directory of the services' policies; empty means none.
 	Policies string
-	// Directory holds logs and generated files.
+	// Directory is the directory for logs and generated files.
 	Directory string
 	// NodesPerZone is the number of nodes in each zone, at least one.
 	NodesPerZone int
-	// NodeFlags are further flags of every node.
+	// NodeFlags are additional flags of every node.
 	NodeFlags []string
-	// StoreRate bounds the requests a second that the store takes; zero is no
-	// bound.
+	// StoreRate is the request limit of the store per second; zero means no
+	// limit.
 	StoreRate float64
-	// StoreSettings are further flags of the store.
+	// StoreFlags are additional flags of the store.
 	StoreFlags []string
-	// TargetFlags are further flags of the targets.
+	// TargetFlags are additional flags of the targets.
 	TargetFlags []string
-	// Records has the targets write their executions to a file in Directory.
+	// Records makes the targets write their executions to a file in Directory.
 	Records bool
 	Seed    uint64
 }
 
-// Addresses are where a node listens.
+// Addresses are the listen addresses of a node.
 type Addresses struct {
 	Edge, Mesh, Peer, Admin string
 }
 
-// Node is a node of the cluster. A node that was started again keeps its name
-// and addresses and gets a new process.
+// Node is a node of the cluster. A restarted node keeps its name and addresses and
+// has a new process.
 type Node struct {
 	*Process
 	Name, Zone, Region string
@@ -64,7 +63,7 @@
 	seeds              []string
 }
 
-// Cluster is a running mesh. Its methods may not be used at the same time.
+// Cluster is a running mesh. It is not safe for concurrent use.
 type Cluster struct {
 	Config Config
 	Mesh   *mesh.Mesh
@@ -76,20 +75,20 @@
 	targetAddresses targetsReady
 }
 
-// storeReady is the line that the store prints.
+// storeReady is the line that the store prints when it is ready.
 type storeReady struct {
 	Store   string `json:"store"`
 	Control string `json:"control"`
 }
 
-// targetsReady is the line that the targets print.
+// targetsReady is the line that the targets print when they are ready.
 type targetsReady struct {
 	Targets []emulator.TargetInfo `json:"targets"`
 	Control string                `json:"control"`
 }
 
-// Start starts everything, applies the objects of the mesh and waits until
-// every node has them. On error nothing is left running.
+// Start starts all processes, applies the objects of the mesh and waits until the
+// nodes are ready. On an error it stops the processes that it started.
 func Start(ctx context.Context, config Config) (*Cluster, error) {
 	loaded, err := mesh.Load(config.MeshFile)
 	if err != nil {
@@ -115,7 +114,7 @@
 	if err := c.startNodes(); err != nil {
 		return err
 	}
-	if err := c.announceMesh(ctx); err != nil {
+	if err := c.sendMeshAddresses(ctx); err != nil {
 		return err
 	}
 	if err := c.AwaitMembers(ctx); err != nil {
@@ -148,11 +147,11 @@
 	return err
 }
 
-// RecordsFile is where the targets write their executions.
+// RecordsFile returns the path of the file to which targets write their executions.
 func (c *Cluster) RecordsFile() string { return filepath.Join(c.Config.Directory, "records.jsonl") }
 
 // startNodes starts the nodes of every zone. The first node of each zone is a
-// seed of all others.
+// membership seed of all nodes.
 func (c *Cluster) startNodes() error {
 	var seeds []string
 	for index := range max(c.Config.NodesPerZone, 1) {
@@ -181,7 +180,7 @@
 	return nil
 }
 
-// StartNode starts the node's process, also after it has ended.
+// StartNode starts the node's process, or restarts it after it has ended.
 func (c *Cluster) StartNode(node *Node) error {
 	arguments := []string{"node",
 		"-name", node.Name, "-zone", node.Zone, "-region", node.Region, "-cluster", c.Mesh.Name,
@@ -200,38 +199,40 @@
 	return err
 }
 
-// claimReplicas returns how many claim replicas suit the number of nodes: three,
-// or five, which outlive the loss of two at once, with a node to spare.
+// claimReplicas returns the number of claim replicas: three or, with more than five
+// nodes, five, which tolerate the loss of two replicas at a time and leave a spare
+// node.
 func (c *Cluster) claimReplicas() int {
-	const few, many = 3, 5
-	if len(c.Nodes) > many {
-		return many
+	const small, large = 3, 5
+	if len(c.Nodes) > large {
+		return large
 	}
-	return few
+	return small
 }
 
 func (c *Cluster) settingsFile() string { return filepath.Join(c.Config.Directory, "node.toml") }
 
-// writeSettings writes the settings that all nodes share. The file is replaced
-// as a whole, because nodes may start meanwhile.
+// writeSettings writes the settings that all nodes share. It replaces the file
+// atomically, as a node that is starting may be reading it.
 func (c *Cluster) writeSettings() error {
 	content := fmt.Sprintf("[admin]\ntoken = %q\n", Token)
-	fresh := c.settingsFile() + ".new"
-	if err := os.WriteFile(fresh, []byte(content), 0o600); err != nil {
+	temporary := c.settingsFile() + ".new"
+	if err := os.WriteFile(temporary, []byte(content), 0o600); err != nil {
 		return err
 	}
-	return os.Rename(fresh, c.settingsFile())
+	return os.Rename(temporary, c.settingsFile())
 }
 
-// announceMesh tells the targets where the nodes of their zones are.
-func (c *Cluster) announceMesh(ctx context.Context) error {
+// sendMeshAddresses sends the mesh address of the first node of each zone to the
+// targets.
+func (c *Cluster) sendMeshAddresses(ctx context.Context) error {
 	addresses := map[string]string{}
 	for _, node := range c.Nodes {
 		if addresses[node.Zone] == "" {
 			addresses[node.Zone] = node.Addresses.Mesh
 		}
 	}
-	return exchange(ctx, "POST", c.targetsURL("/mesh-addresses"), addresses, nil)
+	return exchangeJSON(ctx, "POST", c.targetsURL("/mesh-addresses"), addresses, nil)
 }
 
 // Edges returns the edge addresses by zone.
@@ -243,8 +244,8 @@
 	return edges
 }
 
-// Command runs a verb of the operator's command line against all nodes and
-// returns its output.
+// Command runs an operator command against all running nodes and returns its
+// output.
 func (c *Cluster) Command(ctx context.Context, arguments ...string) (string, error) {
 	var admins []string
 	for _, node := range c.Nodes {
@@ -264,17 +265,17 @@
 	return output.String(), nil
 }
 
-// stopTimeout bounds the planned stop of one process.
+// stopTimeout is the timeout for the graceful stop of one process.
 const stopTimeout = 40 * time.Second
 
-// Stop ends all processes of the cluster, the nodes first.
+// Stop stops all processes of the cluster, the nodes first.
 func (c *Cluster) Stop() error {
 	var failures []error
-	for _, node := range c.running() {
+	for _, node := range c.runningNodes() {
 		node.Resume()
 		node.Terminate()
 	}
-	for _, node := range c.running() {
+	for _, node := range c.runningNodes() {
 		failures = append(failures, node.Stop(stopTimeout))
 	}
 	for _, process := range []*Process{c.targets, c.store} {
--- a/lab/cluster/control.go
+++ b/lab/cluster/control.go
@@ -17,15 +17,16 @@
 	"github.com/lugspur/lugspur/lab/kvstore"
 )
 
-// controlTimeout bounds one request to a control listener.
+// controlTimeout is the timeout of a request to a control or admin listener.
 const controlTimeout = 10 * time.Second
 
-// maxControlBytes bounds an answer of a control listener.
+// maxControlBytes is the maximum size of a response to such a request.
 const maxControlBytes = 1 << 30
 
-// exchange sends a JSON request and reads a JSON answer; either may be nil.
-func exchange(ctx context.Context, method, url string, request, answer any) error {
-	content, err := transfer(ctx, method, url, request)
+// exchangeJSON sends a JSON request and decodes the JSON response into answer;
+// either may be nil.
+func exchangeJSON(ctx context.Context, method, url string, request, answer any) error {
+	content, err := sendJSON(ctx, method, url, request)
 	if err != nil || answer == nil {
 		return err
 	}
@@ -35,8 +36,9 @@
 	return nil
 }
 
-// transfer sends a JSON request, if there is one, and returns the answer's body.
-func transfer(ctx context.Context, method, url string, request any) ([]byte, error) {
+// sendJSON sends a request, with a JSON body if request isn't nil, and returns the
+// response body.
+func sendJSON(ctx context.Context, method, url string, request any) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	defer cancel()
 	var body io.Reader
@@ -47,11 +49,11 @@
 		}
 		body = bytes.NewReader(encoded)
 	}
-	message, err := http.NewRequestWithContext(ctx, method, url, body)
+	httpRequest, err := http.NewRequestWithContext(ctx, method, url, body)
 	if err != nil {
 		return nil, err
 	}
-	response, err := http.DefaultClient.Do(message)
+	response, err := http.DefaultClient.Do(httpRequest)
 	if err != nil {
 		return nil, oops.In("cluster").With("step", "control").With("peer", url).Wrapf(err, "%s %s", method, url)
 	}
@@ -66,39 +68,39 @@
 	return content, nil
 }
 
-// StoreControl changes the faults of the store.
+// StoreControl sends a control request to the store.
 func (c *Cluster) StoreControl(ctx context.Context, request kvstore.ControlRequest) error {
-	return exchange(ctx, http.MethodPost, "http://"+c.storeAddresses.Control+kvstore.PathControl, request, nil)
+	return exchangeJSON(ctx, http.MethodPost, "http://"+c.storeAddresses.Control+kvstore.PathControl, request, nil)
 }
 
-// StoreStatus returns the state of the store.
+// StoreStatus returns the status of the store.
 func (c *Cluster) StoreStatus(ctx context.Context) (kvstore.Status, error) {
 	var status kvstore.Status
-	err := exchange(ctx, http.MethodGet, "http://"+c.storeAddresses.Control+kvstore.PathControl, nil, &status)
+	err := exchangeJSON(ctx, http.MethodGet, "http://"+c.storeAddresses.Control+kvstore.PathControl, nil, &status)
 	return status, err
 }
 
 // SetTargetFaults replaces the faults of a target.
 func (c *Cluster) SetTargetFaults(ctx context.Context, target string, faults emulator.Faults) error {
-	return exchange(ctx, http.MethodPost, c.targetsURL("/targets/"+target+"/faults"), faults, nil)
+	return exchangeJSON(ctx, http.MethodPost, c.targetsURL("/targets/"+target+"/faults"), faults, nil)
 }
 
-// RestartTarget resets the target's connections and makes it cold.
+// RestartTarget resets the target's connections and starts its cold start again.
 func (c *Cluster) RestartTarget(ctx context.Context, target string) error {
-	return exchange(ctx, http.MethodPost, c.targetsURL("/targets/"+target+"/restart"), nil, nil)
+	return exchangeJSON(ctx, http.MethodPost, c.targetsURL("/targets/"+target+"/restart"), nil, nil)
 }
 
-// TargetState returns what the targets are doing.
+// TargetState returns the state of the targets.
 func (c *Cluster) TargetState(ctx context.Context) (emulator.State, error) {
 	var state emulator.State
-	err := exchange(ctx, http.MethodGet, c.targetsURL("/state"), nil, &state)
+	err := exchangeJSON(ctx, http.MethodGet, c.targetsURL("/state"), nil, &state)
 	return state, err
 }
 
-// Records returns the executions of all targets.
+// Records returns the executions of all targets that are still in memory.
 func (c *Cluster) Records(ctx context.Context) ([]emulator.Record, error) {
 	var records []emulator.Record
-	err := exchange(ctx, http.MethodGet, c.targetsURL("/records"), nil, &records)
+	err := exchangeJSON(ctx, http.MethodGet, c.targetsURL("/records"), nil, &records)
 	return records, err
 }
 
@@ -106,10 +108,10 @@
 	return "http://" + c.targetAddresses.Control + path
 }
 
-// Status returns the status that a node gives of itself.
+// Status returns the status that the node reports.
 func (n *Node) Status(ctx context.Context) (admin.Status, error) {
 	var status admin.Status
-	err := exchange(ctx, http.MethodGet, "http://"+n.Addresses.Admin+"/v1/status", nil, &status)
+	err := exchangeJSON(ctx, http.MethodGet, "http://"+n.Addresses.Admin+"/v1/status", nil, &status)
 	return status, err
 }
 
--- a/lab/cluster/launch.go
+++ b/lab/cluster/launch.go
@@ -1,11 +1,11 @@
 package cluster
 
-// Launch starts one process outside a cluster. Its log goes to the file; the
-// first line of its standard output, which must be JSON, is read into ready,
-// if that is not nil.
+// Launch starts a process that isn't part of a cluster. Its output is appended to
+// the log file. If ready is not nil, the first line of its standard output is
+// decoded into it as JSON.
 func Launch(name, logFile string, ready any, program string, arguments ...string) (*Process, error) {
 	return startProcess(name, logFile, ready, program, arguments...)
 }
 
-// FreeAddresses finds free ports for a node on the loopback interface.
+// FreeAddresses returns loopback addresses with free ports for a node.
 func FreeAddresses() (Addresses, error) { return freeAddresses() }
--- a/lab/cluster/objects.go
+++ b/lab/cluster/objects.go
@@ -13,7 +13,7 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// objectFile is the form in which the command line takes objects.
+// objectFile is the format of object files for the apply command.
 type objectFile struct {
 	Objects []object `toml:"object"`
 }
@@ -24,10 +24,10 @@
 	Spec any    `toml:"spec"`
 }
 
-// applyObjects applies the mesh's services and targets, and the policies.
+// applyObjects applies the services and targets of the mesh, and the policies.
 func (c *Cluster) applyObjects(ctx context.Context) error {
 	file := filepath.Join(c.Config.Directory, "objects.toml")
-	content, err := toml.Marshal(objectFile{Objects: append(c.services(), c.targetObjects()...)})
+	content, err := toml.Marshal(objectFile{Objects: append(c.serviceObjects(), c.targetObjects()...)})
 	if err != nil {
 		return err
 	}
@@ -49,9 +49,9 @@
 	return nil
 }
 
-// services returns the service objects: what each calls without fail, and how
-// its targets refuse.
-func (c *Cluster) services() []object {
+// serviceObjects returns the service objects, with the required calls of each service
+// and the headers that its targets send.
+func (c *Cluster) serviceObjects() []object {
 	var objects []object
 	for _, service := range c.Mesh.Services {
 		objects = append(objects, object{Kind: "service", Name: service.Name, Spec: resource.Service{
--- a/lab/cluster/ports.go
+++ b/lab/cluster/ports.go
@@ -10,42 +10,43 @@
 	"github.com/samber/oops"
 )
 
-// The ports of nodes, which may start again: below those that systems commonly
-// give to outgoing connections, so that nobody takes one while its node is down.
+// The port range for nodes is below the usual ephemeral port range, so that no
+// outgoing connection takes the port of a node that is down and may restart.
 const (
 	lowestPort  = 12_000
 	highestPort = 32_000
-	// portsPerProcess is how far apart the first ports of two processes with
-	// successive ids are.
+	// portsPerProcess is the distance between the first ports of two processes
+	// with consecutive process IDs.
 	portsPerProcess = 64
-	// portTries bounds the ports that are tried for one listener.
-	portTries = 1000
+	// maxPortAttempts is the maximum number of ports tried for one address.
+	maxPortAttempts = 1000
 )
 
-var errNoPort = errors.New("no free port was found")
+var errNoPort = errors.New("no free port found")
 
-// portsIssued counts the ports that this process has tried, so that it never
-// gives out one twice.
-var portsIssued atomic.Int64
+// portsTried counts the ports that this process has tried, so that it doesn't
+// return a port twice.
+var portsTried atomic.Int64
 
-// freeAddresses finds addresses whose ports are free for TCP and UDP and stay
-// free while the node that uses them is down.
+// freeAddresses returns addresses whose ports are free for TCP and UDP and should
+// remain free while the node that uses them is down.
 func freeAddresses() (Addresses, error) {
 	var addresses Addresses
 	for _, address := range []*string{&addresses.Edge, &addresses.Mesh, &addresses.Peer, &addresses.Admin} {
-		found, err := FreeAddress()
+		free, err := FreeAddress()
 		if err != nil {
 			return addresses, oops.In("cluster").With("step", "find port").Wrap(err)
 		}
-		*address = found
+		*address = free
 	}
 	return addresses, nil
 }
 
-// FreeAddress finds a loopback address whose port is free and stays free.
+// FreeAddress returns a loopback address whose port is free and should remain free
+// while no process listens on it.
 func FreeAddress() (string, error) {
-	for range portTries {
-		offset := (int64(os.Getpid())*portsPerProcess + portsIssued.Add(1)) % (highestPort - lowestPort)
+	for range maxPortAttempts {
+		offset := (int64(os.Getpid())*portsPerProcess + portsTried.Add(1)) % (highestPort - lowestPort)
 		address := net.JoinHostPort("127.0.0.1", strconv.FormatInt(lowestPort+offset, 10))
 		if isFree(address) {
 			return address, nil
--- a/lab/cluster/ports_test.go
+++ b/lab/cluster/ports_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// No two nodes of a process may be given the same port, even while neither
-// listens.
-func TestPortsAreGivenOutOnce(t *testing.T) {
+// Two nodes of one process must not get the same port, even if neither listens
+// yet.
+func TestPortsAreUnique(t *testing.T) {
 	seen := map[string]bool{}
 	for range 50 {
 		addresses, err := freeAddresses()
--- a/lab/cluster/process.go
+++ b/lab/cluster/process.go
@@ -17,25 +17,25 @@
 
 // Process is a child process of the cluster.
 type Process struct {
-	// Name names the process in errors and logs.
+	// Name identifies the process in errors.
 	Name string
 
 	command *exec.Cmd
 	output  *os.File
 	done    chan struct{}
-	// copied is closed when standard output was read to its end; nil if it goes to
-	// the file by itself.
-	copied chan struct{}
-	once   sync.Once
-	err    error
+	// outputCopied is closed once standard output has been copied to the log file.
+	// It is nil if the process writes to the file directly.
+	outputCopied    chan struct{}
+	signalErrorOnce sync.Once
+	err             error
 }
 
-// startProcess starts a program. Its log goes to the file; the first line of
-// its standard output is read into ready, if that is not nil.
+// startProcess starts a program. Its output is appended to the log file. If ready is
+// not nil, the first line of its standard output is decoded into it as JSON.
 func startProcess(name, logFile string, ready any, program string, arguments ...string) (*Process, error) {
 	output, err := os.OpenFile(logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, oops.In("cluster").With("step", "start").With("peer", name).Wrapf(err, "log of %s", name)
+		return nil, oops.In("cluster").With("step", "start").With("peer", name).Wrapf(err, "open log file of %s", name)
 	}
 	p := &Process{Name: name, command: exec.Command(program, arguments...), output: output, done: make(chan struct{})}
 	p.command.Stderr = output
@@ -71,19 +71,19 @@
 		_ = p.command.Wait()
 		return fmt.Errorf("ready line %q: %w", line, err)
 	}
-	p.copied = make(chan struct{})
+	p.outputCopied = make(chan struct{})
 	go func() {
 		_, _ = io.Copy(p.output, reader)
-		close(p.copied)
+		close(p.outputCopied)
 	}()
 	return nil
 }
 
-// wait waits for the end of the process. Its output is read to the end before, as
-// the command's Wait closes the pipe and what is left in it would be lost.
+// wait waits for the process to end. It first waits until the output is copied, as
+// exec.Cmd.Wait closes the pipe and unread output would be lost.
 func (p *Process) wait() {
-	if p.copied != nil {
-		<-p.copied
+	if p.outputCopied != nil {
+		<-p.outputCopied
 	}
 	p.err = p.command.Wait()
 	_ = p.output.Close()
@@ -93,7 +93,7 @@
 // Done is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Running reports whether the process has not ended.
+// Running reports whether the process is still running.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -103,23 +103,23 @@
 	}
 }
 
-// ID returns the process id.
+// ID returns the process ID.
 func (p *Process) ID() int { return p.command.Process.Pid }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL and waits for the process to end.
 func (p *Process) Kill() { p.signal(syscall.SIGKILL); <-p.done }
 
-// Freeze stops the process until Resume.
+// Freeze suspends the process until Resume.
 func (p *Process) Freeze() { p.signal(syscall.SIGSTOP) }
 
-// Resume lets a frozen process go on.
+// Resume continues a suspended process.
 func (p *Process) Resume() { p.signal(syscall.SIGCONT) }
 
-// Terminate asks the process to stop as planned. It does not wait.
+// Terminate sends SIGTERM, which requests a graceful stop. It does not wait.
 func (p *Process) Terminate() { p.signal(syscall.SIGTERM) }
 
-// Stop asks the process to stop, waits, and kills it after the timeout. It
-// returns an error if the process did not end cleanly by itself.
+// Stop requests a graceful stop, waits for it, and kills the process after the
+// timeout. It returns an error if the process was killed or exited with an error.
 func (p *Process) Stop(timeout time.Duration) error {
 	p.Resume()
 	p.Terminate()
@@ -139,6 +139,6 @@
 func (p *Process) signal(signal syscall.Signal) {
 	err := p.command.Process.Signal(signal)
 	if err != nil && !errors.Is(err, os.ErrProcessDone) {
-		p.once.Do(func() { fmt.Fprintf(os.Stderr, "signal %s: %v\n", p.Name, err) })
+		p.signalErrorOnce.Do(func() { fmt.Fprintf(os.Stderr, "signal %s: %v\n", p.Name, err) })
 	}
 }
--- a/lab/cluster/process_test.go
+++ b/lab/cluster/process_test.go
@@ -11,17 +11,17 @@
 	"gotest.tools/v3/poll"
 )
 
-type greeting struct {
+type readyLine struct {
 	Name string `json:"name"`
 }
 
-func startShell(t *testing.T, script string) (*Process, greeting, error) {
+func startShell(t *testing.T, script string) (*Process, readyLine, error) {
 	t.Helper()
-	var ready greeting
+	var ready readyLine
 	log := filepath.Join(t.TempDir(), "log")
 	process, err := startProcess("shell", log, &ready, "/bin/sh", "-c", script)
 	if err == nil {
-		awaitLog(t, log)
+		waitForLog(t, log)
 		t.Cleanup(func() {
 			if process.Running() {
 				process.Kill()
@@ -33,9 +33,9 @@
 	return process, ready, err
 }
 
-// awaitLog polls until the script has written to the log, so that no signal comes
-// before.
-func awaitLog(t *testing.T, log string) {
+// waitForLog waits until the script has written to the log, so that a signal can't
+// end it before.
+func waitForLog(t *testing.T, log string) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		content, err := os.ReadFile(log)
@@ -57,7 +57,7 @@
 	assert.ErrorContains(t, process.Stop(time.Second), "terminated", "a process that has ended is stopped again")
 }
 
-func TestProcessThatDoesNotStopIsKilled(t *testing.T) {
+func TestStopTimeoutKillsProcess(t *testing.T) {
 	process, _, err := startShell(t, `trap '' TERM; echo '{"name":"x"}'; echo to the log; while :; do sleep 0.05; done`)
 	assert.NilError(t, err)
 	assert.ErrorContains(t, process.Stop(100*time.Millisecond), "did not stop")
@@ -65,7 +65,7 @@
 }
 
 func TestProcessWithoutReadyLine(t *testing.T) {
-	for name, script := range map[string]string{"ends": "exit 3", "says something else": "echo hello; sleep 60"} {
+	for name, script := range map[string]string{"ends": "exit 3", "invalid line": "echo hello; sleep 60"} {
 		t.Run(name, func(t *testing.T) {
 			_, _, err := startShell(t, script)
 			assert.ErrorContains(t, err, "ready line")
--- a/lab/cluster/proxies.go
+++ b/lab/cluster/proxies.go
@@ -12,21 +12,21 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Proxied is a cluster whose nodes reach each other through fault proxies. A
-// node's proxy carries what others send to it, over UDP and TCP, and its
-// answers on those connections; what the node itself sends goes through the
-// proxies of the receivers. Its methods may not be used at the same time.
+// Proxied is a cluster whose nodes reach each other through fault proxies. The
+// proxy of a node forwards the UDP and TCP traffic that other nodes send to it, and
+// the responses on those connections. Traffic that the node itself initiates passes
+// through the proxies of the receivers. Proxied is not safe for concurrent use.
 type Proxied struct {
 	*Cluster
 	// Proxies are the proxies in front of the peer listeners, by node.
 	Proxies map[string]*faultproxy.Proxy
-	// settings is the nodes' settings file. It is written once: a node that
-	// starts while another one does must not read half of it.
+	// settings is the path of the nodes' settings file. The file is written only
+	// once, so that a node that starts can't read a partly written file.
 	settings string
 }
 
 // StartProxied starts a cluster as Start does, with a proxy in front of the peer
-// listener of each node. On error nothing is left running.
+// listener of each node. On an error it stops the processes that it started.
 func StartProxied(ctx context.Context, config Config) (*Proxied, error) {
 	loaded, err := mesh.Load(config.MeshFile)
 	if err != nil {
@@ -53,7 +53,7 @@
 		func(context.Context) error { return p.startStore() },
 		func(context.Context) error { return p.startTargets() },
 		func(context.Context) error { return p.startNodes() },
-		p.announceMesh,
+		p.sendMeshAddresses,
 		p.AwaitMembers,
 		p.applyObjects,
 		p.AwaitReady,
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// startNodes starts the proxies and then the nodes. The first node of each zone
-// is a seed of all others.
+// startNodes starts the proxies and then the nodes. The first node of each zone is a
+// membership seed of all nodes.
 func (p *Proxied) startNodes() error {
 	var seeds []string
 	for index := range max(p.Config.NodesPerZone, 1) {
@@ -109,10 +109,11 @@
 	}, proxy, nil
 }
 
-// NodeName returns the name of a zone's node, counted from zero.
+// NodeName returns the name of the zone's node with the given index, from zero.
 func NodeName(zone string, index int) string { return fmt.Sprintf("%s-%d", zone, index+1) }
 
-// StartNode starts the node's process behind its proxy, also after it has ended.
+// StartNode starts the node's process behind its proxy, or restarts it after it has
+// ended.
 func (p *Proxied) StartNode(node *Node) error {
 	flags := p.Config.NodeFlags
 	defer func() { p.Config.NodeFlags = flags }()
@@ -120,7 +121,7 @@
 	return p.Cluster.StartNode(node)
 }
 
-// Stop ends all processes and the proxies.
+// Stop stops all processes and closes the proxies.
 func (p *Proxied) Stop() error {
 	failures := []error{p.Cluster.Stop()}
 	for _, proxy := range p.Proxies {
@@ -129,8 +130,8 @@
 	return errors.Join(failures...)
 }
 
-// SetMeshAddresses tells the targets of the named zones where to send their
-// calls.
+// SetMeshAddresses sets the addresses, by zone, to which the targets send their
+// downstream calls.
 func (c *Cluster) SetMeshAddresses(ctx context.Context, addresses map[string]string) error {
-	return exchange(ctx, "POST", c.targetsURL("/mesh-addresses"), addresses, nil)
+	return exchangeJSON(ctx, "POST", c.targetsURL("/mesh-addresses"), addresses, nil)
 }
--- a/lab/cluster/singlenode.go
+++ b/lab/cluster/singlenode.go
@@ -16,11 +16,11 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// AloneZone is the zone of a node that runs alone.
+// AloneZone is the zone and region of a node that StartAlone starts.
 const AloneZone = "alone"
 
-// StartAlone starts one node with its embedded store, applies the objects of
-// an object file's content, and waits until they are in force.
+// StartAlone starts a single node with the in-memory store, applies the content of
+// an object file, and waits until the node is ready.
 func StartAlone(ctx context.Context, lugspur, directory, objects string, flags ...string) (*Node, error) {
 	addresses, err := freeAddresses()
 	if err != nil {
@@ -35,14 +35,14 @@
 	if err := c.StartNode(node); err != nil {
 		return nil, err
 	}
-	if err := c.applyContent(ctx, objects); err != nil {
+	if err := c.applyObjectFile(ctx, objects); err != nil {
 		_ = node.Stop(stopTimeout)
 		return nil, err
 	}
 	return node, nil
 }
 
-func (c *Cluster) applyContent(ctx context.Context, objects string) error {
+func (c *Cluster) applyObjectFile(ctx context.Context, objects string) error {
 	if err := c.AwaitMembers(ctx); err != nil {
 		return err
 	}
@@ -56,25 +56,25 @@
 	return c.AwaitReady(ctx)
 }
 
-// Usage is what a process has used since its start.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// Processor is the processor time.
+	// Processor is the CPU time since the start.
 	Processor time.Duration
-	// Allocated is the memory allocated in all, in bytes.
+	// Allocated is the total memory allocated since the start, in bytes.
 	Allocated float64
-	// Resident is the memory held now, in bytes.
+	// Resident is the current resident memory, in bytes.
 	Resident float64
 }
 
-// Usage returns what the node's process has used, by its own metrics.
+// Usage returns the resource usage that the node's metrics report.
 func (n *Node) Usage(ctx context.Context) (Usage, error) {
-	content, err := transfer(ctx, http.MethodGet, "http://"+n.Addresses.Admin+"/metrics", nil)
+	content, err := sendJSON(ctx, http.MethodGet, "http://"+n.Addresses.Admin+"/metrics", nil)
 	if err != nil {
 		return Usage{}, err
 	}
 	values := parseMetrics(content)
 	if values["process_cpu_seconds_total"] == 0 {
-		return Usage{}, oops.In("cluster").With("step", "usage").With("peer", n.Name).Errorf("%s tells no processor time", n.Name)
+		return Usage{}, oops.In("cluster").With("step", "usage").With("peer", n.Name).Errorf("metrics of %s have no CPU time", n.Name)
 	}
 	return Usage{
 		Processor: time.Duration(values["process_cpu_seconds_total"] * float64(time.Second)),
@@ -83,7 +83,7 @@
 	}, nil
 }
 
-// parseMetrics reads the metrics without labels.
+// parseMetrics returns the values of the metrics without labels.
 func parseMetrics(content []byte) map[string]float64 {
 	values := map[string]float64{}
 	scanner := bufio.NewScanner(bytes.NewReader(content))
