--- a/lab/mesh/addresses.go
+++ b/lab/mesh/addresses.go
@@ -8,12 +8,12 @@
 	"strings"
 )
 
-// ZoneAddresses are the addresses of each zone, as flags give them:
-// zone=address pairs separated by commas. It is a flag.Value that may be set
-// several times; a zone that is named again gets a further address.
+// ZoneAddresses are addresses by zone. It is a flag.Value of zone=address pairs,
+// separated by commas. It may be set several times; a zone may have several
+// addresses.
 type ZoneAddresses map[string][]string
 
-// String returns the pairs in the order of the zones.
+// String returns the pairs, sorted by zone.
 func (z *ZoneAddresses) String() string {
 	var pairs []string
 	for _, zone := range slices.Sorted(maps.Keys(*z)) {
@@ -24,7 +24,7 @@
 	return strings.Join(pairs, ",")
 }
 
-// Set adds pairs.
+// Set adds the pairs of text.
 func (z *ZoneAddresses) Set(text string) error {
 	if *z == nil {
 		*z = make(ZoneAddresses)
--- a/lab/mesh/capacity.go
+++ b/lab/mesh/capacity.go
@@ -2,53 +2,53 @@
 
 import "time"
 
-// ServiceCapacity is what the targets of one service can do together.
+// ServiceCapacity is the total capacity of the targets of one service.
 type ServiceCapacity struct {
 	Service string
 	Slots   int
-	// MeanHold is how long a call holds a slot on the average over the
-	// kinds' shares, without any waiting and without the network.
+	// MeanHold is the mean time for which a call occupies a slot, weighted by
+	// the kinds' shares, without queueing and network latency.
 	MeanHold time.Duration
-	// CallsPerSecond is Slots over MeanHold.
+	// CallsPerSecond is Slots divided by MeanHold.
 	CallsPerSecond float64
-	// CallsPerRequest is the mean number of calls that reach the service for
-	// one request of a client.
+	// CallsPerRequest is the mean number of calls of the service per client
+	// request.
 	CallsPerRequest float64
 }
 
-// Capacity is what a mesh can do when every slot is always busy. It is an upper
-// bound: waiting, latency and uneven routing take their share.
+// Capacity is the throughput of a mesh whose slots are always busy. It is an upper
+// bound: queueing, latency and uneven routing reduce the throughput.
 type Capacity struct {
 	Services []ServiceCapacity
-	// RequestsPerSecond is the peak rate of whole requests at the kinds'
+	// RequestsPerSecond is the maximum rate of client requests, given the kinds'
 	// shares.
 	RequestsPerSecond float64
-	// Bottleneck is the service that is full first.
+	// Bottleneck is the service that limits RequestsPerSecond.
 	Bottleneck string
 }
 
-// visit is what a mean request asks of one service.
-type visit struct {
-	calls float64
-	hold  float64 // seconds
+// serviceDemand is the mean demand of a client request on one service.
+type serviceDemand struct {
+	calls       float64
+	slotSeconds float64
 }
 
 // Capacity computes the capacity of each service and of the whole mesh.
 func (m *Mesh) Capacity() Capacity {
-	visits := make(map[string]*visit, len(m.Services))
+	demands := make(map[string]*serviceDemand, len(m.Services))
 	for _, service := range m.Services {
-		visits[service.Name] = &visit{}
+		demands[service.Name] = &serviceDemand{}
 	}
 	total := 0.0
 	for _, kind := range m.Kinds {
 		total += kind.Share
 	}
 	for _, kind := range m.Kinds {
-		m.addVisits(visits, kind.Service, kind.Method, kind.Path, kind.Share/total)
+		m.addDemand(demands, kind.Service, kind.Method, kind.Path, kind.Share/total)
 	}
 	var capacity Capacity
 	for _, service := range m.Services {
-		capacity.add(m.serviceCapacity(service, *visits[service.Name]))
+		capacity.add(m.serviceCapacity(service, *demands[service.Name]))
 	}
 	return capacity
 }
@@ -65,53 +65,53 @@
 	}
 }
 
-func (m *Mesh) serviceCapacity(service Service, seen visit) ServiceCapacity {
+func (m *Mesh) serviceCapacity(service Service, demand serviceDemand) ServiceCapacity {
 	slots := 0
 	for _, target := range m.TargetsOf(service.Name) {
 		slots += target.Slots
 	}
-	hold := service.Time.Mean()
-	if seen.calls > 0 {
-		hold = time.Duration(seen.hold / seen.calls * float64(time.Second))
+	slotTime := service.Time.Mean()
+	if demand.calls > 0 {
+		slotTime = time.Duration(demand.slotSeconds / demand.calls * float64(time.Second))
 	}
 	return ServiceCapacity{
 		Service:         service.Name,
 		Slots:           slots,
-		MeanHold:        hold,
-		CallsPerSecond:  float64(slots) / hold.Seconds(),
-		CallsPerRequest: seen.calls,
+		MeanHold:        slotTime,
+		CallsPerSecond:  float64(slots) / slotTime.Seconds(),
+		CallsPerRequest: demand.calls,
 	}
 }
 
-func (m *Mesh) addVisits(visits map[string]*visit, name, method, path string, weight float64) {
+func (m *Mesh) addDemand(demands map[string]*serviceDemand, name, method, path string, weight float64) {
 	service, _ := m.Service(name)
 	work, ok := service.Work(method, path)
 	if !ok {
 		return
 	}
-	seen := visits[name]
-	seen.calls += weight
-	seen.hold += weight * m.meanHold(service, work).Seconds()
+	demand := demands[name]
+	demand.calls += weight
+	demand.slotSeconds += weight * m.meanSlotTime(service, work).Seconds()
 	for _, call := range work.Calls {
-		m.addVisits(visits, call.Service, call.Method, call.Path, weight)
+		m.addDemand(demands, call.Service, call.Method, call.Path, weight)
 	}
 }
 
-// meanHold is the own work plus, for a service that keeps its slot while it
-// calls, the mean time of its downstream calls.
-func (m *Mesh) meanHold(service Service, work Work) time.Duration {
+// meanSlotTime returns the mean time of the own work plus, for a service that keeps
+// its slot during downstream calls, the mean time of those calls.
+func (m *Mesh) meanSlotTime(service Service, work Work) time.Duration {
 	if service.ReleaseWhileCalling {
 		return work.Time.Mean()
 	}
-	return work.Time.Mean() + m.meanDownstream(work)
+	return work.Time.Mean() + m.meanDownstreamTime(work)
 }
 
-func (m *Mesh) meanDownstream(work Work) time.Duration {
+func (m *Mesh) meanDownstreamTime(work Work) time.Duration {
 	var sequential, longest time.Duration
 	for _, call := range work.Calls {
 		service, _ := m.Service(call.Service)
 		child, _ := service.Work(call.Method, call.Path)
-		answer := child.Time.Mean() + m.meanDownstream(child)
+		answer := child.Time.Mean() + m.meanDownstreamTime(child)
 		if !call.Parallel {
 			sequential += answer
 			continue
--- a/lab/mesh/load.go
+++ b/lab/mesh/load.go
@@ -12,8 +12,8 @@
 	"github.com/samber/oops"
 )
 
-// Load reads and checks a mesh file. Unknown keys and references to names that
-// the file doesn't define are errors.
+// Load reads and validates a mesh file. Unknown keys and references to undefined
+// names are errors.
 func Load(path string) (*Mesh, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return loaded, nil
 }
 
-// Parse reads and checks the content of a mesh file.
+// Parse parses and validates the content of a mesh file.
 func Parse(content []byte) (*Mesh, error) {
 	var parsed Mesh
 	decoder := toml.NewDecoder(bytes.NewReader(content)).DisallowUnknownFields()
--- a/lab/mesh/mesh.go
+++ b/lab/mesh/mesh.go
@@ -1,12 +1,12 @@
-// Package mesh reads the file that describes a service call graph for the lab:
-// its zones, latencies, services, targets and the kinds of calls made to it.
+// Package mesh loads the file that describes a service call graph for the lab: its
+// zones, latencies, services, targets and the kinds of client calls.
 //
-// A loaded Mesh is read-only and may be shared between goroutines.
+// A loaded Mesh is read-only and safe for concurrent use.
 package mesh
 
 import "time"
 
-// Mesh is a service call graph with the machines that serve it.
+// Mesh is a service call graph with the targets that serve it.
 type Mesh struct {
 	Name     string    `toml:"name" validate:"required"`
 	Latency  Latency   `toml:"latency"`
@@ -24,11 +24,11 @@
 
 // Latency holds one-way network latencies in milliseconds.
 type Latency struct {
-	// BetweenZonesMs holds for every pair of zones without a pair of its own.
+	// BetweenZonesMs applies between two zones that aren't listed in Pairs.
 	BetweenZonesMs float64 `toml:"between_zones_ms" validate:"gte=0"`
-	// ToClientsMs holds between a zone and the clients outside.
+	// ToClientsMs applies between a zone and external clients.
 	ToClientsMs float64 `toml:"to_clients_ms" validate:"gte=0"`
-	// Pairs are exceptions, the same in both directions.
+	// Pairs override BetweenZonesMs, in both directions.
 	Pairs []ZonePair `toml:"pairs" validate:"dive"`
 }
 
@@ -39,72 +39,73 @@
 	OneWayMs float64 `toml:"one_way_ms" validate:"gte=0"`
 }
 
-// Service is a set of targets that answer the same calls.
+// Service is a set of targets that serve the same calls.
 type Service struct {
 	Name string `toml:"name" validate:"required"`
-	// Time is the distribution of a call's own work in a slot.
+	// Time is the distribution of the duration of a call's own work.
 	Time ServiceTime `toml:"time"`
-	// AnswerBytes is the length of the padding in an answer.
+	// AnswerBytes is the size of the padding of an answer.
 	AnswerBytes int `toml:"answer_bytes" validate:"gte=0,lte=1048576"`
-	// Calls are made to other services before the own work starts.
+	// Calls are the downstream calls, which are made before the own work starts.
 	Calls []Call `toml:"calls" validate:"dive"`
-	// Operations narrow what the service accepts; without any, every method
-	// and path is accepted with the service's own settings.
+	// Operations are the accepted methods and paths. Without operations every
+	// method and path is accepted, with the service's own settings.
 	Operations []Operation `toml:"operations" validate:"unique=Name,dive"`
-	// ReleaseWhileCalling frees the slot during downstream calls.
+	// ReleaseWhileCalling makes targets release the slot during downstream calls.
 	ReleaseWhileCalling bool `toml:"release_while_calling"`
-	// ShedWaiting is the number of waiting calls past which a target refuses
-	// by itself; 0 means never.
+	// ShedWaiting is the number of waiting calls above which a target refuses
+	// calls by itself; 0 means no limit.
 	ShedWaiting int `toml:"shed_waiting" validate:"gte=0"`
-	// IgnoresCancellation makes targets finish work that nobody waits for.
+	// IgnoresCancellation makes targets complete executions after their callers
+	// have disconnected or their deadlines have passed.
 	IgnoresCancellation bool `toml:"ignores_cancellation"`
-	// ReportLagMs is how far health and load reports lag behind.
+	// ReportLagMs is the lag of health and load reports.
 	ReportLagMs float64 `toml:"report_lag_ms" validate:"gte=0"`
 }
 
-// Operation is one method and path prefix of a service. Fields that are unset
-// are taken from the service.
+// Operation is a method and path prefix of a service. Fields that aren't set default
+// to the service's values.
 type Operation struct {
 	Name        string       `toml:"name" validate:"required"`
 	Method      string       `toml:"method" validate:"required,oneof=GET POST PUT DELETE"`
 	Path        string       `toml:"path" validate:"required,startswith=/"`
 	Time        *ServiceTime `toml:"time"`
 	AnswerBytes *int         `toml:"answer_bytes" validate:"omitempty,gte=0,lte=1048576"`
-	// Calls replace the calls of the service; an empty list means none.
+	// Calls replace the service's calls; an empty list means no calls.
 	Calls *[]Call `toml:"calls" validate:"omitempty,dive"`
 }
 
-// Call is a downstream call that a service makes for each of its own.
+// Call is a downstream call that a service makes for each call that it serves.
 type Call struct {
 	Service string `toml:"service" validate:"required"`
 	Method  string `toml:"method" validate:"required,oneof=GET POST PUT DELETE"`
 	Path    string `toml:"path" validate:"required,startswith=/"`
-	// Optional calls may fail without failing the parent.
+	// Optional calls may fail without failing the parent call.
 	Optional bool `toml:"optional"`
-	// Parallel calls run at the same time as the other parallel ones, after
-	// the sequential ones.
+	// Parallel calls are made concurrently, after the sequential ones.
 	Parallel bool `toml:"parallel"`
 }
 
-// Target is one machine of a service.
+// Target is one instance of a service.
 type Target struct {
 	Name    string `toml:"name" validate:"required"`
 	Service string `toml:"service" validate:"required"`
 	Zone    string `toml:"zone" validate:"required"`
-	// Address to listen on, by IP number; port 0 leaves the choice to the emulator.
+	// Address is the listen address, an IP address and a port; port 0 selects a free
+	// port.
 	Address string `toml:"address" validate:"required"`
-	// Slots is the number of calls that are worked on at a time.
+	// Slots is the maximum number of calls that execute concurrently.
 	Slots int `toml:"slots" validate:"gte=1"`
-	// Connections is the number of open connections above which a target
-	// refuses new ones.
+	// Connections is the maximum number of open connections; the target refuses
+	// connections above it.
 	Connections int       `toml:"connections" validate:"gte=1"`
 	ColdStart   ColdStart `toml:"cold_start"`
-	// ConnectMs is what a new connection costs before its first call.
+	// ConnectMs is the delay of a new connection before its first call.
 	ConnectMs float64 `toml:"connect_ms" validate:"gte=0"`
 }
 
-// ColdStart slows a target down after its start. The factor falls linearly to
-// one over the duration.
+// ColdStart increases service times after a target's start by a factor that
+// decreases linearly to one over the duration.
 type ColdStart struct {
 	DurationMs float64 `toml:"duration_ms" validate:"gte=0"`
 	SlowFactor float64 `toml:"slow_factor" validate:"omitempty,gte=1"`
@@ -116,23 +117,23 @@
 	Service string `toml:"service" validate:"required"`
 	Method  string `toml:"method" validate:"required,oneof=GET POST PUT DELETE"`
 	Path    string `toml:"path" validate:"required,startswith=/"`
-	// Callers are the groups of callers; each has CallersEach members, named
+	// Callers are groups of callers. Each has CallersEach callers, named
 	// <group>-<number>.
 	Callers     []string `toml:"callers" validate:"required,min=1,dive,required"`
 	CallersEach int      `toml:"callers_each" validate:"gte=1,lte=100000"`
-	// Criticality is the level that the operators' policy is expected to give.
+	// Criticality is the level that the operator's policy is expected to assign.
 	Criticality string `toml:"criticality" validate:"required,oneof=critical-plus critical sheddable-plus sheddable"`
-	// Repeatable calls may run more than once.
+	// Repeatable calls may be executed more than once.
 	Repeatable bool `toml:"repeatable"`
-	// Keyed calls carry an Idempotency-Key.
+	// Keyed calls have an Idempotency-Key header.
 	Keyed bool `toml:"keyed"`
-	// Share is the kind's weight among all calls of clients.
+	// Share is the weight of the kind among all client calls.
 	Share float64 `toml:"share" validate:"gte=0"`
-	// DeadlineMs is how long a client waits for the answer.
+	// DeadlineMs is the time for which a client waits for the answer.
 	DeadlineMs float64 `toml:"deadline_ms" validate:"gt=0"`
 }
 
-// Deadline is how long a client waits for the answer.
+// Deadline returns the time for which a client waits for the answer.
 func (k Kind) Deadline() time.Duration { return Milliseconds(k.DeadlineMs) }
 
 // Milliseconds returns a number of milliseconds as a duration.
--- a/lab/mesh/mesh_test.go
+++ b/lab/mesh/mesh_test.go
@@ -18,7 +18,8 @@
 	return loaded
 }
 
-func TestExamplesHaveTheUsersSizes(t *testing.T) {
+// The example meshes must have the sizes that the users gave for their systems.
+func TestExampleSizes(t *testing.T) {
 	cases := []struct {
 		name                   string
 		zones, connections     int
@@ -45,10 +46,10 @@
 	}
 }
 
-func TestParseRejects(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	content, err := os.ReadFile("../../examples/naidu/mesh.toml")
 	assert.NilError(t, err)
-	cases := []struct{ name, old, new, want string }{
+	cases := []struct{ name, old, new, expectedError string }{
 		{"unknown key", `slots = 8`, "slots = 8\ncolour = \"red\"", "colour"},
 		{"no slots", `slots = 8`, `slots = 0`, "Slots"},
 		{"unknown zone", `zone = "sabeto"`, `zone = "suva"`, `unknown zone "suva"`},
@@ -65,12 +66,12 @@
 			changed := strings.Replace(string(content), c.old, c.new, 1)
 			assert.Assert(t, changed != string(content))
 			_, err := Parse([]byte(changed))
-			assert.ErrorContains(t, err, c.want)
+			assert.ErrorContains(t, err, c.expectedError)
 		})
 	}
 }
 
-func TestCapacityCountsHoldsAndVisits(t *testing.T) {
+func TestCapacity(t *testing.T) {
 	exponential := func(ms float64) ServiceTime { return ServiceTime{Distribution: Exponential, MeanMs: ms} }
 	m := &Mesh{
 		Services: []Service{
@@ -93,7 +94,7 @@
 	assert.Equal(t, m.Capacity().Services[0].MeanHold, 10*time.Millisecond)
 }
 
-func TestSampleMeansMatch(t *testing.T) {
+func TestSampleMean(t *testing.T) {
 	for _, distribution := range []ServiceTime{
 		{Distribution: Lognormal, MedianMs: 8, Sigma: 0.4},
 		{Distribution: Exponential, MeanMs: 12},
@@ -109,7 +110,7 @@
 	}
 }
 
-func TestWorkTakesTheLongestOperation(t *testing.T) {
+func TestWorkUsesLongestMatchingOperation(t *testing.T) {
 	bytes := 7
 	service := Service{AnswerBytes: 1, Operations: []Operation{
 		{Name: "all", Method: "GET", Path: "/"},
--- a/lab/mesh/operation.go
+++ b/lab/mesh/operation.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Work is what a target does for one call: its operation's settings, with the
-// service's own where the operation has none.
+// Work is the work of a target for one call: the settings of the operation, with the
+// service's values as defaults.
 type Work struct {
 	Operation   string
 	Time        ServiceTime
@@ -11,26 +11,26 @@
 	Calls       []Call
 }
 
-// Work returns what a call of the given method and path asks of the service.
-// The longest matching operation decides; false means that none matches.
+// Work returns the work for a call with the given method and path. The operation with
+// the longest matching path applies; without a match the result is false.
 func (s Service) Work(method, path string) (Work, bool) {
 	work := Work{Time: s.Time, AnswerBytes: s.AnswerBytes, Calls: s.Calls}
 	if len(s.Operations) == 0 {
 		return work, true
 	}
-	found, ok := s.operation(method, path)
+	operation, ok := s.operation(method, path)
 	if !ok {
 		return Work{}, false
 	}
-	work.Operation = found.Name
-	if found.Time != nil {
-		work.Time = *found.Time
+	work.Operation = operation.Name
+	if operation.Time != nil {
+		work.Time = *operation.Time
 	}
-	if found.AnswerBytes != nil {
-		work.AnswerBytes = *found.AnswerBytes
+	if operation.AnswerBytes != nil {
+		work.AnswerBytes = *operation.AnswerBytes
 	}
-	if found.Calls != nil {
-		work.Calls = *found.Calls
+	if operation.Calls != nil {
+		work.Calls = *operation.Calls
 	}
 	return work, true
 }
@@ -39,7 +39,7 @@
 	var best Operation
 	found := false
 	for _, candidate := range s.Operations {
-		if candidate.Method != method || !underPrefix(path, candidate.Path) {
+		if candidate.Method != method || !hasPathPrefix(path, candidate.Path) {
 			continue
 		}
 		if !found || len(candidate.Path) > len(best.Path) {
@@ -49,7 +49,7 @@
 	return best, found
 }
 
-func underPrefix(path, prefix string) bool {
+func hasPathPrefix(path, prefix string) bool {
 	trimmed := strings.TrimSuffix(prefix, "/")
 	return path == trimmed || strings.HasPrefix(path, trimmed+"/")
 }
--- a/lab/mesh/servicetime.go
+++ b/lab/mesh/servicetime.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// The distributions of service times.
+// Values of ServiceTime.Distribution.
 const (
 	Lognormal   = "lognormal"
 	Exponential = "exponential"
 )
 
-// ServiceTime is a distribution of the time that a call's own work takes.
+// ServiceTime is the distribution of the duration of a call's own work.
 type ServiceTime struct {
 	Distribution string `toml:"distribution" validate:"required,oneof=lognormal exponential"`
 	// MedianMs and Sigma describe a lognormal distribution; sigma is the
@@ -31,7 +31,8 @@
 	return Milliseconds(t.MedianMs * math.Exp(t.Sigma*t.Sigma/2))
 }
 
-// Sample draws one service time. The source isn't locked here.
+// Sample returns one random service time. The caller must synchronize access to the
+// source.
 func (t ServiceTime) Sample(source *rand.Rand) time.Duration {
 	if t.Distribution == Exponential {
 		return Milliseconds(t.MeanMs * source.ExpFloat64())
