--- a/lab/platformstub/store.go
+++ b/lab/platformstub/store.go
@@ -39,7 +39,7 @@
 	// Epoch returns how often what is held came back from a copy, and Newest the newest
 	// revision.
 	Epoch() store.Epoch
-	Newest() store.Revision
+	NewestRevision() store.Revision
 }
 
 // epochHeader names the store's epoch in each answer.
@@ -263,7 +263,7 @@
 	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)
 	begun := w.Header().Get(epochHeader)
 	place := store.NewRevision(s.held.Epoch(), after)
-	if place > s.held.Newest() {
+	if place > s.held.NewestRevision() {
 		fail(w, store.ErrCompacted)
 		return
 	}
