--- a/lab/cluster/proxies.go
+++ b/lab/cluster/proxies.go
@@ -12,11 +12,11 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Proxied is a cluster whose nodes reach each other through fault proxies. The
+// ProxiedCluster is a cluster whose nodes reach each other through fault proxies. The
 // proxy of a node forwards the UDP and TCP traffic that other nodes send to it, and
 // the responses on those connections. Traffic that the node itself initiates passes
 // through the proxies of the receivers. Proxied is not safe for concurrent use.
-type Proxied struct {
+type ProxiedCluster struct {
 	*Cluster
 	// Proxies are the proxies in front of the peer listeners, by node.
 	Proxies map[string]*faultproxy.Proxy
@@ -27,21 +27,21 @@
 
 // StartProxied starts a cluster as Start does, with a proxy in front of the peer
 // listener of each node. On an error it stops the processes that it started.
-func StartProxied(ctx context.Context, config Config) (*Proxied, error) {
+func StartProxied(ctx context.Context, config Config) (*ProxiedCluster, error) {
 	loaded, err := mesh.Load(config.MeshFile)
 	if err != nil {
 		return nil, err
 	}
 	settings := filepath.Join(config.Directory, "proxied-node.toml")
 	config.NodeFlags = append(slices.Clone(config.NodeFlags), "-f", settings)
-	p := &Proxied{Cluster: &Cluster{Config: config, Mesh: loaded}, Proxies: map[string]*faultproxy.Proxy{}, settings: settings}
+	p := &ProxiedCluster{Cluster: &Cluster{Config: config, Mesh: loaded}, Proxies: map[string]*faultproxy.Proxy{}, settings: settings}
 	if err := p.start(ctx); err != nil {
 		return nil, errors.Join(err, p.Stop())
 	}
 	return p, nil
 }
 
-func (p *Proxied) start(ctx context.Context) error {
+func (p *ProxiedCluster) start(ctx context.Context) error {
 	if err := os.MkdirAll(p.Config.Directory, 0o755); err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 
 // startNodes starts the proxies and then the nodes. The first node of each zone is a
 // membership seed of all nodes.
-func (p *Proxied) startNodes() error {
+func (p *ProxiedCluster) startNodes() error {
 	var seeds []string
 	for index := range max(p.Config.NodesPerZone, 1) {
 		for _, zone := range p.Mesh.Zones {
@@ -114,7 +114,7 @@
 
 // StartNode starts the node's process behind its proxy, or restarts it after it has
 // ended.
-func (p *Proxied) StartNode(node *Node) error {
+func (p *ProxiedCluster) StartNode(node *Node) error {
 	flags := p.Config.NodeFlags
 	defer func() { p.Config.NodeFlags = flags }()
 	p.Config.NodeFlags = append(slices.Clone(flags), "-advertise-peer", p.Proxies[node.Name].Address())
@@ -122,7 +122,7 @@
 }
 
 // Stop stops all processes and closes the proxies.
-func (p *Proxied) Stop() error {
+func (p *ProxiedCluster) Stop() error {
 	failures := []error{p.Cluster.Stop()}
 	for _, proxy := range p.Proxies {
 		failures = append(failures, proxy.Close())
--- a/lab/cluster/singlenode.go
+++ b/lab/cluster/singlenode.go
@@ -16,21 +16,21 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// AloneZone is the zone and region of a node that StartAlone starts.
-const AloneZone = "alone"
+// SingleNodeZone is the zone and region of a node that StartSingleNode starts.
+const SingleNodeZone = "alone"
 
-// StartAlone starts a single node with the in-memory store, applies the content of
+// StartSingleNode starts a single node with the in-memory store, applies the content of
 // an object file, and waits until the node is ready.
-func StartAlone(ctx context.Context, lugspur, directory, objects string, flags ...string) (*Node, error) {
+func StartSingleNode(ctx context.Context, lugspur, directory, objects string, flags ...string) (*Node, error) {
 	addresses, err := freeAddresses()
 	if err != nil {
 		return nil, err
 	}
 	c := &Cluster{
 		Config: Config{Lugspur: lugspur, Directory: directory, NodeFlags: append([]string{"-store-kind", "memory"}, flags...)},
-		Mesh:   &mesh.Mesh{Name: AloneZone},
+		Mesh:   &mesh.Mesh{Name: SingleNodeZone},
 	}
-	node := &Node{Name: "node-1", Zone: AloneZone, Region: AloneZone, Addresses: addresses}
+	node := &Node{Name: "node-1", Zone: SingleNodeZone, Region: SingleNodeZone, Addresses: addresses}
 	c.Nodes = []*Node{node}
 	if err := c.StartNode(node); err != nil {
 		return nil, err
@@ -58,8 +58,8 @@
 
 // Usage is the resource usage of a process.
 type Usage struct {
-	// Processor is the CPU time since the start.
-	Processor time.Duration
+	// CPUTime is the CPU time since the start.
+	CPUTime time.Duration
 	// Allocated is the total memory allocated since the start, in bytes.
 	Allocated float64
 	// Resident is the current resident memory, in bytes.
@@ -77,7 +77,7 @@
 		return Usage{}, oops.In("cluster").With("step", "usage").With("peer", n.Name).Errorf("metrics of %s have no CPU time", n.Name)
 	}
 	return Usage{
-		Processor: time.Duration(values["process_cpu_seconds_total"] * float64(time.Second)),
+		CPUTime:   time.Duration(values["process_cpu_seconds_total"] * float64(time.Second)),
 		Allocated: values["go_memstats_alloc_bytes_total"],
 		Resident:  values["process_resident_memory_bytes"],
 	}, nil
--- a/lab/emulator/target.go
+++ b/lab/emulator/target.go
@@ -175,11 +175,11 @@
 			current.health = Draining
 		}
 	}
-	if faults.HealthLie != "" {
-		current.health = faults.HealthLie
+	if faults.HealthOverride != "" {
+		current.health = faults.HealthOverride
 	}
-	if faults.LoadLie != nil {
-		current.load = *faults.LoadLie
+	if faults.LoadOverride != nil {
+		current.load = *faults.LoadOverride
 	}
 	return current
 }
--- a/lab/load/call.go
+++ b/lab/load/call.go
@@ -77,9 +77,9 @@
 	return c.Last().End.Sub(c.Intended)
 }
 
-// ToldNotRun reports whether the response to every attempt stated that the call
+// ReportedNotExecuted reports whether the response to every attempt stated that the call
 // was not executed.
-func (c Call) ToldNotRun() bool {
+func (c Call) ReportedNotExecuted() bool {
 	for _, attempt := range c.Attempts {
 		if attempt.Executed != problem.ExecutedNo {
 			return false
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -76,7 +76,7 @@
 		if !c.shouldRetry(ctx, call) {
 			return call
 		}
-		pause.For(ctx, c.plan.Retry.Pause)
+		pause.For(ctx, c.plan.Retry.Delay)
 	}
 }
 
--- a/lab/load/plan.go
+++ b/lab/load/plan.go
@@ -42,8 +42,8 @@
 type Retry struct {
 	// Attempts is the maximum number of attempts; zero and one disable retries.
 	Attempts int
-	// Pause is the delay between two attempts.
-	Pause time.Duration
+	// Delay is the delay between two attempts.
+	Delay time.Duration
 	// IgnoreRefusals makes the client also retry after a refusal without
 	// Retry-After, which means that a retry is not useful.
 	IgnoreRefusals bool
--- a/lab/mesh/capacity.go
+++ b/lab/mesh/capacity.go
@@ -6,10 +6,10 @@
 type ServiceCapacity struct {
 	Service string
 	Slots   int
-	// MeanHold is the mean time for which a call occupies a slot, weighted by
+	// MeanSlotTime is the mean time for which a call occupies a slot, weighted by
 	// the kinds' shares, without queueing and network latency.
-	MeanHold time.Duration
-	// CallsPerSecond is Slots divided by MeanHold.
+	MeanSlotTime time.Duration
+	// CallsPerSecond is Slots divided by MeanSlotTime.
 	CallsPerSecond float64
 	// CallsPerRequest is the mean number of calls of the service per client
 	// request.
@@ -77,7 +77,7 @@
 	return ServiceCapacity{
 		Service:         service.Name,
 		Slots:           slots,
-		MeanHold:        slotTime,
+		MeanSlotTime:    slotTime,
 		CallsPerSecond:  float64(slots) / slotTime.Seconds(),
 		CallsPerRequest: demand.calls,
 	}
