--- a/internal/membership/records.go
+++ b/internal/membership/records.go
@@ -152,7 +152,7 @@
 		return
 	}
 	if !sameRun && !record.State.Gone() {
-		m.logger.WithField("peer", record.PeerAddress).Warn("received a record of another run of this member that is not older than this run")
+		m.logger.WithField("peer", record.PeerAddress).Warn("another run of this member is newer than our clock")
 	}
 	m.stats.Refutations++
 	m.raiseIncarnation(record.Incarnation + 1)
