--- a/internal/forward/budget_simulation_test.go
+++ b/internal/forward/budget_simulation_test.go
@@ -133,7 +133,7 @@
 func (s *budgetSimulation) runCard(call *peering.Call, load peering.Load) *peering.Reply {
 	// Only a few nodes are next to targets of the card service.
 	node := s.nodes[s.random.IntN(min(len(s.nodes), 3))]
-	node.local = &parentHome{running: guard.Running{Route: "card", Rank: criticality.RankOf(call.Rank), Repeat: call.Retried}}
+	node.local = &parentHome{running: guard.Running{Route: "card", Rank: criticality.RankOf(call.Rank), Retried: call.Retried}}
 	status := http.StatusOK
 	for range callsPerCard {
 		if !s.send(node, "price", call.Rank, call.Retried, "card") {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -217,8 +217,8 @@
 // time.
 func (f *Forwarder) SetShutdownDeadline(deadline time.Time) { f.shutdownDeadline.Set(deadline) }
 
-// PeerAlive records a liveness signal of a peer: a suspected home is probed at once, which
-// tells whether calls reach it.
+// PeerAlive records a liveness signal of a peer: a suspected home is probed at once to
+// check whether calls reach it.
 func (f *Forwarder) PeerAlive(address string) {
 	if state := f.homes.find(address); state != nil {
 		state.probeNow(f.now())
@@ -281,8 +281,8 @@
 	// attempts counts the targets that may have executed the request, offers the homes
 	// that it was offered to, and arrivals the targets that it may have reached.
 	attempts, offers, arrivals int
-	// payment is what the last offer took from the retry budget if it was a retry.
-	payment retrybudget.Charge
+	// charge is what the last offer took from the retry budget if it was a retry.
+	charge retrybudget.Charge
 	// excluded are the homes that the request is not offered to again, and rejected those
 	// whose targets rejected it, which are offered it again once no other home is left.
 	excluded, rejected []*registry.Home
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -202,7 +202,8 @@
 
 // TestInnerCallsOfAbandonedRequestEnd guards against wasted work for abandoned requests.
 // A target may go on working after its caller disconnected and its connection was closed;
-// its calls used to go on through the call chain although nobody would see the answer.
+// its calls used to continue through the call chain although no caller waited for the
+// answer.
 func TestInnerCallsOfAbandonedRequestEnd(t *testing.T) {
 	t.Run("a new one is refused", func(t *testing.T) {
 		f := newFixture(t, answerOK)
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -22,10 +22,10 @@
 	if f.quarantine.Empty() {
 		return nil
 	}
-	standing := f.quarantine.State(q.fingerprint())
-	q.call.Crashes = standing.Crashes
-	if standing.Quarantined && !standing.TrialDue {
-		return f.quarantineProblem(q, standing.RetryAfter)
+	state := f.quarantine.State(q.fingerprint())
+	q.call.Crashes = state.Crashes
+	if state.Quarantined && !state.TrialDue {
+		return f.quarantineProblem(q, state.RetryAfter)
 	}
 	return nil
 }
@@ -56,7 +56,7 @@
 	q.call.Crashes = max(q.call.Crashes, reply.Crashes)
 }
 
-// reportAnswered tells the quarantine that a target answered a suspect.
+// reportAnswered reports to the quarantine that a target answered a suspect.
 func (f *Forwarder) reportAnswered(q *request) {
 	if q.isSuspect() {
 		f.quarantine.RecordAnswer(quarantine.Call{Fingerprint: q.fingerprint(), Service: q.service, Route: q.route.Name})
--- a/internal/forward/quarantine_test.go
+++ b/internal/forward/quarantine_test.go
@@ -22,8 +22,8 @@
 	return reply
 }
 
-// recordCrashes makes the node know of the given number of crashes under requests to the
-// path.
+// recordCrashes records at the node that the given number of targets crashed while running
+// requests to the path.
 func (f *fixture) recordCrashes(path string, crashes int) {
 	hash := (&peering.Call{Method: http.MethodGet, Host: "a.example", URI: path}).Fingerprint()
 	f.quarantine.RecordCrash("earlier", []quarantine.Call{{Fingerprint: hash, Crashes: crashes}})
@@ -49,8 +49,8 @@
 	assert.Equal(t, f.do("GET", "/read/harmless", "b", "").Code, http.StatusOK)
 }
 
-// TestQuarantineRefusalByHomeIsFinal has only the homes know that the request is
-// quarantined: after the first refusal no other home gets the request.
+// TestQuarantineRefusalByHomeIsFinal covers a quarantine that only the homes
+// have recorded: after the first refusal no other home gets the request.
 func TestQuarantineRefusalByHomeIsFinal(t *testing.T) {
 	f := newFixture(t, refuseWith(peering.Quarantined), refuseWith(peering.Quarantined))
 	answer := f.do("GET", "/read/x", "a", "")
@@ -72,8 +72,8 @@
 	assert.Equal(t, f.calls(), 2)
 }
 
-// TestQuarantineAfterCrashIsNotReportedAsNotExecuted has the first target crash and the
-// next home already know that the request is quarantined.
+// TestQuarantineAfterCrashIsNotReportedAsNotExecuted has the first target crash, while
+// the next home has already recorded that the request is quarantined.
 func TestQuarantineAfterCrashIsNotReportedAsNotExecuted(t *testing.T) {
 	f := newFixture(t, func(ctx context.Context, call *peering.Call) *peering.Reply {
 		if call.Crashes == 0 {
--- a/internal/forward/receive.go
+++ b/internal/forward/receive.go
@@ -103,7 +103,7 @@
 		AtMostOnce: q.route.Kind != routetable.Repeatable,
 		Nested:     q.inner,
 		PriorCalls: max(q.callNumber-1, 0),
-		Retried:    parent.Repeat,
+		Retried:    parent.Retried,
 		MaxWait:    f.maxWait(q),
 	}
 	return q, f.checkQuarantine(q)
--- a/internal/forward/repeat.go
+++ b/internal/forward/retry.go
@@ -43,7 +43,7 @@
 // retryCause returns why the next offer is a retry.
 func (q *request) retryCause() peering.Reason {
 	if q.arrivals == 0 {
-		return peering.ParentRepeated
+		return peering.ParentRetried
 	}
 	return q.lastReason
 }
@@ -76,12 +76,12 @@
 	if !q.isRetry() {
 		return nil
 	}
-	payment, ok := f.budget(q.service).Spend(f.urgency(q))
+	charge, ok := f.budget(q.service).Spend(f.urgency(q))
 	if !ok {
 		f.observer.BudgetCounted(q.service, RetryDenied, q.retryCause())
 		return f.budgetProblem(q)
 	}
-	q.payment = payment
+	q.charge = charge
 	if q.arrivals > 0 {
 		f.logRetry(q)
 	}
@@ -96,7 +96,7 @@
 		if reached {
 			f.observer.BudgetCounted(q.service, RetrySent, q.retryCause())
 		} else {
-			f.budget(q.service).Refund(q.payment)
+			f.budget(q.service).Refund(q.charge)
 		}
 	}
 	if reached {
--- a/internal/guard/crash_test.go
+++ b/internal/guard/crash_test.go
@@ -98,8 +98,8 @@
 	return call
 }
 
-// standing returns the quarantine state of requests with the URI.
-func standing(g *Guard, uri string) quarantine.State {
+// quarantineStateOf returns the quarantine state of requests with the URI.
+func quarantineStateOf(g *Guard, uri string) quarantine.State {
 	return g.config.Quarantine.State(newCallTo("", uri).Fingerprint())
 }
 
@@ -116,8 +116,8 @@
 			assert.Equal(t, reply.Reason, peering.TargetCrashed)
 			assert.Equal(t, reply.Crashes, 1)
 		}
-		assert.Equal(t, standing(g, "/a").Crashes, 1)
-		assert.Equal(t, standing(g, "/b").Crashes, 1)
+		assert.Equal(t, quarantineStateOf(g, "/a").Crashes, 1)
+		assert.Equal(t, quarantineStateOf(g, "/b").Crashes, 1)
 		assert.Equal(t, g.Run(context.Background(), newCallTo("c", "/c")).Reason, peering.NoTarget, "a crashed target gets no more calls")
 	})
 	t.Run("broken connection", func(t *testing.T) {
@@ -151,7 +151,7 @@
 	next := newTarget(registry.Ready, 2)
 	next.ID = "i-2"
 	g.SetTarget(next)
-	assert.Equal(t, standing(g, "/a").Crashes, 1)
+	assert.Equal(t, quarantineStateOf(g, "/a").Crashes, 1)
 }
 
 // addSuspect reports the given number of crashes for requests with the URI.
@@ -218,7 +218,7 @@
 				assert.Equal(t, (<-replies).Outcome, peering.Answered)
 			}
 			assert.Equal(t, target.maxOpen.Load() == 2, c.sideBySide)
-			assert.Assert(t, !standing(g, c.first).Suspected(), "an answer clears the request")
+			assert.Assert(t, !quarantineStateOf(g, c.first).Suspected(), "an answer clears the request")
 		})
 	}
 }
@@ -271,7 +271,7 @@
 				assert.Equal(t, reply.Reason, peering.TargetCrashed)
 				assert.Equal(t, reply.Crashes, c.crashes)
 			}
-			assert.Equal(t, standing(g, "/popular").Crashes, c.crashes)
+			assert.Equal(t, quarantineStateOf(g, "/popular").Crashes, c.crashes)
 		})
 	}
 }
--- a/internal/guard/exchange.go
+++ b/internal/guard/exchange.go
@@ -71,7 +71,7 @@
 }
 
 // isTargetFailure reports whether the answer is a failure of the target. A gateway timeout is
-// not: it says more about the time that the target was given.
+// not: the time left for the call may have been too short.
 func isTargetFailure(reply *peering.Reply) bool {
 	return reply.Outcome == peering.Answered && reply.Status >= http.StatusInternalServerError && reply.Status != http.StatusGatewayTimeout
 }
@@ -155,7 +155,7 @@
 	}
 	callheader.StripConnection(answer.Header)
 	answer.Header.Del(names.Load)
-	// The request ID is redundant: the caller's node knows it.
+	// The caller's node has the request ID already.
 	answer.Header.Del(names.RequestID)
 	return &peering.Reply{Outcome: peering.Answered, Status: answer.Status, Header: answer.Header, Body: answer.Body}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -82,14 +82,14 @@
 
 	stopping atomic.Bool
 	closed   atomic.Bool
-	// stopDeadline is the time by which all calls must have ended.
-	stopDeadline ending.ShutdownTime
-	inFlight     atomic.Int64
-	current      atomic.Pointer[incarnation]
-	running      runningTable
-	suspectLock  suspectLock
-	answered     answeredSet
-	mutex        sync.Mutex
+	// shutdownDeadline is the time by which all calls must have ended.
+	shutdownDeadline ending.ShutdownTime
+	inFlight         atomic.Int64
+	current          atomic.Pointer[incarnation]
+	running          runningTable
+	suspectLock      suspectLock
+	answered         answeredSet
+	mutex            sync.Mutex
 }
 
 // incarnation is the state of one target process, from its registration to its
@@ -189,12 +189,12 @@
 
 // SetStopDeadline refuses later calls that may not end by the given time. Calls in flight
 // continue.
-func (g *Guard) SetStopDeadline(deadline time.Time) { g.stopDeadline.Set(deadline) }
+func (g *Guard) SetStopDeadline(deadline time.Time) { g.shutdownDeadline.Set(deadline) }
 
-// endsInTime reports whether a call of the route that begins now is certain to end
-// before the stop deadline.
-func (g *Guard) endsInTime(i *incarnation, route string, now time.Time) bool {
-	return g.stopDeadline.Allows(ending.SafeDuration(i.stats.latency(route, now)), now)
+// endsBeforeShutdown reports whether a call of the route that begins now is certain to end
+// before the shutdown deadline.
+func (g *Guard) endsBeforeShutdown(i *incarnation, route string, now time.Time) bool {
+	return g.shutdownDeadline.Allows(ending.SafeDuration(i.stats.latency(route, now)), now)
 }
 
 // Close refuses all later calls; calls in flight continue.
@@ -277,7 +277,7 @@
 		return refusedReply(peering.NoTarget), callTimes{}
 	case i.draining.Load():
 		return refusedReply(peering.TargetLeaving), callTimes{}
-	case !g.endsInTime(i, call.Route, started):
+	case !g.endsBeforeShutdown(i, call.Route, started):
 		return refusedReply(peering.Stopping), callTimes{}
 	case i.reachability.backingOff(started):
 		return refusedReply(peering.NoTarget), callTimes{}
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -243,9 +243,9 @@
 	assert.Equal(t, g.Run(context.Background(), newCall("b")).Reason, peering.Stopping)
 }
 
-// TestStopDeadlineAdmitsOnlyCallsThatFinishInTime sets a stop deadline that calls of a
-// route with a high latency may miss.
-func TestStopDeadlineAdmitsOnlyCallsThatFinishInTime(t *testing.T) {
+// TestShutdownDeadlineAdmitsOnlyCallsThatFinishInTime sets a shutdown deadline that calls
+// of a route with a high latency may miss.
+func TestShutdownDeadlineAdmitsOnlyCallsThatFinishInTime(t *testing.T) {
 	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
 		fmt.Fprintf(connection, okAnswer, request.Header.Get("X-Id"))
 	})
--- a/internal/guard/queue.go
+++ b/internal/guard/queue.go
@@ -16,11 +16,11 @@
 	rank := criticality.RankOf(call.Rank)
 	i.shedding.Observe(rank)
 	permit, err := i.scheduler.Acquire(ctx, scheduler.Request{
-		Rank:         rank,
-		EarlierCalls: call.PriorCalls,
-		Deadline:     deadline,
-		ID:           call.RequestID,
-		MaxWait:      call.MaxWait,
+		Rank:       rank,
+		PriorCalls: call.PriorCalls,
+		Deadline:   deadline,
+		ID:         call.RequestID,
+		MaxWait:    call.MaxWait,
 	})
 	if err != nil {
 		return nil, refusalReply(err)
--- a/internal/guard/running.go
+++ b/internal/guard/running.go
@@ -17,10 +17,10 @@
 type Running struct {
 	Route string
 	Rank  criticality.Rank
-	// Repeat is set if the request, or an upstream one that caused it, was sent to
+	// Retried is set if the request, or an upstream one that caused it, was sent to
 	// a target before.
-	Repeat bool
-	// Context is canceled when nobody waits for the request's answer any more.
+	Retried bool
+	// Context is canceled when the request's caller no longer waits for the answer.
 	Context context.Context
 }
 
@@ -48,7 +48,7 @@
 
 // abandonedSet holds the IDs of requests whose exchange with the target ended without
 // an answer, in two rotating generations. The target may continue to work on such a
-// request and make downstream calls whose results nobody needs.
+// request and make downstream calls whose results are no longer needed.
 type abandonedSet struct {
 	current, previous map[string]bool
 	rotatedAt         time.Time
@@ -84,7 +84,7 @@
 func (t *runningTable) begin(call *peering.Call, cancelExchange context.CancelCauseFunc) func(answered bool, now time.Time) (callFailed bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	request := &runningRequest{
-		Running:        Running{Route: call.Route, Rank: criticality.RankOf(call.Rank), Repeat: call.Retried, Context: ctx},
+		Running:        Running{Route: call.Route, Rank: criticality.RankOf(call.Rank), Retried: call.Retried, Context: ctx},
 		cancelContext:  cancel,
 		call:           call,
 		cancelExchange: cancelExchange,
--- a/internal/guard/isolation.go
+++ b/internal/guard/screening.go
@@ -13,8 +13,8 @@
 	// hash is the call's fingerprint; it is valid if hashed is set.
 	hash   fingerprint.Fingerprint
 	hashed bool
-	// standing is the request's quarantine state, including the crashes that the call reports.
-	standing quarantine.State
+	// state is the request's quarantine state, including the crashes that the call reports.
+	state quarantine.State
 	// trial is set if the call is the trial run of a quarantined request.
 	trial bool
 	// unlock releases the suspect lock; nil if the call doesn't hold it.
@@ -39,15 +39,15 @@
 
 // openCall returns the entry for the call in a crash report.
 func (s *screening) openCall(call *peering.Call) quarantine.Call {
-	return quarantine.Call{Fingerprint: s.fingerprint(call), Service: call.Service, Route: call.Route, Crashes: s.standing.Crashes + 1}
+	return quarantine.Call{Fingerprint: s.fingerprint(call), Service: call.Service, Route: call.Route, Crashes: s.state.Crashes + 1}
 }
 
-// refreshStanding updates the request's quarantine state. The number of crashes that the call
+// refreshState updates the request's quarantine state. The number of crashes that the call
 // carries may be newer than the node's own, unless the request was cleared here.
-func (g *Guard) refreshStanding(s *screening, call *peering.Call) {
-	s.standing = g.config.Quarantine.State(s.fingerprint(call))
-	if !s.standing.Cleared {
-		s.standing.Crashes = max(s.standing.Crashes, call.Crashes)
+func (g *Guard) refreshState(s *screening, call *peering.Call) {
+	s.state = g.config.Quarantine.State(s.fingerprint(call))
+	if !s.state.Cleared {
+		s.state.Crashes = max(s.state.Crashes, call.Crashes)
 	}
 }
 
@@ -58,15 +58,15 @@
 	if g.config.Quarantine.Empty() && call.Crashes == 0 {
 		return s, nil
 	}
-	g.refreshStanding(&s, call)
-	s.trial = s.standing.TrialDue && g.config.Quarantine.ClaimTrial(ctx, s.openCall(call))
-	if s.standing.Quarantined && !s.trial {
-		return s, quarantinedReply(s.standing)
+	g.refreshState(&s, call)
+	s.trial = s.state.TrialDue && g.config.Quarantine.ClaimTrial(ctx, s.openCall(call))
+	if s.state.Quarantined && !s.trial {
+		return s, quarantinedReply(s.state)
 	}
-	if s.standing.Crashes == 0 {
+	if s.state.Crashes == 0 {
 		return s, nil
 	}
-	unlock, reply := g.suspectLock.acquire(ctx, s.hash, s.standing.Isolated(), call)
+	unlock, reply := g.suspectLock.acquire(ctx, s.hash, s.state.Isolated(), call)
 	if reply != nil {
 		return s, reply
 	}
@@ -77,12 +77,12 @@
 // rescreen checks a suspect again after it acquired the lock. The previous holder may have
 // crashed the target or shown that the request is harmless.
 func (g *Guard) rescreen(s *screening, call *peering.Call) *peering.Reply {
-	g.refreshStanding(s, call)
+	g.refreshState(s, call)
 	switch {
-	case s.standing.Quarantined && !s.trial:
+	case s.state.Quarantined && !s.trial:
 		s.release()
-		return quarantinedReply(s.standing)
-	case s.standing.Crashes == 0:
+		return quarantinedReply(s.state)
+	case s.state.Crashes == 0:
 		s.release()
 	}
 	return nil
@@ -94,14 +94,14 @@
 	if s.trial || g.config.Quarantine.Empty() {
 		return nil
 	}
-	g.refreshStanding(s, call)
+	g.refreshState(s, call)
 	switch {
-	case s.standing.Quarantined:
-		return quarantinedReply(s.standing)
-	case s.standing.Crashes == 0 || s.unlock != nil:
+	case s.state.Quarantined:
+		return quarantinedReply(s.state)
+	case s.state.Crashes == 0 || s.unlock != nil:
 		return nil
 	}
-	unlock, acquired := g.suspectLock.tryAcquire(s.hash, s.standing.Isolated())
+	unlock, acquired := g.suspectLock.tryAcquire(s.hash, s.state.Isolated())
 	if !acquired {
 		return refusedReply(peering.QueueTimeout)
 	}
@@ -110,9 +110,9 @@
 }
 
 // quarantinedReply returns the refusal of a quarantined call.
-func quarantinedReply(standing quarantine.State) *peering.Reply {
+func quarantinedReply(state quarantine.State) *peering.Reply {
 	reply := refusedReply(peering.Quarantined)
-	reply.RetryAfter = standing.RetryAfter
-	reply.Crashes = standing.Crashes
+	reply.RetryAfter = state.RetryAfter
+	reply.Crashes = state.Crashes
 	return reply
 }
--- a/internal/guard/turns.go
+++ b/internal/guard/suspect_lock.go
@@ -16,7 +16,7 @@
 	mutex        sync.Mutex
 	held         map[fingerprint.Fingerprint]bool
 	isolatedHeld bool
-	// released is closed when a holder releases the lock; nil if nobody waits.
+	// released is closed when a holder releases the lock; nil if no call waits.
 	released chan struct{}
 }
 
--- a/internal/peering/client.go
+++ b/internal/peering/client.go
@@ -104,7 +104,7 @@
 // callWithResumption sends the call and resumes it over a new connection each time the
 // connection goes silent. The silence timeout doubles with each resumption, because a
 // frozen home is silent as well. If the home's process is not known there is no silence
-// timeout: a resumption could reach a later process, which cannot know whether an
+// timeout: a resumption could reach a later process, which has no record of whether an
 // earlier one ran the call.
 func (c *Client) callWithResumption(ctx context.Context, address string, call *Call) (*transport.Response, error) {
 	started := clock.Now()
--- a/internal/peering/message.go
+++ b/internal/peering/message.go
@@ -69,13 +69,13 @@
 	// Crashes is the number of consecutive targets that crashed while running the
 	// request, as known to its entry node.
 	Crashes int
-	// Process identifies the home's process; zero if the caller does not know it.
+	// Process identifies the home's process; zero if unknown to the caller.
 	Process uint32
 	// Resumed reports whether the same attempt was already sent to Process over a
 	// connection that went silent. That process replies with the result of the run in
 	// progress; any other process does not run the call.
 	Resumed bool
-	// From is the address of the calling node. Digests tell up to which store revision
+	// From is the address of the calling node. Digests state up to which store revision
 	// its replicas are complete.
 	From    string
 	Digests []replica.Digest
@@ -181,7 +181,7 @@
 	// TargetError reports whether the response reports a failure of the target that no
 	// failed call of the request preceded.
 	TargetError bool
-	// Digests tell up to which store revision the home's replicas are complete.
+	// Digests state up to which store revision the home's replicas are complete.
 	Digests []replica.Digest
 }
 
@@ -210,9 +210,9 @@
 	// TargetFailed: the target reported a failure of its own. It is not used in replies,
 	// only for requests that are retried after such a response.
 	TargetFailed Reason = "target-failed"
-	// ParentRepeated: the calling request is a retry, so that its calls repeat earlier
+	// ParentRetried: the calling request is a retry, so that its calls repeat earlier
 	// ones. It is not used in replies.
-	ParentRepeated Reason = "parent-repeated"
+	ParentRetried Reason = "parent-repeated"
 	// Misdirected: another target responded at the address.
 	Misdirected Reason = "misdirected"
 	// ConnectFailed: the connection to the target or the home could not be established.
--- a/internal/peering/resume_test.go
+++ b/internal/peering/resume_test.go
@@ -139,10 +139,10 @@
 // TestResumedCallRunsOnce guards against connections
 // that stay open but carry no data, while new ones work. When half of the connections
 // between nodes went silent, calls waiting on them, and the next call on each idle one,
-// heard nothing for a second or until their deadline: a sixth of the requests of two
+// received nothing for a second or until their deadline: a sixth of the requests of two
 // seconds failed, and 488 requests that had reached no target got 502 or 504. Nodes
-// detected silence only by unacknowledged bytes (TCP_USER_TIMEOUT) and could not know
-// whether the call had run.
+// detected silence only by unacknowledged bytes (TCP_USER_TIMEOUT) and could not
+// determine whether the call had run.
 func TestResumedCallRunsOnce(t *testing.T) {
 	t.Run("while it runs", func(t *testing.T) {
 		f := newResumeFixture(t, 300*time.Millisecond)
--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -17,16 +17,16 @@
 const (
 	// reportExpiry is the time for which a home's report is valid.
 	reportExpiry = 1500 * time.Millisecond
-	// minRepeatInterval is the time for which a repeated unchanged report is ignored.
-	minRepeatInterval = 200 * time.Millisecond
+	// minReportInterval is the time for which a repeated unchanged report is ignored.
+	minReportInterval = 200 * time.Millisecond
 	// maxRoutes limits the number of routes whose downstream calls are remembered.
 	maxRoutes = 1024
 	// maxCalledRoutes limits the number of downstream routes of one route.
 	maxCalledRoutes = 32
 )
 
-// Levels holds the thresholds and downstream calls of routes that a node knows. It is safe for
-// concurrent use.
+// Levels holds the thresholds and downstream calls of routes that a node has recorded.
+// It is safe for concurrent use.
 type Levels struct {
 	thresholds *shed.Table
 	now        func() time.Time
@@ -43,7 +43,7 @@
 type CallStats struct {
 	// Count is the maximum number of calls observed for one request.
 	Count int
-	// RetryBudgetLow is set if this node's retry budget hardly suffices to repeat that many
+	// RetryBudgetLow is set if this node's retry budget hardly suffices to retry that many
 	// calls.
 	RetryBudgetLow bool
 }
@@ -64,15 +64,15 @@
 	// request causes.
 	Calls int
 	// RetryBudgetLow is set if the retry budgets would hardly suffice for these calls if the
-	// request were repeated.
+	// request were retried.
 	RetryBudgetLow bool
 }
 
 // callReport is the homes' report on the downstream calls of a route.
 type callReport struct {
 	count int
-	// scarceAt is the time of the last report that retries are scarce.
-	scarceAt time.Time
+	// retryBudgetLowAt is the time of the last report that the retry budget is low.
+	retryBudgetLowAt time.Time
 }
 
 // New returns Levels without any reports, which refuse nothing.
@@ -122,7 +122,7 @@
 	l.mutex.Lock()
 	l.recordCallReport(route, level, now)
 	last, known := l.thresholdReports[key]
-	if known && last.threshold == threshold && now.Sub(last.at) < minRepeatInterval {
+	if known && last.threshold == threshold && now.Sub(last.at) < minReportInterval {
 		l.mutex.Unlock()
 		return
 	}
@@ -163,7 +163,7 @@
 		known.count = level.Calls
 	}
 	if level.RetryBudgetLow {
-		known.scarceAt = now
+		known.retryBudgetLowAt = now
 	}
 	l.callReports[route] = known
 }
@@ -177,7 +177,7 @@
 }
 
 // RetryBudgetLow reports whether a home recently reported that the retry budgets hardly
-// suffice for the downstream calls of a repeated request of the route.
+// suffice for the downstream calls of a retried request of the route.
 func (l *Levels) RetryBudgetLow(route string) bool {
 	now := l.now()
 	l.mutex.Lock()
@@ -186,7 +186,7 @@
 }
 
 func (l *Levels) retryBudgetLow(route string, now time.Time) bool {
-	at := l.callReports[route].scarceAt
+	at := l.callReports[route].retryBudgetLowAt
 	return !at.IsZero() && now.Sub(at) < reportExpiry
 }
 
@@ -195,7 +195,7 @@
 func (l *Levels) Threshold(route string) uint16 { return l.thresholds.Threshold(route, l.now()) }
 
 // Downstream returns the pressure on the downstream calls of the route's requests: the
-// lowest threshold, the total number of calls, and whether retries of any are scarce.
+// lowest threshold, the total number of calls, and whether the retry budget of any is low.
 func (l *Levels) Downstream(route string) Level {
 	now := l.now()
 	level := Level{Threshold: shed.None}
--- a/internal/pressure/pressure_test.go
+++ b/internal/pressure/pressure_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestThresholdsPropagateUpstream covers a chain of calls over two nodes: the middle
-// node knows the thresholds of the bottom homes and reports them upstream for the
+// node receives the thresholds of the bottom homes and reports them upstream for the
 // route that calls there.
 func TestThresholdsPropagateUpstream(t *testing.T) {
 	now := time.Unix(1000, 0)
@@ -81,9 +81,9 @@
 	assert.Equal(t, top.Downstream("unknown").Calls, 0)
 }
 
-// TestScarceRetriesPropagateUpstream covers two homes of a route, one of which lacks
+// TestLowRetryBudgetPropagatesUpstream covers two homes of a route, one of which lacks
 // retry budget for the downstream calls of its requests.
-func TestScarceRetriesPropagateUpstream(t *testing.T) {
+func TestLowRetryBudgetPropagatesUpstream(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	middle, top := New(clock), New(clock)
--- a/internal/scheduler/config.go
+++ b/internal/scheduler/config.go
@@ -30,7 +30,7 @@
 	Interval time.Duration
 	// ServiceQuantile is the quantile of recent latencies used as the expected service time, between 0 and 1.
 	ServiceQuantile float64
-	// ByRank orders the calls of one level by the earlier calls of their requests
+	// ByRank orders the calls of one level by the prior calls of their requests
 	// and then by rank, instead of by round-robin over callers. When requests
 	// consist of many calls, some requests then complete and others fail entirely,
 	// instead of each request losing some of its calls.
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -186,8 +186,8 @@
 
 // precedes reports whether the request is served before another one of the same level.
 func (r *Request) precedes(other Request) bool {
-	if r.EarlierCalls != other.EarlierCalls {
-		return r.EarlierCalls > other.EarlierCalls
+	if r.PriorCalls != other.PriorCalls {
+		return r.PriorCalls > other.PriorCalls
 	}
 	return r.Rank.MoreImportantThan(other.Rank)
 }
--- a/internal/scheduler/scheduler.go
+++ b/internal/scheduler/scheduler.go
@@ -23,10 +23,10 @@
 type Request struct {
 	// Rank orders calls; its level determines the position in the queue.
 	Rank criticality.Rank
-	// EarlierCalls is the number of calls that the same request has made before this one.
+	// PriorCalls is the number of calls that the same request has made before this one.
 	// With Config.ByRank, calls with the highest number are served first: their
 	// requests are closest to completion, and failing them wastes the most work.
-	EarlierCalls int
+	PriorCalls int
 	// Deadline is the time after which the response is useless; zero means none.
 	Deadline time.Time
 	// ID identifies the request in logs; it does not affect scheduling.
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -278,23 +278,23 @@
 }
 
 // The waiting calls belong to requests that have made zero, one and three calls
-// before. Within a level the number of earlier calls determines the order; calls of
+// before. Within a level the number of prior calls determines the order; calls of
 // requests without any are ordered by rank, whatever their position in a call tree.
-func TestByRankServesMostEarlierCallsFirst(t *testing.T) {
+func TestByRankServesMostPriorCallsFirst(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newHarness(t, 1, scheduler.Config{ByRank: true, MaxWait: time.Minute})
-		withEarlierCalls := func(l criticality.Level, cohort uint8, calls int) scheduler.Request {
+		withPriorCalls := func(l criticality.Level, cohort uint8, calls int) scheduler.Request {
 			request := withRank(l, cohort)
-			request.EarlierCalls = calls
+			request.PriorCalls = calls
 			return request
 		}
 		calls := []*call{
 			h.start("busy", withRank(criticality.Critical, 0)),
-			h.start("first of a tree", withEarlierCalls(criticality.SheddablePlus, 50, 0)),
-			h.start("alone", withEarlierCalls(criticality.SheddablePlus, 9, 0)),
-			h.start("second", withEarlierCalls(criticality.SheddablePlus, 100, 1)),
-			h.start("fourth", withEarlierCalls(criticality.SheddablePlus, 120, 3)),
-			h.start("more important", withEarlierCalls(criticality.CriticalPlus, 127, 0)),
+			h.start("first of a tree", withPriorCalls(criticality.SheddablePlus, 50, 0)),
+			h.start("alone", withPriorCalls(criticality.SheddablePlus, 9, 0)),
+			h.start("second", withPriorCalls(criticality.SheddablePlus, 100, 1)),
+			h.start("fourth", withPriorCalls(criticality.SheddablePlus, 120, 3)),
+			h.start("more important", withPriorCalls(criticality.CriticalPlus, 127, 0)),
 		}
 		assert.DeepEqual(t, h.drain(calls...), []string{"more important", "fourth", "second", "alone", "first of a tree"})
 	})
