--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -193,7 +193,7 @@
 // Run monitors the homes until the context ends.
 func (f *Forwarder) Run(ctx context.Context) { f.monitorHomes(ctx) }
 
-// Stop makes every answer ask the caller to close its connection.
+// Stop makes every later answer carry the header Connection: close.
 func (f *Forwarder) Stop() { f.stopping.Store(true) }
 
 // OtherHomesServe reports whether another home could serve the service of the local target.
--- a/internal/forward/home.go
+++ b/internal/forward/home.go
@@ -10,7 +10,7 @@
 	"github.com/lugspur/lugspur/internal/registry"
 )
 
-// homeState is what this node has learned about one home by calling it.
+// homeState holds what this node has observed of one home by calling it.
 type homeState struct {
 	address string
 
@@ -172,7 +172,7 @@
 }
 
 // suspect marks the home as suspected and doubles its backoff, up to maxSuspicionBackoff.
-// It reports whether the home was trusted before.
+// It reports whether the home was not suspected before.
 func (s *homeState) suspect(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -46,7 +46,8 @@
 // go, one at a time, to the home that all nodes choose.
 func (q *request) isSuspect() bool { return q.call.Crashes > 0 }
 
-// isolated reports whether the request must run without other suspects beside it.
+// isolated reports whether the request must not run concurrently with other
+// isolated suspects.
 func (q *request) isolated() bool {
 	return quarantine.State{Crashes: q.call.Crashes}.Isolated()
 }
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -241,7 +241,7 @@
 	return f.replyFromError(ctx, offerCtx, state, err)
 }
 
-// replyFromError returns the reply that stands for a failed call to a peer. It suspects
+// replyFromError returns the reply that represents a failed call to a peer. It suspects
 // the home, unless the deadline, the caller or an earlier suspicion ended the call.
 func (f *Forwarder) replyFromError(ctx, offerCtx context.Context, state *homeState, err error) *peering.Reply {
 	var failure *peering.Error
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -99,7 +99,7 @@
 }
 
 // TestOutcomeOfTargetAnswers checks the outcome of a call for each kind of answer.
-// A call whose answer is invalid may have run, unless the target says otherwise.
+// A call whose answer is invalid may have run, unless the target reports otherwise.
 func TestOutcomeOfTargetAnswers(t *testing.T) {
 	cases := []struct {
 		name, answer string
--- a/internal/peering/exchanges.go
+++ b/internal/peering/exchanges.go
@@ -41,7 +41,7 @@
 	// purgeInterval is the minimum time between scans for expired exchanges.
 	purgeInterval = 250 * time.Millisecond
 	// maxRetainedBytes bounds the total size of retained replies. Replies beyond it are
-	// not retained, so that a resuming caller only learns that the call may have run.
+	// not retained, so that a resuming caller is only informed that the call may have run.
 	maxRetainedBytes = 4 << 20
 )
 
--- a/internal/peering/message.go
+++ b/internal/peering/message.go
@@ -1,5 +1,5 @@
 // Package peering implements the protocol between nodes. A node forwards a call
-// to the home, the node beside the target that runs it, and the home replies with
+// to the home, the node that serves the target, and the home replies with
 // the outcome. Messages are CBOR bodies of HTTP/1.1 exchanges. A connection carries
 // one exchange at a time, and closing it cancels the call.
 package peering
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -15,7 +15,7 @@
 	"github.com/lugspur/lugspur/internal/replica"
 )
 
-// Home runs calls at the target beside this node.
+// Home runs calls at this node's local target.
 type Home interface {
 	// Run runs the call and returns its reply. The context ends when the caller cancels
 	// the call.
