--- a/internal/apikey/apikey.go
+++ b/internal/apikey/apikey.go
@@ -48,7 +48,7 @@
 	RetryAfter time.Duration
 }
 
-// Verification tells how recent the applied configuration is known to be.
+// Verification reports how recent the applied configuration is known to be.
 type Verification interface {
 	// VerifiedAt returns a time at which the newest configuration in the store was the one that
 	// is applied now, or an older one; zero if none is known.
@@ -69,7 +69,7 @@
 	// that made it, which is some tenths of a second.
 	lookupTimeout = 2 * time.Second
 	// maxLookups bounds the requests that wait at once. Each holds a connection and some
-	// kilobytes; further callers are told to retry.
+	// kilobytes; further requests are Unverified, with a retry delay.
 	maxLookups = 64
 	// minRetryDelay is the minimum retry delay for undecided requests; the maximum is twice
 	// that. Nodes probe an unreachable store every 0.6 s, and random delays keep callers from
--- a/internal/configfeed/freshness.go
+++ b/internal/configfeed/freshness.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Verification tells how recent a copy of the store is known to be.
+// Verification reports how recent a copy of the store is known to be.
 type Verification interface {
 	// VerifiedAt returns the latest time at which the copy is certain to have held everything
 	// in the store; zero if there is none.
@@ -16,7 +16,7 @@
 	Await(ctx context.Context, condition func(verified time.Time) bool) error
 }
 
-// Freshness tells how recent the applied configuration is known to be. A store that was
+// Freshness reports how recent the applied configuration is known to be. A store that was
 // restored from a backup and holds an older document than the applied one has lost acknowledged
 // changes. Reads of it verify nothing until the operator has written the newest version again:
 // another version that the store lost may have revoked an API key. It is safe for concurrent
--- a/internal/quarantine/record_store.go
+++ b/internal/quarantine/record_store.go
@@ -87,10 +87,10 @@
 	// records their last known values, of any store epoch.
 	revisions map[fingerprint.Fingerprint]store.Revision
 	records   map[fingerprint.Fingerprint]Record
-	// epoch returns the latest known store epoch, and place the node's position in an order
+	// epoch returns the latest known store epoch, and position the node's position in an order
 	// of all nodes.
-	epoch func() store.Epoch
-	place func() (int, bool)
+	epoch    func() store.Epoch
+	position func() (int, bool)
 }
 
 func newRecordStore(config Config) *recordStore {
@@ -112,7 +112,7 @@
 		revisions: make(map[fingerprint.Fingerprint]store.Revision),
 		records:   make(map[fingerprint.Fingerprint]Record),
 		epoch:     config.Epoch,
-		place:     config.Position,
+		position:  config.Position,
 	}
 }
 
@@ -266,11 +266,11 @@
 		r.signal()
 		return
 	}
-	place, known := r.place()
+	position, known := r.position()
 	if !known {
 		return
 	}
-	time.AfterFunc(epoch.TakeOverDelay(place), func() { r.rewriteIfLost(hash, record) })
+	time.AfterFunc(epoch.TakeOverDelay(position), func() { r.rewriteIfLost(hash, record) })
 }
 
 // rewriteIfLost schedules a write of a record unless a newer one has become known. The write
--- a/internal/quarantine/restore_test.go
+++ b/internal/quarantine/restore_test.go
@@ -31,16 +31,16 @@
 	return s.Store.List(ctx, prefix)
 }
 
-func startRestoredNode(memoryStore *memory.Store, place int) *restoredNode {
+func startRestoredNode(memoryStore *memory.Store, position int) *restoredNode {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &restoredNode{stop: cancel}
 	n.Quarantine = New(Config{
-		Store: memoryStore, Prefix: testPrefix, Now: time.Now, Epoch: memoryStore.Epoch, Position: func() (int, bool) { return place, true },
-		Broadcast: BroadcastConfig{Address: fmt.Sprint(place), Peers: func() []string { return nil }, Send: func(context.Context, string, *Notice) error { return errors.New("no peer") }},
+		Store: memoryStore, Prefix: testPrefix, Now: time.Now, Epoch: memoryStore.Epoch, Position: func() (int, bool) { return position, true },
+		Broadcast: BroadcastConfig{Address: fmt.Sprint(position), Peers: func() []string { return nil }, Send: func(context.Context, string, *Notice) error { return errors.New("no peer") }},
 	})
 	storeCopy := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.ApplyChanges(entries) }, time.Now)
-	keeper := &replica.Syncer{Copy: storeCopy, Store: slowStore{memoryStore}, Prefix: testPrefix, Position: func() (int, bool) { return 0, true }, BatchDelay: 800 * time.Millisecond, Now: time.Now}
-	go keeper.Run(ctx)
+	syncer := &replica.Syncer{Copy: storeCopy, Store: slowStore{memoryStore}, Prefix: testPrefix, Position: func() (int, bool) { return 0, true }, BatchDelay: 800 * time.Millisecond, Now: time.Now}
+	go syncer.Run(ctx)
 	go n.Run(ctx)
 	return n
 }
--- a/internal/ratelimit/acquire.go
+++ b/internal/ratelimit/acquire.go
@@ -27,7 +27,7 @@
 // shouldAcquire reports whether the node is to acquire the shard: an earlier process at its
 // address holds it, or it has no holder and no candidate before the node has acquired it.
 func (m *ShardManager) shouldAcquire(number int, settled bool) bool {
-	place, _ := m.config.Position()
+	position, _ := m.config.Position()
 	heldCount := m.HeldCount()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -45,7 +45,7 @@
 	if !settled || m.config.Now().Before(state.freeAt) {
 		return false
 	}
-	delay := acquireDelayFor(place, number, m.config.Nodes()) + time.Duration(heldCount)*perShardDelay
+	delay := acquireDelayFor(position, number, m.config.Nodes()) + time.Duration(heldCount)*perShardDelay
 	since := latest(latest(state.since, m.eligibleAt), state.freeAt)
 	return m.config.Now().Sub(since) >= delay
 }
@@ -53,11 +53,11 @@
 // acquireDelayFor returns how long the node at the position leaves a shard to other nodes. Each
 // shard has a first candidate, also with fewer nodes than shards: otherwise four nodes hold all
 // shards after 4.0 s instead of 1.3 s.
-func acquireDelayFor(place, number, nodes int) time.Duration {
+func acquireDelayFor(position, number, nodes int) time.Duration {
 	if nodes < 1 || nodes > Shards {
 		nodes = Shards
 	}
-	distance := place - number%nodes
+	distance := position - number%nodes
 	if distance < 0 {
 		distance += nodes
 	}
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -18,8 +18,8 @@
 	// delay aims at. It exceeds one so that a late request leaves no permit unused.
 	requestsPerPermit = 1.5
 	// reservedFraction is the fraction of the burst that is issued only to waiting requests.
-	// With 71 nodes, a tenant that sends 1.7 times its usual rate, 1.06 times its limit, is
-	// admitted 0.988 of what an ideal limiter admits, and 0.961 if permits are prefetched down
+	// With 71 nodes and a tenant that sends 1.7 times its usual rate, 1.06 times its limit, the
+	// limiter admits 0.988 of what an ideal one admits, and 0.961 if permits are prefetched down
 	// to an empty bucket.
 	reservedFraction = 0.5
 	// maxAdjustFactor bounds how much one adjustment changes the retry delay.
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -61,10 +61,10 @@
 	// killed could check no limit for a second after their restart.
 	failureBackoff = 80 * time.Millisecond
 	// maxWait is how long a request waits for a holder to become available if no holder reported
-	// that the limit is reached. Restarted holders are back by then, sooner than callers that
-	// are told to retry.
+	// that the limit is reached. Restarted holders are back by then, sooner than
+	// refused callers retry.
 	maxWait = 300 * time.Millisecond
-	// holderPollInterval is how often a node that knows no holder checks for one while requests
+	// holderPollInterval is how often a node without a known holder checks for one while requests
 	// wait.
 	holderPollInterval = 50 * time.Millisecond
 	// immediateFailure is the time within which a failed permit request counts as an immediate
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -3,11 +3,11 @@
 // A tenant's limit is divided into shares, each of which is a token bucket. The shares of all
 // tenants are distributed over shards, and each shard is held by one node under a lease of the
 // store. Nodes at which requests enter ask the holders for permits, one for each request. They
-// prefetch some for tenants with a high request rate, and ask for none while they have some or
-// were told that there are none. Permits expire quickly enough that the issued but unused ones
-// stay within the allowed excess over the limit. Permits therefore need not be tracked: those
-// of nodes that crash or are partitioned simply expire. While a shard has lost its holder, its
-// shares of the limits are unavailable until the lease ends.
+// prefetch some for tenants with a high request rate, and ask for none while they have some or a
+// holder has reported its share as empty. Permits expire quickly enough that the issued but
+// unused ones stay within the allowed excess over the limit. Permits therefore need not be
+// tracked: those of nodes that crash or are partitioned simply expire. While a shard has lost
+// its holder, its shares of the limits are unavailable until the lease ends.
 package ratelimit
 
 import (
@@ -53,7 +53,7 @@
 	// minFillTime is the least time in which the shares of a tenant fill. Nodes that found a
 	// share empty ask it again after 0.1 to 0.3 s; if the burst fills in less, the share is full
 	// by then and wastes what it would accrue. With 5 nodes, a rate of 50, a burst of 10 and 8
-	// times the rate offered, 0.83 of what an ideal limiter admits is admitted without a least
+	// times the rate offered, the limiter admits 0.83 of what an ideal one admits without a least
 	// time, 0.93 with 0.3 s and 1.00 with 0.5 s.
 	minFillTime = 500 * time.Millisecond
 	// reservedValidity is the validity of permits that is preserved when the capacity of the
--- a/internal/ratelimit/restore_test.go
+++ b/internal/ratelimit/restore_test.go
@@ -54,25 +54,25 @@
 
 func newRestoredCluster(t *testing.T, size int) *restoredCluster {
 	c := &restoredCluster{t: t, store: memory.New(time.Now), size: size}
-	for place := range size {
-		c.nodes = append(c.nodes, c.start(place, true))
+	for position := range size {
+		c.nodes = append(c.nodes, c.start(position, true))
 	}
 	return c
 }
 
-func (c *restoredCluster) start(place int, first bool) *restoredNode {
+func (c *restoredCluster) start(position int, first bool) *restoredNode {
 	c.started++
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &restoredNode{stop: cancel}
 	epochs := epoch.NewTracker()
 	restored := &storetest.RestorableStore{Store: c.store, Epochs: epochs, Unreachable: func() bool { return n.partitioned.Load() || c.storeDown.Load() }}
 	n.issuer = NewIssuer(testBounds, func(string) *routetable.Tenant { return testTenant }, time.Now)
-	n.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", place), Process: c.started, Started: time.Now(), FirstStart: first, Epoch: epochs.Current,
-		Prefix: "shards/", Store: restored, Position: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
+	n.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", position), Process: c.started, Started: time.Now(), FirstStart: first, Epoch: epochs.Current,
+		Prefix: "shards/", Store: restored, Position: func() (int, bool) { return position, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
 	epochs.OnChange(func(epoch.Change) { n.HandleStoreRestored() })
 	storeCopy := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.ApplyChanges(entries) }, time.Now)
-	copyKeeper := &replica.Syncer{Copy: storeCopy, Store: restored, Prefix: "shards/", Position: func() (int, bool) { return 0, true }, BatchDelay: 800 * time.Millisecond, Now: time.Now}
-	go copyKeeper.Run(ctx)
+	syncer := &replica.Syncer{Copy: storeCopy, Store: restored, Prefix: "shards/", Position: func() (int, bool) { return 0, true }, BatchDelay: 800 * time.Millisecond, Now: time.Now}
+	go syncer.Run(ctx)
 	go n.Run(ctx)
 	return n
 }
--- a/internal/ratelimit/shard_manager.go
+++ b/internal/ratelimit/shard_manager.go
@@ -51,7 +51,7 @@
 	// Process distinguishes the holder from earlier processes at the address.
 	Process uint32
 	// Epoch is the store epoch in which the value was written. In a later epoch the value comes
-	// from a backup and does not tell who holds the shard.
+	// from a backup and does not show which node holds the shard.
 	Epoch store.Epoch
 }
 
@@ -127,7 +127,7 @@
 	freeAt time.Time
 }
 
-// NewShardManager returns a shard manager that knows no holder.
+// NewShardManager returns a shard manager without known holders.
 func NewShardManager(config ShardManagerConfig) *ShardManager {
 	if config.Nodes == nil {
 		config.Nodes = func() int { return Shards }
--- a/internal/ratelimit/shard_manager_test.go
+++ b/internal/ratelimit/shard_manager_test.go
@@ -55,18 +55,18 @@
 
 func newTestCluster(t *testing.T, size int) *testCluster {
 	c := &testCluster{t: t, store: memory.New(time.Now), size: size}
-	for place := range size {
-		c.nodes = append(c.nodes, c.start(place, 1))
+	for position := range size {
+		c.nodes = append(c.nodes, c.start(position, 1))
 	}
 	return c
 }
 
-func (c *testCluster) start(place int, process uint32) *testNode {
+func (c *testCluster) start(position int, process uint32) *testNode {
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &testNode{store: &unavailableStore{Store: c.store}, stop: cancel}
 	n.issuer = NewIssuer(testBounds, func(string) *routetable.Tenant { return testTenant }, time.Now)
-	n.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", place), Process: process, Started: time.Now(), FirstStart: process == 1, Prefix: "shards/", Store: n.store,
-		Position: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
+	n.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", position), Process: process, Started: time.Now(), FirstStart: process == 1, Prefix: "shards/", Store: n.store,
+		Position: func() (int, bool) { return position, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
 	go n.Run(ctx)
 	go n.follow(ctx)
 	return n
--- a/internal/registry/departure_replication.go
+++ b/internal/registry/departure_replication.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// requiredPeers is how many peers should know a departure when it is acknowledged, and
+	// requiredPeers is how many peers should hold a departure when it is acknowledged, and
 	// notifiedPeers how many are notified at once, as some may be gone. This protects
 	// departures whose node is killed within the second before others learn of them from the
 	// store, while the store is restored from a backup without them: in that case a target that
@@ -29,7 +29,7 @@
 	Notify func(ctx context.Context, address string, departure Departure) error
 }
 
-// replicateDeparture sends a departure to peers and returns once enough of them know it, or all
+// replicateDeparture sends a departure to peers and returns once enough of them hold it, or all
 // have responded or timed out. Each departure is replicated once, unless no peer received it.
 func (r *Registrar) replicateDeparture(ctx context.Context, departure Departure) {
 	if r.departures.isReplicated(departure) {
--- a/internal/registry/departures.go
+++ b/internal/registry/departures.go
@@ -35,8 +35,8 @@
 type departures struct {
 	ownAddress string
 	now        func() time.Time
-	// place returns the node's position in an ordering of all nodes, false if it has none.
-	place func() (int, bool)
+	// position returns the node's position in an ordering of all nodes, false if it has none.
+	position func() (int, bool)
 	// write stores a departure unless it is present, and notifyHome sends it to the target's
 	// node.
 	write      func(ctx context.Context, departure Departure) error
@@ -57,12 +57,12 @@
 	// due is the time of the next attempt to forward and rewrite the departure, zero if there
 	// is none. Before writeAt it is only forwarded.
 	due, writeAt time.Time
-	// replicated means that peers know the departure as well.
+	// replicated means that peers hold the departure as well.
 	replicated bool
 }
 
-func newDepartures(ownAddress string, place func() (int, bool), now func() time.Time, write func(context.Context, Departure) error, notifyHome func(context.Context, Departure)) *departures {
-	return &departures{ownAddress: ownAddress, place: place, now: now, write: write, notifyHome: notifyHome, wake: make(chan struct{}, 1), byInstance: make(map[string]*knownDeparture)}
+func newDepartures(ownAddress string, position func() (int, bool), now func() time.Time, write func(context.Context, Departure) error, notifyHome func(context.Context, Departure)) *departures {
+	return &departures{ownAddress: ownAddress, position: position, now: now, write: write, notifyHome: notifyHome, wake: make(chan struct{}, 1), byInstance: make(map[string]*knownDeparture)}
 }
 
 // add adds a departure that this node has written to the store.
@@ -96,7 +96,7 @@
 	return true
 }
 
-// isReplicated reports whether peers know a departure.
+// isReplicated reports whether peers hold a departure.
 func (d *departures) isReplicated(departure Departure) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -104,7 +104,7 @@
 	return known != nil && known.replicated
 }
 
-// markReplicated records that peers know a departure.
+// markReplicated records that peers hold a departure.
 func (d *departures) markReplicated(departure Departure) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -135,14 +135,14 @@
 		return
 	}
 	known.revision = 0
-	place, hasPlace := d.place()
+	position, hasPosition := d.position()
 	switch {
 	case known.Address == d.ownAddress:
 		known.due = d.now()
-	case hasPlace:
-		known.writeAt = d.now().Add(epoch.TakeOverDelay(place))
+	case hasPosition:
+		known.writeAt = d.now().Add(epoch.TakeOverDelay(position))
 		known.due = known.writeAt
-		if place < notifiedPeers {
+		if position < notifiedPeers {
 			// The target's node may run a new process that read the restored backup.
 			known.due = d.now()
 		}
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -41,8 +41,8 @@
 	homes          map[string]*Home
 	homesByService atomic.Pointer[map[string][]*Home]
 	addresses      atomic.Pointer[[]string]
-	// place is this node's position among all nodes, negative if it has no record.
-	place atomic.Int64
+	// position is this node's position among all nodes, negative if it has no record.
+	position atomic.Int64
 }
 
 // NewDirectory returns a directory of the records under the prefix for the node with the given
@@ -94,15 +94,15 @@
 	return !home.LapsedAt.IsZero() && d.now().Sub(home.LapsedAt) > lapsedRetention
 }
 
-// Addresses returns the addresses of all nodes with a record, ordered by place. The result must
+// Addresses returns the addresses of all nodes with a record, ordered by position. The result must
 // not be modified.
 func (d *Directory) Addresses() []string { return *d.addresses.Load() }
 
-// Place returns this node's position in an ordering of all nodes with a record; false if it has
-// none. Nodes that know the same records use the same ordering.
-func (d *Directory) Place() (int, bool) {
-	place := d.place.Load()
-	return int(place), place >= 0
+// Position returns this node's position in an ordering of all nodes with a record; false if it has
+// none. Nodes with the same records use the same ordering.
+func (d *Directory) Position() (int, bool) {
+	position := d.position.Load()
+	return int(position), position >= 0
 }
 
 // Homes returns the homes of a service whose targets are not known to be leaving. The result
@@ -191,7 +191,7 @@
 	d.homesByService.Store(&homesByService)
 	sortByHash(addresses)
 	d.addresses.Store(&addresses)
-	d.place.Store(int64(slices.Index(addresses, d.ownAddress)))
+	d.position.Store(int64(slices.Index(addresses, d.ownAddress)))
 }
 
 // sortByHash sorts addresses by hash, so that all nodes use the same ordering and it does not
--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -17,9 +17,9 @@
 func startDirectory(t *testing.T, source store.Store) *Directory {
 	t.Helper()
 	d := NewDirectory(homesPrefix, homeAddress, nil, time.Now)
-	keeper := &replica.Syncer{Copy: replica.NewCopy(time.Second, d.ApplyChanges, time.Now), Store: source, Prefix: homesPrefix,
+	syncer := &replica.Syncer{Copy: replica.NewCopy(time.Second, d.ApplyChanges, time.Now), Store: source, Prefix: homesPrefix,
 		Position: func() (int, bool) { return 0, true }, Now: time.Now}
-	go keeper.Run(t.Context())
+	go syncer.Run(t.Context())
 	go d.Run(t.Context())
 	return d
 }
@@ -86,15 +86,15 @@
 	seen := make(map[int]bool)
 	for _, own := range addresses {
 		d := NewDirectory(homesPrefix, own, nil, time.Now)
-		_, known := d.Place()
+		_, known := d.Position()
 		assert.Assert(t, !known)
 		for i, address := range addresses {
 			d.ApplyChanges([]store.Entry{{Key: homesPrefix + address, Revision: store.Revision(i + 1), Value: encode(Record{Instance: "i", Service: "s", Address: address, State: Ready})}}, "store")
 		}
-		place, known := d.Place()
-		assert.Assert(t, known && place >= 0 && place < len(addresses), "place %d", place)
-		assert.Assert(t, !seen[place], "place %d is assigned twice", place)
-		seen[place] = true
+		position, known := d.Position()
+		assert.Assert(t, known && position >= 0 && position < len(addresses), "position %d", position)
+		assert.Assert(t, !seen[position], "position %d is assigned twice", position)
+		seen[position] = true
 	}
 }
 
--- a/internal/registry/departing.go
+++ b/internal/registry/registrar_departures.go
@@ -148,7 +148,7 @@
 // after the backup is lost, including its lease: departures are written again at once, and the
 // node's record after them.
 func (r *Registrar) HandleStoreRestored() {
-	place, _ := r.config.Position()
-	r.publisher.delayWrites(time.Duration(place) * rewriteSpacing)
+	position, _ := r.config.Position()
+	r.publisher.delayWrites(time.Duration(position) * rewriteSpacing)
 	r.departures.rewriteOwn()
 }
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -81,7 +81,7 @@
 	var replicated *replica.Copy
 	n.Registrar = NewRegistrar(RegistrarConfig{
 		Zone: "z", Address: address, Process: f.processes, HomesPrefix: homesPrefix, DeparturesPrefix: departuresPrefix,
-		Epoch: epochs.Current, Position: n.directory.Place, Peers: Peers{Addresses: f.addresses, Notify: f.notify},
+		Epoch: epochs.Current, Position: n.directory.Position, Peers: Peers{Addresses: f.addresses, Notify: f.notify},
 		Records: func(ctx context.Context) ([]store.Entry, error) {
 			err := replicated.AwaitCurrent(ctx, startedAt)
 			return replicated.Entries(), err
@@ -92,9 +92,9 @@
 		n.ApplyChanges(entries)
 	}, time.Now)
 	epochs.OnChange(func(epoch.Change) { n.HandleStoreRestored() })
-	keeper := &replica.Syncer{Copy: replicated, Store: kv, Position: func() (int, bool) { return 0, true }, BatchDelay: watchBatchInterval, Now: time.Now}
+	syncer := &replica.Syncer{Copy: replicated, Store: kv, Position: func() (int, bool) { return 0, true }, BatchDelay: watchBatchInterval, Now: time.Now}
 	f.nodes.Store(address, n)
-	go keeper.Run(ctx)
+	go syncer.Run(ctx)
 	go n.Run(ctx)
 	go n.directory.Run(ctx)
 	return n
--- a/internal/replica/antientropy.go
+++ b/internal/replica/antientropy.go
@@ -24,14 +24,14 @@
 type Answer struct {
 	_      struct{} `cbor:",toarray"`
 	Deltas []Delta
-	// Synced tells that the peer had finished its own initial sync, so that its answer is as
+	// Synced reports that the peer had finished its own initial sync, so that its answer is as
 	// good as that of the whole fleet.
 	Synced bool
 }
 
 const (
-	// queryAfter is how long a node hears from no peer before it queries one. A node whose
-	// copies are close to stale also queries a peer before it reads from the store.
+	// queryAfter is how long a node receives no digests from peers before it queries one. A
+	// node whose copies are close to stale also queries a peer before it reads from the store.
 	queryAfter = 250 * time.Millisecond
 	// queryPeriod is the mean time between two such queries; uninitializedPeriod replaces it
 	// while copies are still empty.
@@ -75,7 +75,7 @@
 	// Overdue reports whether peers are likely to have newer information that the node should
 	// have received by now; it may be nil.
 	Overdue func() bool
-	// FirstStart tells that the whole system starts for the first time, so that no peer can
+	// FirstStart reports that the whole system starts for the first time, so that no peer can
 	// hold older state.
 	FirstStart bool
 	Now        func() time.Time
@@ -87,9 +87,9 @@
 	config AntiEntropyConfig
 	copies []*Copy
 
-	// lastHeard is when a peer was last heard from, in nanoseconds since created.
-	created   time.Time
-	lastHeard atomic.Int64
+	// lastContact is when digests of a peer were last received, in nanoseconds since created.
+	created     time.Time
+	lastContact atomic.Int64
 
 	initialSync *initialSync
 	fetching    atomic.Bool
@@ -129,8 +129,8 @@
 	return digests
 }
 
-// HandleCallDigests handles the digests of a peer that called. The time they took to arrive is unknown,
-// so they prove nothing about earlier times.
+// HandleCallDigests handles the digests of a peer that called. The time they took to
+// arrive is unknown, so they prove nothing about earlier times.
 func (s *AntiEntropy) HandleCallDigests(peer string, digests []Digest) {
 	if peer == "" || peer == s.config.Address {
 		return
@@ -152,7 +152,7 @@
 	if len(digests) != len(s.copies) {
 		return
 	}
-	s.lastHeard.Store(int64(s.config.Now().Sub(s.created)))
+	s.lastContact.Store(int64(s.config.Now().Sub(s.created)))
 	for i, c := range s.copies {
 		c.confirmByDigest(digests[i], sentAt)
 	}
@@ -176,11 +176,11 @@
 }
 
 // Run queries random peers until the context ends: while copies are empty or close to stale,
-// and whenever no peer has been heard from for a while.
+// and whenever no digests of peers have been received for queryAfter.
 func (s *AntiEntropy) Run(ctx context.Context) {
 	queries := make(chan struct{}, maxQueries)
 	for ctx.Err() == nil {
-		if s.sinceLastHeard() > queryAfter || s.nearlyStale() || s.overdue() || !s.Synced() {
+		if s.sinceLastContact() > queryAfter || s.nearlyStale() || s.overdue() || !s.Synced() {
 			s.queryRandomPeer(ctx, queries)
 		}
 		period := s.period()
@@ -236,9 +236,9 @@
 	return true
 }
 
-// sinceLastHeard returns the time since a peer was last heard from.
-func (s *AntiEntropy) sinceLastHeard() time.Duration {
-	return s.config.Now().Sub(s.created) - time.Duration(s.lastHeard.Load())
+// sinceLastContact returns the time since digests of a peer were last received.
+func (s *AntiEntropy) sinceLastContact() time.Duration {
+	return s.config.Now().Sub(s.created) - time.Duration(s.lastContact.Load())
 }
 
 // nearlyStale reports whether a copy is empty or has reached half the age at which it is stale.
@@ -305,7 +305,7 @@
 	if err != nil || len(answer.Deltas) != len(s.copies) {
 		return
 	}
-	s.lastHeard.Store(int64(s.config.Now().Sub(s.created)))
+	s.lastContact.Store(int64(s.config.Now().Sub(s.created)))
 	digests := make([]Digest, len(s.copies))
 	for i, c := range s.copies {
 		c.applyDelta(answer.Deltas[i], peer, sentAt)
--- a/internal/replica/delta.go
+++ b/internal/replica/delta.go
@@ -9,7 +9,7 @@
 // Digest summarizes the state of a copy.
 type Digest struct {
 	_ struct{} `cbor:",toarray"`
-	// Revision is a revision: all changes up to it are in the copy.
+	// Revision is a revision up to which the copy holds all changes.
 	Revision store.Revision
 	// Age is the time since the copy was last known to hold everything in the store; negative
 	// if it never was.
@@ -36,7 +36,7 @@
 type Delta struct {
 	_ struct{} `cbor:",toarray"`
 	Digest
-	// Full tells that the delta holds all entries: keys that are not in it don't exist.
+	// Full reports that the delta holds all entries: keys that are not in it don't exist.
 	Full  bool
 	Items []Item
 	// Document is the newest document if it is not among the items, nil otherwise.
--- a/internal/replica/fakestore_test.go
+++ b/internal/replica/fakestore_test.go
@@ -159,7 +159,7 @@
 			if events, revision, _, err = s.eventsAfter(after); errors.Is(err, store.ErrUnavailable) || (err != nil && after.Epoch() < s.currentEpoch()) {
 				return err
 			} else if err != nil {
-				// A blocked call is not told of the compaction.
+				// A blocked call does not report the compaction.
 				events, revision = nil, after
 			}
 		}
--- a/internal/replica/syncer.go
+++ b/internal/replica/syncer.go
@@ -18,7 +18,7 @@
 	// wait.
 	confirmSlack = MaxWatchWait + 200*time.Millisecond
 	// watchers is the number of nodes that watch the store. The answers to their watches come
-	// at different times, so that the fleet hears from the store several times within
+	// at different times, so that the fleet receives several of them within
 	// MaxWatchWait.
 	watchers = 4
 	// Nodes whose copies are stale read from the store one after the other: the first one
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -70,20 +70,20 @@
 	started  time.Time
 	// process distinguishes this process from earlier ones at the same address. It is not
 	// zero.
-	process    uint32
-	store      *platform.Store
-	storeCalls *storeCalls
-	storeGate  *reachability.CircuitBreaker
-	epochs     *epoch.Tracker
-	replicas   replicas
-	routes     *routetable.Holder
-	feed       *configfeed.Feed
-	directory  *registry.Directory
-	registrar  *registry.Registrar
-	guard      *guard.Guard
-	peers      *peering.Client
-	codec      *peering.Codec
-	policies   *routepolicy.Holder
+	process      uint32
+	store        *platform.Store
+	storeCalls   *storeCalls
+	storeBreaker *reachability.CircuitBreaker
+	epochs       *epoch.Tracker
+	replicas     replicas
+	routes       *routetable.Holder
+	feed         *configfeed.Feed
+	directory    *registry.Directory
+	registrar    *registry.Registrar
+	guard        *guard.Guard
+	peers        *peering.Client
+	codec        *peering.Codec
+	policies     *routepolicy.Holder
 	// policySources are the sources of the active policies. After New, only Reload uses them.
 	policySources routepolicy.Sources
 	pressure      *pressure.Levels
@@ -134,7 +134,7 @@
 		OnRefused:        n.metrics.countRefusedHeartbeat,
 		Records:          n.awaitRecords,
 		Epoch:            n.epochs.Current,
-		Position:         n.directory.Place,
+		Position:         n.directory.Position,
 		Peers:            registry.Peers{Addresses: n.directory.Addresses, Notify: n.sendDeparture},
 		FirstStart:       settings.FirstStart,
 	}, n.registrarStores(), n.log, clock.Now)
@@ -177,10 +177,10 @@
 				return n.peers.SendQuarantineNotice(ctx, address, notice)
 			},
 		},
-		Store:        n.storeGate.Wrap(n.store.WithPurpose(purposeQuarantine)),
+		Store:        n.storeBreaker.Wrap(n.store.WithPurpose(purposeQuarantine)),
 		Prefix:       platform.QuarantinePrefix,
 		Epoch:        n.epochs.Current,
-		Position:     n.directory.Place,
+		Position:     n.directory.Position,
 		OnQuarantine: func(hash fingerprint.Fingerprint) { n.guard.CancelQuarantined(hash) },
 		Log:          n.log,
 		Now:          clock.Now,
@@ -277,8 +277,8 @@
 // backgroundTasks returns the functions that run in the background while the node serves.
 func (n *Node) backgroundTasks() []func(context.Context) {
 	return []func(context.Context){
-		n.replicas.configurationKeeper.Run, n.replicas.recordsKeeper.Run, n.replicas.antiEntropy.Run, n.replicas.verifier.Run,
-		n.releaseConfiguration, n.directory.Run, n.registrar.Run, n.guard.RunShedding, n.forwarder.Run, n.storeCalls.run, n.quarantine.Run, n.limits.keeper.Run,
+		n.replicas.configurationSyncer.Run, n.replicas.recordsSyncer.Run, n.replicas.antiEntropy.Run, n.replicas.verifier.Run,
+		n.releaseConfiguration, n.directory.Run, n.registrar.Run, n.guard.RunShedding, n.forwarder.Run, n.storeCalls.run, n.quarantine.Run, n.limits.shardManager.Run,
 	}
 }
 
--- a/internal/sidecar/replicas.go
+++ b/internal/sidecar/replicas.go
@@ -48,12 +48,12 @@
 	// configuration before it reads it from the store.
 	configurationReadDelay = 400 * time.Millisecond
 	// On the first start of the whole system, all nodes write their records first and
-	// then read the store one after the other, so that the first reader tells the
-	// others about each other.
+	// then read the store one after the other, so that the others receive the
+	// records from the first reader.
 	firstStartDelay  = 1800 * time.Millisecond
 	firstStartJitter = 4 * time.Second
 	// Longest pauses between probes of an unreachable store. Nodes that watch the store
-	// probe more often, and tell the others when it answers again.
+	// probe more often, and notify the others when it answers again.
 	watcherMaxProbePause = 600 * time.Millisecond
 	maxProbePause        = 2500 * time.Millisecond
 )
@@ -61,26 +61,26 @@
 // replicas holds the node's replicas of store data and the components that keep them current.
 type replicas struct {
 	configuration, records             *replica.Copy
-	configurationKeeper, recordsKeeper *replica.Syncer
+	configurationSyncer, recordsSyncer *replica.Syncer
 	verifier                           *replica.Verifier
 	antiEntropy                        *replica.AntiEntropy
 }
 
-// provisionStore creates the store client with its call counters and reachability gate.
+// provisionStore creates the store client with its call counters and circuit breaker.
 func (n *Node) provisionStore() {
 	n.storeCalls = newStoreCalls(n.log)
 	n.metrics.registry.MustRegister(n.storeCalls)
 	n.epochs = epoch.NewTracker()
 	n.epochs.OnChange(n.handleEpochChange)
 	n.store = platform.NewStore(n.settings.Store, recordsWatchTimeout, n.storeCalls, n.epochs)
-	n.storeGate = reachability.NewCircuitBreaker(n.probePauseLimit, storeEventLogger{n.log}, clock.Now)
+	n.storeBreaker = reachability.NewCircuitBreaker(n.probePauseLimit, storeEventLogger{n.log}, clock.Now)
 }
 
 // handleEpochChange handles a restore of the store from a backup.
 func (n *Node) handleEpochChange(change epoch.Change) {
 	n.log.Record(eventlog.Event{Kind: eventlog.StoreRestored, Peer: change.Source, Previous: uint64(change.From), Version: uint64(change.To)})
 	n.registrar.HandleStoreRestored()
-	n.limits.keeper.HandleStoreRestored()
+	n.limits.shardManager.HandleStoreRestored()
 }
 
 // logStaleEntry logs that the store listed an older revision of an entry than the replica holds.
@@ -90,7 +90,7 @@
 
 // probePauseLimit returns the longest pause between probes of an unreachable store.
 func (n *Node) probePauseLimit() time.Duration {
-	if n.replicas.recordsKeeper.IsWatcher() {
+	if n.replicas.recordsSyncer.IsWatcher() {
 		return watcherMaxProbePause
 	}
 	return maxProbePause
@@ -112,17 +112,17 @@
 		recordsFirstDelay = firstStartDelay + rand.N(firstStartJitter)
 		configurationFirstDelay = recordsFirstDelay
 	}
-	r.configurationKeeper = &replica.Syncer{Copy: r.configuration, Store: n.storeGate.Wrap(n.store.WithPurpose(purposeConfiguration).WithWatchWait(configurationWatchTimeout)), Prefix: platform.ConfigurationKey,
-		Position: n.directory.Place, BatchDelay: configurationBatchDelay, InitialDelay: configurationFirstDelay, Now: clock.Now}
-	r.recordsKeeper = &replica.Syncer{Copy: r.records, Store: n.storeGate.Wrap(n.store.WithPurpose(purposeRecords)), Prefix: platform.RecordsPrefix,
-		Position: n.directory.Place, BatchDelay: recordsBatchDelay, InitialDelay: recordsFirstDelay, Now: clock.Now}
-	r.verifier = &replica.Verifier{Syncer: r.configurationKeeper, MaxAge: verifyAfter, Needed: n.hasTenants}
+	r.configurationSyncer = &replica.Syncer{Copy: r.configuration, Store: n.storeBreaker.Wrap(n.store.WithPurpose(purposeConfiguration).WithWatchWait(configurationWatchTimeout)), Prefix: platform.ConfigurationKey,
+		Position: n.directory.Position, BatchDelay: configurationBatchDelay, InitialDelay: configurationFirstDelay, Now: clock.Now}
+	r.recordsSyncer = &replica.Syncer{Copy: r.records, Store: n.storeBreaker.Wrap(n.store.WithPurpose(purposeRecords)), Prefix: platform.RecordsPrefix,
+		Position: n.directory.Position, BatchDelay: recordsBatchDelay, InitialDelay: recordsFirstDelay, Now: clock.Now}
+	r.verifier = &replica.Verifier{Syncer: r.configurationSyncer, MaxAge: verifyAfter, Needed: n.hasTenants}
 	r.antiEntropy = replica.NewAntiEntropy(replica.AntiEntropyConfig{
 		Address:     n.settings.advertised(),
 		Peers:       n.directory.Addresses,
 		SendQuery:   n.queryPeer,
 		OnCall:      func(peer string) { n.forwarder.PeerAlive(peer) },
-		OnConfirmed: n.storeGate.Hint,
+		OnConfirmed: n.storeBreaker.Hint,
 		Overdue:     r.verifier.Overdue,
 		OnEpoch:     func(observed store.Epoch, peer string) { n.epochs.Observe(observed, peer) },
 
@@ -136,7 +136,7 @@
 	n.directory.ApplyChanges(entries, source)
 	n.registrar.ApplyChanges(entries)
 	n.quarantine.ApplyChanges(entries)
-	n.limits.keeper.ApplyChanges(entries)
+	n.limits.shardManager.ApplyChanges(entries)
 }
 
 func (n *Node) queryPeer(ctx context.Context, address string, query *replica.Query) (*replica.Answer, error) {
@@ -156,8 +156,8 @@
 // urgent, because the target does not accept a late acknowledgement.
 func (n *Node) registrarStores() registry.Stores {
 	return registry.Stores{
-		Record:    n.storeGate.Wrap(n.store.WithPurpose(purposeOwnRecord)),
-		Departure: n.storeGate.WrapUrgent(n.store.WithPurpose(purposeDeparture)),
+		Record:    n.storeBreaker.Wrap(n.store.WithPurpose(purposeOwnRecord)),
+		Departure: n.storeBreaker.WrapUrgent(n.store.WithPurpose(purposeDeparture)),
 	}
 }
 
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -44,7 +44,7 @@
 	}
 	keepServing := n.stopAdmission(end)
 	for clock.Now().Before(end) && (keepServing || !n.idle(started)) {
-		if keepServing && n.storeGate.Reachable() && n.forwarder.OtherHomesServe() {
+		if keepServing && n.storeBreaker.Reachable() && n.forwarder.OtherHomesServe() {
 			keepServing = n.stopAdmission(end)
 		}
 		time.Sleep(stopPollInterval)
@@ -58,7 +58,7 @@
 func (n *Node) releaseShards() {
 	ctx, cancel := context.WithTimeout(context.Background(), admissionPeriod)
 	defer cancel()
-	n.limits.keeper.Stop(ctx)
+	n.limits.shardManager.Stop(ctx)
 }
 
 // stopAdmission refuses requests that may not end in time, and all further calls to the
@@ -67,7 +67,7 @@
 // cannot serve the target before it has read from the store what was acknowledged.
 func (n *Node) stopAdmission(end time.Time) (keepServing bool) {
 	n.forwarder.SetShutdownDeadline(end)
-	if n.storeGate.Reachable() {
+	if n.storeBreaker.Reachable() {
 		n.guard.Close()
 		return false
 	}
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -27,7 +27,7 @@
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
-	_, err = n.storeGate.Wrap(unavailableStore{}).Get(ctx, "key")
+	_, err = n.storeBreaker.Wrap(unavailableStore{}).Get(ctx, "key")
 	assert.Assert(t, err != nil)
 	assert.Assert(t, n.stopAdmission(end), "the store is unreachable")
 	assert.Assert(t, call() != peering.Stopping)
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -12,9 +12,9 @@
 
 // tenantLimits holds the components that enforce tenants' rate limits.
 type tenantLimits struct {
-	issuer  *ratelimit.Issuer
-	keeper  *ratelimit.ShardManager
-	limiter *ratelimit.Limiter
+	issuer       *ratelimit.Issuer
+	shardManager *ratelimit.ShardManager
+	limiter      *ratelimit.Limiter
 	// permitSocket is nil if permits are only requested over connections.
 	permitSocket *peering.PermitSocket
 }
@@ -22,7 +22,7 @@
 // provisionLimits creates the components that enforce tenants' rate limits.
 func (n *Node) provisionLimits() {
 	n.limits.issuer = ratelimit.NewIssuer(n.settings.Tenants.bounds(), n.tenant, clock.Now)
-	n.limits.keeper = ratelimit.NewShardManager(ratelimit.ShardManagerConfig{
+	n.limits.shardManager = ratelimit.NewShardManager(ratelimit.ShardManagerConfig{
 		Address:         n.settings.advertised(),
 		Process:         n.process,
 		DatagramAddress: n.settings.Listen.Permits,
@@ -32,15 +32,15 @@
 		Epoch:      n.epochs.Current,
 
 		Prefix:    platform.ShardsPrefix,
-		Store:     n.storeGate.Wrap(n.store.WithPurpose(purposeShards)),
-		Position:  n.directory.Place,
+		Store:     n.storeBreaker.Wrap(n.store.WithPurpose(purposeShards)),
+		Position:  n.directory.Position,
 		Nodes:     func() int { return len(n.directory.Addresses()) },
 		HasLimits: n.hasTenantLimits,
 		Issuer:    n.limits.issuer,
 		Log:       n.log,
 		Now:       clock.Now,
 	})
-	n.limits.limiter = ratelimit.NewLimiter(n.limits.keeper, n.requestPermits, clock.Now)
+	n.limits.limiter = ratelimit.NewLimiter(n.limits.shardManager, n.requestPermits, clock.Now)
 }
 
 // requestPermits requests permits from the holder of a shard, which may be the node itself. If
--- a/internal/store/reachability/circuitbreaker.go
+++ b/internal/store/reachability/circuitbreaker.go
@@ -1,6 +1,6 @@
 // Package reachability is a circuit breaker for the store. All calls of a process to the store
-// share one Gate: while the store is unreachable, one call at a time probes it with exponential
-// backoff, and all others wait until a probe succeeds.
+// share one CircuitBreaker: while the store is unreachable, one call at a time probes it with
+// exponential backoff, and all others wait until a probe succeeds.
 package reachability
 
 import (
@@ -64,7 +64,7 @@
 	return b.openSince.IsZero()
 }
 
-// Hint tells that the store answered another process at the given time. If that is after the
+// Hint reports that the store answered another process at the given time. If that is after the
 // last failure, the next probe is made soon.
 func (b *CircuitBreaker) Hint(answered time.Time) {
 	b.mutex.Lock()
@@ -131,7 +131,7 @@
 		b.probing = false
 	}
 	if errors.Is(err, context.Canceled) {
-		// A canceled call tells nothing about the store.
+		// A canceled call says nothing about the state of the store.
 		b.wakeWaiters()
 		return
 	}
--- a/internal/store/reachability/store.go
+++ b/internal/store/reachability/store.go
@@ -78,7 +78,8 @@
 }
 
 // Watch implements store.Store. Only its first answer or failure counts for the circuit
-// breaker: a later failure may concern this watch alone, and the next call will tell.
+// breaker: a later failure may concern this watch alone, and the next call shows whether the
+// store is reachable.
 func (s *Store) Watch(ctx context.Context, prefix string, after store.Revision, handler func(batch []store.Entry, progress store.Revision)) error {
 	probe, err := s.breaker.acquire(ctx, s.urgent)
 	if err != nil {
