--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -98,8 +98,8 @@
 }
 
 // Valid reports whether the request is well-formed.
-func (a *PermitRequest) Valid() bool {
-	return a.Share >= 0 && a.Share < Shares && a.Needed >= 0 && a.Prefetch >= 0
+func (r *PermitRequest) Valid() bool {
+	return r.Share >= 0 && r.Share < Shares && r.Needed >= 0 && r.Prefetch >= 0
 }
 
 // Grant is a holder's response to a request for permits.
--- a/internal/ratelimit/shard_manager.go
+++ b/internal/ratelimit/shard_manager.go
@@ -56,7 +56,7 @@
 }
 
 // released reports whether the holder released the shard.
-func (h *assignment) released() bool { return h.Address == "" }
+func (a *assignment) released() bool { return a.Address == "" }
 
 // ShardManagerConfig holds the settings and dependencies of a ShardManager.
 type ShardManagerConfig struct {
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -60,8 +60,8 @@
 )
 
 // Incarnation returns the incarnation that sent the heartbeat.
-func (b Heartbeat) Incarnation() Incarnation {
-	return Incarnation{ID: b.ID, StartMillis: b.StartMillis}
+func (h Heartbeat) Incarnation() Incarnation {
+	return Incarnation{ID: h.ID, StartMillis: h.StartMillis}
 }
 
 // State is a stage in the life of a target. An incarnation's state never moves backwards.
--- a/internal/replica/antientropy.go
+++ b/internal/replica/antientropy.go
@@ -111,9 +111,9 @@
 // Digests returns the digests of the node's copies, to be sent along with other messages. They
 // name the version of the document only if the store has lost it: otherwise the document is
 // among the copy's entries.
-func (s *AntiEntropy) Digests() []Digest {
-	digests := s.fullDigests()
-	for i, c := range s.copies {
+func (a *AntiEntropy) Digests() []Digest {
+	digests := a.fullDigests()
+	for i, c := range a.copies {
 		if c.document.StoredVersion() >= digests[i].DocumentVersion {
 			digests[i].DocumentVersion = 0
 		}
@@ -121,9 +121,9 @@
 	return digests
 }
 
-func (s *AntiEntropy) fullDigests() []Digest {
-	digests := make([]Digest, len(s.copies))
-	for i, c := range s.copies {
+func (a *AntiEntropy) fullDigests() []Digest {
+	digests := make([]Digest, len(a.copies))
+	for i, c := range a.copies {
 		digests[i] = c.Digest()
 	}
 	return digests
@@ -131,66 +131,66 @@
 
 // HandleCallDigests handles the digests of a peer that called. The time they took to
 // arrive is unknown, so they prove nothing about earlier times.
-func (s *AntiEntropy) HandleCallDigests(peer string, digests []Digest) {
-	if peer == "" || peer == s.config.Address {
+func (a *AntiEntropy) HandleCallDigests(peer string, digests []Digest) {
+	if peer == "" || peer == a.config.Address {
 		return
 	}
-	s.addRecent(peer)
-	if s.config.OnCall != nil {
-		s.config.OnCall(peer)
+	a.addRecent(peer)
+	if a.config.OnCall != nil {
+		a.config.OnCall(peer)
 	}
-	s.handleDigests(peer, digests, time.Time{})
+	a.handleDigests(peer, digests, time.Time{})
 }
 
 // HandleReplyDigests handles the digests that a peer sent in reply to a message that was sent at
 // sentAt.
-func (s *AntiEntropy) HandleReplyDigests(peer string, digests []Digest, sentAt time.Time) {
-	s.handleDigests(peer, digests, sentAt)
+func (a *AntiEntropy) HandleReplyDigests(peer string, digests []Digest, sentAt time.Time) {
+	a.handleDigests(peer, digests, sentAt)
 }
 
-func (s *AntiEntropy) handleDigests(peer string, digests []Digest, sentAt time.Time) {
-	if len(digests) != len(s.copies) {
+func (a *AntiEntropy) handleDigests(peer string, digests []Digest, sentAt time.Time) {
+	if len(digests) != len(a.copies) {
 		return
 	}
-	s.lastContact.Store(int64(s.config.Now().Sub(s.created)))
-	for i, c := range s.copies {
+	a.lastContact.Store(int64(a.config.Now().Sub(a.created)))
+	for i, c := range a.copies {
 		c.confirmByDigest(digests[i], sentAt)
 	}
-	s.reportConfirmed(digests)
-	s.reportEpochs(digests, peer)
-	if s.isBehind(digests) {
-		s.fetch(peer)
+	a.reportConfirmed(digests)
+	a.reportEpochs(digests, peer)
+	if a.isBehind(digests) {
+		a.fetch(peer)
 	}
 }
 
 // AnswerQuery returns the response to a peer's query, and handles the digests in the query.
-func (s *AntiEntropy) AnswerQuery(query *Query) *Answer {
-	answer := &Answer{Deltas: make([]Delta, len(s.copies)), Synced: s.Synced()}
-	for i, c := range s.copies {
+func (a *AntiEntropy) AnswerQuery(query *Query) *Answer {
+	answer := &Answer{Deltas: make([]Delta, len(a.copies)), Synced: a.Synced()}
+	for i, c := range a.copies {
 		if i < len(query.Digests) {
 			answer.Deltas[i] = c.DeltaSince(query.Digests[i])
 		}
 	}
-	s.HandleCallDigests(query.From, query.Digests)
+	a.HandleCallDigests(query.From, query.Digests)
 	return answer
 }
 
 // Run queries random peers until the context ends: while copies are empty or close to stale,
 // and whenever no digests of peers have been received for queryAfter.
-func (s *AntiEntropy) Run(ctx context.Context) {
+func (a *AntiEntropy) Run(ctx context.Context) {
 	queries := make(chan struct{}, maxQueries)
 	for ctx.Err() == nil {
-		if s.sinceLastContact() > queryAfter || s.nearlyStale() || s.overdue() || !s.Synced() {
-			s.queryRandomPeer(ctx, queries)
+		if a.sinceLastContact() > queryAfter || a.nearlyStale() || a.overdue() || !a.Synced() {
+			a.queryRandomPeer(ctx, queries)
 		}
-		period := s.period()
+		period := a.period()
 		pause.For(ctx, period/2+rand.N(period))
 	}
 }
 
 // queryRandomPeer starts a query to a random peer unless too many are in progress.
-func (s *AntiEntropy) queryRandomPeer(ctx context.Context, queries chan struct{}) {
-	peer := s.pickPeer()
+func (a *AntiEntropy) queryRandomPeer(ctx context.Context, queries chan struct{}) {
+	peer := a.pickPeer()
 	if peer == "" {
 		return
 	}
@@ -201,16 +201,16 @@
 	}
 	go func() {
 		defer func() { <-queries }()
-		s.query(ctx, peer)
+		a.query(ctx, peer)
 	}()
 }
 
 // period returns the mean time until the next query.
-func (s *AntiEntropy) period() time.Duration {
+func (a *AntiEntropy) period() time.Duration {
 	switch {
-	case !s.initialized() || !s.Synced():
+	case !a.initialized() || !a.Synced():
 		return uninitializedPeriod
-	case s.justStale() || s.overdue():
+	case a.justStale() || a.overdue():
 		return stalePeriod
 	default:
 		return queryPeriod
@@ -218,8 +218,8 @@
 }
 
 // justStale reports whether a copy has been stale for less than staleDuration.
-func (s *AntiEntropy) justStale() bool {
-	for _, c := range s.copies {
+func (a *AntiEntropy) justStale() bool {
+	for _, c := range a.copies {
 		if age, known := c.Age(); known && age > c.staleAfter && age < c.staleAfter+staleDuration {
 			return true
 		}
@@ -227,8 +227,8 @@
 	return false
 }
 
-func (s *AntiEntropy) initialized() bool {
-	for _, c := range s.copies {
+func (a *AntiEntropy) initialized() bool {
+	for _, c := range a.copies {
 		if !c.Initialized() {
 			return false
 		}
@@ -237,13 +237,13 @@
 }
 
 // sinceLastContact returns the time since digests of a peer were last received.
-func (s *AntiEntropy) sinceLastContact() time.Duration {
-	return s.config.Now().Sub(s.created) - time.Duration(s.lastContact.Load())
+func (a *AntiEntropy) sinceLastContact() time.Duration {
+	return a.config.Now().Sub(a.created) - time.Duration(a.lastContact.Load())
 }
 
 // nearlyStale reports whether a copy is empty or has reached half the age at which it is stale.
-func (s *AntiEntropy) nearlyStale() bool {
-	for _, c := range s.copies {
+func (a *AntiEntropy) nearlyStale() bool {
+	for _, c := range a.copies {
 		if age, known := c.Age(); !known || age > c.staleAfter/2 {
 			return true
 		}
@@ -251,10 +251,10 @@
 	return false
 }
 
-func (s *AntiEntropy) overdue() bool { return s.config.Overdue != nil && s.config.Overdue() }
+func (a *AntiEntropy) overdue() bool { return a.config.Overdue != nil && a.config.Overdue() }
 
-func (s *AntiEntropy) isBehind(digests []Digest) bool {
-	for i, c := range s.copies {
+func (a *AntiEntropy) isBehind(digests []Digest) bool {
+	for i, c := range a.copies {
 		if c.isBehind(digests[i]) {
 			return true
 		}
@@ -262,65 +262,65 @@
 	return false
 }
 
-func (s *AntiEntropy) reportConfirmed(digests []Digest) {
-	if s.config.OnConfirmed == nil {
+func (a *AntiEntropy) reportConfirmed(digests []Digest) {
+	if a.config.OnConfirmed == nil {
 		return
 	}
 	for _, digest := range digests {
 		if digest.Age >= 0 {
-			s.config.OnConfirmed(s.config.Now().Add(-digest.Age))
+			a.config.OnConfirmed(a.config.Now().Add(-digest.Age))
 		}
 	}
 }
 
 // reportEpochs reports the store epochs of a peer's copies. An empty copy has none.
-func (s *AntiEntropy) reportEpochs(digests []Digest, peer string) {
-	if s.config.OnEpoch == nil {
+func (a *AntiEntropy) reportEpochs(digests []Digest, peer string) {
+	if a.config.OnEpoch == nil {
 		return
 	}
 	for _, digest := range digests {
 		if digest.Revision != 0 {
-			s.config.OnEpoch(digest.Revision.Epoch(), peer)
+			a.config.OnEpoch(digest.Revision.Epoch(), peer)
 		}
 	}
 }
 
 // fetch queries a peer that has something newer, unless a fetch is already in progress.
-func (s *AntiEntropy) fetch(peer string) {
-	if !s.fetching.CompareAndSwap(false, true) {
+func (a *AntiEntropy) fetch(peer string) {
+	if !a.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer s.fetching.Store(false)
-		s.query(context.Background(), peer)
+		defer a.fetching.Store(false)
+		a.query(context.Background(), peer)
 		time.Sleep(fetchPause)
 	}()
 }
 
-func (s *AntiEntropy) query(ctx context.Context, peer string) {
+func (a *AntiEntropy) query(ctx context.Context, peer string) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
-	sentAt := s.config.Now()
-	answer, err := s.config.SendQuery(ctx, peer, &Query{From: s.config.Address, Digests: s.fullDigests()})
-	if err != nil || len(answer.Deltas) != len(s.copies) {
+	sentAt := a.config.Now()
+	answer, err := a.config.SendQuery(ctx, peer, &Query{From: a.config.Address, Digests: a.fullDigests()})
+	if err != nil || len(answer.Deltas) != len(a.copies) {
 		return
 	}
-	s.lastContact.Store(int64(s.config.Now().Sub(s.created)))
-	digests := make([]Digest, len(s.copies))
-	for i, c := range s.copies {
+	a.lastContact.Store(int64(a.config.Now().Sub(a.created)))
+	digests := make([]Digest, len(a.copies))
+	for i, c := range a.copies {
 		c.applyDelta(answer.Deltas[i], peer, sentAt)
 		digests[i] = answer.Deltas[i].Digest
 	}
-	s.reportConfirmed(digests)
-	s.reportEpochs(digests, peer)
-	s.initialSync.recordAnswer(peer, answer.Synced, s.countPeers())
+	a.reportConfirmed(digests)
+	a.reportEpochs(digests, peer)
+	a.initialSync.recordAnswer(peer, answer.Synced, a.countPeers())
 }
 
 // countPeers returns the number of peers with a record, at least 1.
-func (s *AntiEntropy) countPeers() int {
+func (a *AntiEntropy) countPeers() int {
 	known := 0
-	for _, peer := range s.config.Peers() {
-		if peer != s.config.Address {
+	for _, peer := range a.config.Peers() {
+		if peer != a.config.Address {
 			known++
 		}
 	}
@@ -329,28 +329,28 @@
 
 // pickPeer returns a random peer, out of those with a record and those that called recently.
 // Every other time, a node whose copies are still empty picks a watcher of the store.
-func (s *AntiEntropy) pickPeer() string {
-	s.mutex.Lock()
-	candidates := slices.Clone(s.recent[:])
-	s.mutex.Unlock()
-	peers := s.config.Peers()
-	if len(peers) > watchers && !s.initialized() && rand.IntN(2) == 0 {
+func (a *AntiEntropy) pickPeer() string {
+	a.mutex.Lock()
+	candidates := slices.Clone(a.recent[:])
+	a.mutex.Unlock()
+	peers := a.config.Peers()
+	if len(peers) > watchers && !a.initialized() && rand.IntN(2) == 0 {
 		candidates, peers = nil, peers[:watchers]
 	}
 	candidates = append(candidates, peers...)
-	candidates = slices.DeleteFunc(candidates, func(peer string) bool { return peer == "" || peer == s.config.Address })
+	candidates = slices.DeleteFunc(candidates, func(peer string) bool { return peer == "" || peer == a.config.Address })
 	if len(candidates) == 0 {
 		return ""
 	}
 	return candidates[rand.IntN(len(candidates))]
 }
 
-func (s *AntiEntropy) addRecent(peer string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	if slices.Contains(s.recent[:], peer) {
+func (a *AntiEntropy) addRecent(peer string) {
+	a.mutex.Lock()
+	defer a.mutex.Unlock()
+	if slices.Contains(a.recent[:], peer) {
 		return
 	}
-	s.recent[s.nextRecent] = peer
-	s.nextRecent = (s.nextRecent + 1) % maxRecent
+	a.recent[a.nextRecent] = peer
+	a.nextRecent = (a.nextRecent + 1) % maxRecent
 }
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -45,7 +45,7 @@
 	// verifyAfter is Verifier.MaxAge; there are no verifiers if it is zero.
 	verifyAfter time.Duration
 	// withConfig has processes take the values of the key "a" as configurations; firstStart
-	// tells that the whole fleet starts for the first time.
+	// reports that the whole fleet starts for the first time.
 	withConfig, firstStart bool
 	// delay returns the delay of one step of a message or read; it may be nil.
 	delay func() time.Duration
--- a/internal/replica/initialsync.go
+++ b/internal/replica/initialsync.go
@@ -66,17 +66,17 @@
 
 // Synced reports whether the process has received the state of a peer that was up before it, or
 // has given up waiting for one.
-func (s *AntiEntropy) Synced() bool { return s.initialSync.isFinished() }
+func (a *AntiEntropy) Synced() bool { return a.initialSync.isFinished() }
 
 // AwaitSynced waits until the initial sync has finished or the context ends. It gives up after
 // initialSyncTimeout if no synced peer answers.
-func (s *AntiEntropy) AwaitSynced(ctx context.Context) {
+func (a *AntiEntropy) AwaitSynced(ctx context.Context) {
 	timer := time.NewTimer(initialSyncTimeout)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-s.initialSync.done:
+	case <-a.initialSync.done:
 	case <-timer.C:
-		s.initialSync.finish()
+		a.initialSync.finish()
 	}
 }
