--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -111,7 +111,7 @@
 	var clientError *adminclient.Error
 	if errors.As(err, &clientError) && clientError.Problem != nil {
 		result.ChangeID = clientError.Problem.ChangeID
-		result.AskURL = clientError.Problem.AskURL
+		result.AskURL = clientError.Problem.ResolveURL
 	}
 	return err
 }
--- a/internal/command/apply_test.go
+++ b/internal/command/apply_test.go
@@ -63,12 +63,12 @@
 func TestApplyWithStaleReplica(t *testing.T) {
 	node := admintest.Start(t)
 	id := resource.ID{Kind: resource.KindService, Name: "cropcal"}
-	node.BehindTheReplica(t, resource.Envelope{ID: id, Service: &resource.Service{}}, 0, resource.Change{ID: "elsewhere"})
+	node.WriteBypassingReplica(t, resource.Envelope{ID: id, Service: &resource.Service{}}, 0, resource.Change{ID: "elsewhere"})
 	applied := runJSON[[]command.ApplyResult](t, node, "apply", "-f", writeFile(t, objects))
 	assert.DeepEqual(t, resultNames(applied), []string{"unchanged", "created"})
 
 	other := admintest.Start(t)
-	other.BehindTheReplica(t, resource.Envelope{ID: id, Service: &resource.Service{TimeoutMillis: 9}}, 0, resource.Change{ID: "elsewhere"})
+	other.WriteBypassingReplica(t, resource.Envelope{ID: id, Service: &resource.Service{TimeoutMillis: 9}}, 0, resource.Change{ID: "elsewhere"})
 	code, _, _ := runAtNode(t, other, "apply", "-f", writeFile(t, objects))
 	assert.Equal(t, code, command.ExitConflict)
 	object := runJSON[admin.Object](t, other, "get", "service", "cropcal")
@@ -77,17 +77,17 @@
 
 func TestApplyWithoutTheStore(t *testing.T) {
 	node := admintest.Start(t)
-	node.Break(admintest.Down)
+	node.SetFault(admintest.Unavailable)
 	code, output, _ := runAtNode(t, node, "apply", "-output", "json", "-f", writeFile(t, objects))
 	assert.Equal(t, code, command.ExitUnavailable)
 	var applied []command.ApplyResult
 	assert.NilError(t, json.Unmarshal([]byte(output), &applied))
 	assert.DeepEqual(t, resultNames(applied), []string{"unavailable", "not-tried"})
 
-	node.Break(admintest.Healthy)
+	node.SetFault(admintest.Healthy)
 	runJSON[[]command.ApplyResult](t, node, "apply", "-f", writeFile(t, objects))
-	node.Break(admintest.AnswersLost)
-	recovery := time.AfterFunc(2*admintest.WriteTimeout, func() { node.Break(admintest.Healthy) })
+	node.SetFault(admintest.ResponsesLost)
+	recovery := time.AfterFunc(2*admintest.WriteTimeout, func() { node.SetFault(admintest.Healthy) })
 	defer recovery.Stop()
 	changed := runJSON[[]command.ApplyResult](t, node, "apply", "-f", writeFile(t, strings.Replace(objects, "slots = 6", "slots = 7", 1)))
 	assert.DeepEqual(t, resultNames(changed), []string{"unchanged", "changed"})
@@ -108,7 +108,7 @@
 func TestApplyUnknownOutcome(t *testing.T) {
 	node := admintest.Start(t)
 	runJSON[[]command.ApplyResult](t, node, "apply", "-f", writeFile(t, objects))
-	node.Break(admintest.AnswersLost)
+	node.SetFault(admintest.ResponsesLost)
 	code, output, errorOutput := runAtNode(t, node, "apply", "-wait", "100ms", "-output", "json", "-f", writeFile(t, strings.Replace(objects, "slots = 6", "slots = 7", 1)))
 	assert.Equal(t, code, command.ExitUnknown, errorOutput)
 	var applied []command.ApplyResult
--- a/internal/command/delete.go
+++ b/internal/command/delete.go
@@ -62,7 +62,7 @@
 }
 
 // printWrite prints the result of a write; acceptedResult names an accepted one.
-func printWrite(program *Program, acceptedResult string, answer admin.WriteAnswer) error {
+func printWrite(program *Program, acceptedResult string, answer admin.WriteResponse) error {
 	return printResult(program, answer, func(t *table) {
 		result := string(answer.Outcome)
 		if answer.Outcome == admin.OutcomeAccepted {
--- a/internal/command/print.go
+++ b/internal/command/print.go
@@ -81,8 +81,8 @@
 	}
 	fmt.Fprintln(p.ErrorOutput, "lugspur:", err)
 	var clientError *adminclient.Error
-	if errors.As(err, &clientError) && clientError.Problem != nil && clientError.Problem.AskURL != "" {
-		fmt.Fprintf(p.ErrorOutput, "ask for change %s at http://ADMIN-ADDRESS%s\n", clientError.Problem.ChangeID, clientError.Problem.AskURL)
+	if errors.As(err, &clientError) && clientError.Problem != nil && clientError.Problem.ResolveURL != "" {
+		fmt.Fprintf(p.ErrorOutput, "ask for change %s at http://ADMIN-ADDRESS%s\n", clientError.Problem.ChangeID, clientError.Problem.ResolveURL)
 	}
 }
 
--- a/test/call_test.go
+++ b/test/call_test.go
@@ -153,7 +153,7 @@
 			t.Errorf("%s got a wrong answer: %v", sent.Kind, last.Faults)
 		case last.Verdict == load.VerdictComplete && executed == 0:
 			t.Errorf("%s was answered but never executed", sent.Kind)
-		case sent.ToldNotRun() && len(records[sent.Nonce]) > 0:
+		case sent.ReportedNotExecuted() && len(records[sent.Nonce]) > 0:
 			t.Errorf("%s was reported as not executed (%s) but executed: %+v", sent.Kind, last.Reason, records[sent.Nonce])
 		case !kind.Repeatable && executed > 1:
 			t.Errorf("%s was executed %d times: %+v", sent.Kind, executed, records[sent.Nonce])
--- a/test/linearizability_test.go
+++ b/test/linearizability_test.go
@@ -34,7 +34,7 @@
 
 // linearizabilityTest is the state of the test.
 type linearizabilityTest struct {
-	running  *cluster.Proxied
+	running  *cluster.ProxiedCluster
 	workload linear.Workload
 	random   *rand.Rand
 }
@@ -66,7 +66,7 @@
 
 // startProxied runs the small mesh with two nodes in each zone, connected through fault
 // proxies.
-func startProxied(t *testing.T, flags ...string) *cluster.Proxied {
+func startProxied(t *testing.T, flags ...string) *cluster.ProxiedCluster {
 	t.Helper()
 	running, err := cluster.StartProxied(t.Context(), cluster.Config{
 		Lugspur:      program("lugspur"),
