--- a/lab/soak/callers.go
+++ b/lab/soak/callers.go
@@ -18,21 +18,21 @@
 )
 
 const (
-	// callDeadline is what callers tell as their deadline, and callPatience how
-	// much longer they wait for an answer before they note that none came.
-	callDeadline = 2 * time.Second
-	callPatience = 1500 * time.Millisecond
-	// readyEvery is how often callers look whether a machine takes work, and
-	// misses after how many failures they send it no more.
-	readyEvery = time.Second
-	misses     = 2
-	// maxOutstanding bounds the requests of one machine's callers.
+	// callDeadline is the deadline that callers send. After it they wait for
+	// responseGrace before they record that no response arrived.
+	callDeadline  = 2 * time.Second
+	responseGrace = 1500 * time.Millisecond
+	// readinessInterval is the period of the readiness checks. After
+	// maxReadinessFailures consecutive failures a machine gets no more requests.
+	readinessInterval    = time.Second
+	maxReadinessFailures = 2
+	// maxOutstanding limits the open requests of one machine's callers.
 	maxOutstanding = 256
-	// Parts of the requests that must not run twice, and that ask for a version.
-	onceShare    = 0.35
-	versionShare = 0.2
-	// freshShare is the part of the requests that open a connection of their own.
-	freshShare = 0.3
+	// Shares of the requests that are non-idempotent, and that require a version.
+	nonIdempotentShare = 0.35
+	versionShare       = 0.2
+	// newConnectionShare is the share of the requests that open a new connection.
+	newConnectionShare = 0.3
 )
 
 // callers send requests to all machines.
@@ -44,7 +44,7 @@
 	requests   atomic.Uint64
 }
 
-// run sends requests until the context ends and waits for all answers.
+// run sends requests until the context ends, then waits for all responses.
 func (c *callers) run(ctx context.Context) {
 	var running sync.WaitGroup
 	for machine := range c.deployment.machines {
@@ -53,115 +53,115 @@
 	running.Wait()
 }
 
-// callMachine sends the requests of one machine's callers.
+// callMachine sends requests to one machine at exponentially distributed intervals.
 func (c *callers) callMachine(ctx context.Context, machine int) {
-	var in atomic.Bool
-	in.Store(true)
+	var ready atomic.Bool
+	ready.Store(true)
 	var running sync.WaitGroup
 	defer running.Wait()
-	running.Go(func() { c.watchReady(ctx, machine, &in) })
+	running.Go(func() { c.pollReadiness(ctx, machine, &ready) })
 	random := rand.New(rand.NewPCG(c.seed, uint64(machine)))
-	kept := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxOutstanding}, Timeout: callDeadline + callPatience}
-	fresh := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callDeadline + callPatience}
-	defer kept.CloseIdleConnections()
-	places := make(chan struct{}, maxOutstanding)
+	pooled := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxOutstanding}, Timeout: callDeadline + responseGrace}
+	unpooled := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callDeadline + responseGrace}
+	defer pooled.CloseIdleConnections()
+	slots := make(chan struct{}, maxOutstanding)
 	for ctx.Err() == nil {
 		pause.For(ctx, time.Duration(random.ExpFloat64()/c.rate*float64(time.Second)))
-		if !in.Load() {
+		if !ready.Load() {
 			continue
 		}
-		request := c.draw(random, machine)
-		client := kept
-		if random.Float64() < freshShare {
-			client = fresh
+		request := c.newRequest(random, machine)
+		client := pooled
+		if random.Float64() < newConnectionShare {
+			client = unpooled
 		}
 		select {
-		case places <- struct{}{}:
+		case slots <- struct{}{}:
 		default:
 			continue
 		}
 		running.Go(func() {
 			c.send(client, request)
-			<-places
+			<-slots
 		})
 	}
 }
 
-// watchReady looks whether the machine takes work, as the platform does.
-func (c *callers) watchReady(ctx context.Context, machine int, in *atomic.Bool) {
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: readyEvery}
-	missed := 0
+// pollReadiness checks whether the machine is ready, as the platform does.
+func (c *callers) pollReadiness(ctx context.Context, machine int, ready *atomic.Bool) {
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: readinessInterval}
+	failures := 0
 	for ctx.Err() == nil {
-		pause.For(ctx, readyEvery)
-		response, err := client.Get("http://" + c.deployment.machines[machine].ready + "/ready")
+		pause.For(ctx, readinessInterval)
+		response, err := client.Get("http://" + c.deployment.machines[machine].readyAddress + "/ready")
 		if err == nil {
 			_ = response.Body.Close()
 		}
 		if err == nil && response.StatusCode == http.StatusOK {
-			missed = 0
+			failures = 0
 		} else {
-			missed++
+			failures++
 		}
-		in.Store(missed < misses)
+		ready.Store(failures < maxReadinessFailures)
 	}
 }
 
-// draw chooses a request. One that asks for a version takes the newest or the
-// one before it.
-func (c *callers) draw(random *rand.Rand, machine int) Request {
+// newRequest returns a random request. One that requires a version uses the newest
+// or the previous one.
+func (c *callers) newRequest(random *rand.Rand, machine int) Request {
 	number := c.requests.Add(1)
 	request := Request{ID: fmt.Sprintf("%016x", number), Machine: machine, Method: http.MethodGet, Deadline: callDeadline}
 	service := services[random.IntN(len(services))]
-	switch drawn := random.Float64(); {
-	case drawn < versionShare:
+	switch roll := random.Float64(); {
+	case roll < versionShare:
 		request.Version = max(c.recorder.newestVersion()-random.IntN(2), 1)
 		request.Path = versionPath(request.Version) + "x"
-	case drawn < versionShare+onceShare:
+	case roll < versionShare+nonIdempotentShare:
 		request.Method = http.MethodPost
 		request.Path = oncePath(service) + "x"
 	default:
 		request.Path = readPath(service) + "x"
 	}
 	if request.Version == 0 {
-		drawTenant(random, c.recorder.newestVersion(), &request)
+		chooseTenant(random, c.recorder.newestVersion(), &request)
 	}
 	return request
 }
 
-// deadly returns the next try of a request that ends targets, by the machines in turn.
-func (c *callers) deadly(path string) Request {
+// newCrashingRequest returns a request that crashes its target, for the machines in turn.
+func (c *callers) newCrashingRequest(path string) Request {
 	number := c.requests.Add(1)
-	return Request{ID: fmt.Sprintf("%016x", number), Machine: int(number) % len(c.deployment.machines), Method: http.MethodGet, Deadline: callDeadline, Path: path, Deadly: true, Tenant: steadyTenant}
+	return Request{ID: fmt.Sprintf("%016x", number), Machine: int(number) % len(c.deployment.machines), Method: http.MethodGet, Deadline: callDeadline, Path: path, CrashesTarget: true, Tenant: steadyTenant}
 }
 
-// send sends a request and notes what came of it. The client can't send it
-// again by itself, as it can't read the body again.
+// send sends a request and records the result. GetBody is cleared so that the
+// HTTP client can't retry the request.
 func (c *callers) send(client *http.Client, request Request) {
-	request.Life = c.recorder.life(request.Machine)
+	request.Incarnation = c.recorder.incarnation(request.Machine)
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) { request.Connected, request.Reused = true, info.Reused }}
 	ctx := httptrace.WithClientTrace(context.Background(), trace)
-	address := c.deployment.machines[request.Machine].calls
-	sent, err := http.NewRequestWithContext(ctx, request.Method, "http://"+address+request.Path, strings.NewReader("body"))
+	address := c.deployment.machines[request.Machine].callAddress
+	outgoing, err := http.NewRequestWithContext(ctx, request.Method, "http://"+address+request.Path, strings.NewReader("body"))
 	if err != nil {
-		c.recorder.endedByItself(err.Error())
+		c.recorder.addFailure(err.Error())
 		return
 	}
-	sent.GetBody = nil
-	sent.Host = host
-	sent.Header.Set("Lugspur-Attempt-Id", request.ID)
-	sent.Header.Set("Lugspur-Deadline-Ms", strconv.FormatInt(request.Deadline.Milliseconds(), 10))
-	request.sign(sent.Header)
+	outgoing.GetBody = nil
+	outgoing.Host = host
+	outgoing.Header.Set("Lugspur-Attempt-Id", request.ID)
+	outgoing.Header.Set("Lugspur-Deadline-Ms", strconv.FormatInt(request.Deadline.Milliseconds(), 10))
+	request.setTenantHeaders(outgoing.Header)
 	request.Sent = time.Now()
-	if err := receive(client, sent, &request); err != nil {
+	if err := receive(client, outgoing, &request); err != nil {
 		request.Status = 0
 		request.Failure = err.Error()
 	}
 	request.Ended = time.Now()
-	c.recorder.request(request)
+	c.recorder.addRequest(request)
 }
 
-func receive(client *http.Client, sent *http.Request, request *Request) error {
-	response, err := client.Do(sent)
+func receive(client *http.Client, outgoing *http.Request, request *Request) error {
+	response, err := client.Do(outgoing)
 	if err != nil {
 		return err
 	}
--- a/lab/soak/command.go
+++ b/lab/soak/command.go
@@ -19,13 +19,14 @@
 
 func (*soakCommand) Name() string { return "soak" }
 func (*soakCommand) Synopsis() string {
-	return "run platform nodes through seeded faults and judge what callers and targets saw"
+	return "run platform nodes through seeded faults and check the guarantees"
 }
 func (*soakCommand) Usage() string {
-	return `soak [flags]: run platform nodes as processes through a seeded schedule of faults and judge what callers and targets saw.
+	return `soak [flags]: run platform nodes as processes through a seeded schedule of faults and check the guarantees
+against the observations of callers and targets.
 
 Writes schedule.json, requests.jsonl, result.json and the logs of all nodes to the
-output directory. Exits with 1 if a promise was broken or the run failed.
+output directory. Exits with 1 if a guarantee was violated or the run failed.
 
 Example:
   lugspur-lab soak -lugspur bin/lugspur-sidecar -seed 7 -duration 60s -out out
@@ -44,11 +45,11 @@
 func (c *soakCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.config.Program, "lugspur", "bin/lugspur-sidecar", "lugspur-sidecar `program`")
 	flags.StringVar(&c.config.Directory, "out", "", "`directory` for the run's files; empty means a temporary one")
-	flags.IntVar(&c.config.Machines, "machines", 6, "nodes, each with a target")
-	flags.Uint64Var(&c.config.Seed, "seed", 0, "`seed` of faults and requests; 0 takes one from the clock")
-	flags.DurationVar(&c.config.Duration, "duration", time.Minute, "`time` with faults")
-	flags.IntVar(&c.config.Restores, "restores", 2, "`times` that the store comes back from a copy")
-	flags.Float64Var(&c.config.Rate, "rate", 40, "requests a `second` of each machine's callers")
+	flags.IntVar(&c.config.Machines, "machines", 6, "number of nodes, each with a target")
+	flags.Uint64Var(&c.config.Seed, "seed", 0, "`seed` of faults and requests; 0 derives one from the clock")
+	flags.DurationVar(&c.config.Duration, "duration", time.Minute, "`time` during which faults are injected")
+	flags.IntVar(&c.config.Restores, "restores", 2, "`number` of restores of the store from a backup")
+	flags.Float64Var(&c.config.Rate, "rate", 40, "requests per `second` of each machine's callers")
 }
 
 // Execute runs the soak.
@@ -74,13 +75,13 @@
 
 func (c *soakCommand) prepare() error {
 	if c.config.Machines < 2 || c.config.Machines > maxMachines {
-		return fmt.Errorf("machines must lie between 2 and %d", maxMachines)
+		return fmt.Errorf("machines must be between 2 and %d", maxMachines)
 	}
 	if !(c.config.Rate > 0 && c.config.Rate <= maxRate) {
-		return fmt.Errorf("rate must lie above 0 and at most at %d", maxRate)
+		return fmt.Errorf("rate must be greater than 0 and at most %d", maxRate)
 	}
 	if c.config.Duration <= 0 || c.config.Duration > maxDuration {
-		return fmt.Errorf("duration must lie above 0 and at most at %s", maxDuration)
+		return fmt.Errorf("duration must be greater than 0 and at most %s", maxDuration)
 	}
 	if c.config.Seed == 0 {
 		c.config.Seed = uint64(time.Now().UnixNano())
--- a/lab/soak/configuration.go
+++ b/lab/soak/configuration.go
@@ -10,23 +10,24 @@
 )
 
 const (
-	// host is that of all routes.
+	// host is the host of all routes.
 	host = "soak.example"
-	// configurationKey is where the platform keeps the operator's configuration.
+	// configurationKey is the store key of the operator's configuration.
 	configurationKey = "op/config"
-	// routeTimeout bounds a request, in seconds, and objective is within what an
-	// answer is wanted.
+	// routeTimeout is the timeout of a request and objective its latency objective,
+	// both in seconds.
 	routeTimeout = 3
 	objective    = 1
 )
 
-// readPath and oncePath begin the paths of a service's requests, deadlyPath is that of
-// requests which end the targets that run them, and versionPath begins
-// those that only one version of the configuration allows.
-func readPath(service string) string   { return "/read/" + service + "/" }
-func deadlyPath(service string) string { return readPath(service) + "deadly" }
-func oncePath(service string) string   { return "/once/" + service + "/" }
-func versionPath(version int) string   { return fmt.Sprintf("/version/%d/", version) }
+// readPath and oncePath are the path prefixes of a service's idempotent and
+// non-idempotent requests, crashPath is the path of requests that crash their
+// target, and versionPath is the prefix that exists only in one version of the
+// configuration.
+func readPath(service string) string  { return "/read/" + service + "/" }
+func crashPath(service string) string { return readPath(service) + "deadly" }
+func oncePath(service string) string  { return "/once/" + service + "/" }
+func versionPath(version int) string  { return fmt.Sprintf("/version/%d/", version) }
 
 type documentResource struct {
 	Type     string           `json:"resource-type"`
@@ -84,7 +85,7 @@
 	return documentResource{Type: "tenants", Metadata: documentMetadata{Name: name}, Spec: tenantSpec{APIKeys: keys, Priority: 1, RatePerSecond: rate, Burst: burst}}
 }
 
-// public makes a route one that needs no key.
+// public returns the route without the need for an API key.
 func public(route documentResource) documentResource {
 	spec := route.Spec.(routeSpec)
 	spec.Public = true
@@ -92,8 +93,8 @@
 	return route
 }
 
-// configurationOf returns the document of a version.
-func configurationOf(version int) []byte {
+// encodeConfiguration returns the configuration document of a version.
+func encodeConfiguration(version int) []byte {
 	document := configurationDocument{Version: fmt.Sprintf("r%d", version)}
 	for _, service := range services {
 		document.Resources = append(document.Resources,
@@ -114,13 +115,13 @@
 	return content
 }
 
-// writeConfiguration puts a version in force. A nil error is the
-// acknowledgement, from which all bounds run.
+// writeConfiguration stores a version of the configuration. A nil error is the
+// acknowledgement, from which all time bounds are measured.
 func (d *deployment) writeConfiguration(ctx context.Context, version int) error {
-	entry, err := d.held.Get(ctx, configurationKey)
+	entry, err := d.store.Get(ctx, configurationKey)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
-	_, err = d.held.CompareAndSwap(ctx, configurationKey, entry.Revision, configurationOf(version), store.NoLease)
+	_, err = d.store.CompareAndSwap(ctx, configurationKey, entry.Revision, encodeConfiguration(version), store.NoLease)
 	return err
 }
--- a/lab/soak/deployment.go
+++ b/lab/soak/deployment.go
@@ -21,58 +21,58 @@
 )
 
 const (
-	// graceTime is how long a planned stop may take.
-	graceTime = 6 * time.Second
-	// targetWork is how long the fastest targets work on a request, and workSpread
-	// how many times as long the slowest do. Requests are in flight at any moment.
-	targetWork = 20 * time.Millisecond
-	workSpread = 5
+	// gracePeriod is the maximum duration of a planned stop.
+	gracePeriod = 6 * time.Second
+	// minServiceTime is the service time of the fastest targets; the slowest take
+	// serviceTimeSpread times as long, so that requests are always in flight.
+	minServiceTime    = 20 * time.Millisecond
+	serviceTimeSpread = 5
 )
 
-// zones and services of the deployment; machines take them in turn.
+// zones and services of the deployment; machines are assigned to them in turn.
 var (
 	zones    = []string{"east", "west"}
 	services = []string{"alpha", "beta"}
 )
 
-// deployment is the store, its proxies and the machines.
+// deployment is the store, the stub that serves it and the machines.
 type deployment struct {
-	config   Config
-	held     *memory.Store
-	stub     *platformstub.Store
-	server   *http.Server
-	storeAt  string
-	machines []*machine
+	config       Config
+	store        *memory.Store
+	storeStub    *platformstub.Store
+	storeServer  *http.Server
+	storeAddress string
+	machines     []*machine
 }
 
-// machine is a node process, its target and the links between them and others.
+// machine is a node process, its target and the proxies on its connections.
 type machine struct {
-	name, zone, service string
-	number              int
-	lugspur             string
-	settings, log       string
-	calls, ready        string
-	control             string
-	target              string
-	// toStore, toPeers and toTarget carry what the node says to the store, what
-	// other nodes say to it, and what it says to its target.
-	toStore, toPeers, toTarget *faultproxy.Proxy
-	process                    *cluster.Process
-	// incarnation counts the targets that the machine has had.
-	incarnation int
-	current     *platformstub.Target
-	// onEnd is called some time after a target ended under a request, and stopped tells
-	// that the deployment is stopping.
-	onEnd      func()
-	stopped    atomic.Bool
-	stopTarget context.CancelFunc
-	targets    []*platformstub.Target
+	name, zone, service       string
+	number                    int
+	program                   string
+	settingsPath, logPath     string
+	callAddress, readyAddress string
+	heartbeatAddress          string
+	targetAddress             string
+	// storeProxy carries the node's connections to the store, peerProxy those from
+	// other nodes to it, and targetProxy those to its target.
+	storeProxy, peerProxy, targetProxy *faultproxy.Proxy
+	process                            *cluster.Process
+	// incarnation counts the targets started on the machine.
+	incarnation   int
+	currentTarget *platformstub.Target
+	// onTargetCrash is called targetRestartDelay after a target crashed; stopping is
+	// set while the deployment stops.
+	onTargetCrash func()
+	stopping      atomic.Bool
+	stopTarget    context.CancelFunc
+	targets       []*platformstub.Target
 }
 
 // startDeployment starts everything and waits until all nodes are ready.
 func startDeployment(ctx context.Context, config Config) (*deployment, error) {
-	d := &deployment{config: config, held: memory.New(time.Now)}
-	d.stub = platformstub.NewStore(d.held)
+	d := &deployment{config: config, store: memory.New(time.Now)}
+	d.storeStub = platformstub.NewStore(d.store)
 	if err := d.serveStore(); err != nil {
 		return nil, err
 	}
@@ -95,11 +95,11 @@
 func (d *deployment) serveStore() error {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return oops.In("soak").With("step", "listen").Wrapf(err, "start the store's stand-in")
+		return oops.In("soak").With("step", "listen").Wrapf(err, "start the store stub")
 	}
-	d.storeAt = listener.Addr().String()
-	d.server = &http.Server{Handler: d.stub.Handler()}
-	go func() { _ = d.server.Serve(listener) }()
+	d.storeAddress = listener.Addr().String()
+	d.storeServer = &http.Server{Handler: d.storeStub.Handler()}
+	go func() { _ = d.storeServer.Serve(listener) }()
 	return nil
 }
 
@@ -109,12 +109,12 @@
 		number:  index,
 		zone:    zones[index%len(zones)],
 		service: services[index/len(zones)%len(services)],
-		lugspur: d.config.Program,
+		program: d.config.Program,
 	}
-	m.settings = filepath.Join(d.config.Directory, m.name+".toml")
-	m.log = filepath.Join(d.config.Directory, m.name+".log")
+	m.settingsPath = filepath.Join(d.config.Directory, m.name+".toml")
+	m.logPath = filepath.Join(d.config.Directory, m.name+".log")
 	d.machines = append(d.machines, m)
-	if err := m.provision(d.storeAt); err != nil {
+	if err := m.provision(d.storeAddress); err != nil {
 		return err
 	}
 	if err := m.startTarget(); err != nil {
@@ -123,27 +123,27 @@
 	return m.startNode()
 }
 
-// provision gives the machine its addresses, proxies and settings.
-func (m *machine) provision(storeAt string) error {
+// provision allocates the machine's addresses and proxies and writes its settings file.
+func (m *machine) provision(storeAddress string) error {
 	var peers string
-	for _, address := range []*string{&m.calls, &m.ready, &m.control, &m.target, &peers} {
-		found, err := cluster.FreeAddress()
+	for _, address := range []*string{&m.callAddress, &m.readyAddress, &m.heartbeatAddress, &m.targetAddress, &peers} {
+		free, err := cluster.FreeAddress()
 		if err != nil {
 			return err
 		}
-		*address = found
+		*address = free
 	}
 	for _, link := range []struct {
 		proxy    **faultproxy.Proxy
 		upstream string
-	}{{&m.toStore, storeAt}, {&m.toPeers, peers}, {&m.toTarget, m.target}} {
+	}{{&m.storeProxy, storeAddress}, {&m.peerProxy, peers}, {&m.targetProxy, m.targetAddress}} {
 		proxy, err := faultproxy.New("127.0.0.1:0", link.upstream)
 		if err != nil {
 			return err
 		}
 		*link.proxy = proxy
 	}
-	return os.WriteFile(m.settings, []byte(m.settingsText(peers)), 0o600)
+	return os.WriteFile(m.settingsPath, []byte(m.settingsText(peers)), 0o600)
 }
 
 func (m *machine) settingsText(peers string) string {
@@ -162,22 +162,22 @@
 grace-seconds = %g
 [tenants]
 revoke-seconds = %g
-`, m.name, m.zone, m.service, m.toTarget.Address(), m.toStore.Address(), m.calls, peers, m.toPeers.Address(), m.ready, m.control, graceTime.Seconds(), revokeTime.Seconds())
+`, m.name, m.zone, m.service, m.targetProxy.Address(), m.storeProxy.Address(), m.callAddress, peers, m.peerProxy.Address(), m.readyAddress, m.heartbeatAddress, gracePeriod.Seconds(), revokeBound.Seconds())
 }
 
 func (m *machine) startNode() error {
-	process, err := cluster.Launch(m.name, m.log, nil, m.lugspur, "run", "-f", m.settings)
+	process, err := cluster.Launch(m.name, m.logPath, nil, m.program, "run", "-f", m.settingsPath)
 	if err == nil {
 		m.process = process
 	}
 	return err
 }
 
-// startsOfID is how many starts have the same id, one after the other.
-const startsOfID = 2
+// startsPerID is the number of consecutive starts with the same target ID.
+const startsPerID = 2
 
-// startOf names one start of a target.
-func startOf(target *platformstub.Target) string {
+// incarnationID identifies one start of a target.
+func incarnationID(target *platformstub.Target) string {
 	return fmt.Sprintf("%s@%d", target.ID, target.Born)
 }
 
@@ -185,56 +185,56 @@
 func (m *machine) startTarget() error {
 	m.incarnation++
 	target := &platformstub.Target{
-		ID:      fmt.Sprintf("i-%s-%d", m.name, (m.incarnation+1)/startsOfID),
+		ID:      fmt.Sprintf("i-%s-%d", m.name, (m.incarnation+1)/startsPerID),
 		Service: m.service,
-		Address: m.target,
-		Control: m.control,
+		Address: m.targetAddress,
+		Control: m.heartbeatAddress,
 		Zone:    m.zone,
-		Work:    targetWork * time.Duration(1+m.number%workSpread),
-		OnEnd:   func() { time.AfterFunc(targetAway, m.onEnd) },
+		Work:    minServiceTime * time.Duration(1+m.number%serviceTimeSpread),
+		OnEnd:   func() { time.AfterFunc(targetRestartDelay, m.onTargetCrash) },
 	}
-	target.SetFaults(platformstub.TargetFaults{EndsUnder: deadlyPath(m.service)})
+	target.SetFaults(platformstub.TargetFaults{EndsUnder: crashPath(m.service)})
 	ctx, cancel := context.WithCancel(context.Background())
 	if err := target.Start(ctx); err != nil {
 		cancel()
-		return oops.In("soak").With("step", "start target").With("peer", m.target).Wrap(err)
+		return oops.In("soak").With("step", "start target").With("peer", m.targetAddress).Wrap(err)
 	}
-	m.current, m.stopTarget = target, cancel
+	m.currentTarget, m.stopTarget = target, cancel
 	m.targets = append(m.targets, target)
 	return nil
 }
 
 const (
-	readyTimeout = 20 * time.Second
-	readyPause   = 50 * time.Millisecond
+	readyTimeout      = 20 * time.Second
+	readyPollInterval = 50 * time.Millisecond
 )
 
 func (m *machine) awaitReady(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	for ctx.Err() == nil {
-		response, err := http.Get("http://" + m.ready + "/ready")
+		response, err := http.Get("http://" + m.readyAddress + "/ready")
 		if err == nil {
 			_ = response.Body.Close()
 			if response.StatusCode == http.StatusOK {
 				return nil
 			}
 		}
-		pause.For(ctx, readyPause)
+		pause.For(ctx, readyPollInterval)
 	}
 	return oops.In("soak").With("step", "await ready").With("peer", m.name).Errorf("%s is not ready within %s", m.name, readyTimeout)
 }
 
-// links returns the machine's proxies.
-func (m *machine) links() []*faultproxy.Proxy {
-	return []*faultproxy.Proxy{m.toStore, m.toPeers, m.toTarget}
+// proxies returns the machine's proxies.
+func (m *machine) proxies() []*faultproxy.Proxy {
+	return []*faultproxy.Proxy{m.storeProxy, m.peerProxy, m.targetProxy}
 }
 
-// stop ends everything that the deployment started.
+// stop stops everything that the deployment started.
 func (d *deployment) stop() error {
 	var failures []error
 	for _, m := range d.machines {
-		m.stopped.Store(true)
+		m.stopping.Store(true)
 		if m.process != nil {
 			m.process.Resume()
 			m.process.Kill()
@@ -242,11 +242,11 @@
 		if m.stopTarget != nil {
 			m.stopTarget()
 		}
-		for _, link := range m.links() {
+		for _, link := range m.proxies() {
 			if link != nil {
 				failures = append(failures, link.Close())
 			}
 		}
 	}
-	return errors.Join(append(failures, d.server.Close())...)
+	return errors.Join(append(failures, d.storeServer.Close())...)
 }
--- a/lab/soak/inject.go
+++ b/lab/soak/inject.go
@@ -13,36 +13,37 @@
 )
 
 const (
-	// restartPause is how long a process that ended stays away.
-	restartPause = 300 * time.Millisecond
-	// drainTime is how long a target that leaves serves on.
-	drainTime = 2500 * time.Millisecond
-	// ackTries bounds how often a target says that it leaves.
-	ackTries = 5
-	ackPause = 300 * time.Millisecond
-	// lateBeats is how often a held-up heartbeat is sent to a node that started.
-	lateBeats = 5
-	slowLink  = 250 * time.Millisecond
-	slowWork  = 300 * time.Millisecond
-	// faultEvery is how often a target's answer is lost, spoilt or rejected.
-	faultEvery = 8
-	lateWrites = 1500 * time.Millisecond
-	// deadlyPause is the time between two tries of a deadly request, and deadlyTime for how
-	// long it is sent at least: targets that ended are back and would end again.
-	deadlyPause = 150 * time.Millisecond
-	deadlyTime  = 6 * time.Second
-	// targetAway is how long a target that ended under a request stays away.
-	targetAway = time.Second
+	// restartDelay is the time between the end of a process and its restart.
+	restartDelay = 300 * time.Millisecond
+	// drainDuration is how long a draining target continues to serve.
+	drainDuration = 2500 * time.Millisecond
+	// maxAttempts limits how often a drain notice or the start of a target is tried.
+	maxAttempts     = 5
+	attemptInterval = 300 * time.Millisecond
+	// staleHeartbeats is the number of delayed heartbeats sent to a restarted node.
+	staleHeartbeats  = 5
+	linkDelay        = 250 * time.Millisecond
+	extraServiceTime = 300 * time.Millisecond
+	// Response faults affect every responseFaultInterval-th request at a target.
+	responseFaultInterval = 8
+	writeDelay            = 1500 * time.Millisecond
+	// crashingRequestInterval is the time between two sends of a crashing request.
+	// It is sent for at least minCrashingDuration, so that crashed targets have
+	// restarted and could crash again.
+	crashingRequestInterval = 150 * time.Millisecond
+	minCrashingDuration     = 6 * time.Second
+	// targetRestartDelay is the time between the crash of a target and its restart.
+	targetRestartDelay = time.Second
 )
 
-// injector carries out a schedule. A fault whose machine, or the store, is
-// struck already is skipped.
+// injector carries out a schedule. A fault is skipped while another fault
+// affects the same machine, or the store.
 type injector struct {
-	deployment *deployment
-	recorder   *recorder
-	machines   []sync.Mutex
-	store      sync.Mutex
-	copies     copies
+	deployment   *deployment
+	recorder     *recorder
+	machineLocks []sync.Mutex
+	storeLock    sync.Mutex
+	backups      backups
 
 	callers      *callers
 	versionMutex sync.Mutex
@@ -50,39 +51,39 @@
 }
 
 func newInjector(d *deployment, r *recorder, c *callers) *injector {
-	i := &injector{deployment: d, recorder: r, callers: c, machines: make([]sync.Mutex, len(d.machines)), version: 1}
+	i := &injector{deployment: d, recorder: r, callers: c, machineLocks: make([]sync.Mutex, len(d.machines)), version: 1}
 	for machine := range d.machines {
-		d.machines[machine].onEnd = func() { i.replaceEnded(machine) }
+		d.machines[machine].onTargetCrash = func() { i.replaceCrashedTarget(machine) }
 	}
 	return i
 }
 
-// replaceEnded starts a target in the place of one that ended under a request, unless
-// another fault does so.
-func (i *injector) replaceEnded(machine int) {
-	i.machines[machine].Lock()
-	defer i.machines[machine].Unlock()
+// replaceCrashedTarget replaces a target that crashed, unless another fault has
+// replaced it already.
+func (i *injector) replaceCrashedTarget(machine int) {
+	i.machineLocks[machine].Lock()
+	defer i.machineLocks[machine].Unlock()
 	m := i.deployment.machines[machine]
-	if m.stopped.Load() || !m.current.Ended() {
+	if m.stopping.Load() || !m.currentTarget.Ended() {
 		return
 	}
 	m.stopTarget()
 	i.replaceTarget(m)
 }
 
-// sendDeadly sends one request that ends targets by all machines in turn.
-func (i *injector) sendDeadly(ctx context.Context, fault Fault) {
-	var sent sync.WaitGroup
-	defer sent.Wait()
-	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callDeadline + callPatience}
-	path := deadlyPath(services[fault.Machine%len(services)])
-	for until := time.Now().Add(fault.For + deadlyTime); time.Now().Before(until) && ctx.Err() == nil; pause.For(ctx, deadlyPause) {
-		request := i.callers.deadly(path)
-		sent.Go(func() { i.callers.send(client, request) })
+// sendCrashingRequests repeats a request that crashes its target through all machines in turn.
+func (i *injector) sendCrashingRequests(ctx context.Context, fault Fault) {
+	var running sync.WaitGroup
+	defer running.Wait()
+	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: callDeadline + responseGrace}
+	path := crashPath(services[fault.Machine%len(services)])
+	for until := time.Now().Add(fault.For + minCrashingDuration); time.Now().Before(until) && ctx.Err() == nil; pause.For(ctx, crashingRequestInterval) {
+		request := i.callers.newCrashingRequest(path)
+		running.Go(func() { i.callers.send(client, request) })
 	}
 }
 
-// run carries the schedule out and waits for the ends of all faults.
+// run carries out the schedule and waits until all faults have ended.
 func (i *injector) run(ctx context.Context, schedule []Fault) {
 	start := time.Now()
 	var running sync.WaitGroup
@@ -98,60 +99,60 @@
 
 func (i *injector) inject(ctx context.Context, fault Fault) {
 	switch fault.Kind {
-	case StoreDown, StoreThrottled, StoreLostWrites, StoreLateWrites, StoreForgets:
-		i.strikeStore(ctx, fault)
+	case StoreDown, StoreThrottled, StoreWriteResponsesLost, StoreWritesDelayed, StoreWatchesExpired:
+		i.injectStoreFault(ctx, fault)
 	case StoreRestored:
 		i.restore(ctx, fault)
 	case KillAll:
 		i.killAll()
 	case Configure:
 		i.configure(ctx)
-	case DeadlyRequest:
-		i.sendDeadly(ctx, fault)
+	case CrashingRequest:
+		i.sendCrashingRequests(ctx, fault)
 	default:
-		i.strikeMachine(ctx, fault)
+		i.injectMachineFault(ctx, fault)
 	}
 }
 
 var storeFaults = map[Kind]platformstub.Faults{
-	StoreDown:       {Down: true},
-	StoreThrottled:  {Throttled: true},
-	StoreLostWrites: {LoseWriteAnswers: true},
-	StoreLateWrites: {LateWrites: lateWrites},
-	StoreForgets:    {Forgotten: true},
+	StoreDown:               {Down: true},
+	StoreThrottled:          {Throttled: true},
+	StoreWriteResponsesLost: {LoseWriteAnswers: true},
+	StoreWritesDelayed:      {LateWrites: writeDelay},
+	StoreWatchesExpired:     {Forgotten: true},
 }
 
-func (i *injector) strikeStore(ctx context.Context, fault Fault) {
-	if !i.store.TryLock() {
-		i.recorder.skip()
+func (i *injector) injectStoreFault(ctx context.Context, fault Fault) {
+	if !i.storeLock.TryLock() {
+		i.recorder.addSkipped()
 		return
 	}
-	defer i.store.Unlock()
-	end := i.recorder.begin(everyMachine, false)
+	defer i.storeLock.Unlock()
+	end := i.recorder.beginDisturbance(allMachines, false)
 	defer end()
-	i.deployment.stub.SetFaults(storeFaults[fault.Kind])
+	i.deployment.storeStub.SetFaults(storeFaults[fault.Kind])
 	pause.For(ctx, fault.For)
-	i.deployment.stub.SetFaults(platformstub.Faults{})
+	i.deployment.storeStub.SetFaults(platformstub.Faults{})
 }
 
-// configure writes the next version. The lock is held, so that versions are
-// acknowledged in order.
+// configure writes the next version. It holds the lock during the write so that
+// versions are acknowledged in order.
 func (i *injector) configure(ctx context.Context) {
 	i.versionMutex.Lock()
 	defer i.versionMutex.Unlock()
 	sent := time.Now()
 	if i.deployment.writeConfiguration(ctx, i.version+1) == nil {
 		i.version++
-		i.recorder.configured(i.version, sent)
+		i.recorder.addVersion(i.version, sent)
 	}
 }
 
-func (i *injector) strikeMachine(ctx context.Context, fault Fault) {
-	if !i.machines[fault.Machine].TryLock() {
-		i.recorder.skip()
+func (i *injector) injectMachineFault(ctx context.Context, fault Fault) {
+	if !i.machineLocks[fault.Machine].TryLock() {
+		i.recorder.addSkipped()
 		return
 	}
-	defer i.machines[fault.Machine].Unlock()
+	defer i.machineLocks[fault.Machine].Unlock()
 	m := i.deployment.machines[fault.Machine]
 	switch fault.Kind {
 	case Kill:
@@ -169,45 +170,45 @@
 		m.stopTarget()
 		pause.For(ctx, fault.For)
 		i.replaceTarget(m)
-	case AnswersLost, AnswersSpoilt, TargetRejects, TargetSlow:
-		i.strikeTarget(ctx, m, fault)
+	case ResponsesLost, ResponsesTruncated, TargetRejects, TargetSlow:
+		i.injectTargetFault(ctx, m, fault)
 	default:
-		i.strikeLink(ctx, fault)
+		i.injectLinkFault(ctx, fault)
 	}
 }
 
 func (i *injector) kill(machine int) {
-	end := i.recorder.begin(machine, false)
+	end := i.recorder.beginDisturbance(machine, false)
 	defer end()
 	i.deployment.machines[machine].process.Kill()
-	time.Sleep(restartPause)
+	time.Sleep(restartDelay)
 	i.restart(machine)
 }
 
 func (i *injector) restart(machine int) {
-	i.recorder.started(machine)
+	i.recorder.addStart(machine)
 	if err := i.deployment.machines[machine].startNode(); err != nil {
-		i.recorder.endedByItself(err.Error())
+		i.recorder.addFailure(err.Error())
 	}
 }
 
 func (i *injector) killAll() {
-	var group sync.WaitGroup
+	var running sync.WaitGroup
 	for machine := range i.deployment.machines {
-		if !i.machines[machine].TryLock() {
-			i.recorder.skip()
+		if !i.machineLocks[machine].TryLock() {
+			i.recorder.addSkipped()
 			continue
 		}
-		group.Go(func() {
-			defer i.machines[machine].Unlock()
+		running.Go(func() {
+			defer i.machineLocks[machine].Unlock()
 			i.kill(machine)
 		})
 	}
-	group.Wait()
+	running.Wait()
 }
 
 func (i *injector) freeze(ctx context.Context, fault Fault) {
-	end := i.recorder.begin(fault.Machine, false)
+	end := i.recorder.beginDisturbance(fault.Machine, false)
 	defer end()
 	process := i.deployment.machines[fault.Machine].process
 	process.Freeze()
@@ -215,116 +216,116 @@
 	process.Resume()
 }
 
-// terminate stops a node as planned and starts it again.
+// terminate stops a node gracefully and restarts it.
 func (i *injector) terminate(machine int) {
-	end := i.recorder.begin(machine, true)
+	end := i.recorder.beginDisturbance(machine, true)
 	defer end()
 	m := i.deployment.machines[machine]
-	if err := m.process.Stop(graceTime); err != nil {
-		i.recorder.endedByItself(fmt.Sprintf("planned stop: %v", err))
+	if err := m.process.Stop(gracePeriod); err != nil {
+		i.recorder.addFailure(fmt.Sprintf("planned stop: %v", err))
 	}
-	time.Sleep(restartPause)
+	time.Sleep(restartDelay)
 	i.restart(machine)
 }
 
-// drain has the machine's target leave, and a new one take its place.
+// drain drains the machine's target and replaces it.
 func (i *injector) drain(ctx context.Context, fault Fault) {
 	m := i.deployment.machines[fault.Machine]
-	for range ackTries {
-		if m.current.Drain(ctx) == nil {
-			i.recorder.drained(startOf(m.current))
+	for range maxAttempts {
+		if m.currentTarget.Drain(ctx) == nil {
+			i.recorder.addDrain(incarnationID(m.currentTarget))
 			break
 		}
-		pause.For(ctx, ackPause)
+		pause.For(ctx, attemptInterval)
 	}
 	if fault.Kind == DrainAndKill {
-		m.current.Silence()
+		m.currentTarget.Silence()
 		i.kill(fault.Machine)
-		i.beatLate(ctx, m.current)
+		i.sendStaleHeartbeats(ctx, m.currentTarget)
 	}
-	pause.For(ctx, drainTime+fault.For)
-	if m.current.Leave(ctx) == nil {
-		i.recorder.drained(startOf(m.current))
+	pause.For(ctx, drainDuration+fault.For)
+	if m.currentTarget.Leave(ctx) == nil {
+		i.recorder.addDrain(incarnationID(m.currentTarget))
 	}
 	m.stopTarget()
 	i.replaceTarget(m)
 }
 
-// beatLate sends a heartbeat from before the leave to the node that has just
-// started, which no longer knows the target of itself.
-func (i *injector) beatLate(ctx context.Context, target *platformstub.Target) {
-	for range lateBeats {
-		pause.For(ctx, ackPause)
+// sendStaleHeartbeats sends heartbeats from before the drain to the restarted node,
+// which has lost its in-memory state of the target.
+func (i *injector) sendStaleHeartbeats(ctx context.Context, target *platformstub.Target) {
+	for range staleHeartbeats {
+		pause.For(ctx, attemptInterval)
 		_ = target.Late(ctx)
 	}
 }
 
 func (i *injector) replaceTarget(m *machine) {
-	for range ackTries {
+	for range maxAttempts {
 		if m.startTarget() == nil {
 			return
 		}
-		time.Sleep(ackPause)
+		time.Sleep(attemptInterval)
 	}
-	i.recorder.endedByItself("the stand-in of the target at " + m.name + " did not start")
+	i.recorder.addFailure("the target stub at " + m.name + " did not start")
 }
 
 var targetFaults = map[Kind]platformstub.TargetFaults{
-	AnswersLost:   {LoseEvery: faultEvery},
-	AnswersSpoilt: {SpoilEvery: faultEvery},
-	TargetRejects: {RejectEvery: faultEvery},
-	TargetSlow:    {Slow: slowWork},
+	ResponsesLost:      {LoseEvery: responseFaultInterval},
+	ResponsesTruncated: {SpoilEvery: responseFaultInterval},
+	TargetRejects:      {RejectEvery: responseFaultInterval},
+	TargetSlow:         {Slow: extraServiceTime},
 }
 
-func (i *injector) strikeTarget(ctx context.Context, m *machine, fault Fault) {
+func (i *injector) injectTargetFault(ctx context.Context, m *machine, fault Fault) {
 	faults := targetFaults[fault.Kind]
-	faults.EndsUnder = deadlyPath(m.service)
-	m.current.SetFaults(faults)
+	faults.EndsUnder = crashPath(m.service)
+	m.currentTarget.SetFaults(faults)
 	pause.For(ctx, fault.For)
-	m.current.SetFaults(platformstub.TargetFaults{EndsUnder: deadlyPath(m.service)})
+	m.currentTarget.SetFaults(platformstub.TargetFaults{EndsUnder: crashPath(m.service)})
 }
 
-// linkFault says what a kind does to a link of a machine.
+// linkFault is the effect of a fault kind on one proxy of a machine.
 type linkFault struct {
-	link                 func(*machine) *faultproxy.Proxy
+	proxy                func(*machine) *faultproxy.Proxy
 	toUpstream, toClient faultproxy.Faults
 }
 
-func toStore(m *machine) *faultproxy.Proxy  { return m.toStore }
-func toPeers(m *machine) *faultproxy.Proxy  { return m.toPeers }
-func toTarget(m *machine) *faultproxy.Proxy { return m.toTarget }
+func storeProxy(m *machine) *faultproxy.Proxy  { return m.storeProxy }
+func peerProxy(m *machine) *faultproxy.Proxy   { return m.peerProxy }
+func targetProxy(m *machine) *faultproxy.Proxy { return m.targetProxy }
 
 var (
-	silenced = faultproxy.Faults{Cut: faultproxy.CutBlackhole}
-	reset    = faultproxy.Faults{Cut: faultproxy.CutReset}
-	delayed  = faultproxy.Faults{Latency: slowLink, Jitter: slowLink}
-	passing  = faultproxy.Faults{}
+	blackholed = faultproxy.Faults{Cut: faultproxy.CutBlackhole}
+	reset      = faultproxy.Faults{Cut: faultproxy.CutReset}
+	delayed    = faultproxy.Faults{Latency: linkDelay, Jitter: linkDelay}
+	unaffected = faultproxy.Faults{}
 )
 
 var linkFaults = map[Kind]linkFault{
-	StoreCut:    {toStore, silenced, silenced},
-	StoreReset:  {toStore, reset, reset},
-	StoreOneWay: {toStore, passing, silenced},
-	StoreSlow:   {toStore, delayed, delayed},
-	PeerCut:     {toPeers, silenced, silenced},
-	PeerReset:   {toPeers, reset, reset},
-	PeerOneWay:  {toPeers, passing, silenced},
-	PeerSlow:    {toPeers, delayed, delayed},
-	TargetReset: {toTarget, reset, reset},
+	StoreCut:    {storeProxy, blackholed, blackholed},
+	StoreReset:  {storeProxy, reset, reset},
+	StoreOneWay: {storeProxy, unaffected, blackholed},
+	StoreSlow:   {storeProxy, delayed, delayed},
+	PeerCut:     {peerProxy, blackholed, blackholed},
+	PeerReset:   {peerProxy, reset, reset},
+	PeerOneWay:  {peerProxy, unaffected, blackholed},
+	PeerSlow:    {peerProxy, delayed, delayed},
+	TargetReset: {targetProxy, reset, reset},
 }
 
-func (i *injector) strikeLink(ctx context.Context, fault Fault) {
-	struck, known := linkFaults[fault.Kind]
+func (i *injector) injectLinkFault(ctx context.Context, fault Fault) {
+	effect, known := linkFaults[fault.Kind]
 	if !known {
-		i.recorder.endedByItself("no fault of kind " + string(fault.Kind))
+		i.recorder.addFailure("unknown fault kind " + string(fault.Kind))
 		return
 	}
-	end := i.recorder.begin(fault.Machine, false)
+	end := i.recorder.beginDisturbance(fault.Machine, false)
 	defer end()
-	link := struck.link(i.deployment.machines[fault.Machine])
-	if err := link.SetFaults(struck.toUpstream, struck.toClient); err != nil {
-		i.recorder.endedByItself(err.Error())
+	proxy := effect.proxy(i.deployment.machines[fault.Machine])
+	if err := proxy.SetFaults(effect.toUpstream, effect.toClient); err != nil {
+		i.recorder.addFailure(err.Error())
 	}
 	pause.For(ctx, fault.For)
-	link.Clear()
+	proxy.Clear()
 }
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -9,61 +9,61 @@
 	"github.com/lugspur/lugspur/lab/platformstub"
 )
 
-// Bounds within which the promises hold, as the platform sets them.
+// Bounds of the guarantees, as the platform sets them.
 const (
-	// contactTime is how long a machine must have been undisturbed for a promise
-	// with a time bound.
-	contactTime = 3 * time.Second
-	// applyTime is within what a version is in force after its acknowledgement.
-	applyTime = 2 * time.Second
-	// rollbackSlack is how long after the first effect of a version older ones may
-	// still show.
+	// quietPeriod is how long a machine must have been undisturbed before
+	// guarantees with a time bound are checked.
+	quietPeriod = 3 * time.Second
+	// applyBound is the maximum time from a version's acknowledgement until it is in force.
+	applyBound = 2 * time.Second
+	// rollbackSlack is how long older versions may still be observed after the first
+	// effect of a version.
 	rollbackSlack = 250 * time.Millisecond
-	// drainBound is within what a target that leaves gets no more requests.
+	// drainBound is the time after which a draining target gets no new requests.
 	drainBound = 2 * time.Second
-	// deadlineSlack is how much longer than the caller's time a target's may be.
+	// deadlineSlack is how far a target's deadline may exceed the caller's.
 	deadlineSlack = 10 * time.Millisecond
-	// answerSlack is how long after the deadline an answer may come.
-	answerSlack = 500 * time.Millisecond
-	// recoveredShare is the part of the requests that are served at the end.
-	recoveredShare = 0.95
-	// provingRuns is the number of targets that must have ended under a request, and
-	// maxLateRuns that of those it may reach contactTime after the last of these.
-	provingRuns = 3
-	maxLateRuns = 3
+	// responseSlack is how long after the deadline a response may arrive.
+	responseSlack = 500 * time.Millisecond
+	// minServedShare is the minimum share of requests that succeed after recovery.
+	minServedShare = 0.95
+	// After crashThreshold targets have crashed under a request, it may reach at most
+	// maxLateRuns more targets later than quietPeriod after the last of these crashes.
+	crashThreshold = 3
+	maxLateRuns    = 3
 )
 
-// Promise names what a run is held against.
+// Promise names a guarantee that a run is checked against.
 type Promise string
 
 // The promises.
 const (
-	WholeAnswers  Promise = "whole and own answers"
-	AtMostOnce    Promise = "at most once"
-	NotRun        Promise = "refused means not run"
-	NoWorkLeaving Promise = "a leaving target gets no new work"
-	InForce       Promise = "a configuration is in force within its time"
-	NeverOlder    Promise = "no older configuration"
-	NoCuts        Promise = "every request gets an answer"
-	OnlyAsked     Promise = "only what was asked runs, where it may"
-	InTime        Promise = "deadlines are kept"
-	Recovers      Promise = "service recovers"
-	FewEnds       Promise = "a request that ends its targets is stopped"
-	Lives         Promise = "no process ends by itself"
-	OwnTenant     Promise = "targets are told the tenant and no key"
-	KeysEnd       Promise = "a key that was taken away stops to work"
-	KeysWork      Promise = "a key that is held works"
-	WithinLimits  Promise = "no tenant passes its limit"
+	IntactResponses      Promise = "whole and own answers"
+	AtMostOnce           Promise = "at most once"
+	RefusedNotExecuted   Promise = "refused means not run"
+	NoWorkAfterDrain     Promise = "a leaving target gets no new work"
+	ConfigurationInForce Promise = "a configuration is in force within its time"
+	NoRollback           Promise = "no older configuration"
+	EveryRequestAnswered Promise = "every request gets an answer"
+	OnlySentRequests     Promise = "only what was asked runs, where it may"
+	DeadlinesKept        Promise = "deadlines are kept"
+	ServiceRecovers      Promise = "service recovers"
+	CrashesContained     Promise = "a request that ends its targets is stopped"
+	NoUnexpectedExit     Promise = "no process ends by itself"
+	TenantIdentity       Promise = "targets are told the tenant and no key"
+	RevokedKeysRejected  Promise = "a key that was taken away stops to work"
+	ValidKeysAccepted    Promise = "a key that is held works"
+	WithinLimits         Promise = "no tenant passes its limit"
 )
 
-// Breach is a promise that was broken.
+// Breach is a violation of a guarantee.
 type Breach struct {
 	Promise Promise `json:"promise"`
 	Request string  `json:"request,omitempty"`
 	Detail  string  `json:"detail"`
 }
 
-// judgement holds a run against the promises.
+// judgement checks a run against the guarantees.
 type judgement struct {
 	recorder *recorder
 	runs     map[string][]targetRun
@@ -71,14 +71,14 @@
 	breaches []Breach
 }
 
-// targetRun is a request that a target ran.
+// targetRun is an execution of a request at a target.
 type targetRun struct {
 	platformstub.Run
 	target *platformstub.Target
 }
 
-// judge returns every breach. Requests sent from recovered on show whether
-// service has recovered.
+// judge returns all breaches. Requests sent after recovered show whether service
+// has recovered.
 func judge(recorder *recorder, machines []*machine, recovered time.Time) []Breach {
 	j := &judgement{recorder: recorder, machines: machines, runs: make(map[string][]targetRun)}
 	for _, m := range machines {
@@ -88,28 +88,28 @@
 			}
 		}
 	}
-	known := make(map[string]*Request, len(recorder.requests))
+	byID := make(map[string]*Request, len(recorder.requests))
 	for index := range recorder.requests {
 		request := &recorder.requests[index]
-		known[request.ID] = request
-		j.judgeAnswer(request)
-		j.judgeConnection(request)
+		byID[request.ID] = request
+		j.judgeResponse(request)
+		j.judgeCompletion(request)
 		j.judgeVersion(request)
 		j.judgeKey(request)
 	}
-	j.judgeRuns(known)
-	j.judgeTenants(known)
+	j.judgeRuns(byID)
+	j.judgeTenants(byID)
 	j.judgeDrains()
-	j.judgeRegressions()
-	j.judgeDeadly(known)
+	j.judgeRollbacks()
+	j.judgeCrashes(byID)
 	j.judgeRecovery(recovered)
-	for _, name := range recorder.ownEnds {
-		j.broken(Lives, nil, "%s", name)
+	for _, detail := range recorder.failures {
+		j.addBreach(NoUnexpectedExit, nil, "%s", detail)
 	}
 	return j.breaches
 }
 
-func (j *judgement) broken(promise Promise, request *Request, format string, arguments ...any) {
+func (j *judgement) addBreach(promise Promise, request *Request, format string, arguments ...any) {
 	breach := Breach{Promise: promise, Detail: fmt.Sprintf(format, arguments...)}
 	if request != nil {
 		breach.Request = request.ID
@@ -119,12 +119,13 @@
 	j.breaches = append(j.breaches, breach)
 }
 
-// undisturbed reports whether the machine was in touch from contactTime before
-// the first time to the second. Planned work may be left out of account.
-func (j *judgement) undisturbed(machine int, from, to time.Time, plannedToo bool) bool {
-	from = from.Add(-contactTime)
+// undisturbed reports whether no disturbance affected the machine in the interval
+// that begins quietPeriod before from and ends at to. Planned disturbances count
+// only with includePlanned.
+func (j *judgement) undisturbed(machine int, from, to time.Time, includePlanned bool) bool {
+	from = from.Add(-quietPeriod)
 	for _, d := range j.recorder.disturbances {
-		if d.machine != machine && d.machine != everyMachine || d.planned && !plannedToo {
+		if d.machine != machine && d.machine != allMachines || d.planned && !includePlanned {
 			continue
 		}
 		if d.from.Before(to) && (d.to.IsZero() || d.to.After(from)) {
@@ -134,54 +135,55 @@
 	return true
 }
 
-// judgeAnswer checks that an answer is the request's own and true.
-func (j *judgement) judgeAnswer(r *Request) {
+// judgeResponse checks that a response is intact and belongs to the request.
+func (j *judgement) judgeResponse(r *Request) {
 	switch {
 	case strings.HasPrefix(r.Failure, "answer to "):
-		j.broken(WholeAnswers, r, "another request's answer")
+		j.addBreach(IntactResponses, r, "response to another request")
 	case r.Status == 200 && r.Signature == "":
-		j.broken(WholeAnswers, r, "a success without signature")
+		j.addBreach(IntactResponses, r, "success without a signature")
 	case r.Status == 200 && !strings.HasSuffix(r.Body, " "+r.ID):
-		j.broken(WholeAnswers, r, "body %q", r.Body)
+		j.addBreach(IntactResponses, r, "body %q", r.Body)
 	}
-	if r.once() && (r.Status == 429 || r.Status == 503) && len(j.runs[r.ID]) > 0 {
-		j.broken(NotRun, r, "it ran at %s", j.runs[r.ID][0].target.ID)
+	if r.nonIdempotent() && (r.Status == 429 || r.Status == 503) && len(j.runs[r.ID]) > 0 {
+		j.addBreach(RefusedNotExecuted, r, "it ran at %s", j.runs[r.ID][0].target.ID)
 	}
 }
 
-// judgeConnection checks that a request got an answer, in time.
-func (j *judgement) judgeConnection(r *Request) {
-	late := r.Ended.Sub(r.Sent) > r.Deadline+answerSlack
+// judgeCompletion checks that a request got a response no later than
+// responseSlack after its deadline.
+func (j *judgement) judgeCompletion(r *Request) {
+	late := r.Ended.Sub(r.Sent) > r.Deadline+responseSlack
 	if late && j.undisturbed(r.Machine, r.Sent, r.Ended, true) {
-		j.broken(InTime, r, "answered after %s", r.Ended.Sub(r.Sent))
+		j.addBreach(DeadlinesKept, r, "response after %s", r.Ended.Sub(r.Sent))
 	}
 	if r.Status != 0 || late || !r.Connected {
 		return
 	}
-	// A request may cross the close of a kept connection if nothing ran.
-	crossed := r.Reused && len(j.runs[r.ID]) == 0
-	if !crossed && j.undisturbed(r.Machine, r.Sent, r.Ended, false) {
-		j.broken(NoCuts, r, "the connection ended without answer")
+	// A request may race with the close of an idle pooled connection if it did not run.
+	raced := r.Reused && len(j.runs[r.ID]) == 0
+	if !raced && j.undisturbed(r.Machine, r.Sent, r.Ended, false) {
+		j.addBreach(EveryRequestAnswered, r, "the connection closed without a response")
 	}
 }
 
-// judgeVersion checks that a request which only one version allows was handled
-// by the version that must be in force.
+// judgeVersion checks that a request that only one version allows was handled by
+// the version that must be in force.
 func (j *judgement) judgeVersion(r *Request) {
 	if r.Version == 0 || !j.undisturbed(r.Machine, r.Sent, r.Sent, true) {
 		return
 	}
-	newest, next := j.versionsAt(r.Sent.Add(-applyTime), r.Ended)
+	newest, next := j.versionsAt(r.Sent.Add(-applyBound), r.Ended)
 	switch {
 	case r.Version == newest && next == newest && r.Status == 404:
-		j.broken(InForce, r, "version %d is not in force", newest)
+		j.addBreach(ConfigurationInForce, r, "version %d is not in force", newest)
 	case r.Version < newest && r.Status == 200:
-		j.broken(InForce, r, "version %d is still in force after version %d", r.Version, newest)
+		j.addBreach(ConfigurationInForce, r, "version %d is still in force after version %d", r.Version, newest)
 	}
 }
 
-// versionsAt returns the newest version that was acknowledged by the first time
-// and the newest that was sent by the second.
+// versionsAt returns the newest version acknowledged before the first time and the
+// newest version sent before the second.
 func (j *judgement) versionsAt(acknowledged, sent time.Time) (int, int) {
 	newest, next := 1, 1
 	for _, v := range j.recorder.versions {
@@ -195,16 +197,16 @@
 	return newest, next
 }
 
-// judgeRuns checks everything that targets ran.
-func (j *judgement) judgeRuns(known map[string]*Request) {
+// judgeRuns checks all executions at targets.
+func (j *judgement) judgeRuns(byID map[string]*Request) {
 	for id, runs := range j.runs {
-		request := known[id]
+		request := byID[id]
 		if request == nil {
-			j.broken(OnlyAsked, nil, "%s ran %q, which nobody sent", runs[0].target.ID, id)
+			j.addBreach(OnlySentRequests, nil, "%s ran %q, which no caller sent", runs[0].target.ID, id)
 			continue
 		}
-		if request.once() && len(runs) > 1 {
-			j.broken(AtMostOnce, request, "it ran %d times", len(runs))
+		if request.nonIdempotent() && len(runs) > 1 {
+			j.addBreach(AtMostOnce, request, "it ran %d times", len(runs))
 		}
 		for _, run := range runs {
 			j.judgeRun(request, run)
@@ -216,17 +218,17 @@
 	service := serviceOf(request)
 	switch {
 	case run.Path != request.Path || run.Method != request.Method:
-		j.broken(OnlyAsked, request, "%s ran %s %s", run.target.ID, run.Method, run.Path)
+		j.addBreach(OnlySentRequests, request, "%s ran %s %s", run.target.ID, run.Method, run.Path)
 	case run.target.Service != service:
-		j.broken(OnlyAsked, request, "service %s ran it", run.target.Service)
+		j.addBreach(OnlySentRequests, request, "service %s ran it", run.target.Service)
 	case run.Caller != j.machines[request.Machine].service:
-		j.broken(OnlyAsked, request, "the target was told caller %q", run.Caller)
+		j.addBreach(OnlySentRequests, request, "the target received caller %q", run.Caller)
 	case run.Remaining < 0 || run.Remaining > request.Deadline+deadlineSlack:
-		j.broken(InTime, request, "the target was given %s", run.Remaining)
+		j.addBreach(DeadlinesKept, request, "the target received a deadline of %s", run.Remaining)
 	}
 }
 
-// serviceOf returns the service that a request may run at.
+// serviceOf returns the service that must handle a request.
 func serviceOf(r *Request) string {
 	if r.Version > 0 {
 		return services[r.Version%len(services)]
@@ -234,102 +236,102 @@
 	return strings.Split(r.Path, "/")[2]
 }
 
-// judgeDrains checks that targets got nothing new after they said that they
-// leave.
+// judgeDrains checks that targets got no new requests later than drainBound after
+// their drain was acknowledged.
 func (j *judgement) judgeDrains() {
 	for _, drained := range j.recorder.drains {
 		bound := drained.at.Add(drainBound)
 		for id, runs := range j.runs {
 			for _, run := range runs {
-				if startOf(run.target) == drained.target && run.At.After(bound) {
-					j.broken(NoWorkLeaving, nil, "%s ran %s %s after its acknowledged leave", drained.target, id, run.At.Sub(drained.at))
+				if incarnationID(run.target) == drained.target && run.At.After(bound) {
+					j.addBreach(NoWorkAfterDrain, nil, "%s ran %s %s after its acknowledged drain", drained.target, id, run.At.Sub(drained.at))
 				}
 			}
 		}
 	}
 }
 
-// judgeRegressions checks that no life of a machine shows a version and later an
-// older one.
-func (j *judgement) judgeRegressions() {
-	type life struct{ machine, number int }
-	byLife := make(map[life][]*Request)
+// judgeRollbacks checks that no incarnation of a machine's process applies an older
+// version after a newer one.
+func (j *judgement) judgeRollbacks() {
+	type incarnation struct{ machine, number int }
+	byIncarnation := make(map[incarnation][]*Request)
 	for index := range j.recorder.requests {
 		r := &j.recorder.requests[index]
 		if r.Version > 0 && r.Status == 200 {
-			key := life{r.Machine, r.Life}
-			byLife[key] = append(byLife[key], r)
+			key := incarnation{r.Machine, r.Incarnation}
+			byIncarnation[key] = append(byIncarnation[key], r)
 		}
 	}
-	for _, requests := range byLife {
+	for _, requests := range byIncarnation {
 		for _, newer := range requests {
 			for _, older := range requests {
 				if older.Version < newer.Version && older.Sent.After(newer.Ended.Add(rollbackSlack)) {
-					j.broken(NeverOlder, older, "version %d after version %d", older.Version, newer.Version)
+					j.addBreach(NoRollback, older, "version %d after version %d", older.Version, newer.Version)
 				}
 			}
 		}
 	}
 }
 
-// judgeRecovery checks that nearly all requests are served once faults are over.
+// judgeRecovery checks that the share of served requests after the faults is at least minServedShare.
 func (j *judgement) judgeRecovery(from time.Time) {
-	served, all := 0, 0
+	served, total := 0, 0
 	for index := range j.recorder.requests {
 		r := &j.recorder.requests[index]
-		other := r.Tenant != "" && r.Tenant != steadyTenant
-		if r.Sent.Before(from) || r.Version > 0 || r.Deadly || other {
+		otherTenant := r.Tenant != "" && r.Tenant != steadyTenant
+		if r.Sent.Before(from) || r.Version > 0 || r.CrashesTarget || otherTenant {
 			continue
 		}
-		all++
+		total++
 		if r.Status == 200 {
 			served++
 		}
 	}
-	if all == 0 || float64(served) < recoveredShare*float64(all) {
-		j.broken(Recovers, nil, "%d of %d requests were served at the end", served, all)
+	if total == 0 || float64(served) < minServedShare*float64(total) {
+		j.addBreach(ServiceRecovers, nil, "%d of %d requests were served at the end", served, total)
 	}
 }
 
-// deadlyRun is a run of a request that ends targets.
-type deadlyRun struct {
+// crashingRun is an execution of a request that crashes its target.
+type crashingRun struct {
 	targetRun
 	request *Request
 	machine int
 }
 
-// judgeDeadly checks that requests which end targets reach no more than a few once three
-// have ended and the nodes had time to learn that.
-func (j *judgement) judgeDeadly(known map[string]*Request) {
-	byPath := make(map[string][]deadlyRun)
+// judgeCrashes checks that requests that crash their target reach at most maxLateRuns
+// targets once three have crashed and the nodes had time to detect this.
+func (j *judgement) judgeCrashes(byID map[string]*Request) {
+	byPath := make(map[string][]crashingRun)
 	for id, runs := range j.runs {
-		request := known[id]
-		if request == nil || !request.Deadly {
+		request := byID[id]
+		if request == nil || !request.CrashesTarget {
 			continue
 		}
 		for _, run := range runs {
-			byPath[request.Path] = append(byPath[request.Path], deadlyRun{targetRun: run, request: request, machine: j.machineOf(run.target)})
+			byPath[request.Path] = append(byPath[request.Path], crashingRun{targetRun: run, request: request, machine: j.machineOf(run.target)})
 		}
 	}
 	for path, runs := range byPath {
-		slices.SortFunc(runs, func(a, b deadlyRun) int { return a.At.Compare(b.At) })
+		slices.SortFunc(runs, func(a, b crashingRun) int { return a.At.Compare(b.At) })
 		late := j.lateRuns(runs)
 		if len(late) > maxLateRuns {
-			j.broken(FewEnds, late[0].request, "%d runs of %s later than %s after the third, %d in all", len(late), path, contactTime, len(runs))
+			j.addBreach(CrashesContained, late[0].request, "%d runs of %s later than %s after the third, %d in all", len(late), path, quietPeriod, len(runs))
 		}
 	}
 }
 
-// lateRuns returns the runs that undisturbed machines made later than contactTime after
-// the third target had ended.
-func (j *judgement) lateRuns(runs []deadlyRun) []deadlyRun {
-	if len(runs) < provingRuns {
+// lateRuns returns the executions on undisturbed machines that began later than
+// quietPeriod after the third target had crashed.
+func (j *judgement) lateRuns(runs []crashingRun) []crashingRun {
+	if len(runs) < crashThreshold {
 		return nil
 	}
-	third := runs[provingRuns-1]
-	from := third.At.Add(third.target.Work + contactTime)
-	var late []deadlyRun
-	for _, run := range runs[provingRuns:] {
+	third := runs[crashThreshold-1]
+	from := third.At.Add(third.target.Work + quietPeriod)
+	var late []crashingRun
+	for _, run := range runs[crashThreshold:] {
 		if run.At.After(from) && j.undisturbed(run.request.Machine, run.At, run.At, true) && j.undisturbed(run.machine, run.At, run.At, true) {
 			late = append(late, run)
 		}
@@ -337,7 +339,7 @@
 	return late
 }
 
-// machineOf returns the number of the machine that a target is on.
+// machineOf returns the index of the machine that runs a target.
 func (j *judgement) machineOf(target *platformstub.Target) int {
 	return slices.IndexFunc(j.machines, func(m *machine) bool { return slices.Contains(m.targets, target) })
 }
--- a/lab/soak/record.go
+++ b/lab/soak/record.go
@@ -5,87 +5,87 @@
 	"time"
 )
 
-// everyMachine stands for all machines in a disturbance.
-const everyMachine = -1
+// allMachines is the machine index of a disturbance that affects all machines.
+const allMachines = -1
 
-// Request is what a caller saw of one request.
+// Request is a request and its result as its caller observed them.
 type Request struct {
 	ID      string `json:"id"`
 	Machine int    `json:"machine"`
-	// Life counts the starts of the machine's process before the request.
-	Life   int    `json:"life"`
-	Method string `json:"method"`
-	Path   string `json:"path"`
-	// Deadly tells that the request ends each target which runs it.
-	Deadly bool `json:"deadly,omitempty"`
-	// Version is that of a request which only one version of the configuration
-	// allows, zero for others.
+	// Incarnation counts the starts of the machine's process before the request.
+	Incarnation int    `json:"life"`
+	Method      string `json:"method"`
+	Path        string `json:"path"`
+	// CrashesTarget is set if the request crashes each target that runs it.
+	CrashesTarget bool `json:"deadly,omitempty"`
+	// Version is the only configuration version that allows the request; zero on
+	// routes that exist in all versions.
 	Version int `json:"version,omitempty"`
-	// Tenant is the holder of the request's API key, empty on routes that need none, and
-	// KeyVersion the version whose key it is if each version has its own.
+	// Tenant is the tenant of the request's API key, empty on public routes. KeyVersion
+	// is the configuration version of the key if each version has its own.
 	Tenant     string        `json:"tenant,omitempty"`
 	KeyVersion int           `json:"key_version,omitempty"`
 	Deadline   time.Duration `json:"deadline_ns"`
 	Sent       time.Time     `json:"sent"`
 	Ended      time.Time     `json:"ended"`
-	// Connected tells that the request got a connection, and Reused that this one
-	// had served others before.
+	// Connected is set if the request got a connection, and Reused if that connection
+	// had served other requests before.
 	Connected bool `json:"connected"`
 	Reused    bool `json:"reused"`
-	// Status is zero without a whole answer; Failure says why.
+	// Status is zero without a complete response; Failure is the reason.
 	Status    int    `json:"status"`
 	Failure   string `json:"failure,omitempty"`
 	Signature string `json:"signature,omitempty"`
 	Body      string `json:"body,omitempty"`
 }
 
-// once reports whether the request must not run twice.
-func (r *Request) once() bool { return r.Method == "POST" }
+// nonIdempotent reports whether the request must run at most once.
+func (r *Request) nonIdempotent() bool { return r.Method == "POST" }
 
-// disturbance is a time in which a machine, or the store for all of them, was
-// struck or worked on.
+// disturbance is a period with a fault or planned work on a machine, or on the
+// store for all machines.
 type disturbance struct {
 	machine  int
 	planned  bool
 	from, to time.Time
 }
 
-// acknowledgedDrain is a target whose leave was acknowledged.
+// acknowledgedDrain is a target whose drain was acknowledged.
 type acknowledgedDrain struct {
 	target string
 	at     time.Time
 }
 
-// acknowledgedVersion is a version of the configuration that the store took.
+// acknowledgedVersion is a configuration version whose write the store acknowledged.
 type acknowledgedVersion struct {
 	version int
-	// sent is when it was written, and at when that was acknowledged.
+	// sent is the time of the write and at the time of its acknowledgement.
 	sent, at time.Time
 }
 
-// recorder holds what happened in a run. It is safe for concurrent use.
+// recorder records the events of a run. It is safe for concurrent use.
 type recorder struct {
 	mutex        sync.Mutex
 	requests     []Request
 	disturbances []disturbance
 	drains       []acknowledgedDrain
 	versions     []acknowledgedVersion
-	lives        map[int]int
-	ownEnds      []string
+	incarnations map[int]int
+	failures     []string
 	skipped      int
 }
 
-func newRecorder() *recorder { return &recorder{lives: make(map[int]int)} }
+func newRecorder() *recorder { return &recorder{incarnations: make(map[int]int)} }
 
-func (r *recorder) request(request Request) {
+func (r *recorder) addRequest(request Request) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.requests = append(r.requests, request)
 }
 
-// begin notes the start of a disturbance. The returned function ends it; until
-// then it counts as lasting.
-func (r *recorder) begin(machine int, planned bool) func() {
+// beginDisturbance records the start of a disturbance, which lasts until the
+// returned function is called.
+func (r *recorder) beginDisturbance(machine int, planned bool) func() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	index := len(r.disturbances)
@@ -97,44 +97,44 @@
 	}
 }
 
-func (r *recorder) drained(target string) {
+func (r *recorder) addDrain(target string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.drains = append(r.drains, acknowledgedDrain{target: target, at: time.Now()})
 }
 
-func (r *recorder) configured(version int, sent time.Time) {
+func (r *recorder) addVersion(version int, sent time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.versions = append(r.versions, acknowledgedVersion{version: version, sent: sent, at: time.Now()})
 }
 
-// newestVersion returns the version acknowledged last.
+// newestVersion returns the last acknowledged version.
 func (r *recorder) newestVersion() int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.versions[len(r.versions)-1].version
 }
 
-func (r *recorder) started(machine int) {
+func (r *recorder) addStart(machine int) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lives[machine]++
+	r.incarnations[machine]++
 }
 
-func (r *recorder) life(machine int) int {
+func (r *recorder) incarnation(machine int) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.lives[machine]
+	return r.incarnations[machine]
 }
 
-func (r *recorder) endedByItself(name string) {
+func (r *recorder) addFailure(detail string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.ownEnds = append(r.ownEnds, name)
+	r.failures = append(r.failures, detail)
 }
 
-func (r *recorder) skip() {
+func (r *recorder) addSkipped() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.skipped++
--- a/lab/soak/restore.go
+++ b/lab/soak/restore.go
@@ -11,54 +11,54 @@
 )
 
 const (
-	// copyPeriod is the time between two copies of the store, and maxCopies how many are
-	// kept: the store comes back from one of the last five seconds.
-	copyPeriod = 500 * time.Millisecond
-	maxCopies  = 10
-	// restoreAway is how long the store is away before it comes back.
-	restoreAway = time.Second
+	// backupInterval is the time between two backups of the store and maxBackups the
+	// number retained: the store is restored to a state of the last five seconds.
+	backupInterval = 500 * time.Millisecond
+	maxBackups     = 10
+	// restoreDowntime is how long the store is down before it is restored.
+	restoreDowntime = time.Second
 )
 
-// copies are those of the store that it may come back from.
-type copies struct {
-	mutex sync.Mutex
-	kept  []*memory.Backup
+// backups holds recent backups of the store.
+type backups struct {
+	mutex  sync.Mutex
+	recent []*memory.Backup
 }
 
-// run copies the store until the context ends.
-func (c *copies) run(ctx context.Context, held *memory.Store) {
+// run takes backups of the store until the context ends.
+func (c *backups) run(ctx context.Context, store *memory.Store) {
 	for ctx.Err() == nil {
 		c.mutex.Lock()
-		c.kept = append(c.kept, held.Backup())
-		c.kept = c.kept[max(0, len(c.kept)-maxCopies):]
+		c.recent = append(c.recent, store.Backup())
+		c.recent = c.recent[max(0, len(c.recent)-maxBackups):]
 		c.mutex.Unlock()
-		pause.For(ctx, copyPeriod)
+		pause.For(ctx, backupInterval)
 	}
 }
 
-// at returns the copy of the given age, the oldest where none is as old.
-func (c *copies) at(age time.Duration) *memory.Backup {
+// at returns the backup of the given age, or the oldest one if none is that old.
+func (c *backups) at(age time.Duration) *memory.Backup {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	back := int(age / copyPeriod)
-	return c.kept[max(0, len(c.kept)-1-back)]
+	offset := int(age / backupInterval)
+	return c.recent[max(0, len(c.recent)-1-offset)]
 }
 
-// restore has the store be away and come back from a copy. The operator writes the newest
-// configuration again before any node is answered.
+// restore stops the store and restores it from a backup. The operator rewrites the
+// newest configuration before the store answers any node.
 func (i *injector) restore(ctx context.Context, fault Fault) {
-	i.store.Lock()
-	defer i.store.Unlock()
-	end := i.recorder.begin(everyMachine, false)
+	i.storeLock.Lock()
+	defer i.storeLock.Unlock()
+	end := i.recorder.beginDisturbance(allMachines, false)
 	defer end()
-	i.deployment.stub.SetFaults(platformstub.Faults{Down: true})
-	pause.For(ctx, restoreAway)
-	copied := i.copies.at(fault.For)
+	i.deployment.storeStub.SetFaults(platformstub.Faults{Down: true})
+	pause.For(ctx, restoreDowntime)
+	backup := i.backups.at(fault.For)
 	i.versionMutex.Lock()
 	defer i.versionMutex.Unlock()
-	i.deployment.stub.Between(func() { i.deployment.held.Restore(copied) })
+	i.deployment.storeStub.Between(func() { i.deployment.store.Restore(backup) })
 	if err := i.deployment.writeConfiguration(ctx, i.version); err != nil {
-		i.recorder.endedByItself("the store's stand-in: " + err.Error())
+		i.recorder.addFailure("the store stub: " + err.Error())
 	}
-	i.deployment.stub.SetFaults(platformstub.Faults{})
+	i.deployment.storeStub.SetFaults(platformstub.Faults{})
 }
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -16,33 +16,33 @@
 	"github.com/lugspur/lugspur/internal/pause"
 )
 
-// Config says what a run consists of.
+// Config configures a run.
 type Config struct {
-	// Program is the node's program.
+	// Program is the path of the node's executable.
 	Program string
-	// Directory takes the settings and logs of the nodes and the run's files.
+	// Directory is where the nodes' settings and logs and the run's files are written.
 	Directory string
 	// Machines is the number of nodes, each with a target.
 	Machines int
 	Seed     uint64
-	// Duration is the time with faults.
+	// Duration is how long faults are injected.
 	Duration time.Duration
-	// Rate is the requests a second of each machine's callers.
+	// Rate is the number of requests per second of each machine's callers.
 	Rate float64
-	// Restores is how often the store comes back from a copy.
+	// Restores is how often the store is restored from a backup.
 	Restores int
 }
 
-// Times of a run.
+// Phases of a run.
 const (
-	// warmTime is before the first fault.
-	warmTime = time.Second
-	// settleTime is after the last fault; its last part, recoveryTime, shows
-	// whether service has recovered.
+	// warmUpTime is the load before the first fault.
+	warmUpTime = time.Second
+	// settleTime is the load after the last fault. Its last part, recoveryTime,
+	// shows whether service has recovered.
 	settleTime   = 8 * time.Second
 	recoveryTime = 3 * time.Second
-	// endPause lets targets finish what callers no longer wait for.
-	endPause = 500 * time.Millisecond
+	// finishDelay lets targets finish requests whose callers have timed out.
+	finishDelay = 500 * time.Millisecond
 )
 
 // Names of the files that a run writes.
@@ -52,20 +52,19 @@
 	ResultFile   = "result.json"
 )
 
-// Result is what came of a run.
+// Result is the result of a run.
 type Result struct {
 	Seed     uint64 `json:"seed"`
 	Machines int    `json:"machines"`
 	Faults   int    `json:"faults"`
-	// Skipped counts faults whose machine or store was struck already.
+	// Skipped counts faults skipped because another fault affected the same machine or store.
 	Skipped  int         `json:"skipped"`
 	Requests int         `json:"requests"`
 	Statuses map[int]int `json:"statuses"`
 	Breaches []Breach    `json:"breaches"`
 }
 
-// Run runs a deployment through the faults of the seed and judges what came of
-// it.
+// Run runs a deployment through the faults of the seed and checks the guarantees.
 func Run(ctx context.Context, config Config) (*Result, error) {
 	schedule := addRestores(NewSchedule(config.Seed, config.Machines, config.Duration), config.Seed, config.Restores, config.Duration)
 	if err := writeJSON(filepath.Join(config.Directory, ScheduleFile), schedule); err != nil {
@@ -76,14 +75,14 @@
 		return nil, err
 	}
 	records := newRecorder()
-	records.configured(1, time.Now())
-	recovered := play(ctx, d, records, schedule)
+	records.addVersion(1, time.Now())
+	recovered := runWorkload(ctx, d, records, schedule)
 	if ctx.Err() != nil {
 		return nil, errors.Join(ctx.Err(), d.stop())
 	}
 	for _, m := range d.machines {
 		if !m.process.Running() {
-			records.endedByItself(m.name + " is not running at the end")
+			records.addFailure(m.name + " is not running at the end")
 		}
 	}
 	if err := d.stop(); err != nil {
@@ -97,27 +96,27 @@
 	return result, errors.Join(writeRequests(config.Directory, records.requests), writeJSON(filepath.Join(config.Directory, ResultFile), result))
 }
 
-// play runs callers and faults and returns the time from which on service must
-// have recovered.
-func play(ctx context.Context, d *deployment, records *recorder, schedule []Fault) time.Time {
-	calling, stopCalling := context.WithCancel(ctx)
-	defer stopCalling()
+// runWorkload runs callers and faults and returns the time by which service must have
+// recovered.
+func runWorkload(ctx context.Context, d *deployment, records *recorder, schedule []Fault) time.Time {
+	callersCtx, stopCallers := context.WithCancel(ctx)
+	defer stopCallers()
 	callers := &callers{deployment: d, recorder: records, rate: d.config.Rate, seed: d.config.Seed}
 	ended := make(chan struct{})
 	go func() {
-		callers.run(calling)
+		callers.run(callersCtx)
 		close(ended)
 	}()
-	pause.For(ctx, warmTime)
+	pause.For(ctx, warmUpTime)
 	injector := newInjector(d, records, callers)
-	go injector.copies.run(calling, d.held)
+	go injector.backups.run(callersCtx, d.store)
 	injector.run(ctx, schedule)
 	pause.For(ctx, settleTime-recoveryTime)
 	recovered := time.Now()
 	pause.For(ctx, recoveryTime)
-	stopCalling()
+	stopCallers()
 	<-ended
-	pause.For(ctx, endPause)
+	pause.For(ctx, finishDelay)
 	return recovered
 }
 
@@ -143,10 +142,10 @@
 	return file.Close()
 }
 
-// maxPrinted bounds the breaches of each promise that are printed.
+// maxPrinted limits the printed breaches of each guarantee.
 const maxPrinted = 5
 
-// WriteText prints the result for a reader.
+// WriteText writes the result as text.
 func (r *Result) WriteText(w io.Writer) {
 	fmt.Fprintf(w, "seed %d: %d machines, %d faults (%d skipped), %d requests\n", r.Seed, r.Machines, r.Faults, r.Skipped, r.Requests)
 	statuses := make([]int, 0, len(r.Statuses))
--- a/lab/soak/schedule.go
+++ b/lab/soak/schedule.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Kind names a fault or planned work.
+// Kind is the kind of a fault or of planned work.
 type Kind string
 
 // The kinds.
@@ -18,14 +18,14 @@
 	Freeze    Kind = "freeze"
 	Terminate Kind = "terminate"
 	// Faults of the store for all machines.
-	StoreDown       Kind = "store-down"
-	StoreThrottled  Kind = "store-throttled"
-	StoreLostWrites Kind = "store-lost-writes"
-	StoreLateWrites Kind = "store-late-writes"
-	StoreForgets    Kind = "store-forgets"
-	// StoreRestored has the store come back from a copy as old as the fault is long.
+	StoreDown               Kind = "store-down"
+	StoreThrottled          Kind = "store-throttled"
+	StoreWriteResponsesLost Kind = "store-lost-writes"
+	StoreWritesDelayed      Kind = "store-late-writes"
+	StoreWatchesExpired     Kind = "store-forgets"
+	// StoreRestored restores the store from a backup whose age is the fault's duration.
 	StoreRestored Kind = "store-restored"
-	// Faults on links of one machine.
+	// Faults on the connections of one machine.
 	StoreCut    Kind = "store-cut"
 	StoreReset  Kind = "store-reset"
 	StoreOneWay Kind = "store-one-way"
@@ -37,40 +37,40 @@
 	TargetSlow  Kind = "target-slow"
 	TargetReset Kind = "target-reset"
 	// Faults of a target.
-	AnswersLost    Kind = "answers-lost"
-	AnswersSpoilt  Kind = "answers-spoilt"
-	TargetRejects  Kind = "target-rejects"
-	TargetReplaced Kind = "target-replaced"
-	// DeadlyRequest sends a request that ends each target which runs it, again and again.
-	DeadlyRequest Kind = "deadly-request"
-	// Drain has a target say that it leaves, DrainAndKill kills the node that
-	// acknowledged it right afterwards.
+	ResponsesLost      Kind = "answers-lost"
+	ResponsesTruncated Kind = "answers-spoilt"
+	TargetRejects      Kind = "target-rejects"
+	TargetReplaced     Kind = "target-replaced"
+	// CrashingRequest repeats a request that crashes each target that runs it.
+	CrashingRequest Kind = "deadly-request"
+	// Drain drains a target; DrainAndKill also kills the node right after it has
+	// acknowledged the drain.
 	Drain        Kind = "drain"
 	DrainAndKill Kind = "drain-and-kill"
-	// Configure changes the configuration, ConfigureAndKill kills a node right
+	// Configure changes the configuration; ConfigureAndKill also kills a node right
 	// afterwards.
 	Configure        Kind = "configure"
 	ConfigureAndKill Kind = "configure-and-kill"
 )
 
-// kinds holds every kind, the frequent ones more than once.
+// kinds lists the kinds that are drawn; frequent ones occur more than once.
 var kinds = []Kind{
-	Kill, KillAll, Freeze, Freeze, Terminate, Terminate, StoreDown, StoreThrottled, StoreLostWrites, StoreLateWrites, StoreForgets, StoreCut, StoreReset, StoreOneWay,
-	StoreSlow, PeerCut, PeerReset, PeerOneWay, PeerSlow, TargetSlow, TargetReset, AnswersLost, AnswersSpoilt, TargetRejects, TargetReplaced, DeadlyRequest, DeadlyRequest,
+	Kill, KillAll, Freeze, Freeze, Terminate, Terminate, StoreDown, StoreThrottled, StoreWriteResponsesLost, StoreWritesDelayed, StoreWatchesExpired, StoreCut, StoreReset, StoreOneWay,
+	StoreSlow, PeerCut, PeerReset, PeerOneWay, PeerSlow, TargetSlow, TargetReset, ResponsesLost, ResponsesTruncated, TargetRejects, TargetReplaced, CrashingRequest, CrashingRequest,
 	Drain, Drain, DrainAndKill, Configure, Configure, Configure, ConfigureAndKill,
 }
 
 // Fault is one entry of a schedule.
 type Fault struct {
 	Kind Kind `json:"kind"`
-	// At is the time from the beginning of the run, For how long the fault lasts.
+	// At is the time from the start of the schedule, and For the duration of the fault.
 	At  time.Duration `json:"at_ns"`
 	For time.Duration `json:"for_ns"`
-	// Machine is the number of the machine that is struck.
+	// Machine is the index of the affected machine.
 	Machine int `json:"machine"`
 }
 
-// Pauses between faults and their lengths.
+// Ranges of the pauses between faults and of their durations.
 const (
 	minPause  = 300 * time.Millisecond
 	maxPause  = 2500 * time.Millisecond
@@ -78,12 +78,12 @@
 	maxLength = 4 * time.Second
 )
 
-// NewSchedule draws the faults of a run from its seed.
+// NewSchedule generates the faults of a run from its seed.
 func NewSchedule(seed uint64, machines int, duration time.Duration) []Fault {
 	const stream = 0x736f616b
 	random := rand.New(rand.NewPCG(seed, stream))
-	between := func(least, most time.Duration) time.Duration {
-		return least + time.Duration(random.Int64N(int64(most-least)))
+	between := func(low, high time.Duration) time.Duration {
+		return low + time.Duration(random.Int64N(int64(high-low)))
 	}
 	var schedule []Fault
 	for at := between(minPause, maxPause); at < duration; at += between(minPause, maxPause) {
@@ -97,8 +97,8 @@
 	return schedule
 }
 
-// addRestores adds so many returns of the store from copies to a schedule, at moments of a
-// stream of their own, so that they come beside whatever else is struck.
+// addRestores adds restores of the store to a schedule. Their times come from a separate
+// random stream, so that they are independent of the other faults.
 func addRestores(schedule []Fault, seed uint64, restores int, duration time.Duration) []Fault {
 	const stream = 0x72657374
 	random := rand.New(rand.NewPCG(seed, stream))
@@ -106,7 +106,7 @@
 		schedule = append(schedule, Fault{
 			Kind: StoreRestored,
 			At:   time.Duration(random.Int64N(int64(duration))),
-			For:  time.Duration(random.Int64N(int64(maxCopies * copyPeriod))),
+			For:  time.Duration(random.Int64N(int64(maxBackups * backupInterval))),
 		})
 	}
 	slices.SortStableFunc(schedule, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
