--- a/lab/platformstub/store.go
+++ b/lab/platformstub/store.go
@@ -1,6 +1,7 @@
-// Package platformstub stands in for the platform in tests: its metadata store
-// with faults, and a target that sends heartbeats, drains and leaves. It speaks
-// the platform's manner by itself, so that a mistake in the adapter shows.
+// Package platformstub provides test stubs of the platform: its metadata store
+// with faults, and a target that sends heartbeats, drains and deregisters. It
+// implements the platform's protocol independently of the adapter, so that tests
+// detect mistakes in the adapter.
 package platformstub
 
 import (
@@ -18,72 +19,72 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Faults are what goes wrong at the store.
+// Faults are the faults of the store.
 type Faults struct {
-	// Down answers every call with 503.
+	// Down rejects every call with 503.
 	Down bool
-	// Throttled answers every call with 429.
+	// Throttled rejects every call with 429.
 	Throttled bool
-	// LoseWriteAnswers carries writes out and closes the connection.
+	// LoseWriteAnswers applies writes and closes the connection without a response.
 	LoseWriteAnswers bool
-	// LateWrites closes the connection at once and carries writes out so much
-	// later; zero carries them out in time.
-	LateWrites time.Duration
-	// Forgotten answers every watch with 410.
+	// WriteDelay closes the connection immediately and applies writes after this
+	// delay; zero applies them normally.
+	WriteDelay time.Duration
+	// Forgotten rejects every watch with 410.
 	Forgotten bool
 }
 
-// Held is what a stand-in serves.
-type Held interface {
+// Backend is the store that a stub serves.
+type Backend interface {
 	store.Store
-	// Epoch returns how often what is held came back from a copy, and Newest the newest
-	// revision.
+	// Epoch returns how often the store was restored from a backup, and Newest the
+	// newest revision.
 	Epoch() store.Epoch
 	Newest() store.Revision
 }
 
-// epochHeader names the store's epoch in each answer.
+// epochHeader is the response header with the store's epoch.
 const epochHeader = "Store-Era"
 
-// Store is the stand-in of the metadata store. It serves what lies in another
-// store in the platform's manner.
+// Store is the stub of the metadata store. It serves a backend store with the
+// platform's protocol.
 type Store struct {
-	held Held
+	backend Backend
 
-	// serving is held by calls that are carried out, but for watches, and by a change of
-	// what is held, so that each answer names the epoch of what it tells.
-	serving sync.RWMutex
+	// backendMutex is read-locked during all calls except watches, and locked while the
+	// backend is replaced, so that each response has the epoch of its content.
+	backendMutex sync.RWMutex
 
 	mutex  sync.Mutex
 	faults Faults
 	calls  map[string]int
 }
 
-// NewStore returns a stand-in that serves the store.
-func NewStore(held Held) *Store { return &Store{held: held, calls: make(map[string]int)} }
+// NewStore returns a stub that serves the backend.
+func NewStore(backend Backend) *Store { return &Store{backend: backend, calls: make(map[string]int)} }
 
-// SetFaults puts faults in force.
+// SetFaults replaces the faults.
 func (s *Store) SetFaults(faults Faults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
 }
 
-// Calls returns the number of calls of a path so far.
+// Calls returns the number of calls of a path.
 func (s *Store) Calls(path string) int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.calls[path]
 }
 
-// Between changes what is held between two calls.
+// Between changes the backend while no call is served, except for watches.
 func (s *Store) Between(change func()) {
-	s.serving.Lock()
-	defer s.serving.Unlock()
+	s.backendMutex.Lock()
+	defer s.backendMutex.Unlock()
 	change()
 }
 
-func (s *Store) count(path string) Faults {
+func (s *Store) countCall(path string) Faults {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.calls[path]++
@@ -95,25 +96,25 @@
 	Value    []byte `json:"value,omitempty"`
 	Revision int64  `json:"revision"`
 	LeaseID  int64  `json:"lease-id"`
-	Removed  bool   `json:"compacted,omitempty"`
+	Deleted  bool   `json:"compacted,omitempty"`
 }
 
-func wireOf(entry store.Entry) wireItem {
-	return wireItem{Key: entry.Key, Value: entry.Value, Revision: entry.Revision.Number(), LeaseID: entry.Lease.Number, Removed: entry.Deleted}
+func wireItemOf(entry store.Entry) wireItem {
+	return wireItem{Key: entry.Key, Value: entry.Value, Revision: entry.Revision.Number(), LeaseID: entry.Lease.Number, Deleted: entry.Deleted}
 }
 
-type rangeAnswer struct {
+type rangeResponse struct {
 	Items []wireItem `json:"items"`
 	More  bool       `json:"more"`
 	At    int64      `json:"at-rev"`
 }
 
-type watchAnswer struct {
+type watchResponse struct {
 	Events []wireItem `json:"events"`
 	At     int64      `json:"at-rev"`
 }
 
-type transactionCall struct {
+type transactionRequest struct {
 	Expected []struct {
 		Key      string `json:"key"`
 		Revision int64  `json:"revision"`
@@ -126,7 +127,7 @@
 	Remove []string `json:"remove"`
 }
 
-type leaseAnswer struct {
+type leaseBody struct {
 	LeaseID    int64   `json:"lease-id,omitempty"`
 	TTLSeconds float64 `json:"ttl-s"`
 }
@@ -134,25 +135,25 @@
 // Handler serves the store.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /kv-key", s.guarded(s.key))
-	mux.HandleFunc("GET /kv-range", s.guarded(s.list))
-	mux.HandleFunc("GET /kv-watch", s.guarded(s.watch))
-	mux.HandleFunc("POST /kv-txn", s.guarded(s.losing(s.transact)))
-	mux.HandleFunc("POST /kv-lease", s.guarded(s.losing(s.grant)))
-	mux.HandleFunc("POST /kv-keep/{id}", s.guarded(s.keep))
-	mux.HandleFunc("DELETE /kv-lease-end/{id}", s.guarded(s.end))
+	mux.HandleFunc("GET /kv-key", s.withFaults(s.get))
+	mux.HandleFunc("GET /kv-range", s.withFaults(s.list))
+	mux.HandleFunc("GET /kv-watch", s.withFaults(s.watch))
+	mux.HandleFunc("POST /kv-txn", s.withFaults(s.withWriteFaults(s.transact)))
+	mux.HandleFunc("POST /kv-lease", s.withFaults(s.withWriteFaults(s.grantLease)))
+	mux.HandleFunc("POST /kv-keep/{id}", s.withFaults(s.renewLease))
+	mux.HandleFunc("DELETE /kv-lease-end/{id}", s.withFaults(s.revokeLease))
 	return mux
 }
 
-func (s *Store) guarded(next http.HandlerFunc) http.HandlerFunc {
+func (s *Store) withFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		path := "/" + strings.SplitN(r.URL.Path, "/", 3)[1]
-		faults := s.count(path)
+		faults := s.countCall(path)
 		if path != "/kv-watch" {
-			s.serving.RLock()
-			defer s.serving.RUnlock()
+			s.backendMutex.RLock()
+			defer s.backendMutex.RUnlock()
 		}
-		w.Header().Set(epochHeader, strconv.FormatUint(uint64(s.held.Epoch()), 10))
+		w.Header().Set(epochHeader, strconv.FormatUint(uint64(s.backend.Epoch()), 10))
 		switch {
 		case faults.Down:
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -166,29 +167,29 @@
 	}
 }
 
-// discard is an answer that nobody gets.
-type discard struct{ header http.Header }
+// discardResponse is a response writer that discards the response.
+type discardResponse struct{ header http.Header }
 
-// Header returns the header that nobody gets.
-func (d discard) Header() http.Header { return d.header }
+// Header returns the discarded header.
+func (d discardResponse) Header() http.Header { return d.header }
 
-// Write drops the body.
-func (d discard) Write(content []byte) (int, error) { return len(content), nil }
+// Write discards the body.
+func (d discardResponse) Write(content []byte) (int, error) { return len(content), nil }
 
-// WriteHeader drops the status.
-func (d discard) WriteHeader(int) {}
+// WriteHeader discards the status.
+func (d discardResponse) WriteHeader(int) {}
 
-func (s *Store) losing(next http.HandlerFunc) http.HandlerFunc {
+func (s *Store) withWriteFaults(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		s.mutex.Lock()
 		faults := s.faults
 		s.mutex.Unlock()
 		switch {
-		case faults.LateWrites > 0:
-			writeLater(next, r, faults.LateWrites)
+		case faults.WriteDelay > 0:
+			delayWrite(next, r, faults.WriteDelay)
 			panic(http.ErrAbortHandler)
 		case faults.LoseWriteAnswers:
-			next(discard{header: make(http.Header)}, r)
+			next(discardResponse{header: make(http.Header)}, r)
 			panic(http.ErrAbortHandler)
 		default:
 			next(w, r)
@@ -196,23 +197,23 @@
 	}
 }
 
-// writeLater carries a write out after a delay. Nobody hears of it.
-func writeLater(next http.HandlerFunc, r *http.Request, delay time.Duration) {
+// delayWrite applies a write after a delay and discards its response.
+func delayWrite(next http.HandlerFunc, r *http.Request, delay time.Duration) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	late := r.Clone(context.WithoutCancel(r.Context()))
-	late.Body = io.NopCloser(bytes.NewReader(body))
-	time.AfterFunc(delay, func() { next(discard{header: make(http.Header)}, late) })
+	delayed := r.Clone(context.WithoutCancel(r.Context()))
+	delayed.Body = io.NopCloser(bytes.NewReader(body))
+	time.AfterFunc(delay, func() { next(discardResponse{header: make(http.Header)}, delayed) })
 }
 
-func write(w http.ResponseWriter, body any) {
+func writeJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-func fail(w http.ResponseWriter, err error) {
+func writeError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, store.ErrNotFound), errors.Is(err, store.ErrLeaseLost):
 		w.WriteHeader(http.StatusNotFound)
@@ -225,126 +226,127 @@
 	}
 }
 
-func (s *Store) key(w http.ResponseWriter, r *http.Request) {
-	entry, err := s.held.Get(r.Context(), r.URL.Query().Get("key"))
+func (s *Store) get(w http.ResponseWriter, r *http.Request) {
+	entry, err := s.backend.Get(r.Context(), r.URL.Query().Get("key"))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	write(w, wireOf(entry))
+	writeJSON(w, wireItemOf(entry))
 }
 
-// pageItems is how many items one answer holds at most.
+// pageItems is the maximum number of items of one response.
 const pageItems = 100
 
 func (s *Store) list(w http.ResponseWriter, r *http.Request) {
-	snapshot, err := s.held.List(r.Context(), r.URL.Query().Get("path-prefix"))
+	snapshot, err := s.backend.List(r.Context(), r.URL.Query().Get("path-prefix"))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	answer := rangeAnswer{Items: []wireItem{}, At: snapshot.Revision.Number()}
+	response := rangeResponse{Items: []wireItem{}, At: snapshot.Revision.Number()}
 	after := r.URL.Query().Get("after")
 	for _, entry := range snapshot.Entries {
 		if entry.Key <= after && after != "" {
 			continue
 		}
-		if len(answer.Items) == pageItems {
-			answer.More = true
+		if len(response.Items) == pageItems {
+			response.More = true
 			break
 		}
-		answer.Items = append(answer.Items, wireOf(entry))
+		response.Items = append(response.Items, wireItemOf(entry))
 	}
-	write(w, answer)
+	writeJSON(w, response)
 }
 
 func (s *Store) watch(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)
-	begun := w.Header().Get(epochHeader)
-	place := store.NewRevision(s.held.Epoch(), after)
-	if place > s.held.Newest() {
-		fail(w, store.ErrCompacted)
+	startEpoch := w.Header().Get(epochHeader)
+	position := store.NewRevision(s.backend.Epoch(), after)
+	if position > s.backend.Newest() {
+		writeError(w, store.ErrCompacted)
 		return
 	}
 	wait, _ := strconv.Atoi(query.Get("wait-ms"))
 	ctx, cancel := context.WithTimeout(r.Context(), min(time.Duration(wait)*time.Millisecond, maxWatchWait))
 	defer cancel()
-	answer, err := s.firstBatch(ctx, cancel, query.Get("path-prefix"), place)
+	response, err := s.firstBatch(ctx, cancel, query.Get("path-prefix"), position)
 	if errors.Is(err, store.ErrCompacted) {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	if strconv.FormatUint(uint64(s.held.Epoch()), 10) != begun {
-		// The store was away meanwhile, and its connections with it.
+	if strconv.FormatUint(uint64(s.backend.Epoch()), 10) != startEpoch {
+		// The store was restored during the watch, which closes its connections.
 		panic(http.ErrAbortHandler)
 	}
-	write(w, answer)
+	writeJSON(w, response)
 }
 
-// maxWatchWait is the longest that a watch may wait for events.
+// maxWatchWait limits how long a watch waits for events.
 const maxWatchWait = 30 * time.Second
 
 // firstBatch returns the first events under the prefix, or none when the context
-// ends: changes elsewhere in the store answer no watch, as at the platform's store. It ends the context itself once it has what it returns.
-func (s *Store) firstBatch(ctx context.Context, cancel context.CancelFunc, prefix string, after store.Revision) (watchAnswer, error) {
-	answer := watchAnswer{Events: []wireItem{}, At: after.Number()}
-	err := s.held.Watch(ctx, prefix, after, func(batch []store.Entry, progress store.Revision) {
+// ends: as in the platform's store, changes outside the prefix don't end a watch.
+// It cancels the context once it has events.
+func (s *Store) firstBatch(ctx context.Context, cancel context.CancelFunc, prefix string, after store.Revision) (watchResponse, error) {
+	response := watchResponse{Events: []wireItem{}, At: after.Number()}
+	err := s.backend.Watch(ctx, prefix, after, func(batch []store.Entry, progress store.Revision) {
 		for _, entry := range batch {
-			answer.Events = append(answer.Events, wireOf(entry))
+			response.Events = append(response.Events, wireItemOf(entry))
 		}
-		answer.At = max(answer.At, progress.Number())
+		response.At = max(response.At, progress.Number())
 		if len(batch) > 0 {
 			cancel()
 		}
 	})
-	return answer, err
+	return response, err
 }
 
 func (s *Store) transact(w http.ResponseWriter, r *http.Request) {
-	var call transactionCall
-	if json.NewDecoder(r.Body).Decode(&call) != nil || len(call.Expected) != 1 || len(call.Put)+len(call.Remove) != 1 {
+	var request transactionRequest
+	if json.NewDecoder(r.Body).Decode(&request) != nil || len(request.Expected) != 1 || len(request.Put)+len(request.Remove) != 1 {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
 	var revision store.Revision
 	var err error
-	expected := store.NewRevision(s.held.Epoch(), call.Expected[0].Revision)
-	if len(call.Put) == 1 {
-		put := call.Put[0]
-		revision, err = s.held.CompareAndSwap(r.Context(), put.Key, expected, put.Value, s.lease(put.LeaseID))
+	expected := store.NewRevision(s.backend.Epoch(), request.Expected[0].Revision)
+	if len(request.Put) == 1 {
+		put := request.Put[0]
+		revision, err = s.backend.CompareAndSwap(r.Context(), put.Key, expected, put.Value, s.lease(put.LeaseID))
 	} else {
-		revision, err = s.held.CompareAndDelete(r.Context(), call.Remove[0], expected)
+		revision, err = s.backend.CompareAndDelete(r.Context(), request.Remove[0], expected)
 	}
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	write(w, struct {
+	writeJSON(w, struct {
 		Revision int64 `json:"revision"`
 	}{revision.Number()})
 }
 
-func (s *Store) grant(w http.ResponseWriter, r *http.Request) {
-	var call leaseAnswer
-	if json.NewDecoder(r.Body).Decode(&call) != nil {
+func (s *Store) grantLease(w http.ResponseWriter, r *http.Request) {
+	var request leaseBody
+	if json.NewDecoder(r.Body).Decode(&request) != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	id, err := s.held.GrantLease(r.Context(), time.Duration(call.TTLSeconds*float64(time.Second)))
+	id, err := s.backend.GrantLease(r.Context(), time.Duration(request.TTLSeconds*float64(time.Second)))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	write(w, leaseAnswer{LeaseID: id.Number, TTLSeconds: call.TTLSeconds})
+	writeJSON(w, leaseBody{LeaseID: id.Number, TTLSeconds: request.TTLSeconds})
 }
 
-// lease returns the lease that has the number in the present epoch: callers name no epoch.
+// lease returns the ID of a lease of the current epoch: requests don't include an epoch.
 func (s *Store) lease(number int64) store.LeaseID {
 	if number == 0 {
 		return store.NoLease
 	}
-	return store.LeaseID{Epoch: s.held.Epoch(), Number: number}
+	return store.LeaseID{Epoch: s.backend.Epoch(), Number: number}
 }
 
 func (s *Store) leaseOf(r *http.Request) store.LeaseID {
@@ -352,17 +354,17 @@
 	return s.lease(number)
 }
 
-func (s *Store) keep(w http.ResponseWriter, r *http.Request) {
-	left, err := s.held.RenewLease(r.Context(), s.leaseOf(r))
+func (s *Store) renewLease(w http.ResponseWriter, r *http.Request) {
+	remaining, err := s.backend.RenewLease(r.Context(), s.leaseOf(r))
 	if err != nil {
-		fail(w, err)
+		writeError(w, err)
 		return
 	}
-	write(w, leaseAnswer{TTLSeconds: left.Seconds()})
+	writeJSON(w, leaseBody{TTLSeconds: remaining.Seconds()})
 }
 
-func (s *Store) end(w http.ResponseWriter, r *http.Request) {
-	if err := s.held.RevokeLease(r.Context(), s.leaseOf(r)); err != nil {
-		fail(w, err)
+func (s *Store) revokeLease(w http.ResponseWriter, r *http.Request) {
+	if err := s.backend.RevokeLease(r.Context(), s.leaseOf(r)); err != nil {
+		writeError(w, err)
 	}
 }
--- a/lab/platformstub/store_test.go
+++ b/lab/platformstub/store_test.go
@@ -15,34 +15,29 @@
 	"github.com/lugspur/lugspur/internal/store/memory"
 )
 
-// TestAWatchIsNotAnsweredByChangesElsewhere tells of a count of calls that failed once in
-// four on a busy machine.
-//
-// What was seen: two of eight nodes at rest watched the configuration each 0.3 s, 33 and
-// 24 calls in 10 s where five were expected.
-// Cause: this stand-in answered a watch without events 0.3 s after it came wherever the
-// store's revision had moved beyond the watch's own. A node goes on from the last event,
-// so that one which read the configuration before the last node wrote its record was
-// answered early each time. The platform's store answers with events or at the end of the
-// wait.
-// Evidence: the two nodes' period is that pause; the order in which nodes start, which load
-// changes, decides which nodes lie behind.
-func TestAWatchIsNotAnsweredByChangesElsewhere(t *testing.T) {
-	held := memory.New(time.Now)
-	server := httptest.NewServer(NewStore(held).Handler())
+// TestWatchIgnoresChangesOutsidePrefix guards against a stub that ends watches early:
+// it responded without events after 0.3 s whenever the store's revision was newer than the
+// watch's, where the platform's store responds with events or at the end of the wait. A node
+// continues from the last event, so nodes that had read the configuration before the last
+// node wrote its record polled every 0.3 s: two of eight idle nodes made 33 and 24 calls in
+// 10 s instead of five. Which nodes are behind depends on the order in which they start, so a
+// test of the call count failed one time in four on a busy machine.
+func TestWatchIgnoresChangesOutsidePrefix(t *testing.T) {
+	backend := memory.New(time.Now)
+	server := httptest.NewServer(NewStore(backend).Handler())
 	defer server.Close()
-	revision, err := held.CompareAndSwap(context.Background(), "watched/a", 0, []byte("1"), store.NoLease)
+	revision, err := backend.CompareAndSwap(context.Background(), "watched/a", 0, []byte("1"), store.NoLease)
 	assert.NilError(t, err)
-	_, err = held.CompareAndSwap(context.Background(), "elsewhere/a", 0, []byte("1"), store.NoLease)
+	_, err = backend.CompareAndSwap(context.Background(), "elsewhere/a", 0, []byte("1"), store.NoLease)
 	assert.NilError(t, err)
 	const wait = 900 * time.Millisecond
-	asked := time.Now()
-	answer, err := http.Get(fmt.Sprintf("%s/kv-watch?path-prefix=watched/&after=%d&wait-ms=%d", server.URL, revision, wait.Milliseconds()))
+	start := time.Now()
+	response, err := http.Get(fmt.Sprintf("%s/kv-watch?path-prefix=watched/&after=%d&wait-ms=%d", server.URL, revision, wait.Milliseconds()))
 	assert.NilError(t, err)
-	defer answer.Body.Close()
-	var watched watchAnswer
-	assert.NilError(t, json.NewDecoder(answer.Body).Decode(&watched))
-	assert.Equal(t, len(watched.Events), 0)
-	assert.Assert(t, watched.At > int64(revision), "the answer tells how far the store is")
-	assert.Assert(t, time.Since(asked) >= wait, "answered after %s", time.Since(asked))
+	defer response.Body.Close()
+	var result watchResponse
+	assert.NilError(t, json.NewDecoder(response.Body).Decode(&result))
+	assert.Equal(t, len(result.Events), 0)
+	assert.Assert(t, result.At > int64(revision), "the response must include the current revision")
+	assert.Assert(t, time.Since(start) >= wait, "responded after %s", time.Since(start))
 }
--- a/lab/platformstub/target.go
+++ b/lab/platformstub/target.go
@@ -15,60 +15,58 @@
 	"time"
 )
 
-// Target is the stand-in of a target beside a node. It answers every request
-// with its id and sends heartbeats.
+// Target is the stub of a node's target. Its response to each request includes the
+// request's ID. It sends heartbeats to the node.
 type Target struct {
-	// ID and Service name the target; Address is where it listens, Control where
-	// its heartbeats go.
+	// ID and Service identify the target; Address is its listener and Control the
+	// receiver of its heartbeats.
 	ID, Service, Address, Control, Zone string
-	// Born is when the target started, in Unix milliseconds; zero is the moment of Start.
+	// Born is the target's start time in Unix milliseconds; zero means the time of Start.
 	Born int64
-	// Work is how long each request takes.
+	// Work is the service time of each request.
 	Work time.Duration
-	// OnEnd is called once the target has ended under a request; it may be nil.
+	// OnEnd is called once, after the target has crashed; it may be nil.
 	OnEnd func()
 
-	sequence atomic.Uint64
-	draining atomic.Bool
-	silent   atomic.Bool
-	ended    atomic.Bool
-	told     sync.Once
-	mutex    sync.Mutex
-	faults   TargetFaults
-	arrivals uint64
-	runs     []Run
-	server   *http.Server
-	stop     context.CancelFunc
+	sequence          atomic.Uint64
+	draining          atomic.Bool
+	heartbeatsStopped atomic.Bool
+	crashed           atomic.Bool
+	crashOnce         sync.Once
+	mutex             sync.Mutex
+	faults            TargetFaults
+	requests          uint64
+	runs              []Run
+	server            *http.Server
+	stop              context.CancelFunc
 }
 
-// Run is a request that a target began to work on.
+// Run is a request that a target began to execute.
 type Run struct {
 	// ID, Path and Caller are as the target received them.
 	ID, Path, Caller string
 	Method           string
-	// Tenant is the tenant that the target was told, and Key the API key that it must not
-	// be told.
+	// Tenant is the received tenant and Key the received API key, which nodes must not
+	// forward.
 	Tenant, Key string
-	// Remaining is the time that the target was given; negative if it was told
-	// none.
+	// Remaining is the received time until the deadline; negative if there was none.
 	Remaining time.Duration
 	At        time.Time
 }
 
-// TargetFaults are what goes wrong at a target.
+// TargetFaults are the faults of a target.
 type TargetFaults struct {
-	// Slow is added to the work of each request.
+	// Slow is added to the service time of each request.
 	Slow time.Duration
-	// LoseEvery closes the connection after each so many-th run in place of an
-	// answer; zero loses none.
-	LoseEvery uint64
-	// SpoilEvery breaks each so many-th answer off in its body; zero spoils none.
-	SpoilEvery uint64
-	// RejectEvery answers each so many-th request with "not executed"; zero
-	// rejects none.
+	// DropEvery closes the connection instead of sending the response of every n-th
+	// request; zero disables it.
+	DropEvery uint64
+	// TruncateEvery truncates the body of every n-th response; zero disables it.
+	TruncateEvery uint64
+	// RejectEvery rejects every n-th request as not executed; zero disables it.
 	RejectEvery uint64
-	// EndsUnder begins the paths of requests that end the target at the end of their
-	// work; empty means that none does.
+	// EndsUnder is the path prefix of requests that crash the target at the end of their
+	// service time; empty means that no request does.
 	EndsUnder string
 }
 
@@ -86,7 +84,7 @@
 	ctx, t.stop = context.WithCancel(ctx)
 	t.server = &http.Server{Handler: http.HandlerFunc(t.serve)}
 	go func() { _ = t.server.Serve(listener) }()
-	go t.beat(ctx)
+	go t.sendHeartbeats(ctx)
 	context.AfterFunc(ctx, func() { _ = t.server.Close() })
 	return nil
 }
@@ -94,22 +92,22 @@
 // Close closes the target's listener and connections.
 func (t *Target) Close() { _ = t.server.Close() }
 
-// SetFaults puts faults in force.
+// SetFaults replaces the faults.
 func (t *Target) SetFaults(faults TargetFaults) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.faults = faults
 }
 
-// arrive counts a request and returns the faults that befall it.
-func (t *Target) arrive() (TargetFaults, uint64) {
+// countRequest counts a request and returns the current faults and the count.
+func (t *Target) countRequest() (TargetFaults, uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.arrivals++
-	return t.faults, t.arrivals
+	t.requests++
+	return t.faults, t.requests
 }
 
-func hits(every, count uint64) bool { return every > 0 && count%every == 0 }
+func isNth(every, count uint64) bool { return every > 0 && count%every == 0 }
 
 func (t *Target) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Lugspur-Attempt-Id")
@@ -120,50 +118,50 @@
 		return
 	}
 	body, _ := io.ReadAll(r.Body)
-	faults, count := t.arrive()
-	if hits(faults.RejectEvery, count) {
+	faults, count := t.countRequest()
+	if isNth(faults.RejectEvery, count) {
 		w.Header().Set("Lugspur-Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	t.note(r, id)
+	t.recordRun(r, id)
 	select {
 	case <-time.After(t.Work + faults.Slow):
 	case <-r.Context().Done():
 		return
 	}
 	if faults.EndsUnder != "" && strings.HasPrefix(r.URL.Path, faults.EndsUnder) {
-		t.end()
+		t.crash()
 		panic(http.ErrAbortHandler)
 	}
-	if hits(faults.LoseEvery, count) {
+	if isNth(faults.DropEvery, count) {
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("Lugspur-Response-Signature", "signed-by-"+t.ID)
-	answer := fmt.Sprintf("%s %s %s %d %s", t.Service, r.Method, r.URL.Path, len(body), id)
-	if hits(faults.SpoilEvery, count) {
-		w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-		_, _ = io.WriteString(w, answer[:len(answer)/2])
+	response := fmt.Sprintf("%s %s %s %d %s", t.Service, r.Method, r.URL.Path, len(body), id)
+	if isNth(faults.TruncateEvery, count) {
+		w.Header().Set("Content-Length", strconv.Itoa(len(response)))
+		_, _ = io.WriteString(w, response[:len(response)/2])
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = io.WriteString(w, answer)
+	_, _ = io.WriteString(w, response)
 }
 
-// end ends the target as a crash does: its listener and all connections close, and it
-// says nothing more.
-func (t *Target) end() {
+// crash simulates a crash of the target: it closes the listener and all connections and
+// stops the heartbeats.
+func (t *Target) crash() {
 	t.stop()
 	_ = t.server.Close()
-	t.ended.Store(true)
+	t.crashed.Store(true)
 	if t.OnEnd != nil {
-		t.told.Do(t.OnEnd)
+		t.crashOnce.Do(t.OnEnd)
 	}
 }
 
-// Ended reports whether the target has ended under a request.
-func (t *Target) Ended() bool { return t.ended.Load() }
+// Crashed reports whether a request has crashed the target.
+func (t *Target) Crashed() bool { return t.crashed.Load() }
 
-func (t *Target) note(r *http.Request, id string) {
+func (t *Target) recordRun(r *http.Request, id string) {
 	run := Run{ID: id, Path: r.URL.Path, Caller: r.Header.Get("Lugspur-Caller-Service"), Method: r.Method, Remaining: -1, At: time.Now(),
 		Tenant: r.Header.Get("Lugspur-Tenant"), Key: r.Header.Get("X-Api-Key")}
 	if millis, err := strconv.Atoi(r.Header.Get("Lugspur-Deadline-Ms")); err == nil {
@@ -174,21 +172,21 @@
 	t.runs = append(t.runs, run)
 }
 
-// Log returns the requests that ran, in the order of their beginning.
+// Log returns the executed requests in the order of their start.
 func (t *Target) Log() []Run {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return append([]Run(nil), t.runs...)
 }
 
-// Replay sets the log, for checks of those who read it.
-func (t *Target) Replay(runs []Run) {
+// SetLog replaces the log, for tests of code that reads it.
+func (t *Target) SetLog(runs []Run) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.runs = append([]Run(nil), runs...)
 }
 
-// Runs returns how often each request ran, by its id.
+// Runs returns the number of executions of each request ID.
 func (t *Target) Runs() map[string]int {
 	runs := make(map[string]int)
 	for _, run := range t.Log() {
@@ -197,17 +195,17 @@
 	return runs
 }
 
-// Count returns the number of requests that ran.
+// Count returns the number of executions.
 func (t *Target) Count() int { return len(t.Log()) }
 
-const beatEvery = 100 * time.Millisecond
+const heartbeatInterval = 100 * time.Millisecond
 
-func (t *Target) beat(ctx context.Context) {
-	ticker := time.NewTicker(beatEvery)
+func (t *Target) sendHeartbeats(ctx context.Context) {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
-		if !t.silent.Load() {
-			_ = t.sendBeat(ctx)
+		if !t.heartbeatsStopped.Load() {
+			_ = t.sendHeartbeat(ctx)
 		}
 		select {
 		case <-ticker.C:
@@ -216,27 +214,27 @@
 	}
 }
 
-// Silence ends the heartbeats.
-func (t *Target) Silence() { t.silent.Store(true) }
+// Silence stops the heartbeats.
+func (t *Target) Silence() { t.heartbeatsStopped.Store(true) }
 
 type heartbeat struct {
-	Service  string `json:"service"`
-	Address  string `json:"address"`
-	Zone     string `json:"zone"`
-	Version  string `json:"version"`
-	Slots    int    `json:"slots"`
-	State    string `json:"state"`
-	Sequence uint64 `json:"seq"`
-	Born     int64  `json:"born"`
+	Service   string `json:"service"`
+	Address   string `json:"address"`
+	Zone      string `json:"zone"`
+	Version   string `json:"version"`
+	Slots     int    `json:"slots"`
+	State     string `json:"state"`
+	Sequence  uint64 `json:"seq"`
+	StartedAt int64  `json:"born"`
 }
 
-func (t *Target) sendBeat(ctx context.Context) error {
+func (t *Target) sendHeartbeat(ctx context.Context) error {
 	state := "ready"
 	if t.draining.Load() {
 		state = "draining"
 	}
 	body, err := json.Marshal(heartbeat{Service: t.Service, Address: t.Address, Zone: t.Zone, Version: "v1", Slots: targetSlots,
-		State: state, Sequence: t.sequence.Add(1), Born: t.Born})
+		State: state, Sequence: t.sequence.Add(1), StartedAt: t.Born})
 	if err != nil {
 		return err
 	}
@@ -256,29 +254,29 @@
 	}
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("heartbeat answered with %d", response.StatusCode)
+		return fmt.Errorf("heartbeat got status %d", response.StatusCode)
 	}
 	return nil
 }
 
-// Drain says that the target leaves. A nil error means that this was
-// acknowledged.
+// Drain sends a heartbeat that reports the target as draining. A nil error means
+// that it was acknowledged.
 func (t *Target) Drain(ctx context.Context) error {
 	t.draining.Store(true)
-	return t.sendBeat(ctx)
+	return t.sendHeartbeat(ctx)
 }
 
-// Late sends a heartbeat again that said "ready" before all others, as one that
-// was held up on its way.
-func (t *Target) Late(ctx context.Context) error {
-	body, err := json.Marshal(heartbeat{Service: t.Service, Address: t.Address, Zone: t.Zone, Version: "v1", Slots: targetSlots, State: "ready", Sequence: 1, Born: t.Born})
+// SendStaleHeartbeat sends a "ready" heartbeat with the first sequence number, like one
+// that was delayed in the network.
+func (t *Target) SendStaleHeartbeat(ctx context.Context) error {
+	body, err := json.Marshal(heartbeat{Service: t.Service, Address: t.Address, Zone: t.Zone, Version: "v1", Slots: targetSlots, State: "ready", Sequence: 1, StartedAt: t.Born})
 	if err != nil {
 		return err
 	}
 	return t.send(ctx, http.MethodPut, body)
 }
 
-// Leave says that the target is about to end.
+// Leave deregisters the target.
 func (t *Target) Leave(ctx context.Context) error {
 	return t.send(ctx, http.MethodDelete, fmt.Appendf(nil, `{"born":%d}`, t.Born))
 }
--- a/lab/soak/inject.go
+++ b/lab/soak/inject.go
@@ -64,7 +64,7 @@
 	i.machineLocks[machine].Lock()
 	defer i.machineLocks[machine].Unlock()
 	m := i.deployment.machines[machine]
-	if m.stopping.Load() || !m.currentTarget.Ended() {
+	if m.stopping.Load() || !m.currentTarget.Crashed() {
 		return
 	}
 	m.stopTarget()
@@ -118,7 +118,7 @@
 	StoreDown:               {Down: true},
 	StoreThrottled:          {Throttled: true},
 	StoreWriteResponsesLost: {LoseWriteAnswers: true},
-	StoreWritesDelayed:      {LateWrites: writeDelay},
+	StoreWritesDelayed:      {WriteDelay: writeDelay},
 	StoreWatchesExpired:     {Forgotten: true},
 }
 
@@ -256,7 +256,7 @@
 func (i *injector) sendStaleHeartbeats(ctx context.Context, target *platformstub.Target) {
 	for range staleHeartbeats {
 		pause.For(ctx, attemptInterval)
-		_ = target.Late(ctx)
+		_ = target.SendStaleHeartbeat(ctx)
 	}
 }
 
@@ -271,8 +271,8 @@
 }
 
 var targetFaults = map[Kind]platformstub.TargetFaults{
-	ResponsesLost:      {LoseEvery: responseFaultInterval},
-	ResponsesTruncated: {SpoilEvery: responseFaultInterval},
+	ResponsesLost:      {DropEvery: responseFaultInterval},
+	ResponsesTruncated: {TruncateEvery: responseFaultInterval},
 	TargetRejects:      {RejectEvery: responseFaultInterval},
 	TargetSlow:         {Slow: extraServiceTime},
 }
--- a/lab/soak/judge_test.go
+++ b/lab/soak/judge_test.go
@@ -41,7 +41,7 @@
 }
 
 func (j *runBuilder) brokenPromises() []Promise {
-	j.target.Replay(j.runs)
+	j.target.SetLog(j.runs)
 	var promises []Promise
 	for _, breach := range judge(j.recorder, []*machine{j.machine}, at(-1)) {
 		promises = append(promises, breach.Promise)
