--- a/lab/faultproxy/command.go
+++ b/lab/faultproxy/command.go
@@ -27,7 +27,7 @@
 
 func (*proxyCommand) Name() string { return "proxy" }
 func (*proxyCommand) Synopsis() string {
-	return "put a fault-injecting TCP and UDP proxy before addresses"
+	return "run fault-injecting TCP and UDP proxies"
 }
 func (*proxyCommand) Usage() string {
 	return `proxy -routes LISTEN=UPSTREAM,... [-control ADDRESS]: run fault-injecting proxies.
@@ -46,23 +46,23 @@
 	flags.StringVar(&c.control, "control", "127.0.0.1:0", "`address` of the control listener")
 }
 
-// startLine is the line that the command prints when its proxies listen.
+// startLine is the JSON line that the command prints when its proxies are listening.
 type startLine struct {
 	Routes  []Route `json:"routes"`
 	Control string  `json:"control"`
 }
 
-// Execute runs the proxies until an interrupt.
+// Execute runs the proxies until SIGINT or SIGTERM.
 func (c *proxyCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	proxies, err := startRoutes(c.routes)
 	defer closeAll(proxies)
 	if err != nil {
-		logrus.WithError(err).Error("start proxies")
+		logrus.WithError(err).Error("failed to start the proxies")
 		return subcommands.ExitUsageError
 	}
 	listener, err := net.Listen("tcp", c.control)
 	if err != nil {
-		logrus.WithError(err).Error("start control listener")
+		logrus.WithError(err).Error("failed to start the control listener")
 		return subcommands.ExitFailure
 	}
 	server := &http.Server{Handler: Control(proxies), ReadHeaderTimeout: 10 * time.Second}
@@ -70,19 +70,19 @@
 	defer func() { _ = server.Close() }()
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	line := startLine{Routes: controlServer{proxies: proxies}.routes(), Control: listener.Addr().String()}
+	line := startLine{Routes: controlServer{proxies: proxies}.listRoutes(), Control: listener.Addr().String()}
 	if err := json.NewEncoder(os.Stdout).Encode(line); err != nil {
-		logrus.WithError(err).Error("print routes")
+		logrus.WithError(err).Error("failed to print the routes")
 	}
 	<-ctx.Done()
 	return subcommands.ExitSuccess
 }
 
-// startRoutes starts a proxy for each pair; on an error it returns those that
-// were started.
-func startRoutes(text string) ([]*Proxy, error) {
+// startRoutes starts a proxy for each listen=upstream pair. On an error it also
+// returns the proxies that have been started.
+func startRoutes(routes string) ([]*Proxy, error) {
 	var proxies []*Proxy
-	for route := range strings.SplitSeq(text, ",") {
+	for route := range strings.SplitSeq(routes, ",") {
 		listen, upstream, ok := strings.Cut(route, "=")
 		if !ok {
 			return proxies, fmt.Errorf("%q isn't listen=upstream", route)
--- a/lab/faultproxy/control.go
+++ b/lab/faultproxy/control.go
@@ -6,10 +6,10 @@
 	"strconv"
 )
 
-// maxControlBytes bounds a control request's body, in bytes.
+// maxControlBytes limits the size of a control request's body, in bytes.
 const maxControlBytes = 64 << 10
 
-// Route is what the control listener says of one proxy.
+// Route is the state of one proxy in responses of the control listener.
 type Route struct {
 	Index       int    `json:"index"`
 	Listen      string `json:"listen"`
@@ -18,7 +18,7 @@
 	Faults      Both   `json:"faults"`
 }
 
-// Control serves the control paths of several proxies: GET /routes, POST
+// Control returns the control API of the proxies: GET /routes, POST
 // /routes/{index}/faults with both directions' faults, and POST /clear.
 func Control(proxies []*Proxy) http.Handler {
 	control := controlServer{proxies: proxies}
@@ -31,7 +31,7 @@
 
 type controlServer struct{ proxies []*Proxy }
 
-func (c controlServer) routes() []Route {
+func (c controlServer) listRoutes() []Route {
 	routes := make([]Route, 0, len(c.proxies))
 	for i, proxy := range c.proxies {
 		routes = append(routes, Route{
@@ -47,7 +47,7 @@
 
 func (c controlServer) serveRoutes(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(c.routes())
+	_ = json.NewEncoder(w).Encode(c.listRoutes())
 }
 
 func (c controlServer) serveFaults(w http.ResponseWriter, r *http.Request) {
--- a/lab/faultproxy/control_test.go
+++ b/lab/faultproxy/control_test.go
@@ -28,7 +28,7 @@
 	assert.Equal(t, proxy.Faults(), Both{})
 }
 
-func TestRoutesOfTheCommand(t *testing.T) {
+func TestStartRoutes(t *testing.T) {
 	proxies, err := startRoutes("127.0.0.1:0=127.0.0.1:1,127.0.0.1:0=127.0.0.1:2")
 	defer closeAll(proxies)
 	assert.NilError(t, err)
--- a/lab/faultproxy/direction.go
+++ b/lab/faultproxy/direction.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// direction holds the current faults of one direction and tells waiters of
-// changes. It may be used by several goroutines.
+// direction holds the current faults of one direction and notifies waiters of
+// changes. It is safe for concurrent use.
 type direction struct {
 	mutex   sync.Mutex
 	faults  Faults
@@ -20,7 +20,7 @@
 	return &direction{changed: make(chan struct{}), random: rand.New(rand.NewPCG(seed, 0x6661756c74))}
 }
 
-func (d *direction) set(faults Faults) {
+func (d *direction) setFaults(faults Faults) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.faults = faults
@@ -28,14 +28,14 @@
 	d.changed = make(chan struct{})
 }
 
-func (d *direction) current() (Faults, <-chan struct{}) {
+func (d *direction) currentFaults() (Faults, <-chan struct{}) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.faults, d.changed
 }
 
-// delay draws the latency of one chunk.
-func (d *direction) delay() time.Duration {
+// randomDelay returns the latency of one chunk, with random jitter.
+func (d *direction) randomDelay() time.Duration {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.faults.Jitter == 0 {
@@ -44,8 +44,8 @@
 	return d.faults.Latency + time.Duration(d.random.Int64N(int64(d.faults.Jitter)+1))
 }
 
-// lost draws whether a datagram is lost.
-func (d *direction) lost() bool {
+// shouldDrop decides at random whether to drop a datagram.
+func (d *direction) shouldDrop() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.faults.Cut != CutNone {
@@ -54,15 +54,15 @@
 	return d.faults.Loss > 0 && d.random.Float64() < d.faults.Loss
 }
 
-// waitReleased waits while the direction is held.
-func (d *direction) waitReleased(ctx context.Context) error {
+// waitWhileHeld waits until Hold is not set.
+func (d *direction) waitWhileHeld(ctx context.Context) error {
 	return d.waitWhile(ctx, func(f Faults) bool { return f.Hold })
 }
 
-// waitWhile waits while the faults meet a condition.
+// waitWhile waits until the faults don't meet the condition.
 func (d *direction) waitWhile(ctx context.Context, condition func(Faults) bool) error {
 	for {
-		faults, changed := d.current()
+		faults, changed := d.currentFaults()
 		if !condition(faults) {
 			return nil
 		}
@@ -74,13 +74,13 @@
 	}
 }
 
-// waitUntil waits for a moment.
-func waitUntil(ctx context.Context, moment time.Time) error {
-	left := time.Until(moment)
-	if left <= 0 {
+// sleepUntil waits until the given time or until the context ends.
+func sleepUntil(ctx context.Context, deadline time.Time) error {
+	remaining := time.Until(deadline)
+	if remaining <= 0 {
 		return ctx.Err()
 	}
-	timer := time.NewTimer(left)
+	timer := time.NewTimer(remaining)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/lab/faultproxy/fault.go
+++ b/lab/faultproxy/fault.go
@@ -5,49 +5,48 @@
 	"time"
 )
 
-// Cut is how a direction is interrupted.
+// Cut is the way in which a direction is interrupted.
 type Cut string
 
 // The cuts.
 const (
-	// CutNone lets traffic pass.
+	// CutNone forwards traffic.
 	CutNone Cut = ""
-	// CutReset resets open TCP connections, and new ones at once; UDP
+	// CutReset resets open TCP connections and new ones immediately; UDP
 	// datagrams are dropped.
 	CutReset Cut = "reset"
-	// CutBlackhole discards what is sent in the direction, and nobody is
-	// told. A TCP connection that has lost bytes is reset when the cut ends.
+	// CutBlackhole silently discards traffic in the direction. A TCP connection
+	// that has lost bytes is reset when the cut ends.
 	CutBlackhole Cut = "blackhole"
 )
 
-// Faults are the faults of one direction. The zero value lets all pass.
+// Faults are the faults of one direction. The zero value has none.
 type Faults struct {
-	// Latency is added to every chunk of bytes or datagram.
+	// Latency delays every chunk of bytes and every datagram.
 	Latency time.Duration `json:"latency_ns,omitempty"`
-	// Jitter is the largest further latency, drawn evenly for each chunk; it
-	// never changes the order inside a TCP connection.
+	// Jitter is the maximum additional latency, uniformly distributed per chunk;
+	// it never reorders bytes of a TCP connection.
 	Jitter time.Duration `json:"jitter_ns,omitempty"`
-	// Loss is the fraction of UDP datagrams dropped, from 0 to 1. TCP isn't
-	// touched: its loss shows as latency, which Latency and Hold give.
+	// Loss is the fraction of UDP datagrams dropped, from 0 to 1. It doesn't
+	// affect TCP, where loss appears as latency; use Latency and Hold for that.
 	Loss float64 `json:"loss,omitempty"`
 	// Cut interrupts the direction.
 	Cut Cut `json:"cut,omitempty"`
-	// Hold keeps all that is sent, in order, until the hold is lifted. A TCP
-	// sender is slowed down once buffers are full; datagrams over the bound
-	// are dropped.
+	// Hold queues all traffic, in order, until Hold is cleared. TCP senders
+	// block once buffers are full; datagrams beyond the queue limit are dropped.
 	Hold bool `json:"hold,omitempty"`
-	// HalfOpen keeps the end of a TCP connection from the receiver, which
-	// goes on believing that it is open.
+	// HalfOpen doesn't forward the close of a TCP connection, so that it stays
+	// open for the receiver.
 	HalfOpen bool `json:"half_open,omitempty"`
-	// BytesPerSecond bounds each TCP connection; zero means unbounded.
+	// BytesPerSecond limits each TCP connection; zero means no limit.
 	BytesPerSecond int `json:"bytes_per_second,omitempty"`
-	// TruncateAfter ends each TCP connection after as many bytes in the
-	// direction, counted from the connection's start; zero means never. The
-	// receiver sees an orderly end.
+	// TruncateAfter closes each TCP connection after this number of bytes in
+	// the direction, counted from the connection's start; zero means never.
+	// The receiver gets an orderly close.
 	TruncateAfter int64 `json:"truncate_after,omitempty"`
 }
 
-// Validate reports values out of range.
+// Validate returns an error if a value is out of range.
 func (f Faults) Validate() error {
 	if f.Loss < 0 || f.Loss > 1 {
 		return errors.New("loss goes from 0 to 1")
@@ -62,7 +61,7 @@
 	return errors.New("cut is reset, blackhole or empty")
 }
 
-// Both are the faults of both directions.
+// Both holds the faults of both directions of a proxy.
 type Both struct {
 	ToUpstream Faults `json:"to_upstream"`
 	ToClient   Faults `json:"to_client"`
--- a/lab/faultproxy/proxy.go
+++ b/lab/faultproxy/proxy.go
@@ -12,18 +12,18 @@
 
 // Limits of a proxy.
 const (
-	// maxConnections bounds the open TCP connections of a proxy.
+	// maxConnections limits the open TCP connections of a proxy.
 	maxConnections = 4096
-	// maxSessions bounds the UDP clients that a proxy remembers.
+	// maxSessions limits the UDP sessions of a proxy.
 	maxSessions = 4096
-	// dialTimeout bounds a connection to the upstream.
+	// dialTimeout is the timeout of connecting to the upstream.
 	dialTimeout = 5 * time.Second
-	// portTries is how often a free port is looked for that TCP and UDP share.
-	portTries = 50
+	// maxPortAttempts limits the attempts to bind one port for both TCP and UDP.
+	maxPortAttempts = 50
 )
 
-// Proxy forwards one TCP and UDP port to an upstream address. Its methods may
-// be used by several goroutines.
+// Proxy forwards one TCP and UDP port to an upstream address. It is safe for
+// concurrent use.
 type Proxy struct {
 	upstream   string
 	tcp        net.Listener
@@ -34,38 +34,38 @@
 	cancel     context.CancelFunc
 	running    sync.WaitGroup
 
-	mutex    sync.Mutex
-	pairs    map[*pair]struct{}
-	sessions map[string]*session
+	mutex       sync.Mutex
+	connections map[*connectionPair]struct{}
+	sessions    map[string]*session
 }
 
 // New listens on an address, for TCP and UDP on the same port, and forwards to
 // the upstream address. Port 0 chooses a free port.
 func New(listen, upstream string) (*Proxy, error) {
-	tcp, udp, err := listenBoth(listen)
+	tcp, udp, err := listenTCPAndUDP(listen)
 	if err != nil {
 		return nil, oops.In("faultproxy").With("step", "listen").With("peer", listen).Wrapf(err, "start proxy")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &Proxy{
-		upstream:   upstream,
-		tcp:        tcp,
-		udp:        udp,
-		toUpstream: newDirection(1),
-		toClient:   newDirection(2),
-		ctx:        ctx,
-		cancel:     cancel,
-		pairs:      make(map[*pair]struct{}),
-		sessions:   make(map[string]*session),
+		upstream:    upstream,
+		tcp:         tcp,
+		udp:         udp,
+		toUpstream:  newDirection(1),
+		toClient:    newDirection(2),
+		ctx:         ctx,
+		cancel:      cancel,
+		connections: make(map[*connectionPair]struct{}),
+		sessions:    make(map[string]*session),
 	}
 	p.running.Go(p.acceptTCP)
-	p.running.Go(p.receiveUDP)
+	p.running.Go(p.receiveFromClients)
 	return p, nil
 }
 
-func listenBoth(address string) (net.Listener, *net.UDPConn, error) {
+func listenTCPAndUDP(address string) (net.Listener, *net.UDPConn, error) {
 	var lastErr error
-	for range portTries {
+	for range maxPortAttempts {
 		tcp, err := net.Listen("tcp", address)
 		if err != nil {
 			return nil, nil, err
@@ -92,21 +92,21 @@
 	if err := errors.Join(toUpstream.Validate(), toClient.Validate()); err != nil {
 		return err
 	}
-	p.toUpstream.set(toUpstream)
-	p.toClient.set(toClient)
+	p.toUpstream.setFaults(toUpstream)
+	p.toClient.setFaults(toClient)
 	if toUpstream.Cut == CutReset || toClient.Cut == CutReset {
-		p.resetPairs()
+		p.resetConnections()
 	}
 	return nil
 }
 
-// Clear lifts all faults.
+// Clear removes all faults.
 func (p *Proxy) Clear() { _ = p.SetFaults(Faults{}, Faults{}) }
 
 // Faults returns the current faults.
 func (p *Proxy) Faults() Both {
-	toUpstream, _ := p.toUpstream.current()
-	toClient, _ := p.toClient.current()
+	toUpstream, _ := p.toUpstream.currentFaults()
+	toClient, _ := p.toClient.currentFaults()
 	return Both{ToUpstream: toUpstream, ToClient: toClient}
 }
 
@@ -114,7 +114,7 @@
 func (p *Proxy) Connections() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return len(p.pairs)
+	return len(p.connections)
 }
 
 // Close stops listening, resets open connections and waits for the proxy's
@@ -122,16 +122,16 @@
 func (p *Proxy) Close() error {
 	p.cancel()
 	err := errors.Join(p.tcp.Close(), p.udp.Close())
-	p.resetPairs()
+	p.resetConnections()
 	p.closeSessions()
 	p.running.Wait()
 	return err
 }
 
-func (p *Proxy) resetPairs() {
+func (p *Proxy) resetConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for each := range p.pairs {
+	for each := range p.connections {
 		each.reset()
 	}
 }
@@ -146,13 +146,13 @@
 	}
 }
 
-func (p *Proxy) refusesTCP() bool {
+func (p *Proxy) rejectsConnections() bool {
 	faults := p.Faults()
 	return faults.ToUpstream.Cut == CutReset || faults.ToClient.Cut == CutReset || p.ctx.Err() != nil
 }
 
 func (p *Proxy) serveTCP(client *net.TCPConn) {
-	opened := &pair{proxy: p, client: client}
+	opened := &connectionPair{proxy: p, client: client}
 	opened.ctx, opened.cancel = context.WithCancel(p.ctx)
 	defer opened.cancel()
 	if !p.track(opened) {
@@ -160,18 +160,18 @@
 		return
 	}
 	defer p.untrack(opened)
-	if p.refusesTCP() || !p.connect(opened) {
+	if p.rejectsConnections() || !p.connect(opened) {
 		opened.reset()
 		return
 	}
 	opened.run()
 }
 
-// connect opens the connection to the upstream. In a black hole the handshake
-// would be lost, so that no connection is opened, and the client's is reset
-// once the cut ends.
-func (p *Proxy) connect(opened *pair) bool {
-	if p.waitOutBlackhole(opened.ctx) {
+// connect opens the connection to the upstream. During a blackhole the handshake
+// would be lost: then it opens none and returns false once the cut has ended, so
+// that the client's connection is reset.
+func (p *Proxy) connect(opened *connectionPair) bool {
+	if p.waitForBlackholeEnd(opened.ctx) {
 		return false
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
@@ -185,31 +185,31 @@
 	return opened.ctx.Err() == nil
 }
 
-// waitOutBlackhole reports whether a direction was cut; it returns when none
-// is any more.
-func (p *Proxy) waitOutBlackhole(ctx context.Context) bool {
-	cut := false
+// waitForBlackholeEnd waits until no direction is blackholed and reports whether
+// one was.
+func (p *Proxy) waitForBlackholeEnd(ctx context.Context) bool {
+	blackholed := false
 	for _, each := range []*direction{p.toUpstream, p.toClient} {
 		_ = each.waitWhile(ctx, func(f Faults) bool {
-			cut = cut || f.Cut == CutBlackhole
+			blackholed = blackholed || f.Cut == CutBlackhole
 			return f.Cut == CutBlackhole
 		})
 	}
-	return cut
+	return blackholed
 }
 
-func (p *Proxy) track(opened *pair) bool {
+func (p *Proxy) track(opened *connectionPair) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if p.ctx.Err() != nil || len(p.pairs) >= maxConnections {
+	if p.ctx.Err() != nil || len(p.connections) >= maxConnections {
 		return false
 	}
-	p.pairs[opened] = struct{}{}
+	p.connections[opened] = struct{}{}
 	return true
 }
 
-func (p *Proxy) untrack(closed *pair) {
+func (p *Proxy) untrack(closed *connectionPair) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	delete(p.pairs, closed)
+	delete(p.connections, closed)
 }
--- a/lab/faultproxy/proxy_test.go
+++ b/lab/faultproxy/proxy_test.go
@@ -17,11 +17,11 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// echo answers on TCP and UDP with what it got and, when a TCP client ends its
-// side, ends its own.
-func echo(t *testing.T) string {
+// startEchoServer starts a TCP and UDP echo server. It closes a TCP connection when
+// the client has closed its side.
+func startEchoServer(t *testing.T) string {
 	t.Helper()
-	tcp, udp, err := listenBoth("127.0.0.1:0")
+	tcp, udp, err := listenTCPAndUDP("127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() {
 		_ = tcp.Close()
@@ -54,7 +54,7 @@
 
 func newProxy(t *testing.T) *Proxy {
 	t.Helper()
-	proxy, err := New("127.0.0.1:0", echo(t))
+	proxy, err := New("127.0.0.1:0", startEchoServer(t))
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.NilError(t, proxy.Close()) })
 	return proxy
@@ -83,11 +83,11 @@
 	assert.Equal(t, string(got), text)
 }
 
-const silence = 60 * time.Millisecond
+const silenceTimeout = 60 * time.Millisecond
 
 func expectSilence(t *testing.T, conn net.Conn) {
 	t.Helper()
-	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(silence)))
+	assert.NilError(t, conn.SetReadDeadline(time.Now().Add(silenceTimeout)))
 	_, err := conn.Read(make([]byte, 1))
 	var timeout net.Error
 	assert.Assert(t, errors.As(err, &timeout) && timeout.Timeout(), "%v", err)
@@ -100,9 +100,9 @@
 	assert.Assert(t, errors.Is(err, syscall.ECONNRESET), "%v", err)
 }
 
-// expectNewReset opens a connection that is reset at once: the dial or the
-// first read may be what sees it.
-func expectNewReset(t *testing.T, proxy *Proxy) {
+// expectNewConnectionReset opens a connection that must be reset immediately: either
+// the dial or the first read fails.
+func expectNewConnectionReset(t *testing.T, proxy *Proxy) {
 	t.Helper()
 	conn, err := net.Dial("tcp", proxy.Address())
 	if err != nil {
@@ -113,12 +113,12 @@
 	expectReset(t, conn)
 }
 
-func set(t *testing.T, proxy *Proxy, toUpstream, toClient Faults) {
+func setFaults(t *testing.T, proxy *Proxy, toUpstream, toClient Faults) {
 	t.Helper()
 	assert.NilError(t, proxy.SetFaults(toUpstream, toClient))
 }
 
-func TestPassesBytesAndOrderlyEnds(t *testing.T) {
+func TestForwardsBytesAndOrderlyClose(t *testing.T) {
 	conn := dial(t, "tcp", newProxy(t))
 	large := bytes.Repeat([]byte("0123456789abcdef"), 1<<16)
 	go func() {
@@ -130,9 +130,9 @@
 	assert.Assert(t, bytes.Equal(got, large))
 }
 
-func TestLatencyInOneDirection(t *testing.T) {
+func TestOneWayLatency(t *testing.T) {
 	proxy := newProxy(t)
-	set(t, proxy, Faults{Latency: 40 * time.Millisecond, Jitter: 5 * time.Millisecond}, Faults{})
+	setFaults(t, proxy, Faults{Latency: 40 * time.Millisecond, Jitter: 5 * time.Millisecond}, Faults{})
 	for _, network := range []string{"tcp", "udp"} {
 		conn := dial(t, network, proxy)
 		start := time.Now()
@@ -142,44 +142,44 @@
 	}
 }
 
-func TestResetCutsOpenAndNewConnections(t *testing.T) {
+func TestResetAffectsOpenAndNewConnections(t *testing.T) {
 	proxy := newProxy(t)
 	conn := dial(t, "tcp", proxy)
 	send(t, conn, "a")
 	expect(t, conn, "a")
-	set(t, proxy, Faults{}, Faults{Cut: CutReset})
+	setFaults(t, proxy, Faults{}, Faults{Cut: CutReset})
 	expectReset(t, conn)
-	expectNewReset(t, proxy)
+	expectNewConnectionReset(t, proxy)
 	proxy.Clear()
 	conn = dial(t, "tcp", proxy)
 	send(t, conn, "b")
 	expect(t, conn, "b")
 }
 
-func TestBlackholeIsOneWayAndSpoilsStreams(t *testing.T) {
+func TestBlackholeResetsIncompleteStreams(t *testing.T) {
 	proxy := newProxy(t)
 	conn := dial(t, "tcp", proxy)
 	idle := dial(t, "tcp", proxy)
-	for _, each := range []net.Conn{conn, idle} {
-		send(t, each, "a")
-		expect(t, each, "a")
+	for _, c := range []net.Conn{conn, idle} {
+		send(t, c, "a")
+		expect(t, c, "a")
 	}
-	set(t, proxy, Faults{}, Faults{Cut: CutBlackhole})
+	setFaults(t, proxy, Faults{}, Faults{Cut: CutBlackhole})
 	send(t, conn, "b")
 	expectSilence(t, conn)
 	during := dial(t, "tcp", proxy)
 	expectSilence(t, during)
 	proxy.Clear()
-	expectReset(t, conn)   // its stream has lost bytes
+	expectReset(t, conn)   // bytes of its stream were lost
 	expectReset(t, during) // its handshake was lost
-	send(t, idle, "c")     // nothing of it was lost
+	send(t, idle, "c")     // no bytes of its stream were lost
 	expect(t, idle, "c")
 }
 
-func TestHeldBytesComeLateAndInOrder(t *testing.T) {
+func TestHeldBytesArriveInOrder(t *testing.T) {
 	proxy := newProxy(t)
 	for _, network := range []string{"tcp", "udp"} {
-		set(t, proxy, Faults{}, Faults{Hold: true})
+		setFaults(t, proxy, Faults{}, Faults{Hold: true})
 		conn := dial(t, network, proxy)
 		send(t, conn, "one")
 		expectSilence(t, conn)
@@ -190,19 +190,19 @@
 	}
 }
 
-func TestHalfOpenHidesTheEnd(t *testing.T) {
+func TestHalfOpenHidesClose(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = listener.Close() }()
 	proxy, err := New("127.0.0.1:0", listener.Addr().String())
 	assert.NilError(t, err)
 	defer func() { _ = proxy.Close() }()
-	set(t, proxy, Faults{}, Faults{HalfOpen: true})
+	setFaults(t, proxy, Faults{}, Faults{HalfOpen: true})
 	conn := dial(t, "tcp", proxy)
 	upstream, err := listener.Accept()
 	assert.NilError(t, err)
-	// A reset that comes before the proxy's own dial returns would end the
-	// handshake and not an open connection.
+	// A reset before the proxy's dial returns would abort the handshake instead
+	// of an open connection.
 	send(t, conn, "open")
 	expect(t, upstream, "open")
 	resetConn(upstream.(*net.TCPConn))
@@ -216,7 +216,7 @@
 	assert.Assert(t, errors.Is(err, syscall.ECONNRESET) || errors.Is(err, io.EOF), "%v", err)
 }
 
-func TestUpstreamResetIsPassedOn(t *testing.T) {
+func TestUpstreamResetIsForwarded(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -226,17 +226,17 @@
 	conn := dial(t, "tcp", proxy)
 	upstream, err := listener.Accept()
 	assert.NilError(t, err)
-	// A reset that comes before the proxy's own dial returns would end the
-	// handshake and not an open connection.
+	// A reset before the proxy's dial returns would abort the handshake instead
+	// of an open connection.
 	send(t, conn, "open")
 	expect(t, upstream, "open")
 	resetConn(upstream.(*net.TCPConn))
 	expectReset(t, conn)
 }
 
-func TestTruncationLooksLikeAnOrderlyEnd(t *testing.T) {
+func TestTruncationClosesConnectionOrderly(t *testing.T) {
 	proxy := newProxy(t)
-	set(t, proxy, Faults{}, Faults{TruncateAfter: 5})
+	setFaults(t, proxy, Faults{}, Faults{TruncateAfter: 5})
 	conn := dial(t, "tcp", proxy)
 	send(t, conn, "abc")
 	expect(t, conn, "abc")
@@ -247,9 +247,9 @@
 	assert.Equal(t, string(got), "de")
 }
 
-func TestBandwidthIsBounded(t *testing.T) {
+func TestBandwidthLimit(t *testing.T) {
 	proxy := newProxy(t)
-	set(t, proxy, Faults{BytesPerSecond: 100_000}, Faults{})
+	setFaults(t, proxy, Faults{BytesPerSecond: 100_000}, Faults{})
 	conn := dial(t, "tcp", proxy)
 	start := time.Now()
 	text := strings.Repeat("x", 10_000)
@@ -258,14 +258,14 @@
 	assert.Assert(t, time.Since(start) >= 80*time.Millisecond)
 }
 
-func TestDatagramLossAndCuts(t *testing.T) {
+func TestDatagramLoss(t *testing.T) {
 	proxy := newProxy(t)
 	conn := dial(t, "udp", proxy)
 	for _, faults := range []Faults{{Loss: 1}, {Cut: CutBlackhole}, {Cut: CutReset}} {
-		set(t, proxy, faults, Faults{})
+		setFaults(t, proxy, faults, Faults{})
 		send(t, conn, "lost")
 		expectSilence(t, conn)
-		set(t, proxy, Faults{}, faults)
+		setFaults(t, proxy, Faults{}, faults)
 		send(t, conn, "answer lost")
 		expectSilence(t, conn)
 	}
@@ -273,14 +273,14 @@
 	send(t, conn, "kept")
 	expect(t, conn, "kept")
 
-	set(t, proxy, Faults{Loss: 0.5}, Faults{})
+	setFaults(t, proxy, Faults{Loss: 0.5}, Faults{})
 	for range 400 {
 		send(t, conn, "x")
 		time.Sleep(50 * time.Microsecond)
 	}
 	arrived := 0
 	for {
-		assert.NilError(t, conn.SetReadDeadline(time.Now().Add(4*silence)))
+		assert.NilError(t, conn.SetReadDeadline(time.Now().Add(4*silenceTimeout)))
 		if _, err := conn.Read(make([]byte, 1)); err != nil {
 			break
 		}
@@ -289,7 +289,7 @@
 	assert.Assert(t, arrived > 100 && arrived < 300, "%d of 400", arrived)
 }
 
-func TestClosedConnectionsAreForgotten(t *testing.T) {
+func TestClosedConnectionsAreRemoved(t *testing.T) {
 	proxy := newProxy(t)
 	conn := dial(t, "tcp", proxy)
 	send(t, conn, "a")
--- a/lab/faultproxy/tcp.go
+++ b/lab/faultproxy/tcp.go
@@ -10,22 +10,21 @@
 )
 
 const (
-	// chunkBytes is the most that is read at a time.
+	// chunkBytes is the read buffer size.
 	chunkBytes = 16 << 10
-	// maxChunks bounds the chunks on their way in one direction of one
-	// connection.
+	// maxChunks limits the queued chunks in one direction of a connection.
 	maxChunks = 64
 )
 
-// chunk is a piece of a TCP stream on its way.
+// chunk is queued data of a TCP stream, or a queued datagram, with its delivery time.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// pair is a client's connection and the one to the upstream, which is nil
-// until it has been opened.
-type pair struct {
+// connectionPair is a client's connection and its connection to the upstream,
+// which is nil until it is open.
+type connectionPair struct {
 	proxy    *Proxy
 	client   *net.TCPConn
 	upstream *net.TCPConn
@@ -33,8 +32,8 @@
 	cancel   context.CancelFunc
 }
 
-// reset ends both connections with a TCP reset.
-func (p *pair) reset() {
+// reset closes both connections with a TCP reset.
+func (p *connectionPair) reset() {
 	p.cancel()
 	resetConn(p.client)
 	if p.upstream != nil {
@@ -48,9 +47,9 @@
 }
 
 // run forwards until both directions have ended.
-func (p *pair) run() {
-	toUpstream := stream{pair: p, from: p.client, to: p.upstream, faults: p.proxy.toUpstream, opposite: p.proxy.toClient}
-	toClient := stream{pair: p, from: p.upstream, to: p.client, faults: p.proxy.toClient, opposite: p.proxy.toUpstream}
+func (p *connectionPair) run() {
+	toUpstream := stream{connectionPair: p, from: p.client, to: p.upstream, direction: p.proxy.toUpstream, oppositeDirection: p.proxy.toClient}
+	toClient := stream{connectionPair: p, from: p.upstream, to: p.client, direction: p.proxy.toClient, oppositeDirection: p.proxy.toUpstream}
 	var running sync.WaitGroup
 	running.Go(toUpstream.forward)
 	running.Go(toClient.forward)
@@ -60,19 +59,19 @@
 	_ = p.upstream.Close()
 }
 
-// stream is one direction of a pair.
+// stream is one direction of a connection pair.
 type stream struct {
-	*pair
-	from     *net.TCPConn
-	to       *net.TCPConn
-	faults   *direction
-	opposite *direction
-	written  int64
-	readErr  error
+	*connectionPair
+	from              *net.TCPConn
+	to                *net.TCPConn
+	direction         *direction
+	oppositeDirection *direction
+	written           int64
+	readErr           error
 }
 
-// forward moves the stream's bytes: a reader stamps chunks with the time at
-// which they are due, so that latency doesn't cost throughput.
+// forward copies the stream's bytes. The reader sets each chunk's delivery time,
+// so that latency doesn't reduce throughput.
 func (s *stream) forward() {
 	chunks := make(chan chunk, maxChunks)
 	var reading sync.WaitGroup
@@ -89,7 +88,7 @@
 		buffer := make([]byte, chunkBytes)
 		count, err := s.from.Read(buffer)
 		if count > 0 {
-			next := chunk{data: buffer[:count], due: time.Now().Add(s.faults.delay())}
+			next := chunk{data: buffer[:count], due: time.Now().Add(s.direction.randomDelay())}
 			select {
 			case chunks <- next:
 			case <-s.ctx.Done():
@@ -108,30 +107,30 @@
 		if s.deliver(next) {
 			continue
 		}
-		// The sender of a half-open connection isn't told that it is over.
-		if current, _ := s.opposite.current(); !current.HalfOpen {
+		// The close of a half-open connection isn't forwarded to the sender.
+		if current, _ := s.oppositeDirection.currentFaults(); !current.HalfOpen {
 			s.reset()
 		}
-		drain(chunks)
+		discardChunks(chunks)
 		return
 	}
-	s.end()
+	s.forwardClose()
 }
 
-func drain(chunks <-chan chunk) {
+func discardChunks(chunks <-chan chunk) {
 	for range chunks {
 		continue
 	}
 }
 
-// deliver writes one chunk; false means that the connection is done for.
+// deliver writes one chunk. It returns false if the connection must be closed.
 func (s *stream) deliver(next chunk) bool {
-	if waitUntil(s.ctx, next.due) != nil || s.faults.waitReleased(s.ctx) != nil {
+	if sleepUntil(s.ctx, next.due) != nil || s.direction.waitWhileHeld(s.ctx) != nil {
 		return false
 	}
-	current, _ := s.faults.current()
+	current, _ := s.direction.currentFaults()
 	if current.Cut == CutBlackhole {
-		s.waitJoined()
+		s.waitForBlackholeEnd()
 		return false
 	}
 	data := next.data
@@ -150,10 +149,10 @@
 	return true
 }
 
-// waitJoined waits for the end of a black hole. A chunk has been discarded: the
-// stream has a hole, so that the connection can't go on.
-func (s *stream) waitJoined() {
-	_ = s.faults.waitWhile(s.ctx, func(f Faults) bool { return f.Cut == CutBlackhole })
+// waitForBlackholeEnd waits until the direction isn't blackholed. A discarded chunk
+// leaves a gap in the stream, so the connection can't continue afterwards.
+func (s *stream) waitForBlackholeEnd() {
+	_ = s.direction.waitWhile(s.ctx, func(f Faults) bool { return f.Cut == CutBlackhole })
 }
 
 const pacingInterval = 10 * time.Millisecond
@@ -171,18 +170,18 @@
 		}
 		data = data[count:]
 		pause := time.Duration(float64(count) / float64(bytesPerSecond) * float64(time.Second))
-		if waitUntil(s.ctx, time.Now().Add(pause)) != nil {
+		if sleepUntil(s.ctx, time.Now().Add(pause)) != nil {
 			return false
 		}
 	}
 	return true
 }
 
-// end passes on the end of the stream, in order or as a reset, once the
-// direction isn't cut, held or half-open.
-func (s *stream) end() {
-	hidden := func(f Faults) bool { return f.HalfOpen || f.Hold || f.Cut == CutBlackhole }
-	if s.faults.waitWhile(s.ctx, hidden) != nil {
+// forwardClose forwards the end of the stream, as an orderly close or a reset, once
+// the direction isn't blackholed, held or half-open.
+func (s *stream) forwardClose() {
+	suppressed := func(f Faults) bool { return f.HalfOpen || f.Hold || f.Cut == CutBlackhole }
+	if s.direction.waitWhile(s.ctx, suppressed) != nil {
 		return
 	}
 	if !errors.Is(s.readErr, io.EOF) {
--- a/lab/faultproxy/udp.go
+++ b/lab/faultproxy/udp.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// maxDatagramBytes is the longest datagram forwarded.
+	// maxDatagramBytes is the maximum size of forwarded datagrams.
 	maxDatagramBytes = 64 << 10
-	// maxHeldDatagrams bounds the datagrams on their way in one direction of
-	// one session; more are dropped.
-	maxHeldDatagrams = 1024
-	// sessionIdle is after how long without a datagram a session is forgotten.
-	sessionIdle = time.Minute
+	// maxQueuedDatagrams limits the queued datagrams in one direction of a
+	// session; more are dropped.
+	maxQueuedDatagrams = 1024
+	// sessionIdleTimeout is the time without a datagram from the upstream after which a session is closed.
+	sessionIdleTimeout = time.Minute
 )
 
-// session is one UDP client with its own socket to the upstream.
+// session is a UDP client with its own socket to the upstream.
 type session struct {
 	client     *net.UDPAddr
 	upstream   *net.UDPConn
@@ -26,7 +26,7 @@
 	cancel     context.CancelFunc
 }
 
-func (p *Proxy) receiveUDP() {
+func (p *Proxy) receiveFromClients() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
 		count, client, err := p.udp.ReadFromUDP(buffer)
@@ -36,24 +36,24 @@
 		if err != nil {
 			continue
 		}
-		if p.toUpstream.lost() {
+		if p.toUpstream.shouldDrop() {
 			continue
 		}
-		if found, ok := p.session(client); ok {
+		if found, ok := p.sessionFor(client); ok {
 			enqueue(found.toUpstream, buffer[:count], p.toUpstream)
 		}
 	}
 }
 
 func enqueue(queue chan<- chunk, data []byte, faults *direction) {
-	next := chunk{data: append([]byte(nil), data...), due: time.Now().Add(faults.delay())}
+	next := chunk{data: append([]byte(nil), data...), due: time.Now().Add(faults.randomDelay())}
 	select {
 	case queue <- next:
 	default:
 	}
 }
 
-func (p *Proxy) session(client *net.UDPAddr) (*session, bool) {
+func (p *Proxy) sessionFor(client *net.UDPAddr) (*session, bool) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	key := client.String()
@@ -74,23 +74,23 @@
 	opened := &session{
 		client:     client,
 		upstream:   upstream,
-		toUpstream: make(chan chunk, maxHeldDatagrams),
-		toClient:   make(chan chunk, maxHeldDatagrams),
+		toUpstream: make(chan chunk, maxQueuedDatagrams),
+		toClient:   make(chan chunk, maxQueuedDatagrams),
 	}
 	opened.ctx, opened.cancel = context.WithCancel(p.ctx)
 	p.sessions[key] = opened
-	p.running.Go(func() { p.receiveAnswers(opened) })
-	p.running.Go(func() { opened.send(opened.toUpstream, p.toUpstream, opened.writeUpstream) })
-	p.running.Go(func() { opened.send(opened.toClient, p.toClient, p.writeClient(opened)) })
+	p.running.Go(func() { p.receiveFromUpstream(opened) })
+	p.running.Go(func() { opened.send(opened.toUpstream, p.toUpstream, opened.writeToUpstream) })
+	p.running.Go(func() { opened.send(opened.toClient, p.toClient, p.writeToClient(opened)) })
 	return opened, true
 }
 
-// receiveAnswers reads the upstream's datagrams until the session is idle.
-func (p *Proxy) receiveAnswers(s *session) {
-	defer p.forget(s)
+// receiveFromUpstream reads the upstream's datagrams until the session times out.
+func (p *Proxy) receiveFromUpstream(s *session) {
+	defer p.closeSession(s)
 	buffer := make([]byte, maxDatagramBytes)
 	for {
-		_ = s.upstream.SetReadDeadline(time.Now().Add(sessionIdle))
+		_ = s.upstream.SetReadDeadline(time.Now().Add(sessionIdleTimeout))
 		count, err := s.upstream.Read(buffer)
 		if s.ctx.Err() != nil {
 			return
@@ -99,40 +99,40 @@
 			if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
 				return
 			}
-			// A refused datagram shows as an error of the next read.
+			// A datagram that the upstream refused is reported as an error of the next read.
 			continue
 		}
-		if !p.toClient.lost() {
+		if !p.toClient.shouldDrop() {
 			enqueue(s.toClient, buffer[:count], p.toClient)
 		}
 	}
 }
 
-// send delivers datagrams when they are due. One that is cut off on its way is
-// dropped.
+// send delivers datagrams at their delivery time. It drops datagrams if the
+// direction is cut at that time.
 func (s *session) send(queue <-chan chunk, faults *direction, write func([]byte)) {
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
 		case next := <-queue:
-			if waitUntil(s.ctx, next.due) != nil || faults.waitReleased(s.ctx) != nil {
+			if sleepUntil(s.ctx, next.due) != nil || faults.waitWhileHeld(s.ctx) != nil {
 				return
 			}
-			if current, _ := faults.current(); current.Cut == CutNone {
+			if current, _ := faults.currentFaults(); current.Cut == CutNone {
 				write(next.data)
 			}
 		}
 	}
 }
 
-func (s *session) writeUpstream(data []byte) { _, _ = s.upstream.Write(data) }
+func (s *session) writeToUpstream(data []byte) { _, _ = s.upstream.Write(data) }
 
-func (p *Proxy) writeClient(s *session) func([]byte) {
+func (p *Proxy) writeToClient(s *session) func([]byte) {
 	return func(data []byte) { _, _ = p.udp.WriteToUDP(data, s.client) }
 }
 
-func (p *Proxy) forget(s *session) {
+func (p *Proxy) closeSession(s *session) {
 	s.cancel()
 	_ = s.upstream.Close()
 	p.mutex.Lock()
