--- a/lab/kvstore/command.go
+++ b/lab/kvstore/command.go
@@ -26,8 +26,8 @@
 	config  Config
 }
 
-// ready is the line printed when the stand-in serves.
-type ready struct {
+// listenAddresses is the JSON line printed when the server is listening.
+type listenAddresses struct {
 	Store   string `json:"store"`
 	Control string `json:"control"`
 }
@@ -36,7 +36,7 @@
 func (*storeCommand) Name() string { return "store" }
 
 // Synopsis implements subcommands.Command.
-func (*storeCommand) Synopsis() string { return "run the stand-in of the key-value service" }
+func (*storeCommand) Synopsis() string { return "run a test server of the key-value service" }
 
 // Usage implements subcommands.Command.
 func (*storeCommand) Usage() string {
@@ -56,13 +56,13 @@
 
 // SetFlags implements subcommands.Command.
 func (c *storeCommand) SetFlags(flags *flag.FlagSet) {
-	flags.StringVar(&c.listen, "listen", "127.0.0.1:0", "address of the store's API")
+	flags.StringVar(&c.listen, "listen", "127.0.0.1:0", "address of the API listener")
 	flags.StringVar(&c.control, "control", "127.0.0.1:0", "address of the control listener")
-	flags.Float64Var(&c.config.RequestsPerSecond, "rate", 0, "requests a second that are let through; 0 does not limit")
-	flags.IntVar(&c.config.Burst, "burst", 1, "requests that may come at once under the limit")
+	flags.Float64Var(&c.config.RequestsPerSecond, "rate", 0, "limit in requests per second; 0 means no limit")
+	flags.IntVar(&c.config.Burst, "burst", 1, "maximum burst of requests under the rate limit")
 	flags.DurationVar(&c.config.ProgressInterval, "progress", time.Second, "time between progress notifications of a watch")
-	flags.IntVar(&c.config.HistoryEvents, "history", 0, "changes kept for watches; 0 is the default")
-	flags.Uint64Var(&c.config.Seed, "seed", 1, "seed of random faults")
+	flags.IntVar(&c.config.HistoryEvents, "history", 0, "number of changes retained for watches; 0 uses the default")
+	flags.Uint64Var(&c.config.Seed, "seed", 1, "seed of the random faults")
 }
 
 // Execute implements subcommands.Command.
@@ -71,13 +71,13 @@
 	defer stop()
 	process, err := Start(c.config, c.listen, c.control)
 	if err != nil {
-		logrus.WithError(err).Error("the store did not start")
+		logrus.WithError(err).Error("failed to start the store")
 		return subcommands.ExitFailure
 	}
 	defer process.Close()
-	line := ready{Store: process.Address(), Control: process.ControlAddress()}
+	line := listenAddresses{Store: process.Address(), Control: process.ControlAddress()}
 	if err := json.NewEncoder(c.out).Encode(line); err != nil {
-		logrus.WithError(err).Error("the addresses could not be printed")
+		logrus.WithError(err).Error("failed to print the addresses")
 		return subcommands.ExitFailure
 	}
 	<-ctx.Done()
--- a/lab/kvstore/control.go
+++ b/lab/kvstore/control.go
@@ -11,9 +11,9 @@
 
 var errInvalidControl = errors.New("invalid control request")
 
-// ControlRequest changes the faults. Absent fields stay as they are.
+// ControlRequest changes the faults. Absent fields leave the current values unchanged.
 type ControlRequest struct {
-	// Clear ends all faults before the rest applies.
+	// Clear removes all faults before the other fields are applied.
 	Clear           bool     `json:"clear,omitempty"`
 	Outage          *Outage  `json:"outage,omitempty"`
 	LatencyMillis   *int64   `json:"latency_ms,omitempty"`
@@ -21,11 +21,11 @@
 	DropProbability *float64 `json:"drop_probability,omitempty"`
 	// CutWatches closes the connections of all open watches once.
 	CutWatches bool `json:"cut_watches,omitempty"`
-	// Compact forgets the history up to the newest revision.
+	// Compact compacts the history up to the newest revision.
 	Compact bool `json:"compact,omitempty"`
 }
 
-// Status is the answer of the control listener.
+// Status is the response of the control listener.
 type Status struct {
 	Faults         Faults `json:"faults"`
 	Revision       int64  `json:"revision"`
@@ -38,18 +38,18 @@
 
 // Control applies a control request to the server.
 func (s *Server) Control(request ControlRequest) error {
-	faults, _ := s.faults.current()
+	faults, _ := s.faults.currentFaults()
 	if request.Clear {
 		faults = Faults{}
 	}
-	assign(&faults.Outage, request.Outage)
-	assign(&faults.LatencyMillis, request.LatencyMillis)
-	assign(&faults.DropAnswers, request.DropAnswers)
-	assign(&faults.DropProbability, request.DropProbability)
+	setIfPresent(&faults.Outage, request.Outage)
+	setIfPresent(&faults.LatencyMillis, request.LatencyMillis)
+	setIfPresent(&faults.DropResponses, request.DropAnswers)
+	setIfPresent(&faults.DropProbability, request.DropProbability)
 	if !faults.Outage.valid() || faults.DropProbability < 0 || faults.DropProbability > 1 {
 		return errInvalidControl
 	}
-	s.faults.set(faults)
+	s.faults.setFaults(faults)
 	if request.CutWatches {
 		s.faults.cutWatches()
 	}
@@ -59,28 +59,28 @@
 	return nil
 }
 
-func assign[T any](field *T, value *T) {
+func setIfPresent[T any](field *T, value *T) {
 	if value != nil {
 		*field = *value
 	}
 }
 
-// Status returns the faults in force and what was counted since the start.
+// Status returns the current faults and the counters since the start.
 func (s *Server) Status() Status {
-	faults, _ := s.faults.current()
+	faults, _ := s.faults.currentFaults()
 	return Status{
 		Faults:         faults,
-		Revision:       int64(s.versions.Revision()),
+		Revision:       int64(s.store.Revision()),
 		Requests:       s.counters.requests.Load(),
 		Writes:         s.counters.writes.Load(),
 		RateLimited:    s.counters.rateLimited.Load(),
-		AnswersDropped: s.counters.answersDropped.Load(),
+		AnswersDropped: s.counters.responsesDropped.Load(),
 		OpenWatches:    s.counters.watches.Load(),
 	}
 }
 
-// ControlHandler returns the handler of the control listener: GET answers with
-// Status, POST takes a ControlRequest and answers with Status.
+// ControlHandler returns the handler of the control listener: GET returns Status,
+// POST applies a ControlRequest and returns Status.
 func (s *Server) ControlHandler() http.Handler {
 	return controlHandler(s, s.Control)
 }
--- a/lab/kvstore/export_test.go
+++ b/lab/kvstore/export_test.go
@@ -6,7 +6,7 @@
 	"github.com/google/subcommands"
 )
 
-// SetOutput makes the command print elsewhere.
+// SetOutput replaces the output of the command.
 func SetOutput(command subcommands.Command, out io.Writer) {
 	command.(*storeCommand).out = out
 }
--- a/lab/kvstore/faults.go
+++ b/lab/kvstore/faults.go
@@ -6,19 +6,19 @@
 	"sync/atomic"
 )
 
-// Outage is a way of being out of service.
+// Outage is a kind of unavailability.
 type Outage string
 
 // The outages.
 const (
 	// OutageNone is normal service.
 	OutageNone Outage = ""
-	// OutageRefuse refuses connections. Where the listener belongs to somebody
-	// else, connections are closed instead.
+	// OutageRefuse refuses connections. If the server doesn't own the listener,
+	// connections are closed instead.
 	OutageRefuse Outage = "refuse"
-	// OutageUnavailable answers 503.
+	// OutageUnavailable responds with 503.
 	OutageUnavailable Outage = "unavailable"
-	// OutageHang holds requests, and runs them when the outage ends.
+	// OutageHang blocks requests and processes them when the outage ends.
 	OutageHang Outage = "hang"
 )
 
@@ -31,53 +31,53 @@
 	}
 }
 
-// Faults are the faults in force.
+// Faults are the current faults.
 type Faults struct {
 	Outage Outage `json:"outage"`
 	// LatencyMillis delays each request and each message with events, in
 	// milliseconds.
 	LatencyMillis int64 `json:"latency_ms"`
-	// DropAnswers is the number of further writes whose answers are dropped
-	// after they took effect.
-	DropAnswers int `json:"drop_answers"`
-	// DropProbability drops the answers of other writes at random, 0 to 1.
+	// DropResponses is the number of next writes whose responses are dropped after
+	// the write is applied.
+	DropResponses int `json:"drop_answers"`
+	// DropProbability is the probability of dropping the responses of other writes, 0 to 1.
 	DropProbability float64 `json:"drop_probability"`
 }
 
-// counters count since the start.
+// counters count events since the start.
 type counters struct {
-	requests       atomic.Int64
-	writes         atomic.Int64
-	rateLimited    atomic.Int64
-	answersDropped atomic.Int64
-	watches        atomic.Int64
+	requests         atomic.Int64
+	writes           atomic.Int64
+	rateLimited      atomic.Int64
+	responsesDropped atomic.Int64
+	watches          atomic.Int64
 }
 
-// faultState holds the faults in force. It is safe for concurrent use.
+// faultState holds the current faults. It is safe for concurrent use.
 type faultState struct {
-	mu      sync.Mutex
-	faults  Faults
-	changed chan struct{}
-	cut     chan struct{}
-	random  *rand.Rand
+	mu         sync.Mutex
+	faults     Faults
+	changed    chan struct{}
+	watchesCut chan struct{}
+	random     *rand.Rand
 }
 
 func newFaultState(seed uint64) *faultState {
 	return &faultState{
-		changed: make(chan struct{}),
-		cut:     make(chan struct{}),
-		random:  rand.New(rand.NewPCG(seed, seed)),
+		changed:    make(chan struct{}),
+		watchesCut: make(chan struct{}),
+		random:     rand.New(rand.NewPCG(seed, seed)),
 	}
 }
 
-// current returns the faults and a channel that is closed when they change.
-func (f *faultState) current() (Faults, <-chan struct{}) {
+// currentFaults returns the faults and a channel that is closed when they change.
+func (f *faultState) currentFaults() (Faults, <-chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.faults, f.changed
 }
 
-func (f *faultState) set(faults Faults) {
+func (f *faultState) setFaults(faults Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = faults
@@ -89,22 +89,22 @@
 func (f *faultState) watchCut() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.cut
+	return f.watchesCut
 }
 
 func (f *faultState) cutWatches() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	close(f.cut)
-	f.cut = make(chan struct{})
+	close(f.watchesCut)
+	f.watchesCut = make(chan struct{})
 }
 
-// dropAnswer decides about the answer of one write that took effect.
-func (f *faultState) dropAnswer() bool {
+// shouldDropResponse decides whether to drop the response of an applied write.
+func (f *faultState) shouldDropResponse() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.faults.DropAnswers > 0 {
-		f.faults.DropAnswers--
+	if f.faults.DropResponses > 0 {
+		f.faults.DropResponses--
 		return true
 	}
 	return f.faults.DropProbability > 0 && f.random.Float64() < f.faults.DropProbability
--- a/lab/kvstore/keys.go
+++ b/lab/kvstore/keys.go
@@ -13,10 +13,10 @@
 	return keyspan.Span{From: string(key), End: string(rangeEnd)}
 }
 
-func (s *Server) rangeKeys(request wire.RangeRequest) (answer[wire.RangeResponse], error) {
-	view, err := s.versions.Range(span(request.Key, request.RangeEnd), store.Revision(request.Revision))
+func (s *Server) rangeKeys(request wire.RangeRequest) (operationResult[wire.RangeResponse], error) {
+	view, err := s.store.Range(span(request.Key, request.RangeEnd), store.Revision(request.Revision))
 	if err != nil {
-		return answer[wire.RangeResponse]{}, err
+		return operationResult[wire.RangeResponse]{}, err
 	}
 	response := wire.RangeResponse{Header: header(view.Current), Count: wire.Int64(len(view.Entries))}
 	entries := view.Entries
@@ -27,68 +27,68 @@
 	for _, entry := range entries {
 		response.KVs = append(response.KVs, keyValue(entry))
 	}
-	return answer[wire.RangeResponse]{body: response}, nil
+	return operationResult[wire.RangeResponse]{body: response}, nil
 }
 
-func (s *Server) put(request wire.PutRequest) (answer[wire.PutResponse], error) {
-	result, err := s.versions.Commit(mvcc.Transaction{Success: []mvcc.Operation{putOperation(request)}})
+func (s *Server) put(request wire.PutRequest) (operationResult[wire.PutResponse], error) {
+	result, err := s.store.Commit(mvcc.Transaction{Success: []mvcc.Operation{putOperation(request)}})
 	if err != nil {
-		return answer[wire.PutResponse]{}, err
+		return operationResult[wire.PutResponse]{}, err
 	}
 	response := wire.PutResponse{Header: header(result.Revision)}
-	return answer[wire.PutResponse]{body: response, changed: true}, nil
+	return operationResult[wire.PutResponse]{body: response, changed: true}, nil
 }
 
-func (s *Server) deleteRange(request wire.DeleteRangeRequest) (answer[wire.DeleteRangeResponse], error) {
-	result, err := s.versions.Commit(mvcc.Transaction{Success: []mvcc.Operation{deleteOperation(request)}})
+func (s *Server) deleteRange(request wire.DeleteRangeRequest) (operationResult[wire.DeleteRangeResponse], error) {
+	result, err := s.store.Commit(mvcc.Transaction{Success: []mvcc.Operation{deleteOperation(request)}})
 	if err != nil {
-		return answer[wire.DeleteRangeResponse]{}, err
+		return operationResult[wire.DeleteRangeResponse]{}, err
 	}
 	response := wire.DeleteRangeResponse{Header: header(result.Revision), Deleted: wire.Int64(result.Deleted[0])}
-	return answer[wire.DeleteRangeResponse]{body: response, changed: result.Changed}, nil
+	return operationResult[wire.DeleteRangeResponse]{body: response, changed: result.Changed}, nil
 }
 
-func (s *Server) transact(request wire.TxnRequest) (answer[wire.TxnResponse], error) {
-	transaction, err := transactionOf(request)
+func (s *Server) transact(request wire.TxnRequest) (operationResult[wire.TxnResponse], error) {
+	transaction, err := decodeTransaction(request)
 	if err != nil {
-		return answer[wire.TxnResponse]{}, err
+		return operationResult[wire.TxnResponse]{}, err
 	}
-	result, err := s.versions.Commit(transaction)
+	result, err := s.store.Commit(transaction)
 	if err != nil {
-		return answer[wire.TxnResponse]{}, err
+		return operationResult[wire.TxnResponse]{}, err
 	}
 	response := wire.TxnResponse{Header: header(result.Revision), Succeeded: result.Succeeded}
 	for i, operation := range result.Operations {
 		response.Responses = append(response.Responses, responseOp(operation, result.Deleted[i], result.Revision))
 	}
-	return answer[wire.TxnResponse]{body: response, changed: result.Changed}, nil
+	return operationResult[wire.TxnResponse]{body: response, changed: result.Changed}, nil
 }
 
-func (s *Server) compact(request wire.CompactRequest) (answer[wire.CompactResponse], error) {
-	if err := s.versions.Compact(store.Revision(request.Revision)); err != nil {
-		return answer[wire.CompactResponse]{}, err
+func (s *Server) compact(request wire.CompactRequest) (operationResult[wire.CompactResponse], error) {
+	if err := s.store.Compact(store.Revision(request.Revision)); err != nil {
+		return operationResult[wire.CompactResponse]{}, err
 	}
-	return answer[wire.CompactResponse]{body: wire.CompactResponse{Header: header(s.versions.Revision())}}, nil
+	return operationResult[wire.CompactResponse]{body: wire.CompactResponse{Header: header(s.store.Revision())}}, nil
 }
 
-func transactionOf(request wire.TxnRequest) (mvcc.Transaction, error) {
+func decodeTransaction(request wire.TxnRequest) (mvcc.Transaction, error) {
 	var transaction mvcc.Transaction
 	for _, compare := range request.Compare {
-		comparison, err := comparisonOf(compare)
+		comparison, err := decodeComparison(compare)
 		if err != nil {
 			return transaction, err
 		}
 		transaction.Compare = append(transaction.Compare, comparison)
 	}
 	var err error
-	if transaction.Success, err = operationsOf(request.Success); err != nil {
+	if transaction.Success, err = decodeOperations(request.Success); err != nil {
 		return transaction, err
 	}
-	transaction.Failure, err = operationsOf(request.Failure)
+	transaction.Failure, err = decodeOperations(request.Failure)
 	return transaction, err
 }
 
-func comparisonOf(compare wire.Compare) (mvcc.Comparison, error) {
+func decodeComparison(compare wire.Compare) (mvcc.Comparison, error) {
 	if compare.Result != "" && compare.Result != wire.CompareEqual {
 		return mvcc.Comparison{}, fmt.Errorf("%w: comparison result %q", errUnimplemented, compare.Result)
 	}
@@ -110,13 +110,13 @@
 	return comparison, nil
 }
 
-func operationsOf(requests []wire.RequestOp) ([]mvcc.Operation, error) {
+func decodeOperations(requests []wire.RequestOp) ([]mvcc.Operation, error) {
 	operations := make([]mvcc.Operation, 0, len(requests))
 	written := make(map[string]struct{})
 	for _, request := range requests {
 		switch {
 		case request.Put != nil:
-			if _, twice := written[string(request.Put.Key)]; twice {
+			if _, duplicate := written[string(request.Put.Key)]; duplicate {
 				return nil, fmt.Errorf("%w: duplicate key given in txn request", errInvalid)
 			}
 			written[string(request.Put.Key)] = struct{}{}
--- a/lab/kvstore/kvstore_test.go
+++ b/lab/kvstore/kvstore_test.go
@@ -23,9 +23,9 @@
 
 const (
 	loopback = "127.0.0.1:0"
-	// patience bounds what a test waits for.
-	patience = 10 * time.Second
-	put      = `{"key":"Zm9v","value":"YmFy"}`
+	// waitTimeout is the timeout of conditions that tests wait for.
+	waitTimeout = 10 * time.Second
+	put         = `{"key":"Zm9v","value":"YmFy"}`
 )
 
 func TestMain(m *testing.M) {
@@ -48,28 +48,28 @@
 }
 
 func post(address, path, body string) (response, error) {
-	answer, err := http.Post("http://"+address+path, "application/json", strings.NewReader(body))
+	httpResponse, err := http.Post("http://"+address+path, "application/json", strings.NewReader(body))
 	if err != nil {
 		return response{}, err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	content, err := io.ReadAll(answer.Body)
-	return response{status: answer.StatusCode, header: answer.Header, body: string(content)}, err
+	defer func() { _ = httpResponse.Body.Close() }()
+	content, err := io.ReadAll(httpResponse.Body)
+	return response{status: httpResponse.StatusCode, header: httpResponse.Header, body: string(content)}, err
 }
 
 func mustPost(t *testing.T, address, path, body string) response {
 	t.Helper()
-	answer, err := post(address, path, body)
+	result, err := post(address, path, body)
 	assert.NilError(t, err)
-	return answer
+	return result
 }
 
-// TestPublishedForm sends requests and compares answers as the API documents them.
-func TestPublishedForm(t *testing.T) {
+// TestAPIResponses compares responses with those that the etcd API documents.
+func TestAPIResponses(t *testing.T) {
 	process := start(t, kvstore.Config{Now: func() time.Time { return time.Unix(0, 0) }})
 	steps := []struct {
-		path, body, want string
-		status           int
+		path, body, expected string
+		status               int
 	}{
 		{"/v3/kv/put", put, `{"header":{"revision":"2"}}`, 200},
 		{"/v3/kv/range", `{"key":"Zm9v"}`, `{"header":{"revision":"2"},"kvs":[{"key":"Zm9v","create_revision":"2","mod_revision":"2","version":"1","value":"YmFy"}],"count":"1"}`, 200},
@@ -87,9 +87,9 @@
 		{"/v3/kv/deleterange", `{"key":"AA==","range_end":"AA=="}`, `{"header":{"revision":"4"},"deleted":"1"}`, 200},
 	}
 	for _, step := range steps {
-		answer := mustPost(t, process.Address(), step.path, step.body)
-		assert.Equal(t, answer.status, step.status, "%s %s", step.path, answer.body)
-		assert.Equal(t, answer.body, step.want, step.path)
+		result := mustPost(t, process.Address(), step.path, step.body)
+		assert.Equal(t, result.status, step.status, "%s %s", step.path, result.body)
+		assert.Equal(t, result.body, step.expected, step.path)
 	}
 }
 
@@ -97,13 +97,13 @@
 	now := time.Unix(1000, 0)
 	process := start(t, kvstore.Config{RequestsPerSecond: 0.5, Burst: 1, Now: func() time.Time { return now }})
 	assert.Equal(t, mustPost(t, process.Address(), "/v3/kv/put", put).status, http.StatusOK)
-	refused := mustPost(t, process.Address(), "/v3/kv/put", put)
-	assert.Equal(t, refused.status, http.StatusTooManyRequests)
-	assert.Equal(t, refused.header.Get("Retry-After"), "2")
+	limited := mustPost(t, process.Address(), "/v3/kv/put", put)
+	assert.Equal(t, limited.status, http.StatusTooManyRequests)
+	assert.Equal(t, limited.header.Get("Retry-After"), "2")
 	assert.Equal(t, process.Status().Revision, int64(2))
 }
 
-func TestDroppedAnswerTookEffect(t *testing.T) {
+func TestDroppedResponseFollowsAppliedWrite(t *testing.T) {
 	process := start(t, kvstore.Config{})
 	mustPost(t, process.ControlAddress(), kvstore.PathControl, `{"drop_answers":1}`)
 	assert.Equal(t, mustPost(t, process.Address(), "/v3/kv/range", `{"key":"Zm9v"}`).status, http.StatusOK)
@@ -113,7 +113,7 @@
 	assert.Equal(t, mustPost(t, process.Address(), "/v3/kv/put", put).status, http.StatusOK)
 }
 
-func TestRandomDropsRepeatWithTheSeed(t *testing.T) {
+func TestRandomDropsAreDeterministicForSeed(t *testing.T) {
 	drops := func() (pattern []bool) {
 		process := start(t, kvstore.Config{Seed: 3})
 		mustPost(t, process.ControlAddress(), kvstore.PathControl, `{"drop_probability":0.5}`)
@@ -135,47 +135,47 @@
 	mustPost(t, process.ControlAddress(), kvstore.PathControl, `{"outage":"refuse"}`)
 	_, err := net.Dial("tcp", process.Address())
 	assert.ErrorIs(t, err, syscall.ECONNREFUSED)
-	// The stand-in closed the connections that were idle. A client that hasn't noticed yet
-	// sends its next request into one, and a POST isn't sent again: it ends with EOF before
-	// any store sees it (19 of 32 processes with 150 plays each, on 8 cores).
+	// The server closed its idle connections. A client that hasn't detected this yet sends
+	// its next request on one of them and doesn't retry a POST: it fails with EOF before it
+	// reaches the store (in 19 of 32 processes with 150 runs each, on 8 cores).
 	http.DefaultClient.CloseIdleConnections()
 
-	hangs := mustPost(t, process.ControlAddress(), kvstore.PathControl, `{"outage":"hang"}`)
-	assert.Equal(t, hangs.status, http.StatusOK, hangs.body)
+	hangResponse := mustPost(t, process.ControlAddress(), kvstore.PathControl, `{"outage":"hang"}`)
+	assert.Equal(t, hangResponse.status, http.StatusOK, hangResponse.body)
 	before := process.Status().Requests
-	held := make(chan error, 1)
+	putError := make(chan error, 1)
 	go func() {
 		_, err := post(process.Address(), "/v3/kv/put", put)
-		held <- err
+		putError <- err
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if process.Status().Requests > before {
 			return poll.Success()
 		}
 		select {
-		case err := <-held:
-			return poll.Error(fmt.Errorf("a request ended while the store hangs: %v", err))
+		case err := <-putError:
+			return poll.Error(fmt.Errorf("a request ended during OutageHang: %v", err))
 		default:
 		}
 		return poll.Continue("the request has not arrived")
-	}, poll.WithTimeout(patience), poll.WithDelay(time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(time.Millisecond))
 	mustPost(t, process.ControlAddress(), kvstore.PathControl, `{"latency_ms":1}`)
 	assert.Equal(t, process.Status().Revision, int64(1))
 	cleared := mustPost(t, process.ControlAddress(), kvstore.PathControl, `{"clear":true}`)
 	assert.Assert(t, strings.Contains(cleared.body, `"faults":{"outage":"","latency_ms":0`), cleared.body)
-	assert.NilError(t, <-held)
+	assert.NilError(t, <-putError)
 	assert.Equal(t, process.Status().Revision, int64(2))
 }
 
-func TestControlRefusesNonsense(t *testing.T) {
+func TestControlRejectsInvalidRequests(t *testing.T) {
 	process := start(t, kvstore.Config{})
 	for _, body := range []string{`{"outage":"flood"}`, `{"drop_probability":2}`, `{"unknown":1}`, `[`} {
-		answer := mustPost(t, process.ControlAddress(), kvstore.PathControl, body)
-		assert.Equal(t, answer.status, http.StatusBadRequest, body)
+		result := mustPost(t, process.ControlAddress(), kvstore.PathControl, body)
+		assert.Equal(t, result.status, http.StatusBadRequest, body)
 	}
 }
 
-func TestCommandServesUntilTerminated(t *testing.T) {
+func TestCommandRunsUntilSignal(t *testing.T) {
 	for _, signal := range []syscall.Signal{syscall.SIGTERM, syscall.SIGINT} {
 		command := kvstore.Commands()[0]
 		reader, writer := io.Pipe()
--- a/lab/kvstore/process.go
+++ b/lab/kvstore/process.go
@@ -10,59 +10,59 @@
 	"github.com/samber/oops"
 )
 
-// readHeaderTimeout bounds how long a client may take for its header.
+// readHeaderTimeout is the timeout of reading a request header.
 const readHeaderTimeout = 10 * time.Second
 
-// Process is a stand-in with its own listeners, so that OutageRefuse really
-// refuses connections.
+// Process is a server with its own listeners, so that OutageRefuse can refuse
+// connections.
 type Process struct {
-	server   *Server
-	address  string
-	reserved *reservation
+	server      *Server
+	address     string
+	reservation *reservation
 
-	mu       sync.Mutex
-	api      *http.Server
-	control  *http.Server
-	listener net.Listener
-	serving  sync.WaitGroup
+	mu              sync.Mutex
+	api             *http.Server
+	control         *http.Server
+	controlListener net.Listener
+	serving         sync.WaitGroup
 }
 
-// Start serves the API and the control listener on the given addresses, whose
-// ports may be zero.
+// Start starts the API and control listeners on the given addresses, whose ports
+// may be zero.
 func Start(config Config, listen, control string) (*Process, error) {
-	reserved, apiListener, err := reserve(listen)
+	reservation, apiListener, err := reserve(listen)
 	if err != nil {
 		return nil, err
 	}
 	controlListener, err := net.Listen("tcp", control)
 	if err != nil {
 		_ = apiListener.Close()
-		reserved.release()
+		reservation.release()
 		return nil, oops.In("kvstore").With("step", "listen").With("peer", control).Wrapf(err, "listen on %s", control)
 	}
-	p := &Process{server: New(config), address: apiListener.Addr().String(), reserved: reserved, listener: controlListener}
+	p := &Process{server: New(config), address: apiListener.Addr().String(), reservation: reservation, controlListener: controlListener}
 	p.control = p.serve(controlListener, controlHandler(p.server, p.Control))
 	p.api = p.serve(apiListener, p.server.Handler())
 	return p, nil
 }
 
-// Address returns the address of the store's API.
+// Address returns the address of the API listener.
 func (p *Process) Address() string {
 	return p.address
 }
 
 // ControlAddress returns the address of the control listener.
 func (p *Process) ControlAddress() string {
-	return p.listener.Addr().String()
+	return p.controlListener.Addr().String()
 }
 
-// Status returns the faults in force and the counts.
+// Status returns the current faults and the counters.
 func (p *Process) Status() Status {
 	return p.server.Status()
 }
 
-// Control applies a control request, and closes or opens the API's listener
-// where the outage asks for it.
+// Control applies a control request and closes or reopens the API listener as the
+// outage requires.
 func (p *Process) Control(request ControlRequest) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,12 +75,12 @@
 		p.api = nil
 	}
 	if !refuse && p.api == nil {
-		return p.reopen()
+		return p.reopenListener()
 	}
 	return nil
 }
 
-func (p *Process) reopen() error {
+func (p *Process) reopenListener() error {
 	listener, err := net.Listen("tcp", p.address)
 	if err != nil {
 		return oops.In("kvstore").With("step", "reopen").With("peer", p.address).Wrapf(err, "listen on %s", p.address)
@@ -99,7 +99,7 @@
 	return server
 }
 
-// Close ends the listeners and all connections.
+// Close closes the listeners and all connections.
 func (p *Process) Close() {
 	p.server.Close()
 	p.mu.Lock()
@@ -109,5 +109,5 @@
 	_ = p.control.Close()
 	p.mu.Unlock()
 	p.serving.Wait()
-	p.reserved.release()
+	p.reservation.release()
 }
--- a/lab/kvstore/reserve.go
+++ b/lab/kvstore/reserve.go
@@ -7,17 +7,17 @@
 	"github.com/samber/oops"
 )
 
-// reservation keeps a port of the loopback interface for this process while nothing listens
-// on it: connections are refused, and the system gives the port to nobody else. Without it
-// another process that asked for any port got that of a stand-in which refuses connections
-// (5 of 9,600 plays of an outage in 32 processes beside each other).
+// reservation keeps a loopback port bound while nothing listens on it, so that connections
+// are refused and the kernel doesn't assign the port to another process. Without it, another
+// process that bound port 0 got the port of a server during OutageRefuse (in 5 of 9,600
+// outages across 32 concurrent processes).
 type reservation struct {
 	socket int
 }
 
-// reserve binds a port and listens on it. Port zero asks for any.
+// reserve binds a port and listens on it. Port 0 chooses a free port.
 func reserve(address string) (*reservation, net.Listener, error) {
-	wanted, err := net.ResolveTCPAddr("tcp4", address)
+	requested, err := net.ResolveTCPAddr("tcp4", address)
 	if err != nil {
 		return nil, nil, oops.In("kvstore").With("step", "resolve").With("peer", address).Wrapf(err, "resolve %s", address)
 	}
@@ -25,23 +25,23 @@
 	if err != nil {
 		return nil, nil, oops.In("kvstore").With("step", "reserve").With("peer", address).Wrapf(err, "open a socket for %s", address)
 	}
-	held := &reservation{socket: socket}
-	listener, err := held.listen(wanted)
+	reserved := &reservation{socket: socket}
+	listener, err := reserved.listen(requested)
 	if err != nil {
-		held.release()
+		reserved.release()
 		return nil, nil, oops.In("kvstore").With("step", "listen").With("peer", address).Wrapf(err, "listen on %s", address)
 	}
-	return held, listener, nil
+	return reserved, listener, nil
 }
 
-// listen binds the reservation's socket, and listens on its port by another one. Both allow
-// the address to be bound again, as the net package does for all its listeners.
-func (r *reservation) listen(wanted *net.TCPAddr) (net.Listener, error) {
+// listen binds the reservation's socket and listens on the same port with another socket.
+// Both set SO_REUSEADDR, as the net package does for all its listeners.
+func (r *reservation) listen(requested *net.TCPAddr) (net.Listener, error) {
 	if err := syscall.SetsockoptInt(r.socket, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return nil, err
 	}
-	bound := &syscall.SockaddrInet4{Port: wanted.Port}
-	copy(bound.Addr[:], wanted.IP.To4())
+	bound := &syscall.SockaddrInet4{Port: requested.Port}
+	copy(bound.Addr[:], requested.IP.To4())
 	if err := syscall.Bind(r.socket, bound); err != nil {
 		return nil, err
 	}
@@ -49,10 +49,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if got, ok := name.(*syscall.SockaddrInet4); ok {
-		bound.Port = got.Port
+	if assigned, ok := name.(*syscall.SockaddrInet4); ok {
+		bound.Port = assigned.Port
 	}
-	return net.ListenTCP("tcp4", &net.TCPAddr{IP: wanted.IP, Port: bound.Port})
+	return net.ListenTCP("tcp4", &net.TCPAddr{IP: requested.IP, Port: bound.Port})
 }
 
 func (r *reservation) release() { _ = syscall.Close(r.socket) }
--- a/lab/kvstore/answers.go
+++ b/lab/kvstore/responses.go
@@ -23,7 +23,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	// A failed write means that the client has gone; nobody is left to tell.
+	// A failed write means that the client has disconnected, so it is ignored.
 	_, _ = w.Write(encoded)
 }
 
@@ -31,7 +31,7 @@
 	writeJSON(w, status, wire.Error{Code: code, Message: message})
 }
 
-func writeFailure(w http.ResponseWriter, err error) {
+func writeStoreError(w http.ResponseWriter, err error) {
 	switch {
 	case errors.Is(err, store.ErrCompacted):
 		writeError(w, http.StatusBadRequest, wire.CodeOutOfRange, wire.MessageCompacted)
--- a/lab/kvstore/server.go
+++ b/lab/kvstore/server.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	// maxRequestBytes bounds the body of a request, in bytes.
+	// maxRequestBytes limits the size of a request body, in bytes.
 	maxRequestBytes = 4 << 20
 	// defaultProgressInterval is the time between progress notifications.
 	defaultProgressInterval = time.Second
 )
 
-// Config holds the settings of a stand-in. The zero value does not limit the
-// rate and keeps the default history.
+// Config configures a server. The zero value has no rate limit and the default
+// history.
 type Config struct {
-	// Now is the clock of leases and of the rate limit; nil is time.Now.
+	// Now is the clock of leases and of the rate limit; nil means time.Now.
 	Now func() time.Time
-	// RequestsPerSecond limits the rate of all requests together, and Burst
-	// what may come at once. A rate of zero does not limit.
+	// RequestsPerSecond limits the rate of all requests and Burst their burst
+	// size. A rate of zero means no limit.
 	RequestsPerSecond float64
 	Burst             int
-	// ProgressInterval is the time between progress notifications of a watch
-	// that has nothing else to send; zero is one second.
+	// ProgressInterval is the time between progress notifications of an idle
+	// watch; zero means one second.
 	ProgressInterval time.Duration
-	// HistoryEvents is the number of changes kept for watches; zero is the
-	// engine's default.
+	// HistoryEvents is the number of changes retained for watches; zero means the
+	// default of package mvcc.
 	HistoryEvents int
-	// Seed makes the random choice of dropped answers repeatable.
+	// Seed makes the random choice of dropped responses reproducible.
 	Seed uint64
 }
 
-// Server is the stand-in. It is safe for concurrent use.
+// Server serves the key-value API and injects faults. It is safe for concurrent use.
 type Server struct {
 	config   Config
-	versions *mvcc.Store
+	store    *mvcc.Store
 	bucket   *pace.Bucket
 	faults   *faultState
 	counters counters
@@ -52,7 +52,7 @@
 	close    sync.Once
 }
 
-// New returns a stand-in with an empty store.
+// New returns a server with an empty store.
 func New(config Config) *Server {
 	if config.Now == nil {
 		config.Now = time.Now
@@ -61,25 +61,25 @@
 		config.ProgressInterval = defaultProgressInterval
 	}
 	return &Server{
-		config:   config,
-		versions: mvcc.New(mvcc.Config{Now: config.Now, HistoryEvents: config.HistoryEvents}),
-		bucket:   pace.NewBucket(config.RequestsPerSecond, config.Burst),
-		faults:   newFaultState(config.Seed),
-		closing:  make(chan struct{}),
+		config:  config,
+		store:   mvcc.New(mvcc.Config{Now: config.Now, HistoryEvents: config.HistoryEvents}),
+		bucket:  pace.NewBucket(config.RequestsPerSecond, config.Burst),
+		faults:  newFaultState(config.Seed),
+		closing: make(chan struct{}),
 	}
 }
 
-// Close ends hanging requests and watches. The store's content stays.
+// Close aborts blocked requests and watches. The store keeps its content.
 func (s *Server) Close() {
 	s.close.Do(func() { close(s.closing) })
 }
 
-// Compact forgets the history up to the newest revision.
+// Compact compacts the history up to the newest revision.
 func (s *Server) Compact() error {
-	return s.versions.Compact(s.versions.Revision())
+	return s.store.Compact(s.store.Revision())
 }
 
-// Handler returns the handler of the store's API.
+// Handler returns the handler of the key-value API.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST "+wire.PathRange, unary(s, s.rangeKeys))
@@ -94,15 +94,15 @@
 	return mux
 }
 
-// answer is what an operation returns: the response's body and whether a
-// write took effect, so that a fault may drop the answer.
-type answer[R any] struct {
+// operationResult is a response body and whether a write was applied, so that a
+// fault may drop the response.
+type operationResult[R any] struct {
 	body    R
 	changed bool
 }
 
-// unary makes a handler from an operation that has one request and one answer.
-func unary[Q, R any](s *Server, apply func(Q) (answer[R], error)) http.Handler {
+// unary returns the handler of an operation with one request and one response.
+func unary[Q, R any](s *Server, apply func(Q) (operationResult[R], error)) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var request Q
 		if !s.admit(w, r, &request) {
@@ -110,33 +110,33 @@
 		}
 		result, err := apply(request)
 		if err != nil {
-			writeFailure(w, err)
+			writeStoreError(w, err)
 			return
 		}
 		if result.changed {
 			s.counters.writes.Add(1)
 		}
-		if result.changed && s.faults.dropAnswer() {
-			s.counters.answersDropped.Add(1)
+		if result.changed && s.faults.shouldDropResponse() {
+			s.counters.responsesDropped.Add(1)
 			abort()
 		}
 		writeJSON(w, http.StatusOK, result.body)
 	})
 }
 
-// admit reads the request and applies outage, rate limit and latency. It
-// reports whether the request goes ahead; otherwise it has been answered.
+// admit reads the request and applies outage, rate limit and latency. It reports
+// whether to process the request; otherwise it has sent an error response.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, request any) bool {
 	s.counters.requests.Add(1)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	if err != nil {
-		writeFailure(w, mvcc.ErrValueTooLarge)
+		writeStoreError(w, mvcc.ErrValueTooLarge)
 		return false
 	}
-	if !s.passOutage(w) || !s.passRateLimit(w) {
+	if !s.applyOutage(w) || !s.applyRateLimit(w) {
 		return false
 	}
-	s.delay()
+	s.applyLatency()
 	if err := json.Unmarshal(body, request); err != nil {
 		writeError(w, http.StatusBadRequest, wire.CodeInvalidArgument, err.Error())
 		return false
@@ -144,12 +144,12 @@
 	return true
 }
 
-// passOutage holds a request while the store hangs. It then goes ahead even if
-// its caller has given up, as with a store process that was stopped for a
-// while.
-func (s *Server) passOutage(w http.ResponseWriter) bool {
+// applyOutage blocks a request during OutageHang. The request is processed
+// afterwards even if its caller has timed out, as with a store process that was
+// paused.
+func (s *Server) applyOutage(w http.ResponseWriter) bool {
 	for {
-		current, changed := s.faults.current()
+		current, changed := s.faults.currentFaults()
 		switch current.Outage {
 		case OutageRefuse:
 			abort()
@@ -157,16 +157,16 @@
 			writeError(w, http.StatusServiceUnavailable, wire.CodeUnavailable, wire.MessageNoLeader)
 			return false
 		case OutageHang:
-			s.waitFor(changed)
+			s.waitForFaultChange(changed)
 		default:
 			return true
 		}
 	}
 }
 
-// waitFor waits for a change of the faults; the connection is aborted when the
-// server closes.
-func (s *Server) waitFor(changed <-chan struct{}) {
+// waitForFaultChange waits until the faults change. It aborts the connection when
+// the server closes.
+func (s *Server) waitForFaultChange(changed <-chan struct{}) {
 	select {
 	case <-changed:
 	case <-s.closing:
@@ -174,7 +174,7 @@
 	}
 }
 
-func (s *Server) passRateLimit(w http.ResponseWriter) bool {
+func (s *Server) applyRateLimit(w http.ResponseWriter) bool {
 	wait, ok := s.bucket.Take(s.config.Now(), 0)
 	if ok {
 		return true
@@ -185,8 +185,8 @@
 	return false
 }
 
-func (s *Server) delay() {
-	current, _ := s.faults.current()
+func (s *Server) applyLatency() {
+	current, _ := s.faults.currentFaults()
 	if current.LatencyMillis <= 0 {
 		return
 	}
@@ -199,7 +199,7 @@
 	}
 }
 
-// abort closes the request's connection without an answer.
+// abort closes the request's connection without a response.
 func abort() {
 	panic(http.ErrAbortHandler)
 }
--- a/lab/kvstore/watch.go
+++ b/lab/kvstore/watch.go
@@ -13,22 +13,22 @@
 )
 
 const (
-	// watchBatchEvents is the size, in events, of one message of a watch.
+	// watchBatchEvents is the maximum number of events of one watch message.
 	watchBatchEvents = 500
-	// leasePollInterval is how often a watch looks for expired leases.
+	// leasePollInterval is the interval at which a watch checks for expired leases.
 	leasePollInterval = 50 * time.Millisecond
 )
 
 // watchStream is one watch on one connection.
 type watchStream struct {
-	server       *Server
-	span         keyspan.Span
-	after        store.Revision
-	wantProgress bool
-	encoder      *json.Encoder
-	flusher      *http.ResponseController
-	cut          <-chan struct{}
-	lastSent     time.Time
+	server         *Server
+	span           keyspan.Span
+	after          store.Revision
+	progressNotify bool
+	encoder        *json.Encoder
+	flusher        *http.ResponseController
+	cut            <-chan struct{}
+	lastSent       time.Time
 }
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
@@ -40,7 +40,7 @@
 	s.counters.watches.Add(1)
 	defer s.counters.watches.Add(-1)
 	w.Header().Set("Content-Type", "application/json")
-	if stream.send(wire.WatchResponse{Header: header(s.versions.Revision()), Created: true}) != nil {
+	if stream.send(wire.WatchResponse{Header: header(s.store.Revision()), Created: true}) != nil {
 		return
 	}
 	stream.run(r)
@@ -49,34 +49,34 @@
 func (s *Server) newWatchStream(w http.ResponseWriter, create wire.WatchCreateRequest) *watchStream {
 	after := store.Revision(create.StartRevision) - 1
 	if create.StartRevision <= 0 {
-		after = s.versions.Revision()
+		after = s.store.Revision()
 	}
 	return &watchStream{
-		server:       s,
-		span:         span(create.Key, create.RangeEnd),
-		after:        after,
-		wantProgress: create.ProgressNotify,
-		encoder:      json.NewEncoder(w),
-		flusher:      http.NewResponseController(w),
-		cut:          s.faults.watchCut(),
+		server:         s,
+		span:           span(create.Key, create.RangeEnd),
+		after:          after,
+		progressNotify: create.ProgressNotify,
+		encoder:        json.NewEncoder(w),
+		flusher:        http.NewResponseController(w),
+		cut:            s.faults.watchCut(),
 	}
 }
 
-// run sends until the client leaves, the history is gone or a fault cuts the
-// watch; cuts abort the connection.
+// run sends changes until the client disconnects, the history has been compacted
+// or a fault cuts the watch, which aborts the connection.
 func (w *watchStream) run(r *http.Request) {
 	poll := time.NewTicker(min(leasePollInterval, w.server.config.ProgressInterval))
 	defer poll.Stop()
 	for {
-		faults, faultsChanged := w.server.faults.current()
-		changed := w.server.versions.Changed()
+		faults, faultsChanged := w.server.faults.currentFaults()
+		changed := w.server.store.Changed()
 		switch faults.Outage {
 		case OutageRefuse, OutageUnavailable:
 			abort()
 		case OutageHang:
 			changed = nil
 		default:
-			more, err := w.sendNews()
+			more, err := w.sendChanges()
 			if err != nil {
 				return
 			}
@@ -98,10 +98,10 @@
 	}
 }
 
-// sendNews sends what happened since the last message and reports whether
-// there may be more at once.
-func (w *watchStream) sendNews() (more bool, err error) {
-	batch, err := w.server.versions.EventsAfter(w.span, w.after, watchBatchEvents)
+// sendChanges sends the changes since the last message and reports whether more may
+// be available immediately.
+func (w *watchStream) sendChanges() (more bool, err error) {
+	batch, err := w.server.store.EventsAfter(w.span, w.after, watchBatchEvents)
 	if errors.Is(err, store.ErrCompacted) {
 		return false, errors.Join(err, w.sendCompacted())
 	}
@@ -115,9 +115,9 @@
 	w.after = batch.Through
 	switch {
 	case len(response.Events) > 0:
-		w.server.delay()
+		w.server.applyLatency()
 		return true, w.send(response)
-	case w.wantProgress && time.Since(w.lastSent) >= w.server.config.ProgressInterval:
+	case w.progressNotify && time.Since(w.lastSent) >= w.server.config.ProgressInterval:
 		return false, w.send(response)
 	default:
 		return false, nil
@@ -125,7 +125,7 @@
 }
 
 func (w *watchStream) sendCompacted() error {
-	current := w.server.versions.Revision()
+	current := w.server.store.Revision()
 	return w.send(wire.WatchResponse{
 		Header:          header(current),
 		Canceled:        true,
