--- a/lab/faultproxy/proxy.go
+++ b/lab/faultproxy/proxy.go
@@ -131,8 +131,8 @@
 func (p *Proxy) resetConnections() {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for each := range p.connections {
-		each.reset()
+	for connection := range p.connections {
+		connection.reset()
 	}
 }
 
@@ -189,8 +189,8 @@
 // one was.
 func (p *Proxy) waitForBlackholeEnd(ctx context.Context) bool {
 	blackholed := false
-	for _, each := range []*direction{p.toUpstream, p.toClient} {
-		_ = each.waitWhile(ctx, func(f Faults) bool {
+	for _, d := range []*direction{p.toUpstream, p.toClient} {
+		_ = d.waitWhile(ctx, func(f Faults) bool {
 			blackholed = blackholed || f.Cut == CutBlackhole
 			return f.Cut == CutBlackhole
 		})
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -33,34 +33,34 @@
 	maxLateRuns    = 3
 )
 
-// Promise names a guarantee that a run is checked against.
-type Promise string
+// Guarantee names a guarantee that a run is checked against.
+type Guarantee string
 
-// The promises.
+// The guarantees. Their texts are written to the result file.
 const (
-	IntactResponses      Promise = "whole and own answers"
-	AtMostOnce           Promise = "at most once"
-	RefusedNotExecuted   Promise = "refused means not run"
-	NoWorkAfterDrain     Promise = "a leaving target gets no new work"
-	ConfigurationInForce Promise = "a configuration is in force within its time"
-	NoRollback           Promise = "no older configuration"
-	EveryRequestAnswered Promise = "every request gets an answer"
-	OnlySentRequests     Promise = "only what was asked runs, where it may"
-	DeadlinesKept        Promise = "deadlines are kept"
-	ServiceRecovers      Promise = "service recovers"
-	CrashesContained     Promise = "a request that ends its targets is stopped"
-	NoUnexpectedExit     Promise = "no process ends by itself"
-	TenantIdentity       Promise = "targets are told the tenant and no key"
-	RevokedKeysRejected  Promise = "a key that was taken away stops to work"
-	ValidKeysAccepted    Promise = "a key that is held works"
-	WithinLimits         Promise = "no tenant passes its limit"
+	IntactResponses      Guarantee = "whole and own answers"
+	AtMostOnce           Guarantee = "at most once"
+	RefusedNotExecuted   Guarantee = "refused means not run"
+	NoWorkAfterDrain     Guarantee = "a leaving target gets no new work"
+	ConfigurationInForce Guarantee = "a configuration is in force within its time"
+	NoRollback           Guarantee = "no older configuration"
+	EveryRequestAnswered Guarantee = "every request gets an answer"
+	OnlySentRequests     Guarantee = "only what was asked runs, where it may"
+	DeadlinesKept        Guarantee = "deadlines are kept"
+	ServiceRecovers      Guarantee = "service recovers"
+	CrashesContained     Guarantee = "a request that ends its targets is stopped"
+	NoUnexpectedExit     Guarantee = "no process ends by itself"
+	TenantIdentity       Guarantee = "targets are told the tenant and no key"
+	RevokedKeysRejected  Guarantee = "a key that was taken away stops to work"
+	ValidKeysAccepted    Guarantee = "a key that is held works"
+	WithinLimits         Guarantee = "no tenant passes its limit"
 )
 
 // Breach is a violation of a guarantee.
 type Breach struct {
-	Promise Promise `json:"promise"`
-	Request string  `json:"request,omitempty"`
-	Detail  string  `json:"detail"`
+	Guarantee Guarantee `json:"promise"`
+	Request   string    `json:"request,omitempty"`
+	Detail    string    `json:"detail"`
 }
 
 // judgement checks a run against the guarantees.
@@ -109,8 +109,8 @@
 	return j.breaches
 }
 
-func (j *judgement) addBreach(promise Promise, request *Request, format string, arguments ...any) {
-	breach := Breach{Promise: promise, Detail: fmt.Sprintf(format, arguments...)}
+func (j *judgement) addBreach(guarantee Guarantee, request *Request, format string, arguments ...any) {
+	breach := Breach{Guarantee: guarantee, Detail: fmt.Sprintf(format, arguments...)}
 	if request != nil {
 		breach.Request = request.ID
 		breach.Detail += fmt.Sprintf(" (%s %s at %s, sent %s, status %d %s)", request.Method, request.Path,
--- a/lab/soak/judge_test.go
+++ b/lab/soak/judge_test.go
@@ -40,26 +40,26 @@
 	return &j.recorder.requests[len(j.recorder.requests)-1]
 }
 
-func (j *runBuilder) brokenPromises() []Promise {
+func (j *runBuilder) violatedGuarantees() []Guarantee {
 	j.target.SetLog(j.runs)
-	var promises []Promise
+	var guarantees []Guarantee
 	for _, breach := range judge(j.recorder, []*machine{j.machine}, at(-1)) {
-		promises = append(promises, breach.Promise)
+		guarantees = append(guarantees, breach.Guarantee)
 	}
-	return promises
+	return guarantees
 }
 
 func TestCorrectRunHasNoBreaches(t *testing.T) {
 	j := newRunBuilder()
 	j.addAnswered("a", 10)
-	assert.Equal(t, len(j.brokenPromises()), 0)
+	assert.Equal(t, len(j.violatedGuarantees()), 0)
 }
 
 func TestBreachesAreDetected(t *testing.T) {
 	cases := []struct {
-		name    string
-		modify  func(*runBuilder, *Request)
-		promise Promise
+		name      string
+		modify    func(*runBuilder, *Request)
+		guarantee Guarantee
 	}{
 		{"no signature", func(_ *runBuilder, r *Request) { r.Signature = "" }, IntactResponses},
 		{"another request's body", func(_ *runBuilder, r *Request) { r.Body = "alpha POST b" }, IntactResponses},
@@ -113,9 +113,9 @@
 			j := newRunBuilder()
 			r := j.addAnswered("a", 10)
 			c.modify(j, r)
-			found := j.brokenPromises()
+			found := j.violatedGuarantees()
 			assert.Assert(t, len(found) > 0)
-			assert.Equal(t, found[0], c.promise, "%v", found)
+			assert.Equal(t, found[0], c.guarantee, "%v", found)
 		})
 	}
 }
@@ -138,7 +138,7 @@
 	}
 	for _, c := range cases {
 		j.recorder.disturbances = []disturbance{c.fault}
-		assert.Equal(t, contains(j.brokenPromises(), EveryRequestAnswered), c.broken, c.name)
+		assert.Equal(t, contains(j.violatedGuarantees(), EveryRequestAnswered), c.broken, c.name)
 	}
 }
 
@@ -153,10 +153,10 @@
 		r := j.addAnswered(c.id, c.sent)
 		r.Version = c.version
 	}
-	found := j.brokenPromises()
+	found := j.violatedGuarantees()
 	assert.Assert(t, contains(found, NoRollback), "%v", found)
 	j.recorder.requests[1].Incarnation = 1
-	assert.Assert(t, !contains(j.brokenPromises(), NoRollback))
+	assert.Assert(t, !contains(j.violatedGuarantees(), NoRollback))
 }
 
 // TestUncontainedCrashesAreDetected crashes three targets with a request that then
@@ -183,15 +183,15 @@
 				r.CrashesTarget, r.Method, r.Path = true, "GET", crashPath("alpha")
 				j.runs[number].Method, j.runs[number].Path = r.Method, r.Path
 			}
-			found := j.brokenPromises()
+			found := j.violatedGuarantees()
 			assert.Equal(t, contains(found, CrashesContained), c.broken, "%v", found)
 		})
 	}
 }
 
-func contains(promises []Promise, promise Promise) bool {
-	for _, other := range promises {
-		if other == promise {
+func contains(guarantees []Guarantee, guarantee Guarantee) bool {
+	for _, other := range guarantees {
+		if other == guarantee {
 			return true
 		}
 	}
--- a/lab/soak/run.go
+++ b/lab/soak/run.go
@@ -156,15 +156,15 @@
 	for _, status := range statuses {
 		fmt.Fprintf(w, "  status %3d: %d\n", status, r.Statuses[status])
 	}
-	printed := make(map[Promise]int)
+	printed := make(map[Guarantee]int)
 	for _, breach := range r.Breaches {
-		printed[breach.Promise]++
-		if printed[breach.Promise] <= maxPrinted {
-			fmt.Fprintf(w, "BROKEN %s: %s %s\n", breach.Promise, breach.Request, breach.Detail)
+		printed[breach.Guarantee]++
+		if printed[breach.Guarantee] <= maxPrinted {
+			fmt.Fprintf(w, "BROKEN %s: %s %s\n", breach.Guarantee, breach.Request, breach.Detail)
 		}
 	}
-	for promise, count := range printed {
-		fmt.Fprintf(w, "%s: broken %d times\n", promise, count)
+	for guarantee, count := range printed {
+		fmt.Fprintf(w, "%s: broken %d times\n", guarantee, count)
 	}
 	if len(r.Breaches) == 0 {
 		fmt.Fprintln(w, "no promise broken")
