--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -51,9 +51,9 @@
 	return problem
 }
 
-func accepted(t *testing.T, node *admintest.Node, method, path, body string, headers ...string) admin.WriteAnswer {
+func accepted(t *testing.T, node *admintest.Node, method, path, body string, headers ...string) admin.WriteResponse {
 	t.Helper()
-	response, answer := call[admin.WriteAnswer](t, node, method, path, body, headers...)
+	response, answer := call[admin.WriteResponse](t, node, method, path, body, headers...)
 	assert.Equal(t, response.StatusCode, http.StatusOK)
 	return answer
 }
@@ -177,13 +177,13 @@
 
 func TestStoreDown(t *testing.T) {
 	node := admintest.Start(t)
-	node.Break(admintest.Down)
+	node.SetFault(admintest.Unavailable)
 	response, problem := call[admin.Problem](t, node, "PUT", targetPath+"?expected_revision=0", targetSpec)
 	assert.Equal(t, response.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, response.Header.Get("Retry-After"), "2")
 	assert.Equal(t, problem.Outcome, admin.OutcomeRefused)
-	node.Break(admintest.Healthy)
-	_, change := call[admin.ChangeAnswer](t, node, "GET", admin.AskURL(targetID(), problem.ChangeID, 0), "")
+	node.SetFault(admintest.Healthy)
+	_, change := call[admin.ChangeResponse](t, node, "GET", admin.ResolveURL(targetID(), problem.ChangeID, 0), "")
 	assert.Assert(t, change.Outcome != admin.OutcomeAccepted)
 }
 
@@ -194,21 +194,21 @@
 		fault   admintest.Fault
 		outcome admin.Outcome
 	}{
-		{admintest.AnswersLost, admin.OutcomeAccepted},
+		{admintest.ResponsesLost, admin.OutcomeAccepted},
 		{admintest.WritesLost, admin.OutcomeUnknown},
 	} {
 		node := admintest.Start(t)
 		created := accepted(t, node, "PUT", targetPath+"?expected_revision=0", targetSpec)
-		node.Break(lost.fault)
+		node.SetFault(lost.fault)
 		problem := refused(t, node, http.StatusGatewayTimeout, "PUT", targetPath+"?expected_revision="+itoa(created.Revision), biggerSpec, "Lugspur-Change-Id", "c2")
 		assert.Equal(t, problem.Outcome, admin.OutcomeUnknown)
 		assert.Equal(t, problem.ChangeID, "c2")
 
-		asked := refused(t, node, http.StatusServiceUnavailable, "GET", problem.AskURL, "")
+		asked := refused(t, node, http.StatusServiceUnavailable, "GET", problem.ResolveURL, "")
 		assert.Equal(t, asked.Outcome, admin.OutcomeUnknown)
 
-		node.Break(admintest.Healthy)
-		_, change := call[admin.ChangeAnswer](t, node, "GET", problem.AskURL, "")
+		node.SetFault(admintest.Healthy)
+		_, change := call[admin.ChangeResponse](t, node, "GET", problem.ResolveURL, "")
 		assert.Equal(t, change.Outcome, lost.outcome)
 		assert.Equal(t, change.ChangeID, "c2")
 	}
@@ -220,13 +220,13 @@
 	node := admintest.Start(t)
 	created := accepted(t, node, "PUT", targetPath+"?expected_revision=0", targetSpec)
 	deleted := accepted(t, node, "DELETE", targetPath+"?expected_revision="+itoa(created.Revision), "")
-	node.Break(admintest.ReadOnly)
+	node.SetFault(admintest.ReadOnly)
 	problem := refused(t, node, http.StatusGatewayTimeout, "PUT", targetPath+"?expected_revision=0", targetSpec)
-	assert.Equal(t, problem.AskURL, admin.AskURL(targetID(), problem.ChangeID, deleted.Revision))
+	assert.Equal(t, problem.ResolveURL, admin.ResolveURL(targetID(), problem.ChangeID, deleted.Revision))
 
-	node.Break(admintest.Healthy)
+	node.SetFault(admintest.Healthy)
 	accepted(t, node, "PUT", targetPath+"?expected_revision=0", biggerSpec)
-	_, change := call[admin.ChangeAnswer](t, node, "GET", problem.AskURL, "")
+	_, change := call[admin.ChangeResponse](t, node, "GET", problem.ResolveURL, "")
 	assert.Equal(t, change.Outcome, admin.OutcomeRefused)
 }
 
--- a/internal/admin/admintest/admintest.go
+++ b/internal/admin/admintest/admintest.go
@@ -33,10 +33,10 @@
 const (
 	// Healthy answers everything.
 	Healthy Fault = iota
-	// Down refuses everything; nothing takes effect.
-	Down
-	// AnswersLost takes writes and loses their answers; reads fail.
-	AnswersLost
+	// Unavailable refuses everything; nothing takes effect.
+	Unavailable
+	// ResponsesLost takes writes and loses their answers; reads fail.
+	ResponsesLost
 	// WritesLost loses writes together with their answers; reads fail.
 	WritesLost
 	// ReadOnly loses writes together with their answers; reads succeed.
@@ -92,12 +92,12 @@
 	}
 }
 
-// Break makes the store fail, or heals it.
-func (n *Node) Break(fault Fault) { n.store.fault.Store(int32(fault)) }
+// SetFault makes the store fail, or heals it.
+func (n *Node) SetFault(fault Fault) { n.store.fault.Store(int32(fault)) }
 
-// BehindTheReplica writes an object to the store, unseen by the replica, as
+// WriteBypassingReplica writes an object to the store, unseen by the replica, as
 // another node does whose news has not arrived yet.
-func (n *Node) BehindTheReplica(t testing.TB, next resource.Envelope, expected store.Revision, change resource.Change) resource.Versioned {
+func (n *Node) WriteBypassingReplica(t testing.TB, next resource.Envelope, expected store.Revision, change resource.Change) resource.Versioned {
 	t.Helper()
 	other := configuration.NewReplica(time.Now)
 	writer := configuration.NewWriter(n.store, other, func(...resource.Versioned) {}, time.Now)
@@ -141,11 +141,11 @@
 // CompareAndSwap fails as the fault says.
 func (s *faultyStore) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
 	switch Fault(s.fault.Load()) {
-	case Down:
+	case Unavailable:
 		return 0, store.ErrUnavailable
 	case WritesLost, ReadOnly:
 		return 0, store.ErrUnknownOutcome
-	case AnswersLost:
+	case ResponsesLost:
 		_, _ = s.Store.CompareAndSwap(ctx, key, expected, value, lease)
 		return 0, store.ErrUnknownOutcome
 	}
--- a/internal/admin/documents.go
+++ b/internal/admin/documents.go
@@ -80,8 +80,8 @@
 	Changes []HistoryEntry `json:"changes"`
 }
 
-// WriteAnswer answers a write that was accepted, or that was not needed.
-type WriteAnswer struct {
+// WriteResponse answers a write that was accepted, or that was not needed.
+type WriteResponse struct {
 	Outcome  Outcome        `json:"outcome"`
 	Kind     resource.Kind  `json:"kind"`
 	Name     string         `json:"name"`
@@ -91,8 +91,8 @@
 	Warnings []string `json:"warnings,omitempty"`
 }
 
-// ChangeAnswer answers what became of a change.
-type ChangeAnswer struct {
+// ChangeResponse answers what became of a change.
+type ChangeResponse struct {
 	Outcome  Outcome        `json:"outcome"`
 	Kind     resource.Kind  `json:"kind"`
 	Name     string         `json:"name"`
@@ -122,8 +122,8 @@
 	Outcome Outcome `json:"outcome,omitempty"`
 	// ChangeID names the change whose outcome the document tells.
 	ChangeID string `json:"change_id,omitempty"`
-	// AskURL is where to ask for an unknown outcome, relative to the API.
-	AskURL string `json:"ask_url,omitempty"`
+	// ResolveURL is where to ask for an unknown outcome, relative to the API.
+	ResolveURL string `json:"ask_url,omitempty"`
 	// CurrentRevision is the object's revision in a conflict; zero means that
 	// there is no such object.
 	CurrentRevision *store.Revision `json:"current_revision,omitempty"`
--- a/internal/admin/drain.go
+++ b/internal/admin/drain.go
@@ -94,7 +94,7 @@
 func exists(version resource.Versioned) bool { return version.Revision != 0 && !version.Deleted }
 
 func (s *Server) answerUnchanged(w http.ResponseWriter, request writeRequest, current resource.Versioned, warnings []string) {
-	answerJSON(w, WriteAnswer{
+	answerJSON(w, WriteResponse{
 		Outcome:  OutcomeUnchanged,
 		Kind:     request.id.Kind,
 		Name:     request.id.Name,
@@ -120,7 +120,7 @@
 		return
 	}
 	s.logWrite(r, request, OutcomeEmergency, 0, err)
-	answerJSON(w, WriteAnswer{
+	answerJSON(w, WriteResponse{
 		Outcome:  OutcomeEmergency,
 		Kind:     request.id.Kind,
 		Name:     request.id.Name,
--- a/internal/admin/drain_test.go
+++ b/internal/admin/drain_test.go
@@ -64,13 +64,13 @@
 func TestDrainBehindTheReplica(t *testing.T) {
 	node := admintest.Start(t)
 	drain := resource.Envelope{ID: drainID, Drain: &resource.Drain{}}
-	node.BehindTheReplica(t, drain, 0, resource.Change{ID: "elsewhere"})
+	node.WriteBypassingReplica(t, drain, 0, resource.Change{ID: "elsewhere"})
 	joined := accepted(t, node, "POST", "/v1/join/targets/ventctl-1", "")
 	assert.Equal(t, joined.Outcome, admin.OutcomeAccepted)
 
-	written := node.BehindTheReplica(t, drain, 0, resource.Change{ID: "elsewhere-2"})
+	written := node.WriteBypassingReplica(t, drain, 0, resource.Change{ID: "elsewhere-2"})
 	node.Replica.Apply(written)
-	node.BehindTheReplica(t, resource.Envelope{ID: drainID}, written.Revision, resource.Change{ID: "elsewhere-3", Deleted: true})
+	node.WriteBypassingReplica(t, resource.Envelope{ID: drainID}, written.Revision, resource.Change{ID: "elsewhere-3", Deleted: true})
 	answer := accepted(t, node, "POST", "/v1/drain/targets/ventctl-1", "")
 	assert.Equal(t, answer.Outcome, admin.OutcomeAccepted)
 	assert.Assert(t, drained(t, node))
@@ -78,12 +78,12 @@
 
 func TestEmergencyDrain(t *testing.T) {
 	path := "/v1/drain/targets/ventctl-1"
-	for _, fault := range []admintest.Fault{admintest.Down, admintest.WritesLost, admintest.AnswersLost} {
+	for _, fault := range []admintest.Fault{admintest.Unavailable, admintest.WritesLost, admintest.ResponsesLost} {
 		node := admintest.Start(t)
 		accepted(t, node, "PUT", targetPath+"?expected_revision=0", targetSpec)
 		accepted(t, node, "POST", path, "")
 		accepted(t, node, "POST", "/v1/join/targets/ventctl-1", "")
-		node.Break(fault)
+		node.SetFault(fault)
 		response, _ := call[admin.Problem](t, node, "POST", path, "")
 		assert.Assert(t, response.StatusCode >= 500)
 		assert.Assert(t, !node.Emergency.Drained(drainID.Name))
@@ -93,7 +93,7 @@
 		assert.Assert(t, node.Emergency.Drained(drainID.Name))
 		assert.Equal(t, len(answer.Warnings), 1)
 
-		node.Break(admintest.Healthy)
+		node.SetFault(admintest.Healthy)
 		joined := accepted(t, node, "POST", "/v1/join/targets/ventctl-1", "")
 		assert.Assert(t, strings.Contains(joined.Warnings[0], "ends by itself"))
 	}
--- a/internal/admin/read.go
+++ b/internal/admin/read.go
@@ -128,7 +128,7 @@
 		s.answerProblem(w, problem)
 		return
 	}
-	answerJSON(w, ChangeAnswer{
+	answerJSON(w, ChangeResponse{
 		Outcome:  outcomeOf(resolution),
 		Kind:     id.Kind,
 		Name:     id.Name,
--- a/internal/admin/write.go
+++ b/internal/admin/write.go
@@ -82,7 +82,7 @@
 func (s *Server) answerAccepted(w http.ResponseWriter, r *http.Request, request writeRequest, revision store.Revision, warnings []string) {
 	s.logWrite(r, request, OutcomeAccepted, revision, nil)
 	setRevision(w, revision)
-	answerJSON(w, WriteAnswer{
+	answerJSON(w, WriteResponse{
 		Outcome:  OutcomeAccepted,
 		Kind:     request.id.Kind,
 		Name:     request.id.Name,
@@ -142,12 +142,12 @@
 		expected = unknown.Expected
 	}
 	problem := newProblem(kindUnknown, "%v", err).retryLater()
-	problem.AskURL = AskURL(request.id, request.change.ID, expected)
+	problem.ResolveURL = ResolveURL(request.id, request.change.ID, expected)
 	return problem
 }
 
-// AskURL returns the path and query at which to ask for a change's outcome.
-func AskURL(id resource.ID, changeID string, expected store.Revision) string {
+// ResolveURL returns the path and query at which to ask for a change's outcome.
+func ResolveURL(id resource.ID, changeID string, expected store.Revision) string {
 	return fmt.Sprintf("/v1/changes/%s/%s/%s?%s=%d", id.Kind, url.PathEscape(id.Name), url.PathEscape(changeID), ExpectedRevisionParameter, expected)
 }
 
--- a/internal/adminclient/client_test.go
+++ b/internal/adminclient/client_test.go
@@ -22,7 +22,7 @@
 	serviceID = resource.ID{Kind: resource.KindService, Name: "cropcal"}
 	spec      = []byte(`{"timeout_ms":100}`)
 	otherSpec = []byte(`{"timeout_ms":200}`)
-	target    = adminclient.Leaving{Collection: "targets", Name: "cropcal-1"}
+	target    = adminclient.DrainSubject{Collection: "targets", Name: "cropcal-1"}
 )
 
 func client(t *testing.T, transport http.RoundTripper, addresses ...string) *adminclient.Client {
@@ -171,7 +171,7 @@
 	assert.ErrorIs(t, err, errDropped)
 	var failed *adminclient.Error
 	assert.Assert(t, errors.As(err, &failed))
-	assert.Assert(t, strings.HasPrefix(failed.Problem.AskURL, "/v1/changes/service/cropcal/"))
+	assert.Assert(t, strings.HasPrefix(failed.Problem.ResolveURL, "/v1/changes/service/cropcal/"))
 
 	_, err = c.Put(t.Context(), serviceID, otherSpec, created.Revision)
 	assert.NilError(t, err)
@@ -185,8 +185,8 @@
 	c := client(t, nil, node.Server.URL)
 	created, err := c.Put(t.Context(), serviceID, spec, 0)
 	assert.NilError(t, err)
-	node.Break(admintest.AnswersLost)
-	healing := time.AfterFunc(2*admintest.WriteTimeout, func() { node.Break(admintest.Healthy) })
+	node.SetFault(admintest.ResponsesLost)
+	healing := time.AfterFunc(2*admintest.WriteTimeout, func() { node.SetFault(admintest.Healthy) })
 	defer healing.Stop()
 	changed, err := c.Put(t.Context(), serviceID, otherSpec, created.Revision)
 	assert.NilError(t, err)
@@ -198,11 +198,11 @@
 	c := client(t, nil, node.Server.URL)
 	created, err := c.Put(t.Context(), serviceID, spec, 0)
 	assert.NilError(t, err)
-	node.Break(admintest.Down)
+	node.SetFault(admintest.Unavailable)
 	_, err = c.Put(t.Context(), serviceID, otherSpec, created.Revision)
 	assert.ErrorIs(t, err, adminclient.ErrUnavailable)
 	assert.Assert(t, !errors.Is(err, adminclient.ErrUnknownOutcome))
-	node.Break(admintest.AnswersLost)
+	node.SetFault(admintest.ResponsesLost)
 	_, err = c.Put(t.Context(), serviceID, otherSpec, created.Revision)
 	assert.ErrorIs(t, err, adminclient.ErrUnknownOutcome)
 }
--- a/internal/adminclient/write.go
+++ b/internal/adminclient/write.go
@@ -30,7 +30,7 @@
 
 // Put writes an object's specification if the object is at the expected
 // revision; zero creates it.
-func (c *Client) Put(ctx context.Context, id resource.ID, specification json.RawMessage, expected store.Revision) (admin.WriteAnswer, error) {
+func (c *Client) Put(ctx context.Context, id resource.ID, specification json.RawMessage, expected store.Revision) (admin.WriteResponse, error) {
 	return c.write(ctx, change{
 		method:   http.MethodPut,
 		path:     objectPath(id) + expectedQuery(expected),
@@ -41,7 +41,7 @@
 }
 
 // Delete removes an object if it is at the expected revision.
-func (c *Client) Delete(ctx context.Context, id resource.ID, expected store.Revision) (admin.WriteAnswer, error) {
+func (c *Client) Delete(ctx context.Context, id resource.ID, expected store.Revision) (admin.WriteResponse, error) {
 	return c.write(ctx, change{
 		method:   http.MethodDelete,
 		path:     objectPath(id) + expectedQuery(expected),
@@ -50,14 +50,14 @@
 	})
 }
 
-// Leaving names what can be drained: the collection and the name in it.
-type Leaving struct {
+// DrainSubject names what can be drained: the collection and the name in it.
+type DrainSubject struct {
 	// Collection is "targets" or "machines".
 	Collection string
 	Name       string
 }
 
-func (l Leaving) id() resource.ID {
+func (l DrainSubject) id() resource.ID {
 	prefix := resource.DrainTargetPrefix
 	if l.Collection == "machines" {
 		prefix = resource.DrainMachinePrefix
@@ -67,10 +67,10 @@
 
 // Drain marks a target or a machine as leaving. With emergency the nodes tell
 // each other if the store can't accept it.
-func (c *Client) Drain(ctx context.Context, leaving Leaving, drain resource.Drain, emergency bool) (admin.WriteAnswer, error) {
+func (c *Client) Drain(ctx context.Context, leaving DrainSubject, drain resource.Drain, emergency bool) (admin.WriteResponse, error) {
 	body, err := json.Marshal(drain)
 	if err != nil {
-		return admin.WriteAnswer{}, failure("encode drain", "", err)
+		return admin.WriteResponse{}, failure("encode drain", "", err)
 	}
 	path := "/v1/drain/" + leaving.Collection + "/" + url.PathEscape(leaving.Name)
 	if emergency {
@@ -80,7 +80,7 @@
 }
 
 // Join takes a drain back.
-func (c *Client) Join(ctx context.Context, leaving Leaving) (admin.WriteAnswer, error) {
+func (c *Client) Join(ctx context.Context, leaving DrainSubject) (admin.WriteResponse, error) {
 	path := "/v1/join/" + leaving.Collection + "/" + url.PathEscape(leaving.Name)
 	return c.write(ctx, change{method: http.MethodPost, path: path, id: leaving.id()})
 }
@@ -95,11 +95,11 @@
 
 // write sends the change once, to a node that answers, and finds out about its
 // outcome if the answer was lost.
-func (c *Client) write(ctx context.Context, change change) (admin.WriteAnswer, error) {
+func (c *Client) write(ctx context.Context, change change) (admin.WriteResponse, error) {
 	change.changeID = admin.NewChangeID()
 	address, err := c.reachable(ctx)
 	if err != nil {
-		return admin.WriteAnswer{}, err
+		return admin.WriteResponse{}, err
 	}
 	answer, err := c.writeAt(ctx, address, change)
 	if !isUnknown(err) {
@@ -119,10 +119,10 @@
 	return c.options.Addresses[c.preferred.Load()], nil
 }
 
-func (c *Client) writeAt(ctx context.Context, address string, change change) (admin.WriteAnswer, error) {
+func (c *Client) writeAt(ctx context.Context, address string, change change) (admin.WriteResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.options.WriteTimeout)
 	defer cancel()
-	var answer admin.WriteAnswer
+	var answer admin.WriteResponse
 	request, err := http.NewRequestWithContext(ctx, change.method, address+change.path, bytes.NewReader(change.body))
 	if err != nil {
 		return answer, failure("make request", address, err)
@@ -162,17 +162,17 @@
 // resolve asks for the change until its outcome is certain or the time is up.
 // The caller's context may be what ended the write, so that asking has its own
 // time.
-func (c *Client) resolve(ctx context.Context, address string, change change, lost error) (admin.WriteAnswer, error) {
+func (c *Client) resolve(ctx context.Context, address string, change change, lost error) (admin.WriteResponse, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), c.options.ResolveTimeout)
 	defer cancel()
 	question := newQuestion(change, lost, time.Now().Add(c.options.NodeWriteTimeout))
 	for {
-		answer, err := read[admin.ChangeAnswer](ctx, c, question.path)
+		answer, err := read[admin.ChangeResponse](ctx, c, question.path)
 		if err == nil && question.certain(answer, time.Now()) {
 			return resolved(address, change, answer)
 		}
 		if !pause.For(ctx, resolvePause) {
-			return admin.WriteAnswer{}, unresolved(address, change, question.path, lost)
+			return admin.WriteResponse{}, unresolved(address, change, question.path, lost)
 		}
 	}
 }
@@ -187,10 +187,10 @@
 }
 
 func newQuestion(change change, lost error, nodeDeadline time.Time) question {
-	asked := question{path: admin.AskURL(change.id, change.changeID, change.expected)}
+	asked := question{path: admin.ResolveURL(change.id, change.changeID, change.expected)}
 	var failed *Error
-	if errors.As(lost, &failed) && failed.Problem != nil && strings.HasPrefix(failed.Problem.AskURL, "/") {
-		asked.path = failed.Problem.AskURL
+	if errors.As(lost, &failed) && failed.Problem != nil && strings.HasPrefix(failed.Problem.ResolveURL, "/") {
+		asked.path = failed.Problem.ResolveURL
 		return asked
 	}
 	if change.expected == 0 {
@@ -199,7 +199,7 @@
 	return asked
 }
 
-func (q question) certain(answer admin.ChangeAnswer, now time.Time) bool {
+func (q question) certain(answer admin.ChangeResponse, now time.Time) bool {
 	switch answer.Outcome {
 	case admin.OutcomeAccepted:
 		return true
@@ -209,9 +209,9 @@
 	return false
 }
 
-func resolved(address string, change change, answer admin.ChangeAnswer) (admin.WriteAnswer, error) {
+func resolved(address string, change change, answer admin.ChangeResponse) (admin.WriteResponse, error) {
 	if answer.Outcome == admin.OutcomeAccepted {
-		return admin.WriteAnswer{
+		return admin.WriteResponse{
 			Outcome:  admin.OutcomeAccepted,
 			Kind:     answer.Kind,
 			Name:     answer.Name,
@@ -219,7 +219,7 @@
 			ChangeID: answer.ChangeID,
 		}, nil
 	}
-	return admin.WriteAnswer{}, &Error{Step: "resolve", Address: address, Problem: &admin.Problem{
+	return admin.WriteResponse{}, &Error{Step: "resolve", Address: address, Problem: &admin.Problem{
 		Title:    http.StatusText(http.StatusConflict),
 		Status:   http.StatusConflict,
 		Detail:   "the answer was lost; another change has won, and this one never takes effect",
@@ -230,11 +230,11 @@
 
 func unresolved(address string, change change, path string, lost error) error {
 	return &Error{Step: "resolve", Address: address, Unknown: true, Cause: lost, Problem: &admin.Problem{
-		Title:    http.StatusText(http.StatusGatewayTimeout),
-		Status:   http.StatusGatewayTimeout,
-		Detail:   "the change may or may not take effect",
-		Outcome:  admin.OutcomeUnknown,
-		ChangeID: change.changeID,
-		AskURL:   path,
+		Title:      http.StatusText(http.StatusGatewayTimeout),
+		Status:     http.StatusGatewayTimeout,
+		Detail:     "the change may or may not take effect",
+		Outcome:    admin.OutcomeUnknown,
+		ChangeID:   change.changeID,
+		ResolveURL: path,
 	}}
 }
--- a/internal/command/apply.go
+++ b/internal/command/apply.go
@@ -111,7 +111,7 @@
 	var failed *adminclient.Error
 	if errors.As(err, &failed) && failed.Problem != nil {
 		result.ChangeID = failed.Problem.ChangeID
-		result.AskURL = failed.Problem.AskURL
+		result.AskURL = failed.Problem.ResolveURL
 	}
 	return err
 }
--- a/internal/command/apply_test.go
+++ b/internal/command/apply_test.go
@@ -63,12 +63,12 @@
 func TestApplyBehindTheReplica(t *testing.T) {
 	node := admintest.Start(t)
 	id := resource.ID{Kind: resource.KindService, Name: "cropcal"}
-	node.BehindTheReplica(t, resource.Envelope{ID: id, Service: &resource.Service{}}, 0, resource.Change{ID: "elsewhere"})
+	node.WriteBypassingReplica(t, resource.Envelope{ID: id, Service: &resource.Service{}}, 0, resource.Change{ID: "elsewhere"})
 	applied := document[[]command.ApplyResult](t, node, "apply", "-f", file(t, objects))
 	assert.DeepEqual(t, results(applied), []string{"unchanged", "created"})
 
 	other := admintest.Start(t)
-	other.BehindTheReplica(t, resource.Envelope{ID: id, Service: &resource.Service{TimeoutMillis: 9}}, 0, resource.Change{ID: "elsewhere"})
+	other.WriteBypassingReplica(t, resource.Envelope{ID: id, Service: &resource.Service{TimeoutMillis: 9}}, 0, resource.Change{ID: "elsewhere"})
 	code, _, _ := run(t, other, "apply", "-f", file(t, objects))
 	assert.Equal(t, code, command.ExitConflict)
 	object := document[admin.Object](t, other, "get", "service", "cropcal")
@@ -77,17 +77,17 @@
 
 func TestApplyWithoutTheStore(t *testing.T) {
 	node := admintest.Start(t)
-	node.Break(admintest.Down)
+	node.SetFault(admintest.Unavailable)
 	code, output, _ := run(t, node, "apply", "-output", "json", "-f", file(t, objects))
 	assert.Equal(t, code, command.ExitUnavailable)
 	var applied []command.ApplyResult
 	assert.NilError(t, json.Unmarshal([]byte(output), &applied))
 	assert.DeepEqual(t, results(applied), []string{"unavailable", "not-tried"})
 
-	node.Break(admintest.Healthy)
+	node.SetFault(admintest.Healthy)
 	document[[]command.ApplyResult](t, node, "apply", "-f", file(t, objects))
-	node.Break(admintest.AnswersLost)
-	healing := time.AfterFunc(2*admintest.WriteTimeout, func() { node.Break(admintest.Healthy) })
+	node.SetFault(admintest.ResponsesLost)
+	healing := time.AfterFunc(2*admintest.WriteTimeout, func() { node.SetFault(admintest.Healthy) })
 	defer healing.Stop()
 	changed := document[[]command.ApplyResult](t, node, "apply", "-f", file(t, strings.Replace(objects, "slots = 6", "slots = 7", 1)))
 	assert.DeepEqual(t, results(changed), []string{"unchanged", "changed"})
@@ -108,7 +108,7 @@
 func TestUnknownOutcome(t *testing.T) {
 	node := admintest.Start(t)
 	document[[]command.ApplyResult](t, node, "apply", "-f", file(t, objects))
-	node.Break(admintest.AnswersLost)
+	node.SetFault(admintest.ResponsesLost)
 	code, output, errorOutput := run(t, node, "apply", "-wait", "100ms", "-output", "json", "-f", file(t, strings.Replace(objects, "slots = 6", "slots = 7", 1)))
 	assert.Equal(t, code, command.ExitUnknown, errorOutput)
 	var applied []command.ApplyResult
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -83,7 +83,7 @@
 	document[[]command.ApplyResult](t, node, "apply", "-f", file(t, objects))
 	code, _, _ := run(t, node, "delete", "-expected-revision", "99", "target", "cropcal-1")
 	assert.Equal(t, code, command.ExitConflict)
-	answer := document[admin.WriteAnswer](t, node, "delete", "target", "cropcal-1")
+	answer := document[admin.WriteResponse](t, node, "delete", "target", "cropcal-1")
 	assert.Equal(t, answer.Outcome, admin.OutcomeAccepted)
 	code, _, errorOutput := run(t, node, "get", "target", "cropcal-1")
 	assert.Equal(t, code, command.ExitNotFound)
@@ -103,17 +103,17 @@
 
 func TestDrainAndJoin(t *testing.T) {
 	node := admintest.Start(t)
-	answer := document[admin.WriteAnswer](t, node, "drain", "-reason", "moves", "machine", "m1")
+	answer := document[admin.WriteResponse](t, node, "drain", "-reason", "moves", "machine", "m1")
 	assert.Equal(t, answer.Name, "machine.m1")
 	object := document[admin.Object](t, node, "get", "drain", "machine.m1")
 	assert.Equal(t, specification(t, object), `{"reason":"moves"}`)
-	answer = document[admin.WriteAnswer](t, node, "join", "machine", "m1")
+	answer = document[admin.WriteResponse](t, node, "join", "machine", "m1")
 	assert.Equal(t, answer.Outcome, admin.OutcomeAccepted)
 
-	node.Break(admintest.Down)
+	node.SetFault(admintest.Unavailable)
 	code, _, _ := run(t, node, "drain", "target", "t1")
 	assert.Equal(t, code, command.ExitUnavailable)
-	answer = document[admin.WriteAnswer](t, node, "drain", "-emergency", "target", "t1")
+	answer = document[admin.WriteResponse](t, node, "drain", "-emergency", "target", "t1")
 	assert.Equal(t, answer.Outcome, admin.OutcomeEmergency)
 	assert.Assert(t, node.Emergency.Drained("target.t1"))
 }
--- a/internal/command/delete.go
+++ b/internal/command/delete.go
@@ -62,7 +62,7 @@
 }
 
 // printWrite prints what became of a write.
-func printWrite(program *Program, done string, answer admin.WriteAnswer) error {
+func printWrite(program *Program, done string, answer admin.WriteResponse) error {
 	return printResult(program, answer, func(t *table) {
 		result := string(answer.Outcome)
 		if answer.Outcome == admin.OutcomeAccepted {
--- a/internal/command/kind.go
+++ b/internal/command/kind.go
@@ -37,15 +37,15 @@
 }
 
 // parseLeaving reads what is drained or joins.
-func parseLeaving(arguments []string) (adminclient.Leaving, error) {
+func parseLeaving(arguments []string) (adminclient.DrainSubject, error) {
 	if len(arguments) != 2 {
-		return adminclient.Leaving{}, usageErrorf("needs target NAME or machine NAME, after the flags")
+		return adminclient.DrainSubject{}, usageErrorf("needs target NAME or machine NAME, after the flags")
 	}
 	switch arguments[0] {
 	case "target", "targets":
-		return adminclient.Leaving{Collection: "targets", Name: arguments[1]}, nil
+		return adminclient.DrainSubject{Collection: "targets", Name: arguments[1]}, nil
 	case "machine", "machines":
-		return adminclient.Leaving{Collection: "machines", Name: arguments[1]}, nil
+		return adminclient.DrainSubject{Collection: "machines", Name: arguments[1]}, nil
 	}
-	return adminclient.Leaving{}, usageErrorf("unknown %q: allowed are target and machine", arguments[0])
+	return adminclient.DrainSubject{}, usageErrorf("unknown %q: allowed are target and machine", arguments[0])
 }
--- a/internal/command/print.go
+++ b/internal/command/print.go
@@ -80,8 +80,8 @@
 	}
 	fmt.Fprintln(p.ErrorOutput, "lugspur:", err)
 	var failed *adminclient.Error
-	if errors.As(err, &failed) && failed.Problem != nil && failed.Problem.AskURL != "" {
-		fmt.Fprintf(p.ErrorOutput, "ask for change %s at http://ADMIN-ADDRESS%s\n", failed.Problem.ChangeID, failed.Problem.AskURL)
+	if errors.As(err, &failed) && failed.Problem != nil && failed.Problem.ResolveURL != "" {
+		fmt.Fprintf(p.ErrorOutput, "ask for change %s at http://ADMIN-ADDRESS%s\n", failed.Problem.ChangeID, failed.Problem.ResolveURL)
 	}
 }
 
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -187,9 +187,9 @@
 // service.
 func (g *Guard) MarkStopping() { g.stopping.Store(true) }
 
-// SetStopDeadline refuses later calls that may not end by the given time. Calls in flight
+// SetShutdownDeadline refuses later calls that may not end by the given time. Calls in flight
 // continue.
-func (g *Guard) SetStopDeadline(deadline time.Time) { g.stopDeadline.Set(deadline) }
+func (g *Guard) SetShutdownDeadline(deadline time.Time) { g.stopDeadline.Set(deadline) }
 
 // endsInTime reports whether a call of the route that begins now is certain to end
 // before the stop deadline.
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -258,10 +258,10 @@
 		call.Route = route
 		return g.Run(context.Background(), call).Reason
 	}
-	g.SetStopDeadline(time.Now().Add(5 * time.Second))
+	g.SetShutdownDeadline(time.Now().Add(5 * time.Second))
 	assert.Equal(t, run("quick"), peering.Reason(""))
 	assert.Equal(t, run("slow"), peering.Stopping)
-	g.SetStopDeadline(time.Now().Add(ending.SafeDuration(0) / 2))
+	g.SetShutdownDeadline(time.Now().Add(ending.SafeDuration(0) / 2))
 	assert.Equal(t, run("quick"), peering.Stopping)
 }
 
--- a/internal/ratelimit/restore_test.go
+++ b/internal/ratelimit/restore_test.go
@@ -65,7 +65,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &restoredNode{stop: cancel}
 	epochs := epoch.NewTracker()
-	restored := &storetest.Restored{Store: c.store, Epochs: epochs, Refused: func() bool { return n.partitioned.Load() || c.storeDown.Load() }}
+	restored := &storetest.RestorableStore{Store: c.store, Epochs: epochs, Unreachable: func() bool { return n.partitioned.Load() || c.storeDown.Load() }}
 	n.issuer = NewIssuer(testBounds, func(string) *routetable.Tenant { return testTenant }, time.Now)
 	n.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", place), Process: c.started, Started: time.Now(), FirstStart: first, Epoch: epochs.Current,
 		Prefix: "shards/", Store: restored, Position: func() (int, bool) { return place, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	address := fmt.Sprintf("10.0.0.%d:8300", index)
 	epochs := epoch.NewTracker()
-	kv := &storetest.Restored{Store: f.kv, Epochs: epochs, Refused: f.down.Load}
+	kv := &storetest.RestorableStore{Store: f.kv, Epochs: epochs, Unreachable: f.down.Load}
 	n := &testNode{directory: NewDirectory(homesPrefix, address, nil, time.Now)}
 	n.stop = func() {
 		cancel()
@@ -348,10 +348,10 @@
 			defer func() { f.stopAll(nodes...) }()
 			time.Sleep(5 * time.Second)
 			f.restore(backup)
-			start, maxBatch, before := time.Now(), int64(0), f.kv.Newest().Number()
+			start, maxBatch, before := time.Now(), int64(0), f.kv.NewestRevision().Number()
 			for f.count() < size {
 				time.Sleep(100 * time.Millisecond)
-				newest := f.kv.Newest().Number()
+				newest := f.kv.NewestRevision().Number()
 				maxBatch, before = max(maxBatch, newest-before), newest
 				assert.Assert(t, time.Since(start) < lapsedRetention)
 			}
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -71,7 +71,7 @@
 		n.guard.Close()
 		return false
 	}
-	n.guard.SetStopDeadline(end)
+	n.guard.SetShutdownDeadline(end)
 	return true
 }
 
--- a/internal/store/etcd/client.go
+++ b/internal/store/etcd/client.go
@@ -100,7 +100,7 @@
 	if err := c.usable(ctx); err != nil {
 		return err
 	}
-	wait, ok := c.bucket.Take(time.Now(), c.longestWait(ctx))
+	wait, ok := c.bucket.Reserve(time.Now(), c.longestWait(ctx))
 	if !ok {
 		return fmt.Errorf("%w: next request would leave in %s", store.ErrRateLimited, wait.Round(time.Millisecond))
 	}
--- a/internal/store/etcd/pace/pace.go
+++ b/internal/store/etcd/pace/pace.go
@@ -30,10 +30,10 @@
 	return &Bucket{interval: interval, burst: interval * time.Duration(max(burst, 1)-1)}
 }
 
-// Take takes a token and returns how long to wait before it may be used. When
+// Reserve takes a token and returns how long to wait before it may be used. When
 // that is longer than limit, no token is taken, ok is false and the wait is
 // the time until a token will be free.
-func (b *Bucket) Take(now time.Time, limit time.Duration) (wait time.Duration, ok bool) {
+func (b *Bucket) Reserve(now time.Time, limit time.Duration) (wait time.Duration, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	due := b.next
--- a/internal/store/etcd/pace/pace_test.go
+++ b/internal/store/etcd/pace/pace_test.go
@@ -14,17 +14,17 @@
 func TestBucketGivesBurstThenRate(t *testing.T) {
 	bucket := pace.NewBucket(10, 3)
 	for range 3 {
-		wait, ok := bucket.Take(start, 0)
+		wait, ok := bucket.Reserve(start, 0)
 		assert.Assert(t, ok)
 		assert.Equal(t, wait, time.Duration(0))
 	}
-	wait, ok := bucket.Take(start, 0)
+	wait, ok := bucket.Reserve(start, 0)
 	assert.Assert(t, !ok)
 	assert.Equal(t, wait, 100*time.Millisecond)
-	wait, ok = bucket.Take(start, time.Second)
+	wait, ok = bucket.Reserve(start, time.Second)
 	assert.Assert(t, ok)
 	assert.Equal(t, wait, 100*time.Millisecond)
-	wait, ok = bucket.Take(start, time.Second)
+	wait, ok = bucket.Reserve(start, time.Second)
 	assert.Assert(t, ok)
 	assert.Equal(t, wait, 200*time.Millisecond)
 }
@@ -33,7 +33,7 @@
 	bucket := pace.NewBucket(5, 2)
 	taken := 0
 	for elapsed := time.Duration(0); elapsed < 10*time.Second; elapsed += 10 * time.Millisecond {
-		if _, ok := bucket.Take(start.Add(elapsed), 0); ok {
+		if _, ok := bucket.Reserve(start.Add(elapsed), 0); ok {
 			taken++
 		}
 	}
@@ -43,22 +43,22 @@
 func TestBucketPauses(t *testing.T) {
 	bucket := pace.NewBucket(1000, 10)
 	bucket.Pause(start.Add(time.Second))
-	_, ok := bucket.Take(start, 0)
+	_, ok := bucket.Reserve(start, 0)
 	assert.Assert(t, !ok)
-	_, ok = bucket.Take(start.Add(time.Second), 0)
+	_, ok = bucket.Reserve(start.Add(time.Second), 0)
 	assert.Assert(t, ok)
 }
 
 func TestBucketWithoutRateDoesNotLimit(t *testing.T) {
 	bucket := pace.NewBucket(0, 0)
 	for range 1000 {
-		_, ok := bucket.Take(start, 0)
+		_, ok := bucket.Reserve(start, 0)
 		assert.Assert(t, ok)
 	}
 	// A taker that read the clock before another one, and comes after it.
-	_, ok := bucket.Take(start.Add(-time.Microsecond), 0)
+	_, ok := bucket.Reserve(start.Add(-time.Microsecond), 0)
 	assert.Assert(t, ok)
 	bucket.Pause(start.Add(time.Second))
-	_, ok = bucket.Take(start, 0)
+	_, ok = bucket.Reserve(start, 0)
 	assert.Assert(t, !ok)
 }
--- a/internal/store/memory/memory.go
+++ b/internal/store/memory/memory.go
@@ -52,8 +52,8 @@
 // Epoch returns the store's epoch, which begins at zero.
 func (s *Store) Epoch() store.Epoch { return store.Epoch(s.epoch.Load()) }
 
-// Newest returns the newest revision.
-func (s *Store) Newest() store.Revision { return s.revision(s.versions.Revision()) }
+// NewestRevision returns the newest revision.
+func (s *Store) NewestRevision() store.Revision { return s.revision(s.versions.Revision()) }
 
 // Get implements store.Store.
 func (s *Store) Get(ctx context.Context, key string) (store.Entry, error) {
--- a/internal/store/storetest/restored.go
+++ b/internal/store/storetest/restored.go
@@ -9,25 +9,25 @@
 	"github.com/lugspur/lugspur/internal/store/memory"
 )
 
-// Restored is one process's way to a store in memory that comes back from copies. Like the
+// RestorableStore is one process's way to a store in memory that comes back from copies. Like the
 // platform's adapter it takes a while for each call and tells the epoch that it finds. It is
 // for tests in virtual time.
-type Restored struct {
+type RestorableStore struct {
 	*memory.Store
 	// Epochs is told the epoch of the store with each call that it answers.
 	Epochs *epoch.Tracker
-	// Refused reports whether the store does not answer this process now.
-	Refused func() bool
+	// Unreachable reports whether the store does not answer this process now.
+	Unreachable func() bool
 }
 
-var _ store.Store = (*Restored)(nil)
+var _ store.Store = (*RestorableStore)(nil)
 
 // restoredLatency is how long a call takes.
 const restoredLatency = 4 * time.Millisecond
 
-func (s *Restored) enter() error {
+func (s *RestorableStore) enter() error {
 	time.Sleep(restoredLatency)
-	if s.Refused() {
+	if s.Unreachable() {
 		return store.ErrUnavailable
 	}
 	s.Epochs.Observe(s.Epoch(), "store")
@@ -35,7 +35,7 @@
 }
 
 // Get implements store.Store.
-func (s *Restored) Get(ctx context.Context, key string) (store.Entry, error) {
+func (s *RestorableStore) Get(ctx context.Context, key string) (store.Entry, error) {
 	if err := s.enter(); err != nil {
 		return store.Entry{}, err
 	}
@@ -43,7 +43,7 @@
 }
 
 // List implements store.Store.
-func (s *Restored) List(ctx context.Context, prefix string) (store.Snapshot, error) {
+func (s *RestorableStore) List(ctx context.Context, prefix string) (store.Snapshot, error) {
 	if err := s.enter(); err != nil {
 		return store.Snapshot{}, err
 	}
@@ -51,14 +51,14 @@
 }
 
 // Watch implements store.Store. It ends when the store refuses the process.
-func (s *Restored) Watch(ctx context.Context, prefix string, after store.Revision, handler func([]store.Entry, store.Revision)) error {
+func (s *RestorableStore) Watch(ctx context.Context, prefix string, after store.Revision, handler func([]store.Entry, store.Revision)) error {
 	if err := s.enter(); err != nil {
 		return err
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	return s.Store.Watch(ctx, prefix, after, func(batch []store.Entry, progress store.Revision) {
-		if s.Refused() {
+		if s.Unreachable() {
 			stop()
 			return
 		}
@@ -67,7 +67,7 @@
 }
 
 // CompareAndSwap implements store.Store.
-func (s *Restored) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
+func (s *RestorableStore) CompareAndSwap(ctx context.Context, key string, expected store.Revision, value []byte, lease store.LeaseID) (store.Revision, error) {
 	if err := s.enter(); err != nil {
 		return 0, err
 	}
@@ -75,7 +75,7 @@
 }
 
 // GrantLease implements store.Store.
-func (s *Restored) GrantLease(ctx context.Context, duration time.Duration) (store.LeaseID, error) {
+func (s *RestorableStore) GrantLease(ctx context.Context, duration time.Duration) (store.LeaseID, error) {
 	if err := s.enter(); err != nil {
 		return store.NoLease, err
 	}
@@ -83,7 +83,7 @@
 }
 
 // RenewLease implements store.Store.
-func (s *Restored) RenewLease(ctx context.Context, lease store.LeaseID) (time.Duration, error) {
+func (s *RestorableStore) RenewLease(ctx context.Context, lease store.LeaseID) (time.Duration, error) {
 	if err := s.enter(); err != nil {
 		return 0, err
 	}
--- a/lab/chaos/injector.go
+++ b/lab/chaos/injector.go
@@ -29,7 +29,7 @@
 
 // injector makes faults and ends them. It is safe for concurrent use.
 type injector struct {
-	cluster   *cluster.Proxied
+	cluster   *cluster.ProxiedCluster
 	recorder  *recorder
 	operators *operators
 	callers   *callers
@@ -42,7 +42,7 @@
 	perNode map[string]*sync.Mutex
 }
 
-func newInjector(running *cluster.Proxied, recorder *recorder, operators *operators, callers *callers) *injector {
+func newInjector(running *cluster.ProxiedCluster, recorder *recorder, operators *operators, callers *callers) *injector {
 	i := &injector{
 		cluster:   running,
 		recorder:  recorder,
@@ -152,7 +152,7 @@
 		return emulator.Faults{Down: true}
 	}
 	idle := 0.0
-	return emulator.Faults{LoadLie: &idle, HealthLie: emulator.Healthy, IgnoreCancellation: true, SlowFactor: fault.Factor}
+	return emulator.Faults{LoadOverride: &idle, HealthOverride: emulator.Healthy, IgnoreCancellation: true, SlowFactor: fault.Factor}
 }
 
 func (i *injector) injectTarget(ctx context.Context, fault Fault) error {
--- a/lab/chaos/operators.go
+++ b/lab/chaos/operators.go
@@ -78,7 +78,7 @@
 	return json.Marshal(policy)
 }
 
-func (o *operators) noteChange(node string, id resource.ID, answer admin.WriteAnswer, err error) {
+func (o *operators) noteChange(node string, id resource.ID, answer admin.WriteResponse, err error) {
 	event := judge.Event{Node: node, Object: id.String(), Revision: int64(answer.Revision), ChangeID: answer.ChangeID}
 	var failed *adminclient.Error
 	if errors.As(err, &failed) && failed.Problem != nil {
@@ -114,7 +114,7 @@
 	if err != nil {
 		return
 	}
-	_, err = client.Drain(ctx, adminclient.Leaving{Collection: "targets", Name: target}, resource.Drain{Reason: "chaos"}, false)
+	_, err = client.Drain(ctx, adminclient.DrainSubject{Collection: "targets", Name: target}, resource.Drain{Reason: "chaos"}, false)
 	if err == nil {
 		o.recorder.note(judge.Event{Kind: judge.DrainAccepted, Target: target})
 	}
@@ -129,7 +129,7 @@
 	}
 	for range joinTries {
 		bounded, cancel := context.WithTimeout(ctx, operatorTimeout)
-		_, err = client.Join(bounded, adminclient.Leaving{Collection: "targets", Name: target})
+		_, err = client.Join(bounded, adminclient.DrainSubject{Collection: "targets", Name: target})
 		cancel()
 		if err == nil || !pause.For(ctx, joinPause) {
 			return
--- a/lab/chaos/run.go
+++ b/lab/chaos/run.go
@@ -53,7 +53,7 @@
 type run struct {
 	config   Config
 	schedule []Fault
-	cluster  *cluster.Proxied
+	cluster  *cluster.ProxiedCluster
 	recorder *recorder
 	callers  *callers
 	injector *injector
--- a/lab/cluster/alone.go
+++ b/lab/cluster/alone.go
@@ -16,21 +16,21 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// AloneZone is the zone of a node that runs alone.
-const AloneZone = "alone"
+// SingleNodeZone is the zone of a node that runs alone.
+const SingleNodeZone = "alone"
 
-// StartAlone starts one node with its embedded store, applies the objects of
+// StartSingleNode starts one node with its embedded store, applies the objects of
 // an object file's content, and waits until they are in force.
-func StartAlone(ctx context.Context, lugspur, directory, objects string, flags ...string) (*Node, error) {
+func StartSingleNode(ctx context.Context, lugspur, directory, objects string, flags ...string) (*Node, error) {
 	addresses, err := freeAddresses()
 	if err != nil {
 		return nil, err
 	}
 	c := &Cluster{
 		Config: Config{Lugspur: lugspur, Directory: directory, NodeFlags: append([]string{"-store-kind", "memory"}, flags...)},
-		Mesh:   &mesh.Mesh{Name: AloneZone},
+		Mesh:   &mesh.Mesh{Name: SingleNodeZone},
 	}
-	node := &Node{Name: "node-1", Zone: AloneZone, Region: AloneZone, Addresses: addresses}
+	node := &Node{Name: "node-1", Zone: SingleNodeZone, Region: SingleNodeZone, Addresses: addresses}
 	c.Nodes = []*Node{node}
 	if err := c.StartNode(node); err != nil {
 		return nil, err
@@ -58,8 +58,8 @@
 
 // Usage is what a process has used since its start.
 type Usage struct {
-	// Processor is the processor time.
-	Processor time.Duration
+	// CPUTime is the processor time.
+	CPUTime time.Duration
 	// Allocated is the memory allocated in all, in bytes.
 	Allocated float64
 	// Resident is the memory held now, in bytes.
@@ -77,7 +77,7 @@
 		return Usage{}, oops.In("cluster").With("step", "usage").With("peer", n.Name).Errorf("%s tells no processor time", n.Name)
 	}
 	return Usage{
-		Processor: time.Duration(values["process_cpu_seconds_total"] * float64(time.Second)),
+		CPUTime:   time.Duration(values["process_cpu_seconds_total"] * float64(time.Second)),
 		Allocated: values["go_memstats_alloc_bytes_total"],
 		Resident:  values["process_resident_memory_bytes"],
 	}, nil
--- a/lab/cluster/proxies.go
+++ b/lab/cluster/proxies.go
@@ -12,11 +12,11 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Proxied is a cluster whose nodes reach each other through fault proxies. A
+// ProxiedCluster is a cluster whose nodes reach each other through fault proxies. A
 // node's proxy carries what others send to it, over UDP and TCP, and its
 // answers on those connections; what the node itself sends goes through the
 // proxies of the receivers. Its methods may not be used at the same time.
-type Proxied struct {
+type ProxiedCluster struct {
 	*Cluster
 	// Proxies are the proxies in front of the peer listeners, by node.
 	Proxies map[string]*faultproxy.Proxy
@@ -27,21 +27,21 @@
 
 // StartProxied starts a cluster as Start does, with a proxy in front of the peer
 // listener of each node. On error nothing is left running.
-func StartProxied(ctx context.Context, config Config) (*Proxied, error) {
+func StartProxied(ctx context.Context, config Config) (*ProxiedCluster, error) {
 	loaded, err := mesh.Load(config.MeshFile)
 	if err != nil {
 		return nil, err
 	}
 	settings := filepath.Join(config.Directory, "proxied-node.toml")
 	config.NodeFlags = append(slices.Clone(config.NodeFlags), "-f", settings)
-	p := &Proxied{Cluster: &Cluster{Config: config, Mesh: loaded}, Proxies: map[string]*faultproxy.Proxy{}, settings: settings}
+	p := &ProxiedCluster{Cluster: &Cluster{Config: config, Mesh: loaded}, Proxies: map[string]*faultproxy.Proxy{}, settings: settings}
 	if err := p.start(ctx); err != nil {
 		return nil, errors.Join(err, p.Stop())
 	}
 	return p, nil
 }
 
-func (p *Proxied) start(ctx context.Context) error {
+func (p *ProxiedCluster) start(ctx context.Context) error {
 	if err := os.MkdirAll(p.Config.Directory, 0o755); err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 
 // startNodes starts the proxies and then the nodes. The first node of each zone
 // is a seed of all others.
-func (p *Proxied) startNodes() error {
+func (p *ProxiedCluster) startNodes() error {
 	var seeds []string
 	for index := range max(p.Config.NodesPerZone, 1) {
 		for _, zone := range p.Mesh.Zones {
@@ -113,7 +113,7 @@
 func NodeName(zone string, index int) string { return fmt.Sprintf("%s-%d", zone, index+1) }
 
 // StartNode starts the node's process behind its proxy, also after it has ended.
-func (p *Proxied) StartNode(node *Node) error {
+func (p *ProxiedCluster) StartNode(node *Node) error {
 	flags := p.Config.NodeFlags
 	defer func() { p.Config.NodeFlags = flags }()
 	p.Config.NodeFlags = append(slices.Clone(flags), "-advertise-peer", p.Proxies[node.Name].Address())
@@ -121,7 +121,7 @@
 }
 
 // Stop ends all processes and the proxies.
-func (p *Proxied) Stop() error {
+func (p *ProxiedCluster) Stop() error {
 	failures := []error{p.Cluster.Stop()}
 	for _, proxy := range p.Proxies {
 		failures = append(failures, proxy.Close())
--- a/lab/emulator/fault.go
+++ b/lab/emulator/fault.go
@@ -24,10 +24,10 @@
 	FreezeAnswers bool `json:"freeze_answers,omitempty"`
 	// Down resets open connections and refuses new ones.
 	Down bool `json:"down,omitempty"`
-	// HealthLie replaces the reported health; empty means the truth.
-	HealthLie Health `json:"health_lie,omitempty"`
-	// LoadLie replaces the reported load; nil means the truth.
-	LoadLie *float64 `json:"load_lie,omitempty"`
+	// HealthOverride replaces the reported health; empty means the truth.
+	HealthOverride Health `json:"health_lie,omitempty"`
+	// LoadOverride replaces the reported load; nil means the truth.
+	LoadOverride *float64 `json:"load_lie,omitempty"`
 	// ReportLagMs replaces the lag of the reports; nil means the mesh's.
 	ReportLagMs *float64 `json:"report_lag_ms,omitempty"`
 	// ShedWaiting replaces the bound on waiting calls; nil means the mesh's.
@@ -58,13 +58,13 @@
 	if f.SlowFactor < 0 {
 		return errFaultRange
 	}
-	if f.LoadLie != nil && (*f.LoadLie < 0 || *f.LoadLie > 1) {
+	if f.LoadOverride != nil && (*f.LoadOverride < 0 || *f.LoadOverride > 1) {
 		return errFaultRange
 	}
 	if f.ReportLagMs != nil && (*f.ReportLagMs < 0 || mesh.Milliseconds(*f.ReportLagMs) > maxReportLag) {
 		return errFaultRange
 	}
-	switch f.HealthLie {
+	switch f.HealthOverride {
 	case "", Healthy, Draining, Unhealthy:
 		return nil
 	}
--- a/lab/emulator/target.go
+++ b/lab/emulator/target.go
@@ -173,11 +173,11 @@
 			said.health = Draining
 		}
 	}
-	if faults.HealthLie != "" {
-		said.health = faults.HealthLie
+	if faults.HealthOverride != "" {
+		said.health = faults.HealthOverride
 	}
-	if faults.LoadLie != nil {
-		said.load = *faults.LoadLie
+	if faults.LoadOverride != nil {
+		said.load = *faults.LoadOverride
 	}
 	return said
 }
--- a/lab/experiment/attainable.go
+++ b/lab/experiment/attainable.go
@@ -60,7 +60,7 @@
 	alone.Kinds = []mesh.Kind{kind}
 	var needs []float64
 	for _, service := range alone.Capacity().Services {
-		needs = append(needs, service.CallsPerRequest*service.MeanHold.Seconds())
+		needs = append(needs, service.CallsPerRequest*service.MeanSlotTime.Seconds())
 	}
 	return needs
 }
--- a/lab/experiment/control.go
+++ b/lab/experiment/control.go
@@ -126,11 +126,11 @@
 	}
 	faults.ErrorRate = max(faults.ErrorRate, added.ErrorRate)
 	faults.ResetRate = max(faults.ResetRate, added.ResetRate)
-	if added.LoadLie != nil {
-		faults.LoadLie = added.LoadLie
+	if added.LoadOverride != nil {
+		faults.LoadOverride = added.LoadOverride
 	}
-	if added.HealthLie != "" {
-		faults.HealthLie = added.HealthLie
+	if added.HealthOverride != "" {
+		faults.HealthOverride = added.HealthOverride
 	}
 	return faults
 }
--- a/lab/experiment/fault.go
+++ b/lab/experiment/fault.go
@@ -29,9 +29,9 @@
 	// ResetRate is the fraction of calls whose connection is reset after their
 	// work.
 	ResetRate float64 `toml:"reset_rate" validate:"gte=0,lte=1"`
-	// LoadLie replaces the reported load.
+	// LoadOverride replaces the reported load.
 	LoadLie *float64 `toml:"load_lie" validate:"omitempty,gte=0,lte=1"`
-	// HealthLie replaces the reported health.
+	// HealthOverride replaces the reported health.
 	HealthLie string `toml:"health_lie" validate:"omitempty,oneof=healthy draining unhealthy"`
 	// Restart resets connections at the beginning and makes the targets cold.
 	Restart bool `toml:"restart"`
@@ -59,11 +59,11 @@
 
 func (f Fault) emulated() emulator.Faults {
 	return emulator.Faults{
-		SlowFactor: f.SlowFactor,
-		ErrorRate:  f.ErrorRate,
-		ResetRate:  f.ResetRate,
-		LoadLie:    f.LoadLie,
-		HealthLie:  emulator.Health(f.HealthLie),
+		SlowFactor:     f.SlowFactor,
+		ErrorRate:      f.ErrorRate,
+		ResetRate:      f.ResetRate,
+		LoadOverride:   f.LoadLie,
+		HealthOverride: emulator.Health(f.HealthLie),
 	}
 }
 
--- a/lab/experiment/measure.go
+++ b/lab/experiment/measure.go
@@ -150,7 +150,7 @@
 	case load.VerdictComplete:
 		g.Complete++
 	case load.VerdictRefused:
-		if call.ToldNotRun() {
+		if call.ReportedNotExecuted() {
 			g.RefusedNo++
 		} else {
 			g.RefusedUnknown++
--- a/lab/experiment/scenario.go
+++ b/lab/experiment/scenario.go
@@ -193,7 +193,7 @@
 func (c Clients) retry() load.Retry {
 	return load.Retry{
 		Attempts:       max(c.Attempts, 1),
-		Pause:          mesh.Milliseconds(c.PauseMs),
+		Delay:          mesh.Milliseconds(c.PauseMs),
 		IgnoreRefusals: c.IgnoreRefusals,
 	}
 }
--- a/lab/kvstore/server.go
+++ b/lab/kvstore/server.go
@@ -175,7 +175,7 @@
 }
 
 func (s *Server) applyRateLimit(w http.ResponseWriter) bool {
-	wait, ok := s.bucket.Take(s.config.Now(), 0)
+	wait, ok := s.bucket.Reserve(s.config.Now(), 0)
 	if ok {
 		return true
 	}
--- a/lab/linear/client.go
+++ b/lab/linear/client.go
@@ -98,7 +98,7 @@
 		return nil
 	}
 	if asked.status == http.StatusOK {
-		var answer admin.WriteAnswer
+		var answer admin.WriteResponse
 		err := json.Unmarshal(asked.body, &answer)
 		w.Outcome, w.Revision = answer.Outcome, answer.Revision
 		if err == nil && (answer.Outcome != admin.OutcomeAccepted || answer.ChangeID != w.Change) {
@@ -110,7 +110,7 @@
 	if err := json.Unmarshal(asked.body, &problem); err != nil {
 		return err
 	}
-	w.Outcome, w.AskURL = problem.Outcome, problem.AskURL
+	w.Outcome, w.AskURL = problem.Outcome, problem.ResolveURL
 	w.Conflict = problem.Status == http.StatusConflict
 	switch w.Outcome {
 	case admin.OutcomeRefused, admin.OutcomeUnknown:
@@ -206,7 +206,7 @@
 func (c *Client) Resolve(ctx context.Context, node *Node, write Write) (admin.Outcome, error) {
 	path := write.AskURL
 	if path == "" {
-		path = admin.AskURL(policyID(write.Object), write.Change, write.Expected)
+		path = admin.ResolveURL(policyID(write.Object), write.Change, write.Expected)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.Address+path, nil)
 	if err != nil {
@@ -216,7 +216,7 @@
 	if asked.err != nil || asked.status == http.StatusServiceUnavailable {
 		return admin.OutcomeUnknown, nil
 	}
-	var answer admin.ChangeAnswer
+	var answer admin.ChangeResponse
 	if err := json.Unmarshal(asked.body, &answer); err != nil || asked.status != http.StatusOK {
 		return admin.OutcomeUnknown, failure("resolve", node, oops.Wrapf(err, "status %d", asked.status))
 	}
--- a/lab/load/call.go
+++ b/lab/load/call.go
@@ -74,9 +74,9 @@
 	return c.Last().End.Sub(c.Intended)
 }
 
-// ToldNotRun reports whether the client was told on every try that nothing of
+// ReportedNotExecuted reports whether the client was told on every try that nothing of
 // the call had been run.
-func (c Call) ToldNotRun() bool {
+func (c Call) ReportedNotExecuted() bool {
 	for _, attempt := range c.Attempts {
 		if attempt.Executed != problem.ExecutedNo {
 			return false
--- a/lab/load/client.go
+++ b/lab/load/client.go
@@ -75,7 +75,7 @@
 		if !c.tryAgain(ctx, call) {
 			return call
 		}
-		pause.For(ctx, c.plan.Retry.Pause)
+		pause.For(ctx, c.plan.Retry.Delay)
 	}
 }
 
--- a/lab/load/load_test.go
+++ b/lab/load/load_test.go
@@ -145,7 +145,7 @@
 	assert.Equal(t, result.Total.Attempts, tries.Load())
 	assert.Assert(t, result.Total.Attempts > result.Total.Sent)
 	for _, call := range result.History {
-		assert.Assert(t, !call.ToldNotRun())
+		assert.Assert(t, !call.ReportedNotExecuted())
 	}
 }
 
--- a/lab/load/plan.go
+++ b/lab/load/plan.go
@@ -42,8 +42,8 @@
 type Retry struct {
 	// Attempts is the number of tries in all; zero and one mean no retry.
 	Attempts int
-	// Pause between two tries; hard clients have none.
-	Pause time.Duration
+	// Delay between two tries; hard clients have none.
+	Delay time.Duration
 	// IgnoreRefusals makes the client try again although it was told, by a
 	// refusal without Retry-After, that coming back is of no use.
 	IgnoreRefusals bool
--- a/lab/mesh/capacity.go
+++ b/lab/mesh/capacity.go
@@ -6,10 +6,10 @@
 type ServiceCapacity struct {
 	Service string
 	Slots   int
-	// MeanHold is how long a call holds a slot on the average over the
+	// MeanSlotTime is how long a call holds a slot on the average over the
 	// kinds' shares, without any waiting and without the network.
-	MeanHold time.Duration
-	// CallsPerSecond is Slots over MeanHold.
+	MeanSlotTime time.Duration
+	// CallsPerSecond is Slots over MeanSlotTime.
 	CallsPerSecond float64
 	// CallsPerRequest is the mean number of calls that reach the service for
 	// one request of a client.
@@ -77,7 +77,7 @@
 	return ServiceCapacity{
 		Service:         service.Name,
 		Slots:           slots,
-		MeanHold:        hold,
+		MeanSlotTime:    hold,
 		CallsPerSecond:  float64(slots) / hold.Seconds(),
 		CallsPerRequest: seen.calls,
 	}
--- a/lab/mesh/mesh_test.go
+++ b/lab/mesh/mesh_test.go
@@ -82,7 +82,7 @@
 	}
 	capacity := m.Capacity()
 	front, back := capacity.Services[0], capacity.Services[1]
-	assert.Equal(t, front.MeanHold, 20*time.Millisecond)
+	assert.Equal(t, front.MeanSlotTime, 20*time.Millisecond)
 	assert.Equal(t, math.Round(front.CallsPerSecond), 500.0)
 	assert.Equal(t, front.CallsPerRequest, 0.75)
 	assert.Equal(t, math.Round(back.CallsPerSecond), 500.0)
@@ -90,7 +90,7 @@
 	assert.Equal(t, capacity.Bottleneck, "back")
 	assert.Equal(t, math.Round(capacity.RequestsPerSecond), 500.0)
 	m.Services[0].ReleaseWhileCalling = true
-	assert.Equal(t, m.Capacity().Services[0].MeanHold, 10*time.Millisecond)
+	assert.Equal(t, m.Capacity().Services[0].MeanSlotTime, 10*time.Millisecond)
 }
 
 func TestSampleMeansMatch(t *testing.T) {
--- a/lab/overhead/command.go
+++ b/lab/overhead/command.go
@@ -76,7 +76,7 @@
 		return err
 	}
 	defer func() { _ = target.Close() }()
-	node, err := cluster.StartAlone(ctx, c.lugspur, c.directory, alone(target.Addr().String()))
+	node, err := cluster.StartSingleNode(ctx, c.lugspur, c.directory, alone(target.Addr().String()))
 	if err != nil {
 		return err
 	}
@@ -147,7 +147,7 @@
 		fmt.Fprintf(out, "  p%-5g direct %8s  through %8s  added %8s\n", quantile,
 			rounded(comparison.Direct.Quantile(quantile)), rounded(comparison.Through.Quantile(quantile)), rounded(comparison.Added(quantile)))
 	}
-	processor := after.Processor - before.Processor
+	processor := after.CPUTime - before.CPUTime
 	fmt.Fprintf(out, "  node: %s of processor time a call, %.0f calls/s per core, %.0f bytes allocated a call\n",
 		rounded(processor/time.Duration(max(calls, 1))), float64(calls)/processor.Seconds(), (after.Allocated-before.Allocated)/float64(max(calls, 1)))
 	if failures := comparison.Direct.Failures + comparison.Through.Failures; failures > 0 {
--- a/lab/platformstub/store.go
+++ b/lab/platformstub/store.go
@@ -40,7 +40,7 @@
 	// Epoch returns how often the store was restored from a backup, and Newest the
 	// newest revision.
 	Epoch() store.Epoch
-	Newest() store.Revision
+	NewestRevision() store.Revision
 }
 
 // epochHeader is the response header with the store's epoch.
@@ -264,7 +264,7 @@
 	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)
 	startEpoch := w.Header().Get(epochHeader)
 	position := store.NewRevision(s.backend.Epoch(), after)
-	if position > s.backend.Newest() {
+	if position > s.backend.NewestRevision() {
 		writeError(w, store.ErrCompacted)
 		return
 	}
--- a/test/call_test.go
+++ b/test/call_test.go
@@ -151,7 +151,7 @@
 			t.Errorf("%s got a wrong answer: %v", made.Kind, last.Faults)
 		case last.Verdict == load.VerdictComplete && own == 0:
 			t.Errorf("%s was answered and never run", made.Kind)
-		case made.ToldNotRun() && len(records[made.Nonce]) > 0:
+		case made.ReportedNotExecuted() && len(records[made.Nonce]) > 0:
 			t.Errorf("%s was told not to have run (%s) and ran: %+v", made.Kind, last.Reason, records[made.Nonce])
 		case !kind.Repeatable && own > 1:
 			t.Errorf("%s was run %d times: %+v", made.Kind, own, records[made.Nonce])
--- a/test/linearizability_test.go
+++ b/test/linearizability_test.go
@@ -34,7 +34,7 @@
 
 // history is the linearizability test's state.
 type history struct {
-	running  *cluster.Proxied
+	running  *cluster.ProxiedCluster
 	workload linear.Workload
 	random   *rand.Rand
 }
@@ -67,7 +67,7 @@
 
 // startProxied runs the small mesh with two nodes in each zone, whose traffic
 // with each other can be disturbed.
-func startProxied(t *testing.T, flags ...string) *cluster.Proxied {
+func startProxied(t *testing.T, flags ...string) *cluster.ProxiedCluster {
 	t.Helper()
 	running, err := cluster.StartProxied(t.Context(), cluster.Config{
 		Lugspur:      program("lugspur"),
--- a/test/machines_test.go
+++ b/test/machines_test.go
@@ -46,10 +46,10 @@
 	for _, machine := range []string{"m1", "m2"} {
 		address, calls := backEnd(t)
 		counts[machine] = calls
-		objects.WriteString("[[object]]\nkind = \"target\"\nname = \"on-" + machine + "\"\n[object.spec]\nservice = \"s\"\nzone = \"" + cluster.AloneZone +
+		objects.WriteString("[[object]]\nkind = \"target\"\nname = \"on-" + machine + "\"\n[object.spec]\nservice = \"s\"\nzone = \"" + cluster.SingleNodeZone +
 			"\"\nmachine = \"" + machine + "\"\naddress = \"" + address + "\"\nslots = 4\nconnections = 8\n")
 	}
-	node, err := cluster.StartAlone(t.Context(), program("lugspur"), logDirectory(t), objects.String(),
+	node, err := cluster.StartSingleNode(t.Context(), program("lugspur"), logDirectory(t), objects.String(),
 		"-machine-list-address", strings.TrimPrefix(platform.URL, "http://"), "-machine-list-poll-ms", "50")
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.Check(t, node.Stop(20*time.Second)) })
@@ -60,8 +60,8 @@
 	})
 
 	assert.NilError(t, list.Control(machinelist.ControlRequest{Machines: &[]machinelist.Machine{
-		{Name: "m1", Address: "127.0.0.1", Zone: cluster.AloneZone, State: machinelist.StateLeaving},
-		{Name: "m2", Address: "127.0.0.1", Zone: cluster.AloneZone, State: machinelist.StateLive},
+		{Name: "m1", Address: "127.0.0.1", Zone: cluster.SingleNodeZone, State: machinelist.StateLeaving},
+		{Name: "m2", Address: "127.0.0.1", Zone: cluster.SingleNodeZone, State: machinelist.StateLive},
 	}}))
 	eventually(t, 5*time.Second, "the mark of the machine list", func() bool {
 		status, err := node.Status(t.Context())
--- a/test/node_test.go
+++ b/test/node_test.go
@@ -146,7 +146,7 @@
 		}
 	}
 	objects.WriteString("[[object]]\nkind = \"service\"\nname = \"back\"\n[object.spec]\n")
-	node, err := cluster.StartAlone(t.Context(), program("lugspur"), directory, objects.String())
+	node, err := cluster.StartSingleNode(t.Context(), program("lugspur"), directory, objects.String())
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.Check(t, node.Stop(10*time.Second)) })
 	eventually(t, 5*time.Second, "answers of a node alone", func() bool {
