--- a/internal/store/etcd/faults_test.go
+++ b/internal/store/etcd/faults_test.go
@@ -63,7 +63,7 @@
 	for _, write := range writes {
 		t.Run(write.name, func(t *testing.T) {
 			drop := 1
-			control(t, process, kvstore.ControlRequest{DropAnswers: &drop})
+			control(t, process, kvstore.ControlRequest{DropResponses: &drop})
 			before := process.Status()
 			assert.ErrorIs(t, write.run(), store.ErrUnknownOutcome)
 			after := process.Status()
@@ -78,7 +78,7 @@
 	assert.ErrorIs(t, err, store.ErrNotFound)
 
 	drop := 1
-	control(t, process, kvstore.ControlRequest{DropAnswers: &drop})
+	control(t, process, kvstore.ControlRequest{DropResponses: &drop})
 	assert.ErrorIs(t, client.RevokeLease(ctx, lease), store.ErrUnknownOutcome)
 	_, err = client.Get(ctx, "written")
 	assert.ErrorIs(t, err, store.ErrNotFound)
@@ -110,7 +110,7 @@
 	}
 	status := process.Status()
 	assert.Equal(t, status.Writes, int64(increments))
-	assert.Equal(t, status.AnswersDropped, int64(unknown))
+	assert.Equal(t, status.ResponsesDropped, int64(unknown))
 	assert.Assert(t, unknown > 0)
 }
 
--- a/lab/chaos/injector.go
+++ b/lab/chaos/injector.go
@@ -89,15 +89,15 @@
 }
 
 // networkFaults returns the faults of the proxy in front of a node.
-func networkFaults(fault Fault) faultproxy.Both {
+func networkFaults(fault Fault) faultproxy.RouteFaults {
 	cut := faultproxy.Faults{Cut: faultproxy.CutBlackhole}
 	switch fault.Kind {
 	case LoseAnswers:
-		return faultproxy.Both{ToClient: cut}
+		return faultproxy.RouteFaults{ToClient: cut}
 	case LoseDatagrams:
-		return faultproxy.Both{ToUpstream: faultproxy.Faults{Loss: fault.Factor}}
+		return faultproxy.RouteFaults{ToUpstream: faultproxy.Faults{Loss: fault.Factor}}
 	}
-	return faultproxy.Both{ToUpstream: cut, ToClient: cut}
+	return faultproxy.RouteFaults{ToUpstream: cut, ToClient: cut}
 }
 
 func (i *injector) injectNetwork(ctx context.Context, fault Fault) error {
--- a/lab/chaos/injector_test.go
+++ b/lab/chaos/injector_test.go
@@ -19,7 +19,7 @@
 				faults := networkFaults(fault)
 				assert.NilError(t, faults.ToUpstream.Validate())
 				assert.NilError(t, faults.ToClient.Validate())
-				assert.Assert(t, faults != faultproxy.Both{}, "%s changes nothing", fault.Kind)
+				assert.Assert(t, faults != faultproxy.RouteFaults{}, "%s changes nothing", fault.Kind)
 			case StoreRefuse, StoreHang, StoreUnavailable, StoreLostAnswers:
 				server := kvstore.New(kvstore.Config{})
 				assert.NilError(t, server.Control(storeControl(fault)))
--- a/lab/faultproxy/control.go
+++ b/lab/faultproxy/control.go
@@ -11,11 +11,11 @@
 
 // Route is the state of one proxy in responses of the control listener.
 type Route struct {
-	Index       int    `json:"index"`
-	Listen      string `json:"listen"`
-	Upstream    string `json:"upstream"`
-	Connections int    `json:"connections"`
-	Faults      Both   `json:"faults"`
+	Index       int         `json:"index"`
+	Listen      string      `json:"listen"`
+	Upstream    string      `json:"upstream"`
+	Connections int         `json:"connections"`
+	Faults      RouteFaults `json:"faults"`
 }
 
 // Control returns the control API of the proxies: GET /routes, POST
@@ -56,7 +56,7 @@
 		http.Error(w, "unknown route", http.StatusNotFound)
 		return
 	}
-	var faults Both
+	var faults RouteFaults
 	decoder := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxControlBytes))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(&faults); err != nil {
--- a/lab/faultproxy/control_test.go
+++ b/lab/faultproxy/control_test.go
@@ -25,7 +25,7 @@
 	assert.Equal(t, post("/routes/0/faults", `{"to_moon":{}}`), http.StatusBadRequest)
 	assert.Equal(t, post("/routes/1/faults", `{}`), http.StatusNotFound)
 	assert.Equal(t, post("/clear", ""), http.StatusNoContent)
-	assert.Equal(t, proxy.Faults(), Both{})
+	assert.Equal(t, proxy.Faults(), RouteFaults{})
 }
 
 func TestStartRoutes(t *testing.T) {
--- a/lab/faultproxy/fault.go
+++ b/lab/faultproxy/fault.go
@@ -61,8 +61,8 @@
 	return errors.New("cut is reset, blackhole or empty")
 }
 
-// Both holds the faults of both directions of a proxy.
-type Both struct {
+// RouteFaults holds the faults of both directions of a proxy.
+type RouteFaults struct {
 	ToUpstream Faults `json:"to_upstream"`
 	ToClient   Faults `json:"to_client"`
 }
--- a/lab/faultproxy/proxy.go
+++ b/lab/faultproxy/proxy.go
@@ -104,10 +104,10 @@
 func (p *Proxy) Clear() { _ = p.SetFaults(Faults{}, Faults{}) }
 
 // Faults returns the current faults.
-func (p *Proxy) Faults() Both {
+func (p *Proxy) Faults() RouteFaults {
 	toUpstream, _ := p.toUpstream.currentFaults()
 	toClient, _ := p.toClient.currentFaults()
-	return Both{ToUpstream: toUpstream, ToClient: toClient}
+	return RouteFaults{ToUpstream: toUpstream, ToClient: toClient}
 }
 
 // Connections returns the number of open TCP connections.
--- a/lab/kvstore/control.go
+++ b/lab/kvstore/control.go
@@ -17,7 +17,7 @@
 	Clear           bool     `json:"clear,omitempty"`
 	Outage          *Outage  `json:"outage,omitempty"`
 	LatencyMillis   *int64   `json:"latency_ms,omitempty"`
-	DropAnswers     *int     `json:"drop_answers,omitempty"`
+	DropResponses   *int     `json:"drop_answers,omitempty"`
 	DropProbability *float64 `json:"drop_probability,omitempty"`
 	// CutWatches closes the connections of all open watches once.
 	CutWatches bool `json:"cut_watches,omitempty"`
@@ -27,13 +27,13 @@
 
 // Status is the response of the control listener.
 type Status struct {
-	Faults         Faults `json:"faults"`
-	Revision       int64  `json:"revision"`
-	Requests       int64  `json:"requests"`
-	Writes         int64  `json:"writes"`
-	RateLimited    int64  `json:"rate_limited"`
-	AnswersDropped int64  `json:"answers_dropped"`
-	OpenWatches    int64  `json:"open_watches"`
+	Faults           Faults `json:"faults"`
+	Revision         int64  `json:"revision"`
+	Requests         int64  `json:"requests"`
+	Writes           int64  `json:"writes"`
+	RateLimited      int64  `json:"rate_limited"`
+	ResponsesDropped int64  `json:"answers_dropped"`
+	OpenWatches      int64  `json:"open_watches"`
 }
 
 // Control applies a control request to the server.
@@ -44,7 +44,7 @@
 	}
 	setIfPresent(&faults.Outage, request.Outage)
 	setIfPresent(&faults.LatencyMillis, request.LatencyMillis)
-	setIfPresent(&faults.DropResponses, request.DropAnswers)
+	setIfPresent(&faults.DropResponses, request.DropResponses)
 	setIfPresent(&faults.DropProbability, request.DropProbability)
 	if !faults.Outage.valid() || faults.DropProbability < 0 || faults.DropProbability > 1 {
 		return errInvalidControl
@@ -69,13 +69,13 @@
 func (s *Server) Status() Status {
 	faults, _ := s.faults.currentFaults()
 	return Status{
-		Faults:         faults,
-		Revision:       int64(s.store.Revision()),
-		Requests:       s.counters.requests.Load(),
-		Writes:         s.counters.writes.Load(),
-		RateLimited:    s.counters.rateLimited.Load(),
-		AnswersDropped: s.counters.responsesDropped.Load(),
-		OpenWatches:    s.counters.watches.Load(),
+		Faults:           faults,
+		Revision:         int64(s.store.Revision()),
+		Requests:         s.counters.requests.Load(),
+		Writes:           s.counters.writes.Load(),
+		RateLimited:      s.counters.rateLimited.Load(),
+		ResponsesDropped: s.counters.responsesDropped.Load(),
+		OpenWatches:      s.counters.watches.Load(),
 	}
 }
 
--- a/lab/platformstub/store.go
+++ b/lab/platformstub/store.go
@@ -25,13 +25,13 @@
 	Down bool
 	// Throttled rejects every call with 429.
 	Throttled bool
-	// LoseWriteAnswers applies writes and closes the connection without a response.
-	LoseWriteAnswers bool
+	// DropWriteResponses applies writes and closes the connection without a response.
+	DropWriteResponses bool
 	// WriteDelay closes the connection immediately and applies writes after this
 	// delay; zero applies them normally.
 	WriteDelay time.Duration
-	// Forgotten rejects every watch with 410.
-	Forgotten bool
+	// WatchesExpired rejects every watch with 410.
+	WatchesExpired bool
 }
 
 // Backend is the store that a stub serves.
@@ -77,8 +77,8 @@
 	return s.calls[path]
 }
 
-// Between changes the backend while no call is served, except for watches.
-func (s *Store) Between(change func()) {
+// UpdateBackend changes the backend while no call is served, except for watches.
+func (s *Store) UpdateBackend(change func()) {
 	s.backendMutex.Lock()
 	defer s.backendMutex.Unlock()
 	change()
@@ -159,7 +159,7 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		case faults.Throttled:
 			w.WriteHeader(http.StatusTooManyRequests)
-		case faults.Forgotten && path == "/kv-watch":
+		case faults.WatchesExpired && path == "/kv-watch":
 			w.WriteHeader(http.StatusGone)
 		default:
 			next(w, r)
@@ -188,7 +188,7 @@
 		case faults.WriteDelay > 0:
 			delayWrite(next, r, faults.WriteDelay)
 			panic(http.ErrAbortHandler)
-		case faults.LoseWriteAnswers:
+		case faults.DropWriteResponses:
 			next(discardResponse{header: make(http.Header)}, r)
 			panic(http.ErrAbortHandler)
 		default:
--- a/lab/platformstub/target.go
+++ b/lab/platformstub/target.go
@@ -21,12 +21,12 @@
 	// ID and Service identify the target; Address is its listener and Control the
 	// receiver of its heartbeats.
 	ID, Service, Address, Control, Zone string
-	// Born is the target's start time in Unix milliseconds; zero means the time of Start.
-	Born int64
-	// Work is the service time of each request.
-	Work time.Duration
-	// OnEnd is called once, after the target has crashed; it may be nil.
-	OnEnd func()
+	// StartedAt is the target's start time in Unix milliseconds; zero means the time of Start.
+	StartedAt int64
+	// ServiceTime is the service time of each request.
+	ServiceTime time.Duration
+	// OnCrash is called once, after the target has crashed; it may be nil.
+	OnCrash func()
 
 	sequence          atomic.Uint64
 	draining          atomic.Bool
@@ -56,8 +56,8 @@
 
 // TargetFaults are the faults of a target.
 type TargetFaults struct {
-	// Slow is added to the service time of each request.
-	Slow time.Duration
+	// Delay is added to the service time of each request.
+	Delay time.Duration
 	// DropEvery closes the connection instead of sending the response of every n-th
 	// request; zero disables it.
 	DropEvery uint64
@@ -65,9 +65,9 @@
 	TruncateEvery uint64
 	// RejectEvery rejects every n-th request as not executed; zero disables it.
 	RejectEvery uint64
-	// EndsUnder is the path prefix of requests that crash the target at the end of their
+	// CrashPrefix is the path prefix of requests that crash the target at the end of their
 	// service time; empty means that no request does.
-	EndsUnder string
+	CrashPrefix string
 }
 
 const targetSlots = 16
@@ -78,8 +78,8 @@
 	if err != nil {
 		return err
 	}
-	if t.Born == 0 {
-		t.Born = time.Now().UnixMilli()
+	if t.StartedAt == 0 {
+		t.StartedAt = time.Now().UnixMilli()
 	}
 	ctx, t.stop = context.WithCancel(ctx)
 	t.server = &http.Server{Handler: http.HandlerFunc(t.serve)}
@@ -126,11 +126,11 @@
 	}
 	t.recordRun(r, id)
 	select {
-	case <-time.After(t.Work + faults.Slow):
+	case <-time.After(t.ServiceTime + faults.Delay):
 	case <-r.Context().Done():
 		return
 	}
-	if faults.EndsUnder != "" && strings.HasPrefix(r.URL.Path, faults.EndsUnder) {
+	if faults.CrashPrefix != "" && strings.HasPrefix(r.URL.Path, faults.CrashPrefix) {
 		t.crash()
 		panic(http.ErrAbortHandler)
 	}
@@ -153,8 +153,8 @@
 	t.stop()
 	_ = t.server.Close()
 	t.crashed.Store(true)
-	if t.OnEnd != nil {
-		t.crashOnce.Do(t.OnEnd)
+	if t.OnCrash != nil {
+		t.crashOnce.Do(t.OnCrash)
 	}
 }
 
@@ -195,8 +195,8 @@
 	return runs
 }
 
-// Count returns the number of executions.
-func (t *Target) Count() int { return len(t.Log()) }
+// RunCount returns the number of executions.
+func (t *Target) RunCount() int { return len(t.Log()) }
 
 const heartbeatInterval = 100 * time.Millisecond
 
@@ -214,8 +214,8 @@
 	}
 }
 
-// Silence stops the heartbeats.
-func (t *Target) Silence() { t.heartbeatsStopped.Store(true) }
+// StopHeartbeats stops the heartbeats.
+func (t *Target) StopHeartbeats() { t.heartbeatsStopped.Store(true) }
 
 type heartbeat struct {
 	Service   string `json:"service"`
@@ -234,7 +234,7 @@
 		state = "draining"
 	}
 	body, err := json.Marshal(heartbeat{Service: t.Service, Address: t.Address, Zone: t.Zone, Version: "v1", Slots: targetSlots,
-		State: state, Sequence: t.sequence.Add(1), StartedAt: t.Born})
+		State: state, Sequence: t.sequence.Add(1), StartedAt: t.StartedAt})
 	if err != nil {
 		return err
 	}
@@ -269,14 +269,14 @@
 // SendStaleHeartbeat sends a "ready" heartbeat with the first sequence number, like one
 // that was delayed in the network.
 func (t *Target) SendStaleHeartbeat(ctx context.Context) error {
-	body, err := json.Marshal(heartbeat{Service: t.Service, Address: t.Address, Zone: t.Zone, Version: "v1", Slots: targetSlots, State: "ready", Sequence: 1, StartedAt: t.Born})
+	body, err := json.Marshal(heartbeat{Service: t.Service, Address: t.Address, Zone: t.Zone, Version: "v1", Slots: targetSlots, State: "ready", Sequence: 1, StartedAt: t.StartedAt})
 	if err != nil {
 		return err
 	}
 	return t.send(ctx, http.MethodPut, body)
 }
 
-// Leave deregisters the target.
-func (t *Target) Leave(ctx context.Context) error {
-	return t.send(ctx, http.MethodDelete, fmt.Appendf(nil, `{"born":%d}`, t.Born))
+// Deregister deregisters the target.
+func (t *Target) Deregister(ctx context.Context) error {
+	return t.send(ctx, http.MethodDelete, fmt.Appendf(nil, `{"born":%d}`, t.StartedAt))
 }
--- a/lab/soak/deployment.go
+++ b/lab/soak/deployment.go
@@ -178,22 +178,22 @@
 
 // incarnationID identifies one start of a target.
 func incarnationID(target *platformstub.Target) string {
-	return fmt.Sprintf("%s@%d", target.ID, target.Born)
+	return fmt.Sprintf("%s@%d", target.ID, target.StartedAt)
 }
 
 // startTarget starts a new incarnation of the target at the same address.
 func (m *machine) startTarget() error {
 	m.incarnation++
 	target := &platformstub.Target{
-		ID:      fmt.Sprintf("i-%s-%d", m.name, (m.incarnation+1)/startsPerID),
-		Service: m.service,
-		Address: m.targetAddress,
-		Control: m.heartbeatAddress,
-		Zone:    m.zone,
-		Work:    minServiceTime * time.Duration(1+m.number%serviceTimeSpread),
-		OnEnd:   func() { time.AfterFunc(targetRestartDelay, m.onTargetCrash) },
+		ID:          fmt.Sprintf("i-%s-%d", m.name, (m.incarnation+1)/startsPerID),
+		Service:     m.service,
+		Address:     m.targetAddress,
+		Control:     m.heartbeatAddress,
+		Zone:        m.zone,
+		ServiceTime: minServiceTime * time.Duration(1+m.number%serviceTimeSpread),
+		OnCrash:     func() { time.AfterFunc(targetRestartDelay, m.onTargetCrash) },
 	}
-	target.SetFaults(platformstub.TargetFaults{EndsUnder: crashPath(m.service)})
+	target.SetFaults(platformstub.TargetFaults{CrashPrefix: crashPath(m.service)})
 	ctx, cancel := context.WithCancel(context.Background())
 	if err := target.Start(ctx); err != nil {
 		cancel()
--- a/lab/soak/inject.go
+++ b/lab/soak/inject.go
@@ -117,9 +117,9 @@
 var storeFaults = map[Kind]platformstub.Faults{
 	StoreDown:               {Down: true},
 	StoreThrottled:          {Throttled: true},
-	StoreWriteResponsesLost: {LoseWriteAnswers: true},
+	StoreWriteResponsesLost: {DropWriteResponses: true},
 	StoreWritesDelayed:      {WriteDelay: writeDelay},
-	StoreWatchesExpired:     {Forgotten: true},
+	StoreWatchesExpired:     {WatchesExpired: true},
 }
 
 func (i *injector) injectStoreFault(ctx context.Context, fault Fault) {
@@ -239,12 +239,12 @@
 		pause.For(ctx, attemptInterval)
 	}
 	if fault.Kind == DrainAndKill {
-		m.currentTarget.Silence()
+		m.currentTarget.StopHeartbeats()
 		i.kill(fault.Machine)
 		i.sendStaleHeartbeats(ctx, m.currentTarget)
 	}
 	pause.For(ctx, drainDuration+fault.For)
-	if m.currentTarget.Leave(ctx) == nil {
+	if m.currentTarget.Deregister(ctx) == nil {
 		i.recorder.addDrain(incarnationID(m.currentTarget))
 	}
 	m.stopTarget()
@@ -274,15 +274,15 @@
 	ResponsesLost:      {DropEvery: responseFaultInterval},
 	ResponsesTruncated: {TruncateEvery: responseFaultInterval},
 	TargetRejects:      {RejectEvery: responseFaultInterval},
-	TargetSlow:         {Slow: extraServiceTime},
+	TargetSlow:         {Delay: extraServiceTime},
 }
 
 func (i *injector) injectTargetFault(ctx context.Context, m *machine, fault Fault) {
 	faults := targetFaults[fault.Kind]
-	faults.EndsUnder = crashPath(m.service)
+	faults.CrashPrefix = crashPath(m.service)
 	m.currentTarget.SetFaults(faults)
 	pause.For(ctx, fault.For)
-	m.currentTarget.SetFaults(platformstub.TargetFaults{EndsUnder: crashPath(m.service)})
+	m.currentTarget.SetFaults(platformstub.TargetFaults{CrashPrefix: crashPath(m.service)})
 }
 
 // linkFault is the effect of a fault kind on one proxy of a machine.
--- a/lab/soak/judge.go
+++ b/lab/soak/judge.go
@@ -329,7 +329,7 @@
 		return nil
 	}
 	third := runs[crashThreshold-1]
-	from := third.At.Add(third.target.Work + quietPeriod)
+	from := third.At.Add(third.target.ServiceTime + quietPeriod)
 	var late []crashingRun
 	for _, run := range runs[crashThreshold:] {
 		if run.At.After(from) && j.undisturbed(run.request.Machine, run.At, run.At, true) && j.undisturbed(run.machine, run.At, run.At, true) {
--- a/lab/soak/restore.go
+++ b/lab/soak/restore.go
@@ -56,7 +56,7 @@
 	backup := i.backups.at(fault.For)
 	i.versionMutex.Lock()
 	defer i.versionMutex.Unlock()
-	i.deployment.storeStub.Between(func() { i.deployment.store.Restore(backup) })
+	i.deployment.storeStub.UpdateBackend(func() { i.deployment.store.Restore(backup) })
 	if err := i.deployment.writeConfiguration(ctx, i.version); err != nil {
 		i.recorder.addFailure("the store stub: " + err.Error())
 	}
--- a/test/configuration_test.go
+++ b/test/configuration_test.go
@@ -129,10 +129,10 @@
 func testLostAnswers(t *testing.T, running *cluster.Cluster) {
 	for _, dropped := range []int{1, 2, 5} {
 		caller := fmt.Sprintf("lost-%d", dropped)
-		assert.NilError(t, running.StoreControl(t.Context(), kvstore.ControlRequest{DropAnswers: &dropped}))
+		assert.NilError(t, running.StoreControl(t.Context(), kvstore.ControlRequest{DropResponses: &dropped}))
 		code := exitCode(t, running, running.Nodes[0], "apply", "-f", policyFile(t, "back", denyCaller(caller)))
 		none := 0
-		assert.NilError(t, running.StoreControl(t.Context(), kvstore.ControlRequest{DropAnswers: &none}))
+		assert.NilError(t, running.StoreControl(t.Context(), kvstore.ControlRequest{DropResponses: &none}))
 		assert.Assert(t, code == command.ExitOK || code == command.ExitUnknown, "%d answers dropped: exit code %d", dropped, code)
 		if code == command.ExitOK {
 			awaitRefusedEverywhere(t, running, caller)
@@ -140,7 +140,7 @@
 	}
 	status, err := running.StoreStatus(t.Context())
 	assert.NilError(t, err)
-	assert.Assert(t, status.AnswersDropped > 0, "no answer was dropped, so the test is inconclusive")
+	assert.Assert(t, status.ResponsesDropped > 0, "no answer was dropped, so the test is inconclusive")
 }
 
 func TestWritesRequireToken(t *testing.T) {
--- a/test/deadline_test.go
+++ b/test/deadline_test.go
@@ -28,7 +28,7 @@
 func TestPlatformCallExceedsDeadline(t *testing.T) {
 	p := startPlatform(t, "west", "west", "east", "east")
 	for _, n := range p.nodes {
-		n.target.SetFaults(platformstub.TargetFaults{Slow: longWork})
+		n.target.SetFaults(platformstub.TargetFaults{Delay: longWork})
 	}
 	for _, path := range []string{"/read/x", "/once/x"} {
 		statuses := p.sendWithTimeout(shortTimeoutMillis, path, p.nodes...)
@@ -69,7 +69,7 @@
 	)
 	p := startPlatform(t, "west", "west")
 	for _, n := range p.nodes {
-		n.target.SetFaults(platformstub.TargetFaults{Slow: work})
+		n.target.SetFaults(platformstub.TargetFaults{Delay: work})
 	}
 	for _, path := range []string{"/read/x", "/once/x"} {
 		process := p.nodes[0].process.Process
--- a/test/explain_test.go
+++ b/test/explain_test.go
@@ -82,7 +82,7 @@
 // some refusals are not logged.
 func TestLogExplainsRefusal(t *testing.T) {
 	p := startPlatform(t, "west")
-	p.target(0).SetFaults(platformstub.TargetFaults{Slow: 1500 * time.Millisecond})
+	p.target(0).SetFaults(platformstub.TargetFaults{Delay: 1500 * time.Millisecond})
 	id := p.sendForStatus(p.nodes[0], "/read/x", 18, http.StatusServiceUnavailable)
 	p.awaitExplanation(id, "call-refused .*reason=\"(waited|queue-full|evicted|late)\"", "request-refused .*status=503 .*wait_ms=[1-9].*reason=\"overloaded: no home took the request")
 }
@@ -92,7 +92,7 @@
 func TestLogExplainsHomeFailure(t *testing.T) {
 	p := startPlatform(t, "west", "west")
 	for _, n := range p.nodes {
-		n.target.SetFaults(platformstub.TargetFaults{Slow: 400 * time.Millisecond})
+		n.target.SetFaults(platformstub.TargetFaults{Delay: 400 * time.Millisecond})
 	}
 	time.AfterFunc(200*time.Millisecond, func() { _ = p.nodes[1].process.Process.Kill() })
 	id := p.sendForStatus(p.nodes[0], "/once/x", 16, http.StatusBadGateway)
@@ -128,7 +128,7 @@
 	const stopped = 1200 * time.Millisecond
 	p := startPlatform(t, "west", "west")
 	for _, n := range p.nodes {
-		n.target.SetFaults(platformstub.TargetFaults{Slow: 3 * time.Second})
+		n.target.SetFaults(platformstub.TargetFaults{Delay: 3 * time.Second})
 	}
 	process := p.nodes[0].process.Process
 	time.AfterFunc(100*time.Millisecond, func() { _ = process.Signal(syscall.SIGSTOP) })
--- a/test/linearizability_test.go
+++ b/test/linearizability_test.go
@@ -234,12 +234,12 @@
 	assert.NilError(t, err)
 	t.Logf("seed %d: %d writes accepted, %d refused, %d unknown (%d unresolved); %d reads; %d answers dropped; order %s",
 		*linearizabilitySeed, outcomes[admin.OutcomeAccepted], outcomes[admin.OutcomeRefused], outcomes[admin.OutcomeUnknown],
-		len(recorded.Unresolved()), len(recorded.Reads), status.AnswersDropped, checked.Order)
+		len(recorded.Unresolved()), len(recorded.Reads), status.ResponsesDropped, checked.Order)
 	if !checked.OK() {
 		h.reportViolations(t, checked)
 	}
 	assert.Assert(t, outcomes[admin.OutcomeAccepted] > 0 && outcomes[admin.OutcomeRefused] > 0 && outcomes[admin.OutcomeUnknown] > 0 &&
-		status.AnswersDropped > 0, "the faults did not affect the clients, so the test is inconclusive")
+		status.ResponsesDropped > 0, "the faults did not affect the clients, so the test is inconclusive")
 }
 
 func (h *linearizabilityTest) reportViolations(t *testing.T, checked linear.Result) {
--- a/test/platform_fixture_test.go
+++ b/test/platform_fixture_test.go
@@ -101,7 +101,7 @@
 		calls:    addresses[0],
 		ready:    addresses[1],
 		metrics:  addresses[2],
-		target:   &platformstub.Target{ID: "i-" + name, Service: "one", Address: addresses[3], Control: addresses[4], Zone: zone, Work: 5 * time.Millisecond},
+		target:   &platformstub.Target{ID: "i-" + name, Service: "one", Address: addresses[3], Control: addresses[4], Zone: zone, ServiceTime: 5 * time.Millisecond},
 	}
 	content := fmt.Sprintf("name = %q\nzone = %q\nservice = \"one\"\ntarget = %q\nstore = %q\n[listen]\ncalls = %q\npeers = %q\nready = %q\nheartbeats = %q\nmetrics = %q\n[stop]\ngrace-seconds = 6\n",
 		name, zone, n.target.Address, p.address, n.calls, addresses[5], n.ready, n.target.Control, n.metrics)
--- a/test/platform_outage_test.go
+++ b/test/platform_outage_test.go
@@ -23,22 +23,22 @@
 	p.stub.SetFaults(platformstub.Faults{Down: true})
 	assert.NilError(t, p.nodes[0].process.Process.Kill())
 	<-p.nodes[0].exited
-	p.target(0).Silence()
-	drained := p.target(0).Count()
+	p.target(0).StopHeartbeats()
+	drained := p.target(0).RunCount()
 	p.start(p.nodes[0])
 	p.awaitReady(p.nodes[0])
-	late := &platformstub.Target{ID: p.target(0).ID, Born: p.target(0).Born, Service: "one", Address: p.target(0).Address, Control: p.target(0).Control, Zone: "west"}
+	late := &platformstub.Target{ID: p.target(0).ID, StartedAt: p.target(0).StartedAt, Service: "one", Address: p.target(0).Address, Control: p.target(0).Control, Zone: "west"}
 	_ = late.Start(ctx)
 	running := p.startLoad("/read/x", p.nodes...)
 	time.Sleep(2 * time.Second)
 	statuses := running.stopAndCount()
 	assert.DeepEqual(t, statusesOf(statuses), []int{http.StatusOK})
-	assert.Equal(t, p.target(0).Count(), drained, "a drained target got new work while the store was down")
+	assert.Equal(t, p.target(0).RunCount(), drained, "a drained target got new work while the store was down")
 	p.stub.SetFaults(platformstub.Faults{})
 	running = p.startLoad("/read/x", p.nodes...)
 	time.Sleep(2 * time.Second)
 	running.stopAndCount()
-	assert.Equal(t, p.target(0).Count(), drained, "a drained target got new work once the store was back")
+	assert.Equal(t, p.target(0).RunCount(), drained, "a drained target got new work once the store was back")
 }
 
 // TestPlatformPlannedStopWhileStoreIsDown stops a node under load while the store refuses
@@ -68,7 +68,7 @@
 	joining := p.newNode(2, "west")
 	p.start(joining)
 	assert.NilError(t, joining.target.Start(ctx))
-	eventually(t, 20*time.Second, "the new target gets work", func() bool { return joining.target.Count() > 0 })
+	eventually(t, 20*time.Second, "the new target gets work", func() bool { return joining.target.RunCount() > 0 })
 	p.awaitReady(joining)
 	p.awaitServed(joining, "/once/x")
 	assert.DeepEqual(t, statusesOf(running.stopAndCount()), []int{http.StatusOK})
--- a/test/platform_restore_test.go
+++ b/test/platform_restore_test.go
@@ -24,7 +24,7 @@
 	p.t.Helper()
 	p.stub.SetFaults(platformstub.Faults{Down: true})
 	time.Sleep(300 * time.Millisecond)
-	p.stub.Between(func() { p.store.Restore(backup) })
+	p.stub.UpdateBackend(func() { p.store.Restore(backup) })
 	if rewrite != nil {
 		rewrite()
 	}
@@ -153,12 +153,12 @@
 	time.Sleep(time.Second)
 	p.restoreStore(backup, nil)
 	time.Sleep(3 * time.Second)
-	drained := p.target(0).Count()
+	drained := p.target(0).RunCount()
 	for _, n := range p.nodes {
 		assert.NilError(t, n.process.Process.Kill())
 		<-n.exited
 	}
-	p.target(0).Silence()
+	p.target(0).StopHeartbeats()
 	for _, n := range p.nodes {
 		p.start(n)
 	}
@@ -168,7 +168,7 @@
 	running := p.startLoad("/read/x", p.nodes...)
 	time.Sleep(2 * time.Second)
 	running.stopAndCount()
-	assert.Equal(t, p.target(0).Count(), drained, "a target that left before the restore got new work")
+	assert.Equal(t, p.target(0).RunCount(), drained, "a target that left before the restore got new work")
 }
 
 func testRestoredNewNodes(t *testing.T) {
--- a/test/platform_test.go
+++ b/test/platform_test.go
@@ -39,23 +39,23 @@
 	p := startPlatform(t, "west", "west")
 	ctx := context.Background()
 	assert.NilError(t, p.target(0).Drain(ctx))
-	drained := p.target(0).Count()
+	drained := p.target(0).RunCount()
 	running := p.startLoad("/once/x", p.nodes...)
 	time.Sleep(500 * time.Millisecond)
 	assert.NilError(t, p.nodes[0].process.Process.Kill())
 	<-p.nodes[0].exited
-	p.target(0).Silence()
+	p.target(0).StopHeartbeats()
 	p.start(p.nodes[0])
 	p.awaitReady(p.nodes[0])
 	// A heartbeat from before the drain arrives late.
-	late := &platformstub.Target{ID: p.target(0).ID, Born: p.target(0).Born, Service: "one", Address: p.target(0).Address, Control: p.target(0).Control, Zone: "west"}
+	late := &platformstub.Target{ID: p.target(0).ID, StartedAt: p.target(0).StartedAt, Service: "one", Address: p.target(0).Address, Control: p.target(0).Control, Zone: "west"}
 	lateCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	_ = late.Start(lateCtx)
 	time.Sleep(500 * time.Millisecond)
 	running.stopAndCount()
-	assert.Equal(t, p.target(0).Count(), drained, "a drained target got new work")
-	assert.NilError(t, p.target(0).Leave(ctx))
+	assert.Equal(t, p.target(0).RunCount(), drained, "a drained target got new work")
+	assert.NilError(t, p.target(0).Deregister(ctx))
 	status, _ := p.send(p.nodes[0], "/read/x")
 	assert.Equal(t, status, http.StatusOK, "its node must continue to serve callers")
 }
@@ -107,7 +107,7 @@
 	assert.Assert(t, p.target(0).Drain(context.Background()) != nil, "a drain that is not durable must not be acknowledged")
 	assert.NilError(t, p.nodes[1].process.Process.Kill())
 	<-p.nodes[1].exited
-	before := p.target(1).Count()
+	before := p.target(1).RunCount()
 	p.start(p.nodes[1])
 	p.awaitReady(p.nodes[1])
 	time.Sleep(time.Second)
@@ -115,13 +115,13 @@
 		p.send(p.nodes[1], "/read/x")
 		p.send(p.nodes[0], "/read/x")
 	}
-	assert.Equal(t, p.target(1).Count(), before, "a node must not use its target before it has read the acknowledged drains")
+	assert.Equal(t, p.target(1).RunCount(), before, "a node must not use its target before it has read the acknowledged drains")
 	p.stub.SetFaults(platformstub.Faults{})
 	p.awaitServed(p.nodes[1], "/read/x")
 	assert.NilError(t, p.target(0).Drain(context.Background()))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		p.send(p.nodes[0], "/read/x")
-		if p.target(1).Count() == before {
+		if p.target(1).RunCount() == before {
 			return poll.Continue("its target receives no requests")
 		}
 		return poll.Success()
@@ -139,7 +139,7 @@
 func TestPlatformPlannedStopCompletesRequests(t *testing.T) {
 	p := startPlatform(t, "west", "west", "east")
 	for _, n := range p.nodes {
-		n.target.Work = 50 * time.Millisecond
+		n.target.ServiceTime = 50 * time.Millisecond
 	}
 	running := p.startLoad("/once/x", p.nodes...)
 	time.Sleep(300 * time.Millisecond)
--- a/test/query_of_death_test.go
+++ b/test/query_of_death_test.go
@@ -53,7 +53,7 @@
 	for i, n := range d.nodes {
 		// The first target leaves in a planned way, so that all later ones are distinguishable.
 		assert.NilError(t, n.target.Drain(ctx))
-		n.target.Silence()
+		n.target.StopHeartbeats()
 		n.target.Close()
 		d.replaceTarget(n, path, fmt.Sprintf("i-%d-0", i))
 	}
@@ -66,9 +66,9 @@
 // replaceTarget starts a target at the node, and a replacement after each crash.
 func (d *queryOfDeathCase) replaceTarget(n *platformNode, path, id string) {
 	next := &platformstub.Target{ID: id, Service: "one", Address: n.target.Address, Control: n.target.Control, Zone: n.target.Zone,
-		Work: n.target.Work}
-	next.SetFaults(platformstub.TargetFaults{EndsUnder: path})
-	next.OnEnd = func() {
+		ServiceTime: n.target.ServiceTime}
+	next.SetFaults(platformstub.TargetFaults{CrashPrefix: path})
+	next.OnCrash = func() {
 		d.mutex.Lock()
 		d.crashTimes = append(d.crashTimes, time.Now())
 		d.mutex.Unlock()
