--- a/lab/cluster/proxies.go
+++ b/lab/cluster/proxies.go
@@ -15,7 +15,7 @@
 // ProxiedCluster is a cluster whose nodes reach each other through fault proxies. The
 // proxy of a node forwards the UDP and TCP traffic that other nodes send to it, and
 // the responses on those connections. Traffic that the node itself initiates passes
-// through the proxies of the receivers. Proxied is not safe for concurrent use.
+// through the proxies of the receivers. ProxiedCluster is not safe for concurrent use.
 type ProxiedCluster struct {
 	*Cluster
 	// Proxies are the proxies in front of the peer listeners, by node.
