--- a/internal/command/kind.go
+++ b/internal/command/arguments.go
@@ -8,7 +8,7 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// parseKind reads a kind's name, singular or plural.
+// parseKind parses the name of a kind, singular or plural.
 func parseKind(text string) (resource.Kind, error) {
 	names := make([]string, 0, len(resource.OperatorKinds()))
 	for _, kind := range resource.OperatorKinds() {
@@ -20,7 +20,7 @@
 	return "", usageErrorf("unknown kind %q: allowed are %s", text, strings.Join(names, ", "))
 }
 
-// parseID reads a kind and a name.
+// parseID parses a kind and a name.
 func parseID(arguments []string) (resource.ID, error) {
 	if len(arguments) != 2 {
 		return resource.ID{}, usageErrorf("needs KIND NAME, after the flags")
@@ -36,16 +36,16 @@
 	return id, nil
 }
 
-// parseLeaving reads what is drained or joins.
-func parseLeaving(arguments []string) (adminclient.Leaving, error) {
+// parseDrainSubject parses what to drain or to join again.
+func parseDrainSubject(arguments []string) (adminclient.DrainSubject, error) {
 	if len(arguments) != 2 {
-		return adminclient.Leaving{}, usageErrorf("needs target NAME or machine NAME, after the flags")
+		return adminclient.DrainSubject{}, usageErrorf("needs target NAME or machine NAME, after the flags")
 	}
 	switch arguments[0] {
 	case "target", "targets":
-		return adminclient.Leaving{Collection: "targets", Name: arguments[1]}, nil
+		return adminclient.DrainSubject{Collection: "targets", Name: arguments[1]}, nil
 	case "machine", "machines":
-		return adminclient.Leaving{Collection: "machines", Name: arguments[1]}, nil
+		return adminclient.DrainSubject{Collection: "machines", Name: arguments[1]}, nil
 	}
-	return adminclient.Leaving{}, usageErrorf("unknown %q: allowed are target and machine", arguments[0])
+	return adminclient.DrainSubject{}, usageErrorf("unknown %q: allowed are target and machine", arguments[0])
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -99,7 +99,7 @@
 }
 
 // TestOutcomeOfTargetAnswers checks the outcome of a call for each kind of answer.
-// A call whose answer is invalid may have run, unless the target says otherwise.
+// A call whose answer is invalid may have run, unless the target reports otherwise.
 func TestOutcomeOfTargetAnswers(t *testing.T) {
 	cases := []struct {
 		name, answer string
@@ -243,9 +243,9 @@
 	assert.Equal(t, g.Run(context.Background(), newCall("b")).Reason, peering.Stopping)
 }
 
-// TestStopDeadlineAdmitsOnlyCallsThatFinishInTime sets a stop deadline that calls of a
-// route with a high latency may miss.
-func TestStopDeadlineAdmitsOnlyCallsThatFinishInTime(t *testing.T) {
+// TestShutdownDeadlineAdmitsOnlyCallsThatFinishInTime sets a shutdown deadline that calls
+// of a route with a high latency may miss.
+func TestShutdownDeadlineAdmitsOnlyCallsThatFinishInTime(t *testing.T) {
 	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
 		fmt.Fprintf(connection, okAnswer, request.Header.Get("X-Id"))
 	})
@@ -258,10 +258,10 @@
 		call.Route = route
 		return g.Run(context.Background(), call).Reason
 	}
-	g.SetStopDeadline(time.Now().Add(5 * time.Second))
+	g.SetShutdownDeadline(time.Now().Add(5 * time.Second))
 	assert.Equal(t, run("quick"), peering.Reason(""))
 	assert.Equal(t, run("slow"), peering.Stopping)
-	g.SetStopDeadline(time.Now().Add(ending.SafeDuration(0) / 2))
+	g.SetShutdownDeadline(time.Now().Add(ending.SafeDuration(0) / 2))
 	assert.Equal(t, run("quick"), peering.Stopping)
 }
 
--- a/internal/ratelimit/shard_manager.go
+++ b/internal/ratelimit/shard_manager.go
@@ -51,14 +51,14 @@
 	// Process distinguishes the holder from earlier processes at the address.
 	Process uint32
 	// Epoch is the store epoch in which the value was written. In a later epoch the value comes
-	// from a backup and does not tell who holds the shard.
+	// from a backup and does not show which node holds the shard.
 	Epoch store.Epoch
 }
 
 // released reports whether the holder released the shard.
-func (h *assignment) released() bool { return h.Address == "" }
+func (a *assignment) released() bool { return a.Address == "" }
 
-// ShardManagerConfig holds the settings and dependencies of a Keeper.
+// ShardManagerConfig holds the settings and dependencies of a ShardManager.
 type ShardManagerConfig struct {
 	// Address is the address of the node, and Process distinguishes it from earlier processes
 	// there.
@@ -127,7 +127,7 @@
 	freeAt time.Time
 }
 
-// NewShardManager returns a shard manager that knows no holder.
+// NewShardManager returns a shard manager without known holders.
 func NewShardManager(config ShardManagerConfig) *ShardManager {
 	if config.Nodes == nil {
 		config.Nodes = func() int { return Shards }
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -71,7 +71,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	address := fmt.Sprintf("10.0.0.%d:8300", index)
 	epochs := epoch.NewTracker()
-	kv := &storetest.Restored{Store: f.kv, Epochs: epochs, Refused: f.down.Load}
+	kv := &storetest.RestorableStore{Store: f.kv, Epochs: epochs, Unreachable: f.down.Load}
 	n := &testNode{directory: NewDirectory(homesPrefix, address, nil, time.Now)}
 	n.stop = func() {
 		cancel()
@@ -81,7 +81,7 @@
 	var replicated *replica.Copy
 	n.Registrar = NewRegistrar(RegistrarConfig{
 		Zone: "z", Address: address, Process: f.processes, HomesPrefix: homesPrefix, DeparturesPrefix: departuresPrefix,
-		Epoch: epochs.Current, Position: n.directory.Place, Peers: Peers{Addresses: f.addresses, Notify: f.notify},
+		Epoch: epochs.Current, Position: n.directory.Position, Peers: Peers{Addresses: f.addresses, Notify: f.notify},
 		Records: func(ctx context.Context) ([]store.Entry, error) {
 			err := replicated.AwaitCurrent(ctx, startedAt)
 			return replicated.Entries(), err
@@ -92,9 +92,9 @@
 		n.ApplyChanges(entries)
 	}, time.Now)
 	epochs.OnChange(func(epoch.Change) { n.HandleStoreRestored() })
-	keeper := &replica.Syncer{Copy: replicated, Store: kv, Position: func() (int, bool) { return 0, true }, BatchDelay: watchBatchInterval, Now: time.Now}
+	syncer := &replica.Syncer{Copy: replicated, Store: kv, Position: func() (int, bool) { return 0, true }, BatchDelay: watchBatchInterval, Now: time.Now}
 	f.nodes.Store(address, n)
-	go keeper.Run(ctx)
+	go syncer.Run(ctx)
 	go n.Run(ctx)
 	go n.directory.Run(ctx)
 	return n
@@ -348,10 +348,10 @@
 			defer func() { f.stopAll(nodes...) }()
 			time.Sleep(5 * time.Second)
 			f.restore(backup)
-			start, maxBatch, before := time.Now(), int64(0), f.kv.Newest().Number()
+			start, maxBatch, before := time.Now(), int64(0), f.kv.NewestRevision().Number()
 			for f.count() < size {
 				time.Sleep(100 * time.Millisecond)
-				newest := f.kv.Newest().Number()
+				newest := f.kv.NewestRevision().Number()
 				maxBatch, before = max(maxBatch, newest-before), newest
 				assert.Assert(t, time.Since(start) < lapsedRetention)
 			}
--- a/lab/chaos/injector.go
+++ b/lab/chaos/injector.go
@@ -29,7 +29,7 @@
 
 // injector makes faults and ends them. It is safe for concurrent use.
 type injector struct {
-	cluster   *cluster.Proxied
+	cluster   *cluster.ProxiedCluster
 	recorder  *recorder
 	operators *operators
 	callers   *callers
@@ -42,7 +42,7 @@
 	perNode map[string]*sync.Mutex
 }
 
-func newInjector(running *cluster.Proxied, recorder *recorder, operators *operators, callers *callers) *injector {
+func newInjector(running *cluster.ProxiedCluster, recorder *recorder, operators *operators, callers *callers) *injector {
 	i := &injector{
 		cluster:   running,
 		recorder:  recorder,
@@ -89,15 +89,15 @@
 }
 
 // networkFaults returns the faults of the proxy in front of a node.
-func networkFaults(fault Fault) faultproxy.Both {
+func networkFaults(fault Fault) faultproxy.RouteFaults {
 	cut := faultproxy.Faults{Cut: faultproxy.CutBlackhole}
 	switch fault.Kind {
 	case LoseAnswers:
-		return faultproxy.Both{ToClient: cut}
+		return faultproxy.RouteFaults{ToClient: cut}
 	case LoseDatagrams:
-		return faultproxy.Both{ToUpstream: faultproxy.Faults{Loss: fault.Factor}}
+		return faultproxy.RouteFaults{ToUpstream: faultproxy.Faults{Loss: fault.Factor}}
 	}
-	return faultproxy.Both{ToUpstream: cut, ToClient: cut}
+	return faultproxy.RouteFaults{ToUpstream: cut, ToClient: cut}
 }
 
 func (i *injector) injectNetwork(ctx context.Context, fault Fault) error {
@@ -152,7 +152,7 @@
 		return emulator.Faults{Down: true}
 	}
 	idle := 0.0
-	return emulator.Faults{LoadLie: &idle, HealthLie: emulator.Healthy, IgnoreCancellation: true, SlowFactor: fault.Factor}
+	return emulator.Faults{LoadOverride: &idle, HealthOverride: emulator.Healthy, IgnoreCancellation: true, SlowFactor: fault.Factor}
 }
 
 func (i *injector) injectTarget(ctx context.Context, fault Fault) error {
--- a/lab/cluster/alone.go
+++ b/lab/cluster/singlenode.go
@@ -16,33 +16,33 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// AloneZone is the zone of a node that runs alone.
-const AloneZone = "alone"
+// SingleNodeZone is the zone and region of a node that StartSingleNode starts.
+const SingleNodeZone = "alone"
 
-// StartAlone starts one node with its embedded store, applies the objects of
-// an object file's content, and waits until they are in force.
-func StartAlone(ctx context.Context, lugspur, directory, objects string, flags ...string) (*Node, error) {
+// StartSingleNode starts a single node with the in-memory store, applies the content of
+// an object file, and waits until the node is ready.
+func StartSingleNode(ctx context.Context, lugspur, directory, objects string, flags ...string) (*Node, error) {
 	addresses, err := freeAddresses()
 	if err != nil {
 		return nil, err
 	}
 	c := &Cluster{
 		Config: Config{Lugspur: lugspur, Directory: directory, NodeFlags: append([]string{"-store-kind", "memory"}, flags...)},
-		Mesh:   &mesh.Mesh{Name: AloneZone},
+		Mesh:   &mesh.Mesh{Name: SingleNodeZone},
 	}
-	node := &Node{Name: "node-1", Zone: AloneZone, Region: AloneZone, Addresses: addresses}
+	node := &Node{Name: "node-1", Zone: SingleNodeZone, Region: SingleNodeZone, Addresses: addresses}
 	c.Nodes = []*Node{node}
 	if err := c.StartNode(node); err != nil {
 		return nil, err
 	}
-	if err := c.applyContent(ctx, objects); err != nil {
+	if err := c.applyObjectFile(ctx, objects); err != nil {
 		_ = node.Stop(stopTimeout)
 		return nil, err
 	}
 	return node, nil
 }
 
-func (c *Cluster) applyContent(ctx context.Context, objects string) error {
+func (c *Cluster) applyObjectFile(ctx context.Context, objects string) error {
 	if err := c.AwaitMembers(ctx); err != nil {
 		return err
 	}
@@ -56,34 +56,34 @@
 	return c.AwaitReady(ctx)
 }
 
-// Usage is what a process has used since its start.
+// Usage is the resource usage of a process.
 type Usage struct {
-	// Processor is the processor time.
-	Processor time.Duration
-	// Allocated is the memory allocated in all, in bytes.
+	// CPUTime is the CPU time since the start.
+	CPUTime time.Duration
+	// Allocated is the total memory allocated since the start, in bytes.
 	Allocated float64
-	// Resident is the memory held now, in bytes.
+	// Resident is the current resident memory, in bytes.
 	Resident float64
 }
 
-// Usage returns what the node's process has used, by its own metrics.
+// Usage returns the resource usage that the node's metrics report.
 func (n *Node) Usage(ctx context.Context) (Usage, error) {
-	content, err := transfer(ctx, http.MethodGet, "http://"+n.Addresses.Admin+"/metrics", nil)
+	content, err := sendJSON(ctx, http.MethodGet, "http://"+n.Addresses.Admin+"/metrics", nil)
 	if err != nil {
 		return Usage{}, err
 	}
 	values := parseMetrics(content)
 	if values["process_cpu_seconds_total"] == 0 {
-		return Usage{}, oops.In("cluster").With("step", "usage").With("peer", n.Name).Errorf("%s tells no processor time", n.Name)
+		return Usage{}, oops.In("cluster").With("step", "usage").With("peer", n.Name).Errorf("metrics of %s have no CPU time", n.Name)
 	}
 	return Usage{
-		Processor: time.Duration(values["process_cpu_seconds_total"] * float64(time.Second)),
+		CPUTime:   time.Duration(values["process_cpu_seconds_total"] * float64(time.Second)),
 		Allocated: values["go_memstats_alloc_bytes_total"],
 		Resident:  values["process_resident_memory_bytes"],
 	}, nil
 }
 
-// parseMetrics reads the metrics without labels.
+// parseMetrics returns the values of the metrics without labels.
 func parseMetrics(content []byte) map[string]float64 {
 	values := map[string]float64{}
 	scanner := bufio.NewScanner(bytes.NewReader(content))
--- a/lab/faultproxy/control_test.go
+++ b/lab/faultproxy/control_test.go
@@ -25,10 +25,10 @@
 	assert.Equal(t, post("/routes/0/faults", `{"to_moon":{}}`), http.StatusBadRequest)
 	assert.Equal(t, post("/routes/1/faults", `{}`), http.StatusNotFound)
 	assert.Equal(t, post("/clear", ""), http.StatusNoContent)
-	assert.Equal(t, proxy.Faults(), Both{})
+	assert.Equal(t, proxy.Faults(), RouteFaults{})
 }
 
-func TestRoutesOfTheCommand(t *testing.T) {
+func TestStartRoutes(t *testing.T) {
 	proxies, err := startRoutes("127.0.0.1:0=127.0.0.1:1,127.0.0.1:0=127.0.0.1:2")
 	defer closeAll(proxies)
 	assert.NilError(t, err)
--- a/test/machines_test.go
+++ b/test/machines_test.go
@@ -14,8 +14,8 @@
 	"github.com/lugspur/lugspur/lab/machinelist"
 )
 
-// backEnd is a target that counts its calls.
-func backEnd(t *testing.T) (address string, calls *atomic.Int64) {
+// startCountingServer starts a target that counts its calls.
+func startCountingServer(t *testing.T) (address string, calls *atomic.Int64) {
 	t.Helper()
 	calls = &atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -26,8 +26,8 @@
 	return strings.TrimPrefix(server.URL, "http://"), calls
 }
 
-// A target on a machine that the platform's list calls leaving gets no new
-// work, and an unreadable list takes nothing back.
+// TestMachineListDrainsTargets checks that a target on a machine that the platform's list
+// reports as leaving gets no new calls, also while the list is unavailable afterwards.
 func TestMachineListDrainsTargets(t *testing.T) {
 	list := machinelist.New(time.Now, 0)
 	var down atomic.Bool
@@ -44,12 +44,12 @@
 	objects.WriteString("[[object]]\nkind = \"service\"\nname = \"s\"\n[object.spec]\n")
 	counts := map[string]*atomic.Int64{}
 	for _, machine := range []string{"m1", "m2"} {
-		address, calls := backEnd(t)
+		address, calls := startCountingServer(t)
 		counts[machine] = calls
-		objects.WriteString("[[object]]\nkind = \"target\"\nname = \"on-" + machine + "\"\n[object.spec]\nservice = \"s\"\nzone = \"" + cluster.AloneZone +
+		objects.WriteString("[[object]]\nkind = \"target\"\nname = \"on-" + machine + "\"\n[object.spec]\nservice = \"s\"\nzone = \"" + cluster.SingleNodeZone +
 			"\"\nmachine = \"" + machine + "\"\naddress = \"" + address + "\"\nslots = 4\nconnections = 8\n")
 	}
-	node, err := cluster.StartAlone(t.Context(), program("lugspur"), logDirectory(t), objects.String(),
+	node, err := cluster.StartSingleNode(t.Context(), program("lugspur"), logDirectory(t), objects.String(),
 		"-machine-list-address", strings.TrimPrefix(platform.URL, "http://"), "-machine-list-poll-ms", "50")
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.Check(t, node.Stop(20*time.Second)) })
@@ -60,10 +60,10 @@
 	})
 
 	assert.NilError(t, list.Control(machinelist.ControlRequest{Machines: &[]machinelist.Machine{
-		{Name: "m1", Address: "127.0.0.1", Zone: cluster.AloneZone, State: machinelist.StateLeaving},
-		{Name: "m2", Address: "127.0.0.1", Zone: cluster.AloneZone, State: machinelist.StateLive},
+		{Name: "m1", Address: "127.0.0.1", Zone: cluster.SingleNodeZone, State: machinelist.StateLeaving},
+		{Name: "m2", Address: "127.0.0.1", Zone: cluster.SingleNodeZone, State: machinelist.StateLive},
 	}}))
-	eventually(t, 5*time.Second, "the mark of the machine list", func() bool {
+	eventually(t, 5*time.Second, "the drain by the machine list", func() bool {
 		status, err := node.Status(t.Context())
 		assert.NilError(t, err)
 		return status.Targets[0].Draining && status.Targets[0].DrainSources[0] == "machine-list"
