--- a/lab/answer/answer.go
+++ b/lab/answer/answer.go
@@ -1,9 +1,10 @@
-// Package answer is the format of the answers that the lab's targets give, and
-// the check that a client got the complete answer to its own call.
+// Package answer defines the format of the responses of the lab's targets, and
+// verifies that a client received the complete response to its own request.
 //
-// An answer repeats the nonce of the call, holds the answers of the downstream
-// calls as parts, and ends with a sum over all of it. A cut, mixed or foreign
-// answer doesn't verify.
+// An answer repeats the nonce of the request, contains the answers of the
+// downstream calls as parts, and ends with a checksum of all of it. An answer
+// that is truncated, mixed with another one or meant for another request fails
+// verification.
 package answer
 
 import (
@@ -14,10 +15,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// NonceHeader carries the caller's nonce; targets copy it onto their own calls.
+// NonceHeader carries the caller's nonce; targets copy it to their downstream
+// calls.
 const NonceHeader = "Lab-Nonce"
 
-// Answer is the body of a target's answer, encoded as JSON.
+// Answer is the body of a target's response, encoded as JSON.
 type Answer struct {
 	Service   string `json:"service"`
 	Target    string `json:"target"`
@@ -25,15 +27,15 @@
 	Nonce     string `json:"nonce"`
 	// Parts are the answers of the downstream calls.
 	Parts []Answer `json:"parts"`
-	// Padding makes up the length of a real answer.
+	// Padding extends the body to the length of a real response.
 	Padding string `json:"padding"`
-	// Sum covers all the other fields and the sums of the parts.
-	Sum string `json:"sum"`
+	// Checksum covers all other fields and the checksums of the parts.
+	Checksum string `json:"sum"`
 }
 
 const paddingAlphabet = "abcdefghijklmnopqrstuvwxyz234567"
 
-// Padding returns a text of the given length that depends on the nonce.
+// Padding returns pseudorandom text of the given length, derived from the nonce.
 func Padding(nonce string, length int) string {
 	padding := make([]byte, length)
 	state := xxhash.Sum64String(nonce) | 1
@@ -46,18 +48,18 @@
 	return string(padding)
 }
 
-// Encode sets the sum and returns the answer as JSON.
+// Encode sets the checksum and returns the answer as JSON.
 func (a Answer) Encode() ([]byte, error) {
 	if a.Parts == nil {
 		a.Parts = []Answer{}
 	}
-	a.Sum = a.computeSum()
+	a.Checksum = a.computeChecksum()
 	return json.Marshal(a)
 }
 
-// computeSum separates the fields by their lengths, so that no two answers
-// hash the same text.
-func (a Answer) computeSum() string {
+// computeChecksum prefixes each field with its length, so that different answers
+// never hash the same text.
+func (a Answer) computeChecksum() string {
 	digest := xxhash.New()
 	writeField(digest, a.Service)
 	writeField(digest, a.Target)
@@ -65,7 +67,7 @@
 	writeField(digest, a.Nonce)
 	writeField(digest, strconv.Itoa(len(a.Parts)))
 	for _, part := range a.Parts {
-		writeField(digest, part.Sum)
+		writeField(digest, part.Checksum)
 	}
 	writeField(digest, a.Padding)
 	return hex.EncodeToString(digest.Sum(nil))
--- a/lab/answer/verify.go
+++ b/lab/answer/verify.go
@@ -8,51 +8,51 @@
 	"strings"
 )
 
-// FaultKind names what is wrong with an answer.
+// FaultKind classifies a fault in an answer.
 type FaultKind string
 
-// The kinds of faults.
+// The kinds of faults that Verify reports.
 const (
 	FaultTruncated    FaultKind = "truncated"
 	FaultMalformed    FaultKind = "malformed"
 	FaultWrongService FaultKind = "wrong-service"
 	FaultWrongNonce   FaultKind = "wrong-nonce"
 	FaultMissingPart  FaultKind = "missing-part"
-	FaultBadSum       FaultKind = "bad-sum"
+	FaultBadChecksum  FaultKind = "bad-sum"
 )
 
-// Fault is one thing that is wrong with an answer.
+// Fault describes one way in which an answer differs from the expected one.
 type Fault struct {
 	Kind FaultKind `json:"kind"`
-	// Part is the path of services to the faulty part.
+	// Part is the path to the faulty part, made of service names.
 	Part   string `json:"part"`
 	Detail string `json:"detail"`
 }
 
-// Error describes the fault.
+// Error implements the error interface.
 func (f Fault) Error() string {
 	return fmt.Sprintf("answer part %s: %s: %s", f.Part, f.Kind, f.Detail)
 }
 
-// Expectation is what a complete answer holds.
+// Expectation describes a complete answer.
 type Expectation struct {
 	Service string
 	Nonce   string
-	// Required are the parts that must be there. Their Nonce is ignored: all
-	// parts carry the nonce of the whole answer.
+	// Required are the parts that must be present. Their Nonce is ignored, because
+	// all parts carry the nonce of the whole answer.
 	Required []Expectation
 }
 
-// Verify checks an answer and returns what is wrong with it; an answer without
-// faults is the complete one to the call of the expectation.
+// Verify checks an answer and returns its faults. An answer without faults is
+// the complete answer to the expected call.
 func Verify(body []byte, expected Expectation) []Fault {
 	var decoded Answer
 	if err := json.Unmarshal(body, &decoded); err != nil {
 		return []Fault{decodeFault(err, expected.Service)}
 	}
-	check := verifier{nonce: expected.Nonce}
-	check.answer(decoded, expected, expected.Service)
-	return check.faults
+	v := verifier{nonce: expected.Nonce}
+	v.verifyAnswer(decoded, expected, expected.Service)
+	return v.faults
 }
 
 func decodeFault(err error, part string) Fault {
@@ -68,52 +68,52 @@
 	faults []Fault
 }
 
-func (v *verifier) report(kind FaultKind, part, format string, values ...any) {
-	v.faults = append(v.faults, Fault{Kind: kind, Part: part, Detail: fmt.Sprintf(format, values...)})
+func (v *verifier) addFault(kind FaultKind, part, format string, arguments ...any) {
+	v.faults = append(v.faults, Fault{Kind: kind, Part: part, Detail: fmt.Sprintf(format, arguments...)})
 }
 
-func (v *verifier) answer(got Answer, expected Expectation, part string) {
+func (v *verifier) verifyAnswer(got Answer, expected Expectation, part string) {
 	if got.Service != expected.Service {
-		v.report(FaultWrongService, part, "got %q", got.Service)
+		v.addFault(FaultWrongService, part, "got %q", got.Service)
 	}
-	v.content(got, part)
+	v.verifyContent(got, part)
 	used := make([]bool, len(got.Parts))
 	for _, required := range expected.Required {
-		v.required(got, required, used, part)
+		v.verifyRequired(got, required, used, part)
 	}
 	for i, extra := range got.Parts {
 		if !used[i] {
-			v.optional(extra, part+"/"+extra.Service)
+			v.verifyOptional(extra, part+"/"+extra.Service)
 		}
 	}
 }
 
-// content checks what holds for every part, expected or not.
-func (v *verifier) content(got Answer, part string) {
+// verifyContent checks what applies to every part, whether required or not.
+func (v *verifier) verifyContent(got Answer, part string) {
 	if got.Nonce != v.nonce {
-		v.report(FaultWrongNonce, part, "got %q, want %q", got.Nonce, v.nonce)
+		v.addFault(FaultWrongNonce, part, "got %q, want %q", got.Nonce, v.nonce)
 	}
-	if sum := got.computeSum(); got.Sum != sum {
-		v.report(FaultBadSum, part, "got %q, computed %q", got.Sum, sum)
+	if computed := got.computeChecksum(); got.Checksum != computed {
+		v.addFault(FaultBadChecksum, part, "got %q, computed %q", got.Checksum, computed)
 	}
 }
 
-func (v *verifier) required(got Answer, required Expectation, used []bool, part string) {
+func (v *verifier) verifyRequired(got Answer, required Expectation, used []bool, part string) {
 	path := part + "/" + required.Service
 	for i, candidate := range got.Parts {
 		if used[i] || candidate.Service != required.Service {
 			continue
 		}
 		used[i] = true
-		v.answer(candidate, required, path)
+		v.verifyAnswer(candidate, required, path)
 		return
 	}
-	v.report(FaultMissingPart, path, "the part isn't there")
+	v.addFault(FaultMissingPart, path, "required part is missing")
 }
 
-func (v *verifier) optional(got Answer, part string) {
-	v.content(got, part)
+func (v *verifier) verifyOptional(got Answer, part string) {
+	v.verifyContent(got, part)
 	for _, child := range got.Parts {
-		v.optional(child, part+"/"+child.Service)
+		v.verifyOptional(child, part+"/"+child.Service)
 	}
 }
