--- a/lab/linear/check.go
+++ b/lab/linear/check.go
@@ -7,37 +7,38 @@
 	"github.com/samber/oops"
 )
 
-// CheckTimeout bounds the search for an order of the writes.
+// CheckTimeout limits the search for a linearization of the writes.
 const CheckTimeout = 30 * time.Second
 
-// Result is what a check found.
+// Result is the result of a check.
 type Result struct {
-	// Faults are contradictions between answers, and reads that went back.
+	// Faults describes contradictions between responses, and reads that went back
+	// to an older version.
 	Faults []string
-	// Order says whether an order of the writes exists; porcupine.Unknown means
-	// that the search ran out of time.
+	// Order reports whether a linearization of the writes exists;
+	// porcupine.Unknown means that the search timed out.
 	Order porcupine.CheckResult
 
-	information porcupine.LinearizationInfo
+	linearization porcupine.LinearizationInfo
 }
 
-// Check checks a history against what the administration API promises.
+// Check checks a history against the guarantees of the administration API.
 func Check(history History) Result {
-	found := findFates(history)
-	monotonic := checkMonotonic(history, found)
-	checked := Result{Faults: append(found.faults, monotonic...)}
-	checked.Order, checked.information = porcupine.CheckOperationsVerbose(model(), operations(history, found), CheckTimeout)
-	return checked
+	reconciled := reconcile(history)
+	monotonic := checkMonotonic(history, reconciled)
+	result := Result{Faults: append(reconciled.violations, monotonic...)}
+	result.Order, result.linearization = porcupine.CheckOperationsVerbose(model(), modelOperations(history, reconciled), CheckTimeout)
+	return result
 }
 
-// OK reports whether the history keeps all promises. A search that ran out of
-// time proves nothing and is not OK.
+// OK reports whether the history satisfies all guarantees. A search that timed
+// out is inconclusive and is not OK.
 func (r Result) OK() bool { return len(r.Faults) == 0 && r.Order == porcupine.Ok }
 
-// Visualize writes an HTML file that shows the operations and how far they
-// could be put in order.
+// Visualize writes an HTML file that shows the operations and the partial
+// linearizations that were found.
 func (r Result) Visualize(path string) error {
-	if err := porcupine.VisualizePath(model(), r.information, path); err != nil {
+	if err := porcupine.VisualizePath(model(), r.linearization, path); err != nil {
 		return oops.In("linear").With("step", "visualize").Wrapf(err, "write %s", path)
 	}
 	return nil
--- a/lab/linear/client.go
+++ b/lab/linear/client.go
@@ -21,42 +21,44 @@
 )
 
 const (
-	// maxAnswerBytes bounds an answer, in bytes.
-	maxAnswerBytes = 1 << 20
-	// acrossRuns is the run of an operation during which the node's process
-	// changed. It is nobody's run.
-	acrossRuns = -1
+	// maxResponseBytes limits the size of a response body.
+	maxResponseBytes = 1 << 20
+	// unknownRun is the run of an operation during which the node's process exited,
+	// because it is unknown whether that process or the next one responded.
+	unknownRun = -1
 )
 
-// Node is a node whose API clients use. It is safe for concurrent use.
+// Node is a node whose administration API the clients call. It is safe for
+// concurrent use.
 type Node struct {
 	Name, Address string
 
 	run atomic.Int64
 }
 
-// Ended tells that the node's process has ended. Call it before the next one
-// is started.
+// Ended records that the node's process has exited. It must be called before
+// the next process is started.
 func (n *Node) Ended() { n.run.Add(1) }
 
-// Client is one client of the administration API. Every operation is recorded
-// with what the client was told. One goroutine at a time may use it.
+// Client is a client of the administration API that records every operation
+// with its response. It must not be used by several goroutines at a time.
 type Client struct {
-	// ID numbers the client from zero.
+	// ID is the zero-based number of the client.
 	ID int
-	// HTTP makes the requests; its timeout bounds each.
+	// HTTP sends the requests; its timeout limits the duration of each.
 	HTTP *http.Client
-	// Token is what writes show.
+	// Token is the bearer token of writes.
 	Token    string
 	Recorder *Recorder
 }
 
-// contentOf is the policy's admit expression that a change puts.
-func contentOf(change string) string { return fmt.Sprintf("call.caller != %q", change) }
+// admitExpression returns the admit expression that a change gives the policy.
+// It is unique to the change.
+func admitExpression(changeID string) string { return fmt.Sprintf("call.caller != %q", changeID) }
 
-// Put writes an object of kind policy. The change's id must be new.
-func (c *Client) Put(ctx context.Context, node *Node, object, change string, expected store.Revision) (Write, error) {
-	write := Write{Object: object, Change: change, Expected: expected, Content: contentOf(change)}
+// Put writes an object of kind policy. The change ID must be new.
+func (c *Client) Put(ctx context.Context, node *Node, object, changeID string, expected store.Revision) (Write, error) {
+	write := Write{Object: object, ChangeID: changeID, ExpectedRevision: expected, Content: admitExpression(changeID)}
 	body, err := json.Marshal(resource.Policy{Admit: write.Content})
 	if err != nil {
 		return write, err
@@ -64,63 +66,64 @@
 	return c.write(ctx, node, http.MethodPut, string(body), write)
 }
 
-// Delete deletes an object. The change's id must be new.
-func (c *Client) Delete(ctx context.Context, node *Node, object, change string, expected store.Revision) (Write, error) {
-	write := Write{Object: object, Change: change, Expected: expected, Deletes: true}
+// Delete deletes an object. The change ID must be new.
+func (c *Client) Delete(ctx context.Context, node *Node, object, changeID string, expected store.Revision) (Write, error) {
+	write := Write{Object: object, ChangeID: changeID, ExpectedRevision: expected, Deletes: true}
 	return c.write(ctx, node, http.MethodDelete, "", write)
 }
 
 func (c *Client) write(ctx context.Context, node *Node, method, body string, write Write) (Write, error) {
-	path := objectPath(write.Object) + "?" + admin.ExpectedRevisionParameter + "=" + strconv.FormatInt(int64(write.Expected), 10)
+	path := objectPath(write.Object) + "?" + admin.ExpectedRevisionParameter + "=" + strconv.FormatInt(int64(write.ExpectedRevision), 10)
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+node.Address+path, strings.NewReader(body))
 	if err != nil {
 		return write, err
 	}
 	request.Header.Set("Authorization", "Bearer "+c.Token)
-	request.Header.Set(admin.ChangeIDHeader, write.Change)
-	asked := c.ask(node, request)
-	write.Source, write.Interval = asked.Source, asked.Interval
-	if err := write.learn(asked); err != nil {
-		return write, failure("write", node, err)
+	request.Header.Set(admin.ChangeIDHeader, write.ChangeID)
+	response := c.send(node, request)
+	write.Source, write.Interval = response.Source, response.Interval
+	if err := write.recordResponse(response); err != nil {
+		return write, wrapError("write", node, err)
 	}
 	c.Recorder.AddWrite(write)
 	return write, nil
 }
 
-// learn takes over what the node said. A request that was never sent counts as
-// refused, and any other without an answer as unknown.
-func (w *Write) learn(asked asked) error {
-	if asked.err != nil {
+// recordResponse sets the outcome from the response. If there is none, a request
+// that was never sent counts as refused, and any other as unknown.
+func (w *Write) recordResponse(response nodeResponse) error {
+	if response.err != nil {
 		w.Outcome = admin.OutcomeUnknown
-		if neverSent(asked.err) {
+		if dialFailed(response.err) {
 			w.Outcome = admin.OutcomeRefused
 		}
 		return nil
 	}
-	if asked.status == http.StatusOK {
-		var answer admin.WriteResponse
-		err := json.Unmarshal(asked.body, &answer)
-		w.Outcome, w.Revision = answer.Outcome, answer.Revision
-		if err == nil && (answer.Outcome != admin.OutcomeAccepted || answer.ChangeID != w.Change) {
-			err = oops.Errorf("status 200 with outcome %q of change %q", answer.Outcome, answer.ChangeID)
+	if response.status == http.StatusOK {
+		var decoded admin.WriteResponse
+		err := json.Unmarshal(response.body, &decoded)
+		w.Outcome, w.Revision = decoded.Outcome, decoded.Revision
+		if err == nil && (decoded.Outcome != admin.OutcomeAccepted || decoded.ChangeID != w.ChangeID) {
+			err = oops.Errorf("status 200 with outcome %q for change ID %q", decoded.Outcome, decoded.ChangeID)
 		}
 		return err
 	}
 	var problem admin.Problem
-	if err := json.Unmarshal(asked.body, &problem); err != nil {
+	if err := json.Unmarshal(response.body, &problem); err != nil {
 		return err
 	}
-	w.Outcome, w.AskURL = problem.Outcome, problem.ResolveURL
+	w.Outcome, w.ResolveURL = problem.Outcome, problem.ResolveURL
 	w.Conflict = problem.Status == http.StatusConflict
 	switch w.Outcome {
 	case admin.OutcomeRefused, admin.OutcomeUnknown:
-		return unlessFault(problem)
+		return checkProblemStatus(problem)
 	}
 	return oops.Errorf("status %d with outcome %q", problem.Status, problem.Outcome)
 }
 
-// unlessFault returns an error for refusals that mean a fault of the client.
-func unlessFault(problem admin.Problem) error {
+// checkProblemStatus returns the problem as an error unless a valid request can
+// receive its status.
+func checkProblemStatus(problem admin.Problem) error {
 	switch problem.Status {
 	case http.StatusConflict, http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		return nil
@@ -128,20 +131,21 @@
 	return &problem
 }
 
-// neverSent reports whether the connection was not made.
-func neverSent(err error) bool {
-	var network *net.OpError
-	return errors.As(err, &network) && network.Op == "dial"
+// dialFailed reports whether the connection could not be established, so that
+// the request was never sent.
+func dialFailed(err error) bool {
+	var opError *net.OpError
+	return errors.As(err, &opError) && opError.Op == "dial"
 }
 
-// Read reads an object and reports the version, and whether there was an
-// answer.
+// Read reads an object. It returns the version, which is zero if the object
+// doesn't exist, and whether there was a response.
 func (c *Client) Read(ctx context.Context, node *Node, object string) (Version, bool, error) {
 	return c.read(ctx, node, object, "")
 }
 
-// ReadHistory reads an object's last changes and reports the newest, and
-// whether there was an answer.
+// ReadHistory reads the recent changes of an object. It returns the newest
+// version, and whether there was a response.
 func (c *Client) ReadHistory(ctx context.Context, node *Node, object string) (Version, bool, error) {
 	return c.read(ctx, node, object, "/history")
 }
@@ -151,22 +155,22 @@
 	if err != nil {
 		return Version{}, false, err
 	}
-	asked := c.ask(node, request)
-	if asked.err != nil {
+	response := c.send(node, request)
+	if response.err != nil {
 		return Version{}, false, nil
 	}
-	read := Read{Source: asked.Source, Interval: asked.Interval, Object: object}
+	read := Read{Source: response.Source, Interval: response.Interval, Object: object}
 	switch {
-	case asked.status == http.StatusNotFound:
-	case asked.status != http.StatusOK:
-		err = oops.Errorf("status %d: %s", asked.status, asked.body)
+	case response.status == http.StatusNotFound:
+	case response.status != http.StatusOK:
+		err = oops.Errorf("status %d: %s", response.status, response.body)
 	case suffix == "":
-		read.Versions, err = versionOf(asked.body)
+		read.Versions, err = decodeObject(response.body)
 	default:
-		read.Versions, err = versionsOf(asked.body)
+		read.Versions, err = decodeHistory(response.body)
 	}
 	if err != nil {
-		return Version{}, false, failure("read", node, err)
+		return Version{}, false, wrapError("read", node, err)
 	}
 	c.Recorder.AddRead(read)
 	if len(read.Versions) == 0 {
@@ -175,7 +179,7 @@
 	return read.Versions[0], true, nil
 }
 
-func versionOf(body []byte) ([]Version, error) {
+func decodeObject(body []byte) ([]Version, error) {
 	var object admin.Object
 	if err := json.Unmarshal(body, &object); err != nil {
 		return nil, err
@@ -185,63 +189,64 @@
 		return nil, err
 	}
 	if object.LastChange == nil {
-		return nil, oops.Errorf("revision %d has no change", object.Revision)
+		return nil, oops.Errorf("revision %d has no last change", object.Revision)
 	}
-	return []Version{{Revision: object.Revision, Change: object.LastChange.ID, Deleted: object.Deleted, Content: policy.Admit}}, nil
+	return []Version{{Revision: object.Revision, ChangeID: object.LastChange.ID, Deleted: object.Deleted, Content: policy.Admit}}, nil
 }
 
-func versionsOf(body []byte) ([]Version, error) {
+func decodeHistory(body []byte) ([]Version, error) {
 	var history admin.History
 	if err := json.Unmarshal(body, &history); err != nil {
 		return nil, err
 	}
 	versions := make([]Version, 0, len(history.Changes))
 	for _, change := range history.Changes {
-		versions = append(versions, Version{Revision: change.Revision, Change: change.ID, Deleted: change.Deleted})
+		versions = append(versions, Version{Revision: change.Revision, ChangeID: change.ID, Deleted: change.Deleted})
 	}
 	return versions, nil
 }
 
-// Resolve asks a node for the outcome of a write.
+// Resolve queries a node for the outcome of a write. A refusal that may not be
+// final is recorded and returned as unknown.
 func (c *Client) Resolve(ctx context.Context, node *Node, write Write) (admin.Outcome, error) {
-	path := write.AskURL
+	path := write.ResolveURL
 	if path == "" {
-		path = admin.ResolveURL(policyID(write.Object), write.Change, write.Expected)
+		path = admin.ResolveURL(policyID(write.Object), write.ChangeID, write.ExpectedRevision)
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.Address+path, nil)
 	if err != nil {
 		return admin.OutcomeUnknown, err
 	}
-	asked := c.ask(node, request)
-	if asked.err != nil || asked.status == http.StatusServiceUnavailable {
+	response := c.send(node, request)
+	if response.err != nil || response.status == http.StatusServiceUnavailable {
 		return admin.OutcomeUnknown, nil
 	}
-	var answer admin.ChangeResponse
-	if err := json.Unmarshal(asked.body, &answer); err != nil || asked.status != http.StatusOK {
-		return admin.OutcomeUnknown, failure("resolve", node, oops.Wrapf(err, "status %d", asked.status))
+	var decoded admin.ChangeResponse
+	if err := json.Unmarshal(response.body, &decoded); err != nil || response.status != http.StatusOK {
+		return admin.OutcomeUnknown, wrapError("resolve", node, oops.Wrapf(err, "status %d", response.status))
 	}
-	if answer.Outcome == admin.OutcomeRefused && !refusalCertain(write, asked.Return) {
-		answer.Outcome = admin.OutcomeUnknown
+	if decoded.Outcome == admin.OutcomeRefused && !refusalIsFinal(write, response.Return) {
+		decoded.Outcome = admin.OutcomeUnknown
 	}
 	c.Recorder.AddResolution(Resolution{
-		Source:   asked.Source,
-		Interval: asked.Interval,
-		Change:   write.Change,
-		Outcome:  answer.Outcome,
-		Revision: answer.Revision,
+		Source:   response.Source,
+		Interval: response.Interval,
+		ChangeID: write.ChangeID,
+		Outcome:  decoded.Outcome,
+		Revision: decoded.Revision,
 	})
-	return answer.Outcome, nil
+	return decoded.Outcome, nil
 }
 
-// refusalCertain reports whether the API promises that a refusal is final. That
-// of a creation whose answer never came is so only when no node can still be
-// working on it.
-func refusalCertain(write Write, now time.Duration) bool {
-	return write.AskURL != "" || write.Expected != 0 || now > write.Return+admin.DefaultWriteTimeout
+// refusalIsFinal reports whether the API guarantees that a refusal is final. If
+// the creation of an object got no response, its refusal is final only once no
+// node can still be processing it.
+func refusalIsFinal(write Write, resolvedAt time.Duration) bool {
+	return write.ResolveURL != "" || write.ExpectedRevision != 0 || resolvedAt > write.Return+admin.DefaultWriteTimeout
 }
 
-// asked is a request's answer, or that there was none.
-type asked struct {
+// nodeResponse is the response to a request, or the error if there was none.
+type nodeResponse struct {
 	Source
 	Interval
 	status int
@@ -249,25 +254,25 @@
 	err    error
 }
 
-func (c *Client) ask(node *Node, request *http.Request) asked {
+func (c *Client) send(node *Node, request *http.Request) nodeResponse {
 	run := node.run.Load()
-	answer := asked{Source: Source{Client: c.ID, Node: node.Name, Run: int(run)}}
-	answer.Call = c.Recorder.Now()
-	answer.status, answer.body, answer.err = c.exchange(request)
-	answer.Return = c.Recorder.Now()
+	response := nodeResponse{Source: Source{Client: c.ID, Node: node.Name, Run: int(run)}}
+	response.Call = c.Recorder.Now()
+	response.status, response.body, response.err = c.roundTrip(request)
+	response.Return = c.Recorder.Now()
 	if node.run.Load() != run {
-		answer.Run = acrossRuns
+		response.Run = unknownRun
 	}
-	return answer
+	return response
 }
 
-func (c *Client) exchange(request *http.Request) (int, []byte, error) {
+func (c *Client) roundTrip(request *http.Request) (int, []byte, error) {
 	response, err := c.HTTP.Do(request)
 	if err != nil {
 		return 0, nil, err
 	}
 	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	return response.StatusCode, body, err
 }
 
@@ -279,6 +284,6 @@
 	return "/v1/" + admin.Plural(resource.KindPolicy) + "/" + object
 }
 
-func failure(step string, node *Node, err error) error {
+func wrapError(step string, node *Node, err error) error {
 	return oops.In("linear").With("step", step).With("peer", node.Name).Wrapf(err, "%s at %s", step, node.Name)
 }
--- a/lab/linear/doc.go
+++ b/lab/linear/doc.go
@@ -1,11 +1,12 @@
-// Package linear records what concurrent clients of the administration API ask
-// for and are told, and checks the recorded history against what the API
-// promises.
+// Package linear records the operations of concurrent clients of the
+// administration API, and checks the recorded history against the guarantees of
+// the API.
 //
-// Writes are compare-and-swap operations and are linearizable: each accepted
-// one took effect once, at a moment between its call and its answer; a refused
-// one never did; one of unknown outcome took effect once, at any moment after
-// its call, or never. Reads come from a node's replica and may be old: each
-// shows a version that was in force before the answer, and within one run of a
-// node's process an object never goes back to an older version.
+// Writes are linearizable compare-and-swap operations. An accepted write took
+// effect exactly once, between its call and its response; a refused write never
+// took effect; a write of unknown outcome took effect at most once, at any time
+// after its call. Reads are served from a node's replica and may be stale: each
+// returns a version that was current at some time before the response, and
+// within one run of a node's process, an object never goes back to an older
+// version.
 package linear
--- a/lab/linear/history.go
+++ b/lab/linear/history.go
@@ -9,72 +9,75 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Interval is when an operation ran, counted from the start of the history.
+// Interval is the time from the call of an operation to its return, relative to
+// the start of the history.
 type Interval struct {
 	Call, Return time.Duration
 }
 
-// Source says who asked which node. Run numbers the runs of the node's process.
+// Source identifies the client and the node of an operation. Run numbers the
+// runs of the node's process.
 type Source struct {
 	Client int
 	Node   string
 	Run    int
 }
 
-// Write is one write as its client knows it.
+// Write is a write as observed by its client.
 type Write struct {
 	Source
 	Interval
-	Object   string
-	Change   string
-	Expected store.Revision
-	// Deletes marks a deletion; any other write puts Content.
+	Object           string
+	ChangeID         string
+	ExpectedRevision store.Revision
+	// Deletes marks a deletion; any other write stores Content.
 	Deletes bool
 	Content string
 	Outcome admin.Outcome
-	// Conflict says that the write was refused because the object was not at the
-	// expected revision.
+	// Conflict reports that the write was refused because the object was not at
+	// the expected revision.
 	Conflict bool
-	// Revision is the one that an accepted write led to.
+	// Revision is the revision that an accepted write produced.
 	Revision store.Revision
-	// AskURL is where the node said to ask for an unknown outcome; empty when no
-	// answer came.
-	AskURL string
+	// ResolveURL is the URL that the node returned for querying an unknown outcome;
+	// empty if there was no response.
+	ResolveURL string
 }
 
-// Version is a version of an object that a read showed.
+// Version is a version of an object as returned by a read.
 type Version struct {
 	Revision store.Revision
-	Change   string
+	ChangeID string
 	Deleted  bool
-	// Content is empty in versions that show only the change.
+	// Content is empty if the node returned only the change and no content.
 	Content string
 }
 
-// Read is one read of an object at a node.
+// Read is a read of an object at a node.
 type Read struct {
 	Source
 	Interval
 	Object string
-	// Versions are what the node showed, newest first; empty means that it knew
-	// no such object.
+	// Versions are the versions that the node returned, newest first; empty means
+	// that it had no such object.
 	Versions []Version
-	// Fresh marks a read that must show the version in force at some moment
-	// during it: the node was known to hold everything that the store does.
+	// Fresh marks a read that must return a version that was current at some time
+	// during the read, because the node was known to have applied all changes in
+	// the store.
 	Fresh bool
 }
 
-// Resolution is one answer about a write of unknown outcome.
+// Resolution is a node's response to a query for the outcome of a write.
 type Resolution struct {
 	Source
 	Interval
-	Change  string
-	Outcome admin.Outcome
-	// Revision is that of an accepted write.
+	ChangeID string
+	Outcome  admin.Outcome
+	// Revision is the revision that an accepted write produced.
 	Revision store.Revision
 }
 
-// History is everything that was recorded. All objects are absent at its start.
+// History holds all recorded operations. All objects are absent at its start.
 type History struct {
 	Writes      []Write
 	Reads       []Read
@@ -92,7 +95,7 @@
 // NewRecorder returns a recorder whose history starts now.
 func NewRecorder() *Recorder { return &Recorder{start: time.Now()} }
 
-// Now is the time since the start of the history.
+// Now returns the time since the start of the history.
 func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
 
 // AddWrite records a write that has returned.
@@ -109,8 +112,8 @@
 	r.history.Reads = append(r.history.Reads, read)
 }
 
-// MarkFresh marks the reads that a client has made since the time as fresh. It
-// is for reads that turn out to have been so only afterwards.
+// MarkFresh marks the reads that a client has started since the given time as
+// fresh. It is for reads whose freshness is known only afterwards.
 func (r *Recorder) MarkFresh(client int, since time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,14 +125,14 @@
 	}
 }
 
-// AddResolution records an answer about a write.
+// AddResolution records a resolution.
 func (r *Recorder) AddResolution(resolution Resolution) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.history.Resolutions = append(r.history.Resolutions, resolution)
 }
 
-// History returns a copy of what was recorded.
+// History returns a copy of the recorded history.
 func (r *Recorder) History() History {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -140,16 +143,16 @@
 	}
 }
 
-// Unresolved returns the writes that neither their own answer nor a resolution
-// has told the outcome of.
+// Unresolved returns the writes whose outcome is known neither from their own
+// response nor from a resolution.
 func (h History) Unresolved() []Write {
 	resolved := map[string]bool{}
 	for _, resolution := range h.Resolutions {
 		if resolution.Outcome != admin.OutcomeUnknown {
-			resolved[resolution.Change] = true
+			resolved[resolution.ChangeID] = true
 		}
 	}
 	return slices.DeleteFunc(slices.Clone(h.Writes), func(write Write) bool {
-		return write.Outcome != admin.OutcomeUnknown || resolved[write.Change]
+		return write.Outcome != admin.OutcomeUnknown || resolved[write.ChangeID]
 	})
 }
--- a/lab/linear/model.go
+++ b/lab/linear/model.go
@@ -11,51 +11,53 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// action is the input of an operation of the model.
-type action struct {
+// operationInput is the input of an operation of the model.
+type operationInput struct {
 	object string
-	// reads marks a read that must show the version in force.
-	reads    bool
-	change   string
-	deletes  bool
-	expected store.Revision
-	// named says that the expected revision is that of a change whose revision
+	// isRead marks a read that must return the current version.
+	isRead           bool
+	changeID         string
+	isDelete         bool
+	expectedRevision store.Revision
+	// expectsKnownChange reports that the change that produced the expected revision
 	// is known.
-	named bool
+	expectsKnownChange bool
 }
 
-// result is the output of an operation of the model.
-type result struct {
+// operationOutput is the output of an operation of the model.
+type operationOutput struct {
 	outcome  admin.Outcome
 	revision store.Revision
 }
 
 // register is the state of one object.
 type register struct {
-	// revision is that of the version in force; zero means that there is none.
+	// revision is the revision of the current version; zero if there is none.
 	revision store.Revision
-	// unseen says that the version in force has a revision that nobody was told,
-	// above newest.
+	// unseen reports that no response contains the revision of the current
+	// version. That revision is higher than newest.
 	unseen bool
-	// newest is the highest revision that is known to have been in force.
+	// newest is the highest revision that is known to have been current.
 	newest store.Revision
 }
 
-// model is a register with compare-and-swap for each object.
+// model returns the model of a compare-and-swap register for each object.
 func model() porcupine.Model {
 	return porcupine.Model{
-		Partition: partition,
+		Partition: partitionByObject,
 		Init:      func() any { return register{} },
 		Step: func(state, input, output any) (bool, any) {
-			return state.(register).step(input.(action), output.(result))
+			return state.(register).step(input.(operationInput), output.(operationOutput))
 		},
-		DescribeOperation: func(input, output any) string { return describe(input.(action), output.(result)) },
-		DescribeState:     func(state any) string { return fmt.Sprintf("%+v", state) },
+		DescribeOperation: func(input, output any) string {
+			return describeOperation(input.(operationInput), output.(operationOutput))
+		},
+		DescribeState: func(state any) string { return fmt.Sprintf("%+v", state) },
 	}
 }
 
-func partition(operations []porcupine.Operation) [][]porcupine.Operation {
-	object := func(operation porcupine.Operation) string { return operation.Input.(action).object }
+func partitionByObject(operations []porcupine.Operation) [][]porcupine.Operation {
+	object := func(operation porcupine.Operation) string { return operation.Input.(operationInput).object }
 	sorted := slices.Clone(operations)
 	slices.SortStableFunc(sorted, func(a, b porcupine.Operation) int { return cmp.Compare(object(a), object(b)) })
 	var parts [][]porcupine.Operation
@@ -68,99 +70,101 @@
 	return parts
 }
 
-// step decides whether the operation can happen in this state. An operation of
-// unknown outcome takes effect if it can. That it never does is the same as
-// that it happens after all others, because it has no end.
-func (r register) step(input action, output result) (bool, register) {
+// step reports whether the operation is possible in this state, and returns the
+// next state. An operation of unknown outcome takes effect if it can. If it never
+// took effect, that is equivalent to an operation after all others, which is
+// allowed because its interval is unbounded.
+func (r register) step(input operationInput, output operationOutput) (bool, register) {
 	switch {
-	case input.reads:
+	case input.isRead:
 		return !r.unseen && r.revision == output.revision, r
 	case output.outcome == admin.OutcomeRefused:
-		return r.unseen || r.revision != input.expected, r
+		return r.unseen || r.revision != input.expectedRevision, r
 	case output.outcome == admin.OutcomeAccepted:
-		return r.matches(input) && output.revision > r.newest, r.after(input, output.revision)
-	case r.matches(input):
-		return true, r.afterUnseen(input)
+		return r.canApply(input) && output.revision > r.newest, r.apply(input, output.revision)
+	case r.canApply(input):
+		return true, r.applyUnseen(input)
 	}
 	return true, r
 }
 
-// matches reports whether a write that expects the revision can take effect.
-func (r register) matches(input action) bool {
+// canApply reports whether the state matches the revision that a write expects.
+func (r register) canApply(input operationInput) bool {
 	if r.unseen {
-		return input.expected > r.newest && !input.named
+		return input.expectedRevision > r.newest && !input.expectsKnownChange
 	}
-	return r.revision == input.expected
+	return r.revision == input.expectedRevision
 }
 
-func (r register) after(input action, revision store.Revision) register {
-	if input.deletes {
+func (r register) apply(input operationInput, revision store.Revision) register {
+	if input.isDelete {
 		return register{newest: revision}
 	}
 	return register{revision: revision, newest: revision}
 }
 
-func (r register) afterUnseen(input action) register {
-	newest := max(r.newest, input.expected)
-	return register{unseen: !input.deletes, newest: newest}
+func (r register) applyUnseen(input operationInput) register {
+	newest := max(r.newest, input.expectedRevision)
+	return register{unseen: !input.isDelete, newest: newest}
 }
 
-func describe(input action, output result) string {
+func describeOperation(input operationInput, output operationOutput) string {
 	verb := "put"
 	switch {
-	case input.reads:
+	case input.isRead:
 		return fmt.Sprintf("read %s: %d", input.object, output.revision)
-	case input.deletes:
+	case input.isDelete:
 		verb = "delete"
 	}
-	return fmt.Sprintf("%s %s expecting %d: %s %d (%s)", verb, input.object, input.expected, output.outcome, output.revision, input.change)
+	return fmt.Sprintf("%s %s expecting %d: %s %d (%s)", verb, input.object, input.expectedRevision, output.outcome, output.revision, input.changeID)
 }
 
-// operations returns the model's operations. A write that was refused for any
-// reason but a conflict says nothing about the object.
-func operations(history History, f *fates) []porcupine.Operation {
+// modelOperations converts a history to operations of the model. It omits writes
+// that were refused for any reason but a conflict, because they imply nothing
+// about the object.
+func modelOperations(history History, reconciled *reconciliation) []porcupine.Operation {
 	var all []porcupine.Operation
-	clients := 0
+	nextClientID := 0
 	for _, write := range history.Writes {
-		clients = max(clients, write.Client+1)
+		nextClientID = max(nextClientID, write.Client+1)
 	}
 	for _, write := range history.Writes {
-		made := f.byChange[write.Change]
-		if made.Outcome == admin.OutcomeRefused && !made.Conflict {
+		merged := reconciled.writeByChange[write.ChangeID]
+		if merged.Outcome == admin.OutcomeRefused && !merged.Conflict {
 			continue
 		}
-		_, named := f.byRevision[made.Expected]
+		_, known := reconciled.changeByRevision[merged.ExpectedRevision]
 		operation := porcupine.Operation{
 			ClientId: write.Client,
-			Input:    action{object: made.Object, change: made.Change, deletes: made.Deletes, expected: made.Expected, named: named},
-			Call:     int64(made.Call),
-			Output:   result{outcome: made.Outcome, revision: made.Revision},
-			Return:   int64(made.by),
+			Input:    operationInput{object: merged.Object, changeID: merged.ChangeID, isDelete: merged.Deletes, expectedRevision: merged.ExpectedRevision, expectsKnownChange: known},
+			Call:     int64(merged.Call),
+			Output:   operationOutput{outcome: merged.Outcome, revision: merged.Revision},
+			Return:   int64(merged.completedBy),
 		}
-		if made.by > write.Return { // its client went on meanwhile
-			operation.ClientId = clients
-			clients++
+		if merged.completedBy > write.Return { // it overlaps with its client's later operations, so it needs another client ID
+			operation.ClientId = nextClientID
+			nextClientID++
 		}
 		all = append(all, operation)
 	}
 	for _, read := range history.Reads {
 		if read.Fresh {
-			all = append(all, freshRead(read, clients))
+			all = append(all, freshReadOperation(read, nextClientID))
 		}
 	}
 	return all
 }
 
-func freshRead(read Read, client int) porcupine.Operation {
+func freshReadOperation(read Read, clientID int) porcupine.Operation {
 	var revision store.Revision
 	if len(read.Versions) > 0 && !read.Versions[0].Deleted {
 		revision = read.Versions[0].Revision
 	}
 	return porcupine.Operation{
-		ClientId: client,
-		Input:    action{object: read.Object, reads: true},
+		ClientId: clientID,
+		Input:    operationInput{object: read.Object, isRead: true},
 		Call:     int64(read.Call),
-		Output:   result{revision: revision},
+		Output:   operationOutput{revision: revision},
 		Return:   int64(read.Return),
 	}
 }
--- a/lab/linear/monotonic.go
+++ b/lab/linear/monotonic.go
@@ -10,120 +10,122 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// view is one object as one run of a node shows it.
-type view struct {
+// replicaKey identifies the replica of an object in one run of a node's process.
+type replicaKey struct {
 	node   string
 	run    int
 	object string
 }
 
-// showing is an answer of a node that shows how new its object is.
-type showing struct {
+// observation is a response that bounds the revision of an object at a node.
+type observation struct {
 	Interval
-	// absent says that the node showed no object and no revision.
+	// absent reports that the node returned no object and no revision.
 	absent bool
-	// least is the revision that the answer showed at least.
-	least store.Revision
-	// reads marks a read; the others are accepted writes.
-	reads bool
+	// minRevision is the lower bound that the response implies for the revision.
+	minRevision store.Revision
+	// isRead marks a read; all other observations are accepted writes.
+	isRead bool
 }
 
-// checkMonotonic checks that within each run of a node no object goes back to
-// an older version, from one answer to any that was asked for after it. The
-// acceptance of a write counts as an answer that shows its revision.
-func checkMonotonic(history History, f *fates) []string {
-	views := map[view][]showing{}
+// checkMonotonic checks that within each run of a node's process, no object goes
+// back to an older version between a response and a request that was sent after
+// it. The acceptance of a write counts as a response with its revision.
+func checkMonotonic(history History, reconciled *reconciliation) []string {
+	observations := map[replicaKey][]observation{}
 	for _, read := range history.Reads {
-		if read.Run != acrossRuns {
-			key := view{node: read.Node, run: read.Run, object: read.Object}
-			views[key] = append(views[key], showingOf(read))
+		if read.Run != unknownRun {
+			key := replicaKey{node: read.Node, run: read.Run, object: read.Object}
+			observations[key] = append(observations[key], observe(read))
 		}
 	}
 	for _, write := range history.Writes {
-		if write.Run != acrossRuns && write.Outcome == admin.OutcomeAccepted {
-			key := view{node: write.Node, run: write.Run, object: write.Object}
-			views[key] = append(views[key], showing{Interval: write.Interval, least: write.Revision})
+		if write.Run != unknownRun && write.Outcome == admin.OutcomeAccepted {
+			key := replicaKey{node: write.Node, run: write.Run, object: write.Object}
+			observations[key] = append(observations[key], observation{Interval: write.Interval, minRevision: write.Revision})
 		}
 	}
-	var faults []string
-	for key, shown := range views {
-		faults = append(faults, key.check(shown, f.deletions(key.object))...)
+	var violations []string
+	for key, observed := range observations {
+		violations = append(violations, key.check(observed, reconciled.deletions(key.object))...)
 	}
-	slices.Sort(faults)
-	return faults
+	slices.Sort(violations)
+	return violations
 }
 
-func showingOf(read Read) showing {
-	shown := showing{Interval: read.Interval, reads: true}
+func observe(read Read) observation {
+	observed := observation{Interval: read.Interval, isRead: true}
 	if len(read.Versions) == 0 {
-		shown.absent = true
-		return shown
+		observed.absent = true
+		return observed
 	}
-	shown.least = read.Versions[0].Revision
-	return shown
+	observed.minRevision = read.Versions[0].Revision
+	return observed
 }
 
-// check goes through the answers in the order of their calls.
-func (v view) check(shown []showing, deletions []deletion) []string {
-	slices.SortFunc(shown, func(a, b showing) int { return cmp.Compare(a.Call, b.Call) })
-	var faults []string
-	for index := range shown {
-		current := &shown[index]
-		floor := floorBefore(shown[:index], current.Call)
-		if current.absent && floor > 0 {
-			current.least = deletedAfter(deletions, floor, current.Return)
+// check compares each observation, in the order of the calls, with those that
+// returned before it was called.
+func (k replicaKey) check(observations []observation, deletions []deletion) []string {
+	slices.SortFunc(observations, func(a, b observation) int { return cmp.Compare(a.Call, b.Call) })
+	var violations []string
+	for index := range observations {
+		current := &observations[index]
+		newest := newestBefore(observations[:index], current.Call)
+		if current.absent && newest > 0 {
+			current.minRevision = firstDeletion(deletions, newest, current.Return)
 		}
-		if current.reads && current.least < floor {
-			faults = append(faults, fmt.Sprintf("%s in run %d went back to revision %d of %s at %s after %d",
-				v.node, v.run, current.least, v.object, current.Return, floor))
+		if current.isRead && current.minRevision < newest {
+			violations = append(violations, fmt.Sprintf("%s in run %d went back to revision %d of %s at %s after revision %d",
+				k.node, k.run, current.minRevision, k.object, current.Return, newest))
 		}
 	}
-	return faults
+	return violations
 }
 
-// floorBefore is the newest revision of the answers that came before the time.
-func floorBefore(shown []showing, before time.Duration) store.Revision {
-	var floor store.Revision
-	for _, earlier := range shown {
+// newestBefore returns the highest revision of the observations that returned
+// before the given time.
+func newestBefore(observations []observation, before time.Duration) store.Revision {
+	var newest store.Revision
+	for _, earlier := range observations {
 		if earlier.Return < before {
-			floor = max(floor, earlier.least)
+			newest = max(newest, earlier.minRevision)
 		}
 	}
-	return floor
+	return newest
 }
 
-// deletion is one that took effect or may have.
+// deletion is a deletion that took effect or may have taken effect.
 type deletion struct {
 	call time.Duration
-	// revision is the lowest that it can have led to.
-	revision store.Revision
+	// minRevision is the lowest revision that it can have produced.
+	minRevision store.Revision
 }
 
-// deletedAfter returns the lowest revision from the floor on at which the object
-// may have been deleted by the time; zero means that it can't have been. The
-// floor itself can be that of a deletion.
-func deletedAfter(deletions []deletion, floor store.Revision, by time.Duration) store.Revision {
+// firstDeletion returns the lowest revision, starting at from, at which the
+// object may have been deleted by the given time, or zero if it can't have been
+// deleted. The revision from can be that of a deletion itself.
+func firstDeletion(deletions []deletion, from store.Revision, until time.Duration) store.Revision {
 	for _, candidate := range deletions {
-		if candidate.revision >= floor && candidate.call <= by {
-			return candidate.revision
+		if candidate.minRevision >= from && candidate.call <= until {
+			return candidate.minRevision
 		}
 	}
 	return 0
 }
 
-// deletions returns an object's deletions in order of revision.
-func (f *fates) deletions(object string) []deletion {
+// deletions returns the deletions of an object, ordered by revision.
+func (r *reconciliation) deletions(object string) []deletion {
 	var found []deletion
-	for _, made := range f.byChange {
-		if !made.Deletes || made.Object != object || made.Outcome == admin.OutcomeRefused {
+	for _, write := range r.writeByChange {
+		if !write.Deletes || write.Object != object || write.Outcome == admin.OutcomeRefused {
 			continue
 		}
-		least := made.Revision
-		if made.Outcome == admin.OutcomeUnknown {
-			least = made.Expected + 1
+		minRevision := write.Revision
+		if write.Outcome == admin.OutcomeUnknown {
+			minRevision = write.ExpectedRevision + 1
 		}
-		found = append(found, deletion{call: made.Call, revision: least})
+		found = append(found, deletion{call: write.Call, minRevision: minRevision})
 	}
-	slices.SortFunc(found, func(a, b deletion) int { return cmp.Compare(a.revision, b.revision) })
+	slices.SortFunc(found, func(a, b deletion) int { return cmp.Compare(a.minRevision, b.minRevision) })
 	return found
 }
--- a/lab/linear/workload.go
+++ b/lab/linear/workload.go
@@ -14,41 +14,44 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Shares of what a client does, out of all its steps.
+// Probabilities of the operations in each step of a client. The remaining steps
+// read an object.
 const (
-	putShare         = 0.45
-	deleteShare      = 0.10
-	readHistoryShare = 0.10
-	// resolveShare is how often a client that has writes of unknown outcome asks
-	// for one of them.
-	resolveShare = 0.5
+	putProbability         = 0.45
+	deleteProbability      = 0.10
+	readHistoryProbability = 0.10
+	// resolveProbability is the probability that a client with writes of unknown
+	// outcome queries the outcome of one of them instead.
+	resolveProbability = 0.5
 )
 
 const (
-	// maxPause bounds the pause between two steps of a client.
+	// maxPause limits the random pause before each step of a client.
 	maxPause = 20 * time.Millisecond
-	// settleRounds is how often Settle asks for a write at most.
-	settleRounds = 4
+	// resolveRounds is the maximum number of final queries for the outcome of each
+	// unresolved write.
+	resolveRounds = 4
 )
 
-// Workload is a number of clients that read and write the same objects at
-// random nodes.
+// Workload configures clients that concurrently read and write the same objects
+// at random nodes.
 type Workload struct {
 	Nodes   []*Node
 	Objects []string
 	Clients int
-	// Steps bounds what each client does.
+	// Steps limits the number of operations of each client.
 	Steps int
-	// RequestTimeout bounds a request; a node may work on a write for longer.
+	// RequestTimeout limits the duration of a request; a node may process a write
+	// for longer.
 	RequestTimeout time.Duration
 	Token          string
 	Seed           uint64
 	Recorder       *Recorder
 }
 
-// Run runs the clients until the context ends or their steps are done. The
-// operations that are under way are finished. The error is an answer that
-// breaks the API's form.
+// Run runs the clients until the context ends or they have completed all steps.
+// Operations in progress are completed. Run returns an error if a response
+// violates the API.
 func (w Workload) Run(ctx context.Context) error {
 	group, groupCtx := errgroup.WithContext(ctx)
 	for id := range w.Clients {
@@ -57,8 +60,7 @@
 	return group.Wait()
 }
 
-// NewClient returns a client of the workload, which is not one that Run runs
-// if its id is not below Clients.
+// NewClient returns a client of the workload. Run uses the IDs below Clients.
 func (w Workload) NewClient(id int) *Client {
 	return &Client{ID: id, HTTP: &http.Client{Timeout: w.RequestTimeout}, Token: w.Token, Recorder: w.Recorder}
 }
@@ -68,18 +70,19 @@
 	Workload
 	client *Client
 	random *rand.Rand
-	// known is the revision of each object that the worker saw last.
-	known   map[string]store.Revision
-	unknown []Write
-	changes int
+	// revisions holds the last revision of each object that the worker observed;
+	// zero if the object was absent.
+	revisions   map[string]store.Revision
+	unresolved  []Write
+	changeCount int
 }
 
 func (w Workload) newWorker(id int) *worker {
 	return &worker{
-		Workload: w,
-		client:   w.NewClient(id),
-		random:   rand.New(rand.NewPCG(w.Seed, uint64(id))),
-		known:    map[string]store.Revision{},
+		Workload:  w,
+		client:    w.NewClient(id),
+		random:    rand.New(rand.NewPCG(w.Seed, uint64(id))),
+		revisions: map[string]store.Revision{},
 	}
 }
 
@@ -88,7 +91,7 @@
 		if !pause.For(ctx, time.Duration(w.random.Int64N(int64(maxPause)))) {
 			return nil
 		}
-		// What was sent is waited for, so that its outcome is recorded.
+		// A started operation isn't canceled, so that its outcome is recorded.
 		if err := w.step(context.WithoutCancel(ctx)); err != nil {
 			return err
 		}
@@ -98,73 +101,73 @@
 
 func (w *worker) step(ctx context.Context) error {
 	node, object := choose(w.random, w.Nodes), choose(w.random, w.Objects)
-	if len(w.unknown) > 0 && w.random.Float64() < resolveShare {
+	if len(w.unresolved) > 0 && w.random.Float64() < resolveProbability {
 		return w.resolve(ctx, node)
 	}
 	switch draw := w.random.Float64(); {
-	case draw < putShare:
-		written, err := w.client.Put(ctx, node, object, w.nextChange(), w.known[object])
-		return w.after(written, err)
-	case draw < putShare+deleteShare && w.known[object] != 0:
-		written, err := w.client.Delete(ctx, node, object, w.nextChange(), w.known[object])
-		return w.after(written, err)
-	case draw > 1-readHistoryShare:
+	case draw < putProbability:
+		written, err := w.client.Put(ctx, node, object, w.nextChangeID(), w.revisions[object])
+		return w.recordWrite(written, err)
+	case draw < putProbability+deleteProbability && w.revisions[object] != 0:
+		written, err := w.client.Delete(ctx, node, object, w.nextChangeID(), w.revisions[object])
+		return w.recordWrite(written, err)
+	case draw > 1-readHistoryProbability:
 		version, answered, err := w.client.ReadHistory(ctx, node, object)
-		return w.seen(object, version, answered, err)
+		return w.recordRead(object, version, answered, err)
 	}
 	version, answered, err := w.client.Read(ctx, node, object)
-	return w.seen(object, version, answered, err)
+	return w.recordRead(object, version, answered, err)
 }
 
 func choose[T any](random *rand.Rand, from []T) T { return from[random.IntN(len(from))] }
 
-func (w *worker) nextChange() string {
-	w.changes++
-	return fmt.Sprintf("client-%d-change-%d", w.client.ID, w.changes)
+func (w *worker) nextChangeID() string {
+	w.changeCount++
+	return fmt.Sprintf("client-%d-change-%d", w.client.ID, w.changeCount)
 }
 
-func (w *worker) seen(object string, version Version, answered bool, err error) error {
+func (w *worker) recordRead(object string, version Version, answered bool, err error) error {
 	if !answered || err != nil {
 		return err
 	}
-	w.known[object] = version.Revision
+	w.revisions[object] = version.Revision
 	if version.Deleted {
-		w.known[object] = 0
+		w.revisions[object] = 0
 	}
 	return nil
 }
 
-// after notes the outcome of a write.
-func (w *worker) after(written Write, err error) error {
+// recordWrite records the outcome of a write.
+func (w *worker) recordWrite(written Write, err error) error {
 	switch {
 	case err != nil:
 		return err
 	case written.Outcome == admin.OutcomeAccepted && written.Deletes:
-		w.known[written.Object] = 0
+		w.revisions[written.Object] = 0
 	case written.Outcome == admin.OutcomeAccepted:
-		w.known[written.Object] = written.Revision
+		w.revisions[written.Object] = written.Revision
 	case written.Outcome == admin.OutcomeUnknown:
-		w.unknown = append(w.unknown, written)
+		w.unresolved = append(w.unresolved, written)
 	}
 	return nil
 }
 
-// resolve asks for the oldest write of unknown outcome. If nobody can tell, it
-// becomes the newest.
+// resolve queries the outcome of the first write in the queue of unresolved
+// writes. If the outcome is still unknown, the write goes to the end of the queue.
 func (w *worker) resolve(ctx context.Context, node *Node) error {
-	asked := w.unknown[0]
-	w.unknown = w.unknown[1:]
-	outcome, err := w.client.Resolve(ctx, node, asked)
+	write := w.unresolved[0]
+	w.unresolved = w.unresolved[1:]
+	outcome, err := w.client.Resolve(ctx, node, write)
 	if outcome == admin.OutcomeUnknown {
-		w.unknown = append(w.unknown, asked)
+		w.unresolved = append(w.unresolved, write)
 	}
 	return err
 }
 
-// Settle asks different nodes for the writes of unknown outcome. Those that no
-// node can tell stay unknown.
+// Settle queries different nodes for the outcome of each unresolved write. Writes
+// that no node can resolve stay unknown.
 func (w Workload) Settle(ctx context.Context, client *Client) error {
-	for round := range settleRounds {
+	for round := range resolveRounds {
 		for index, write := range w.Recorder.History().Unresolved() {
 			node := w.Nodes[(round+index)%len(w.Nodes)]
 			if _, err := client.Resolve(ctx, node, write); err != nil {
