--- a/lab/experiment/attainable.go
+++ b/lab/experiment/attainable.go
@@ -7,92 +7,95 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// kindRate is a number of calls a second of one kind.
+// kindRate is a rate of calls of one kind, per second.
 type kindRate struct {
 	kind mesh.Kind
 	rate float64
 }
 
-// attainable returns how many of the offered calls a mesh can complete at best
-// when it serves the more important first: level by level, the rates of all
-// kinds of the level grow alike until a service that they need has no free
-// slot. Waiting, network and uneven routing are left out, so that it is an
-// upper bound.
-func attainable(m *mesh.Mesh, offered []kindRate) []kindRate {
-	filling := newFilling(m, offered)
+// attainableRates returns the rates that a mesh can complete at best of the offered
+// rates if higher criticalities have strict priority. For one criticality after the
+// other, progressive filling increases the rates of its kinds proportionally until a
+// service that they need has no free slots. The result is an upper bound, as it
+// ignores queueing, network latency and uneven routing.
+func attainableRates(m *mesh.Mesh, offered []kindRate) []kindRate {
+	filling := newProgressiveFilling(m, offered)
 	for level := criticality.Level(0); level < criticality.LevelCount; level++ {
 		filling.fillLevel(level)
 	}
 	return filling.served
 }
 
-// filling is the state of the computation.
-type filling struct {
+// progressiveFilling is the state of the computation of attainableRates.
+type progressiveFilling struct {
 	offered []kindRate
 	served  []kindRate
-	// needs holds, for each kind, the slot seconds of each service that a call
-	// takes.
-	needs [][]float64
-	// free holds the slots that are left of each service.
-	free []float64
+	// slotSeconds contains, for each kind, the slot seconds that a call uses of each
+	// service.
+	slotSeconds [][]float64
+	// freeSlots contains the unused slots of each service.
+	freeSlots []float64
 }
 
-func newFilling(m *mesh.Mesh, offered []kindRate) *filling {
-	f := &filling{offered: offered}
+func newProgressiveFilling(m *mesh.Mesh, offered []kindRate) *progressiveFilling {
+	f := &progressiveFilling{offered: offered}
 	for _, service := range m.Services {
 		slots := 0
 		for _, target := range m.TargetsOf(service.Name) {
 			slots += target.Slots
 		}
-		f.free = append(f.free, float64(slots))
+		f.freeSlots = append(f.freeSlots, float64(slots))
 	}
-	for _, each := range offered {
-		f.needs = append(f.needs, slotSeconds(m, each.kind))
-		f.served = append(f.served, kindRate{kind: each.kind})
+	for _, offer := range offered {
+		f.slotSeconds = append(f.slotSeconds, slotSecondsPerService(m, offer.kind))
+		f.served = append(f.served, kindRate{kind: offer.kind})
 	}
 	return f
 }
 
-// slotSeconds returns what a call of the kind takes of each service.
-func slotSeconds(m *mesh.Mesh, kind mesh.Kind) []float64 {
-	alone := *m
+// slotSecondsPerService returns the slot seconds that a call of the kind uses of each
+// service.
+func slotSecondsPerService(m *mesh.Mesh, kind mesh.Kind) []float64 {
+	singleKind := *m
 	kind.Share = 1
-	alone.Kinds = []mesh.Kind{kind}
-	var needs []float64
-	for _, service := range alone.Capacity().Services {
-		needs = append(needs, service.CallsPerRequest*service.MeanSlotTime.Seconds())
+	singleKind.Kinds = []mesh.Kind{kind}
+	var perService []float64
+	for _, service := range singleKind.Capacity().Services {
+		perService = append(perService, service.CallsPerRequest*service.MeanSlotTime.Seconds())
 	}
-	return needs
+	return perService
 }
 
-// fillLevel grows the kinds of one level together. Each round ends with a
-// service that is full, whose kinds stop, or with all kinds served.
-func (f *filling) fillLevel(level criticality.Level) {
+// fillLevel increases the rates of all kinds of one criticality. Each iteration ends
+// when a service is saturated, which excludes its kinds from further iterations, or
+// when all kinds have their offered rates.
+func (f *progressiveFilling) fillLevel(level criticality.Level) {
 	var growing []int
-	for i, each := range f.offered {
-		if levelOf(each.kind) == level && each.rate > 0 {
+	for i, offer := range f.offered {
+		if criticalityLevel(offer.kind) == level && offer.rate > 0 {
 			growing = append(growing, i)
 		}
 	}
-	served := 0.0
-	for len(growing) > 0 && served < 1 {
-		step, full := f.step(growing, 1-served)
+	servedShare := 0.0
+	for len(growing) > 0 && servedShare < 1 {
+		step, full := f.nextStep(growing, 1-servedShare)
 		for _, i := range growing {
-			f.grow(i, step)
+			f.allocate(i, step)
 		}
-		served += step
-		growing = slices.DeleteFunc(growing, func(i int) bool { return full >= 0 && f.needs[i][full] > 0 })
+		servedShare += step
+		growing = slices.DeleteFunc(growing, func(i int) bool { return full >= 0 && f.slotSeconds[i][full] > 0 })
 	}
 }
 
-// step returns the largest share of the offered rates that all growing kinds
-// can still gain, and the service that is full then, or -1.
-func (f *filling) step(growing []int, most float64) (share float64, full int) {
-	share, full = most, -1
-	for service, free := range f.free {
+// nextStep returns the largest share of the offered rates, at most maxShare, by which
+// the rates of all growing kinds can increase, and the index of the service that is
+// saturated then, or -1.
+func (f *progressiveFilling) nextStep(growing []int, maxShare float64) (share float64, full int) {
+	share, full = maxShare, -1
+	for service, free := range f.freeSlots {
 		demand := 0.0
 		for _, i := range growing {
-			demand += f.offered[i].rate * f.needs[i][service]
+			demand += f.offered[i].rate * f.slotSeconds[i][service]
 		}
 		if demand > 0 && free/demand < share {
 			share, full = max(free/demand, 0), service
@@ -101,64 +104,66 @@
 	return share, full
 }
 
-func (f *filling) grow(i int, share float64) {
-	gained := f.offered[i].rate * share
-	f.served[i].rate += gained
-	for service, need := range f.needs[i] {
-		f.free[service] -= gained * need
+// allocate increases the rate of a kind by a share of its offered rate.
+func (f *progressiveFilling) allocate(i int, share float64) {
+	rate := f.offered[i].rate * share
+	f.served[i].rate += rate
+	for service, slotSeconds := range f.slotSeconds[i] {
+		f.freeSlots[service] -= rate * slotSeconds
 	}
 }
 
 func totalRate(rates []kindRate) float64 {
 	total := 0.0
-	for _, each := range rates {
-		total += each.rate
+	for _, kind := range rates {
+		total += kind.rate
 	}
 	return total
 }
 
-// withTimes returns a copy of the mesh with the service times multiplied.
-func withTimes(m *mesh.Mesh, factorOf func(service string) float64) *mesh.Mesh {
-	changed := *m
-	changed.Services = append([]mesh.Service(nil), m.Services...)
-	for i := range changed.Services {
-		service := &changed.Services[i]
+// withScaledServiceTimes returns a copy of the mesh in which the times of each service
+// are multiplied by its factor.
+func withScaledServiceTimes(m *mesh.Mesh, factorOf func(service string) float64) *mesh.Mesh {
+	scaled := *m
+	scaled.Services = append([]mesh.Service(nil), m.Services...)
+	for i := range scaled.Services {
+		service := &scaled.Services[i]
 		factor := factorOf(service.Name)
-		service.Time = scaledTime(service.Time, factor)
+		service.Time = scaleServiceTime(service.Time, factor)
 		service.Operations = append([]mesh.Operation(nil), service.Operations...)
 		for j := range service.Operations {
-			if own := service.Operations[j].Time; own != nil {
-				scaled := scaledTime(*own, factor)
+			if time := service.Operations[j].Time; time != nil {
+				scaled := scaleServiceTime(*time, factor)
 				service.Operations[j].Time = &scaled
 			}
 		}
 	}
-	return &changed
+	return &scaled
 }
 
-func scaledTime(time mesh.ServiceTime, factor float64) mesh.ServiceTime {
+func scaleServiceTime(time mesh.ServiceTime, factor float64) mesh.ServiceTime {
 	time.MedianMs *= factor
 	time.MeanMs *= factor
 	return time
 }
 
-// meshDuring returns the mesh as the scenario's faults leave it while they
-// last: slowed services are slower by the slot-weighted mean of their targets'
-// speeds, and targets of lost zones are gone. Faults count in full, also where
-// they cover only a part of the phase.
-func (s *Scenario) meshDuring(m *mesh.Mesh) *mesh.Mesh {
-	left := *m
-	left.Targets = slices.DeleteFunc(slices.Clone(m.Targets), func(target mesh.Target) bool {
+// meshDuringFaults returns the mesh with the scenario's faults applied: the speed of a
+// slowed service is the slot-weighted mean of its targets' speeds, and targets in lost
+// zones are removed. Faults are applied fully even if they cover only a part of the
+// phase.
+func (s *Scenario) meshDuringFaults(m *mesh.Mesh) *mesh.Mesh {
+	remaining := *m
+	remaining.Targets = slices.DeleteFunc(slices.Clone(m.Targets), func(target mesh.Target) bool {
 		return slices.ContainsFunc(s.ZoneLosses, func(loss ZoneLoss) bool { return loss.Zone == target.Zone })
 	})
-	factors := s.slowFactors(m)
-	return withTimes(&left, func(service string) float64 {
+	slowdowns := s.targetSlowdowns(m)
+	return withScaledServiceTimes(&remaining, func(service string) float64 {
 		slots, speed := 0.0, 0.0
-		for _, target := range left.TargetsOf(service) {
+		for _, target := range remaining.TargetsOf(service) {
 			factor := 1.0
-			for _, slowed := range factors {
-				if slowed.target == target.Name {
-					factor *= slowed.factor
+			for _, slowdown := range slowdowns {
+				if slowdown.target == target.Name {
+					factor *= slowdown.factor
 				}
 			}
 			slots += float64(target.Slots)
@@ -171,21 +176,21 @@
 	})
 }
 
-// slowTarget is a target that a fault slows.
-type slowTarget struct {
+// targetSlowdown is a target with the slow factor of a fault that affects it.
+type targetSlowdown struct {
 	target string
 	factor float64
 }
 
-func (s *Scenario) slowFactors(m *mesh.Mesh) []slowTarget {
-	var slowed []slowTarget
+func (s *Scenario) targetSlowdowns(m *mesh.Mesh) []targetSlowdown {
+	var slowdowns []targetSlowdown
 	for _, fault := range s.Faults {
 		if fault.SlowFactor == 0 {
 			continue
 		}
-		for _, target := range fault.targetsOf(m) {
-			slowed = append(slowed, slowTarget{target: target, factor: fault.SlowFactor})
+		for _, target := range fault.affectedTargets(m) {
+			slowdowns = append(slowdowns, targetSlowdown{target: target, factor: fault.SlowFactor})
 		}
 	}
-	return slowed
+	return slowdowns
 }
--- a/lab/experiment/command.go
+++ b/lab/experiment/command.go
@@ -11,24 +11,23 @@
 	"github.com/google/subcommands"
 )
 
-// Commands returns the lab's commands of this package.
+// Commands returns the lab commands of this package.
 func Commands() []subcommands.Command { return []subcommands.Command{&experimentCommand{}} }
 
 type experimentCommand struct{ config Config }
 
 func (*experimentCommand) Name() string { return "experiment" }
 func (*experimentCommand) Synopsis() string {
-	return "measure goodput and recovery of a system in an overload"
+	return "measure goodput and recovery of a system under overload"
 }
 
-// Usage describes the command.
 func (*experimentCommand) Usage() string {
-	return `experiment -scenario FILE -system NAME [flags]: measure goodput and recovery in an overload.
+	return `experiment -scenario FILE -system NAME [flags]: measure goodput and recovery under overload.
 
-The systems are lugspur, and as baselines local (each node on its own), static
-(fixed limits, three retries a hop) and none (no limits, retries at every hop).
-Writes result.json and logs to the directory. Exits with 1 if the run couldn't
-be made and with 3 if it doesn't count, because the lab was too slow for it.
+The systems are lugspur and the baselines local (no coordination between nodes),
+static (fixed limits, three retries per hop) and none (no limits, retries at every
+hop). Writes result.json and logs to the -out directory. Exits with 1 if the run
+failed and with 3 if its result is invalid, because the lab was too slow.
 
 Example:
   lugspur-lab experiment -lugspur bin/lugspur -mesh examples/naidu/mesh.toml -policies examples/policies \
@@ -41,7 +40,7 @@
 func (c *experimentCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.config.Lugspur, "lugspur", "bin/lugspur", "lugspur `program`")
 	flags.StringVar(&c.config.MeshFile, "mesh", "examples/naidu/mesh.toml", "mesh `file`")
-	flags.StringVar(&c.config.Policies, "policies", "", "`directory` of policies; empty ranks calls as the mesh file expects")
+	flags.StringVar(&c.config.Policies, "policies", "", "`directory` of policies; empty generates policies with the criticalities of the mesh file")
 	flags.StringVar(&c.config.ScenarioFile, "scenario", "", "scenario `file`")
 	flags.StringVar(&c.config.System, "system", "lugspur", "`name` of the system: lugspur, local, static or none")
 	flags.StringVar(&c.config.Directory, "out", "", "`directory` for the result and logs")
@@ -49,15 +48,15 @@
 	flags.Uint64Var(&c.config.Seed, "seed", 1, "`seed` of arrivals and service times")
 }
 
-// exitInvalid is the exit status of a run that doesn't count.
-const exitInvalid subcommands.ExitStatus = 3
+// exitInvalidRun is the exit status of a run with an invalid result.
+const exitInvalidRun subcommands.ExitStatus = 3
 
-// Execute makes one run.
+// Execute runs the experiment.
 func (c *experimentCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if c.config.ScenarioFile == "" || c.config.Directory == "" {
-		fmt.Fprintln(os.Stderr, "-scenario and -out are needed")
+		fmt.Fprintln(os.Stderr, "-scenario and -out are required")
 		return subcommands.ExitUsageError
 	}
 	result, err := c.run(ctx)
@@ -70,7 +69,7 @@
 		return subcommands.ExitFailure
 	}
 	if !result.Valid() {
-		return exitInvalid
+		return exitInvalidRun
 	}
 	return subcommands.ExitSuccess
 }
--- a/lab/experiment/control.go
+++ b/lab/experiment/control.go
@@ -9,53 +9,56 @@
 	"github.com/lugspur/lugspur/lab/emulator"
 )
 
-// sampleInterval is the time between two samples of nodes and targets.
+// sampleInterval is the interval between two samples of nodes and targets.
 const sampleInterval = 100 * time.Millisecond
 
-// event is something that happens at a moment of the run.
+// event is an action at a scheduled time of the run.
 type event struct {
 	offset time.Duration // from the start of the load
-	do     func(ctx context.Context) error
+	run    func(ctx context.Context) error
 }
 
-// controller makes the scenario's events happen and samples nodes and targets.
-// Everything is done by one goroutine, as a cluster is for one at a time.
+// controller executes the scenario's events and takes samples of nodes and targets. It
+// does both in one goroutine, as a cluster isn't safe for concurrent use.
 type controller struct {
 	experiment *experiment
 	start      time.Time
 	events     []event
-	// active are the faults that last now.
-	active  []Fault
-	down    []string // zones
-	sampler *sampler
-	samples []Sample
+	// activeFaults are the faults whose interval has started and not ended.
+	activeFaults []Fault
+	lostZones    []string // names of the zones that have failed
+	sampler      *sampler
+	samples      []Sample
 }
 
 func newController(e *experiment) *controller {
 	c := &controller{experiment: e, start: time.Now(), sampler: newSampler(e.cluster)}
-	overload := seconds(e.scenario.WarmUpSeconds + e.scenario.Before.Seconds)
+	overloadStart := seconds(e.scenario.WarmUpSeconds + e.scenario.Before.Seconds)
 	for _, fault := range e.scenario.Faults {
-		c.schedule(overload, fault.Interval, c.beginFault(fault), c.endFault(fault))
+		c.schedule(overloadStart, fault.Interval, c.beginFault(fault), c.endFault(fault))
 	}
 	for _, loss := range e.scenario.ZoneLosses {
-		c.schedule(overload, loss.Interval, c.loseZone(loss.Zone), c.restoreZone(loss.Zone))
+		c.schedule(overloadStart, loss.Interval, c.loseZone(loss.Zone), c.restoreZone(loss.Zone))
 	}
 	slices.SortStableFunc(c.events, func(a, b event) int { return int(a.offset - b.offset) })
 	return c
 }
 
-func (c *controller) schedule(overload time.Duration, interval Interval, begin, end func(context.Context) error) {
+// schedule adds the events for the start and the end of an interval. overloadStart is
+// the time from the start of the load to that of the phase during.
+func (c *controller) schedule(overloadStart time.Duration, interval Interval, begin, end func(context.Context) error) {
 	c.events = append(c.events,
-		event{offset: overload + seconds(interval.FromSeconds), do: begin},
-		event{offset: overload + seconds(interval.end(c.experiment.scenario.During)), do: end})
+		event{offset: overloadStart + seconds(interval.FromSeconds), run: begin},
+		event{offset: overloadStart + seconds(interval.end(c.experiment.scenario.During)), run: end})
 }
 
-// run works until the context ends, which is not an error.
+// run executes events and takes samples until the context is canceled, for which it
+// returns nil.
 func (c *controller) run(ctx context.Context) error {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
-		if err := c.happen(ctx); err != nil && ctx.Err() == nil {
+		if err := c.runDueEvents(ctx); err != nil && ctx.Err() == nil {
 			return err
 		}
 		select {
@@ -67,12 +70,12 @@
 	}
 }
 
-// happen does the events that are due.
-func (c *controller) happen(ctx context.Context) error {
+// runDueEvents executes the events that are due.
+func (c *controller) runDueEvents(ctx context.Context) error {
 	for len(c.events) > 0 && time.Since(c.start) >= c.events[0].offset {
 		due := c.events[0]
 		c.events = c.events[1:]
-		if err := due.do(ctx); err != nil {
+		if err := due.run(ctx); err != nil {
 			return err
 		}
 	}
@@ -81,37 +84,37 @@
 
 func (c *controller) beginFault(fault Fault) func(context.Context) error {
 	return func(ctx context.Context) error {
-		c.active = append(c.active, fault)
-		if err := c.setFaults(ctx); err != nil || !fault.Restart {
+		c.activeFaults = append(c.activeFaults, fault)
+		if err := c.applyFaults(ctx); err != nil || !fault.Restart {
 			return err
 		}
-		return c.restartTargets(ctx, fault.targetsOf(c.experiment.mesh))
+		return c.restartTargets(ctx, fault.affectedTargets(c.experiment.mesh))
 	}
 }
 
 func (c *controller) endFault(fault Fault) func(context.Context) error {
 	return func(ctx context.Context) error {
-		c.active = slices.DeleteFunc(c.active, func(each Fault) bool { return each.sameAs(fault) })
-		return c.setFaults(ctx)
+		c.activeFaults = slices.DeleteFunc(c.activeFaults, func(active Fault) bool { return active.equal(fault) })
+		return c.applyFaults(ctx)
 	}
 }
 
-func (f Fault) sameAs(other Fault) bool {
+func (f Fault) equal(other Fault) bool {
 	return f.Interval == other.Interval && f.SlowFactor == other.SlowFactor && f.Restart == other.Restart &&
 		slices.Equal(f.Targets, other.Targets) && slices.Equal(f.Services, other.Services) && slices.Equal(f.Zones, other.Zones)
 }
 
-// setFaults gives each target the faults that last now.
-func (c *controller) setFaults(ctx context.Context) error {
+// applyFaults sets the base faults and the active faults of each target.
+func (c *controller) applyFaults(ctx context.Context) error {
 	e := c.experiment
 	for _, target := range e.mesh.Targets {
 		faults := e.baseFaults()
-		for _, fault := range c.active {
-			if slices.Contains(fault.targetsOf(e.mesh), target.Name) {
-				faults = combine(faults, fault.emulated())
+		for _, fault := range c.activeFaults {
+			if slices.Contains(fault.affectedTargets(e.mesh), target.Name) {
+				faults = combineFaults(faults, fault.emulatorFaults())
 			}
 		}
-		faults.Down = slices.Contains(c.down, target.Zone)
+		faults.Down = slices.Contains(c.lostZones, target.Zone)
 		if err := e.cluster.SetTargetFaults(ctx, target.Name, faults); err != nil {
 			return err
 		}
@@ -119,18 +122,19 @@
 	return nil
 }
 
-// combine adds faults to others: factors multiply, of the rest the added wins.
-func combine(faults, added emulator.Faults) emulator.Faults {
-	if added.SlowFactor > 0 {
-		faults.SlowFactor = max(faults.SlowFactor, 1) * added.SlowFactor
+// combineFaults merges two sets of faults: slow factors are multiplied, of rates the
+// higher is used, and overrides in other replace those in faults.
+func combineFaults(faults, other emulator.Faults) emulator.Faults {
+	if other.SlowFactor > 0 {
+		faults.SlowFactor = max(faults.SlowFactor, 1) * other.SlowFactor
 	}
-	faults.ErrorRate = max(faults.ErrorRate, added.ErrorRate)
-	faults.ResetRate = max(faults.ResetRate, added.ResetRate)
-	if added.LoadOverride != nil {
-		faults.LoadOverride = added.LoadOverride
+	faults.ErrorRate = max(faults.ErrorRate, other.ErrorRate)
+	faults.ResetRate = max(faults.ResetRate, other.ResetRate)
+	if other.LoadOverride != nil {
+		faults.LoadOverride = other.LoadOverride
 	}
-	if added.HealthOverride != "" {
-		faults.HealthOverride = added.HealthOverride
+	if other.HealthOverride != "" {
+		faults.HealthOverride = other.HealthOverride
 	}
 	return faults
 }
@@ -144,28 +148,28 @@
 	return nil
 }
 
-// loseZone kills the zone's nodes and takes its targets away.
+// loseZone kills the zone's nodes and makes its targets unreachable.
 func (c *controller) loseZone(zone string) func(context.Context) error {
 	return func(ctx context.Context) error {
-		for _, node := range c.nodesOf(zone) {
+		for _, node := range c.nodesIn(zone) {
 			node.Kill()
 		}
-		c.down = append(c.down, zone)
-		return c.setFaults(ctx)
+		c.lostZones = append(c.lostZones, zone)
+		return c.applyFaults(ctx)
 	}
 }
 
-// restoreZone starts the zone's nodes and brings its targets back, cold.
+// restoreZone restarts the zone's targets, with a cold start, and then its nodes.
 func (c *controller) restoreZone(zone string) func(context.Context) error {
 	return func(ctx context.Context) error {
-		c.down = slices.DeleteFunc(c.down, func(each string) bool { return each == zone })
-		if err := c.setFaults(ctx); err != nil {
+		c.lostZones = slices.DeleteFunc(c.lostZones, func(lost string) bool { return lost == zone })
+		if err := c.applyFaults(ctx); err != nil {
 			return err
 		}
-		if err := c.restartTargets(ctx, Fault{Zones: []string{zone}}.targetsOf(c.experiment.mesh)); err != nil {
+		if err := c.restartTargets(ctx, Fault{Zones: []string{zone}}.affectedTargets(c.experiment.mesh)); err != nil {
 			return err
 		}
-		for _, node := range c.nodesOf(zone) {
+		for _, node := range c.nodesIn(zone) {
 			if err := c.experiment.cluster.StartNode(node); err != nil {
 				return err
 			}
@@ -174,7 +178,7 @@
 	}
 }
 
-func (c *controller) nodesOf(zone string) []*cluster.Node {
+func (c *controller) nodesIn(zone string) []*cluster.Node {
 	var nodes []*cluster.Node
 	for _, node := range c.experiment.cluster.Nodes {
 		if node.Zone == zone {
--- a/lab/experiment/fault.go
+++ b/lab/experiment/fault.go
@@ -7,15 +7,16 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Interval is a part of the run, counted from the start of the phase "during".
+// Interval is a part of the run. Its times are relative to the start of the phase
+// during.
 type Interval struct {
-	// FromSeconds is the beginning.
+	// FromSeconds is the start.
 	FromSeconds float64 `toml:"from_seconds" validate:"gte=0"`
-	// Seconds is the length; zero means until the end of the phase "during".
+	// Seconds is the length; zero means until the end of the phase during.
 	Seconds float64 `toml:"seconds" validate:"gte=0"`
 }
 
-// Fault is what goes wrong with the named targets, all targets of the named
+// Fault is a fault injected into the named targets, all targets of the named
 // services and all targets in the named zones.
 type Fault struct {
 	Interval
@@ -24,30 +25,32 @@
 	Zones    []string `toml:"zones"`
 	// SlowFactor multiplies service times; zero means one.
 	SlowFactor float64 `toml:"slow_factor" validate:"gte=0"`
-	// ErrorRate is the fraction of calls answered 500 after their work.
+	// ErrorRate is the fraction of calls answered with status 500 after their
+	// work.
 	ErrorRate float64 `toml:"error_rate" validate:"gte=0,lte=1"`
 	// ResetRate is the fraction of calls whose connection is reset after their
 	// work.
 	ResetRate float64 `toml:"reset_rate" validate:"gte=0,lte=1"`
-	// LoadOverride replaces the reported load.
-	LoadLie *float64 `toml:"load_lie" validate:"omitempty,gte=0,lte=1"`
-	// HealthOverride replaces the reported health.
-	HealthLie string `toml:"health_lie" validate:"omitempty,oneof=healthy draining unhealthy"`
-	// Restart resets connections at the beginning and makes the targets cold.
+	// LoadOverride replaces the reported load; nil means the actual load.
+	LoadOverride *float64 `toml:"load_lie" validate:"omitempty,gte=0,lte=1"`
+	// HealthOverride replaces the reported health; empty means the actual health.
+	HealthOverride string `toml:"health_lie" validate:"omitempty,oneof=healthy draining unhealthy"`
+	// Restart restarts the targets at the start of the interval: connections are
+	// reset and the targets have a cold start.
 	Restart bool `toml:"restart"`
 }
 
-// ZoneLoss takes a zone away: its nodes are killed and its targets reset all
-// connections. Afterwards the nodes start anew and the targets are cold.
-// Clients that enter by the zone enter by others from the start of the run, as
-// the load has fixed addresses.
+// ZoneLoss is the failure of a zone: its nodes are killed and its targets reset all
+// connections. At the end of the interval, the nodes are restarted and the targets
+// have a cold start. The load generator's edge addresses are fixed for a run, so
+// clients of the zone use the edges of other zones from the start of the run.
 type ZoneLoss struct {
 	Interval
 	Zone string `toml:"zone" validate:"required"`
 }
 
-// targetsOf returns the names of the mesh's targets that the fault hits.
-func (f Fault) targetsOf(m *mesh.Mesh) []string {
+// affectedTargets returns the names of the mesh's targets that the fault affects.
+func (f Fault) affectedTargets(m *mesh.Mesh) []string {
 	var names []string
 	for _, target := range m.Targets {
 		if slices.Contains(f.Targets, target.Name) || slices.Contains(f.Services, target.Service) || slices.Contains(f.Zones, target.Zone) {
@@ -57,17 +60,18 @@
 	return names
 }
 
-func (f Fault) emulated() emulator.Faults {
+func (f Fault) emulatorFaults() emulator.Faults {
 	return emulator.Faults{
 		SlowFactor:     f.SlowFactor,
 		ErrorRate:      f.ErrorRate,
 		ResetRate:      f.ResetRate,
-		LoadOverride:   f.LoadLie,
-		HealthOverride: emulator.Health(f.HealthLie),
+		LoadOverride:   f.LoadOverride,
+		HealthOverride: emulator.Health(f.HealthOverride),
 	}
 }
 
-// end returns the end of the interval in seconds from the start of "during".
+// end returns the end of the interval in seconds after the start of the phase
+// during.
 func (i Interval) end(during Phase) float64 {
 	if i.Seconds == 0 {
 		return during.Seconds
--- a/lab/experiment/policies.go
+++ b/lab/experiment/policies.go
@@ -13,20 +13,20 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// policyFile is a policy as the command line takes it.
+// policyFile is the content of a policy file in the format of lugspur's command line.
 type policyFile struct {
 	Kind string          `toml:"kind"`
 	Name string          `toml:"name"`
 	Spec resource.Policy `toml:"spec"`
 }
 
-// writePolicies writes a policy for each service to the directory.
-func writePolicies(directory string, m *mesh.Mesh, policyOf func(mesh.Service) resource.Policy) error {
+// writePolicies writes one policy file per service to the directory.
+func writePolicies(directory string, m *mesh.Mesh, newPolicy func(mesh.Service) resource.Policy) error {
 	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return err
 	}
 	for _, service := range m.Services {
-		content, err := toml.Marshal(policyFile{Kind: "policy", Name: service.Name, Spec: policyOf(service)})
+		content, err := toml.Marshal(policyFile{Kind: "policy", Name: service.Name, Spec: newPolicy(service)})
 		if err != nil {
 			return err
 		}
@@ -37,19 +37,20 @@
 	return nil
 }
 
-// plainPolicy admits everything, ranks all calls alike and retries.
-func plainPolicy(mesh.Service) resource.Policy {
+// uniformPolicy returns a policy that admits all calls, gives them the same rank and
+// allows baselineRetries retries.
+func uniformPolicy(mesh.Service) resource.Policy {
 	return resource.Policy{
 		Admit:  "true",
 		Rank:   fmt.Sprintf("%q", criticality.SheddablePlus.String()),
-		Retry:  fmt.Sprint(plainRetries),
+		Retry:  fmt.Sprint(baselineRetries),
 		Refuse: "1",
 	}
 }
 
-// expectedPolicy gives calls of clients the criticality that the mesh file
-// expects, and calls inside a chain that of the chain.
-func expectedPolicy(m *mesh.Mesh, service mesh.Service) resource.Policy {
+// criticalityPolicy returns a policy that gives calls of clients the criticality of
+// their kind in the mesh file, and downstream calls that of their caller.
+func criticalityPolicy(m *mesh.Mesh, service mesh.Service) resource.Policy {
 	var rank strings.Builder
 	rank.WriteString(`call.incoming_rank != "" ? call.incoming_rank : `)
 	for _, kind := range m.Kinds {
@@ -61,16 +62,17 @@
 	return resource.Policy{Rank: rank.String()}
 }
 
-// policies returns the directory of the policies that the run uses.
-func (e *experiment) policies() (string, error) {
-	generated := filepath.Join(e.config.Directory, "policies")
+// policyDirectory returns the directory with the policies of the run. Policies are
+// generated if the system uses uniform ones or no directory is configured.
+func (e *experiment) policyDirectory() (string, error) {
+	generatedDirectory := filepath.Join(e.config.Directory, "policies")
 	if e.system.PlainPolicies {
-		return generated, writePolicies(generated, e.mesh, plainPolicy)
+		return generatedDirectory, writePolicies(generatedDirectory, e.mesh, uniformPolicy)
 	}
 	if e.config.Policies != "" {
 		return e.config.Policies, nil
 	}
-	return generated, writePolicies(generated, e.mesh, func(service mesh.Service) resource.Policy {
-		return expectedPolicy(e.mesh, service)
+	return generatedDirectory, writePolicies(generatedDirectory, e.mesh, func(service mesh.Service) resource.Policy {
+		return criticalityPolicy(e.mesh, service)
 	})
 }
--- a/lab/experiment/recovery.go
+++ b/lab/experiment/recovery.go
@@ -7,37 +7,38 @@
 )
 
 const (
-	// bucketWidth is the width of the timeline's buckets.
+	// bucketWidth is the length of the timeline's buckets.
 	bucketWidth = 100 * time.Millisecond
-	// smoothing is the number of buckets on each side over which the success
-	// of a bucket is averaged.
-	smoothing = 1
-	// recoveredShare is the share of calls that must succeed.
-	recoveredShare = 0.95
-	// recoveredLatency is how many times the normal 99th percentile the
-	// latency may be.
-	recoveredLatency = 2
-	// recoveredHold is the number of buckets for which both must hold.
-	recoveredHold = 10
+	// smoothingRadius is the number of neighboring buckets on each side that are
+	// included in the average of a bucket's success share.
+	smoothingRadius = 1
+	// minSuccessShare is the share of calls that must succeed after recovery.
+	minSuccessShare = 0.95
+	// maxLatencyFactor is the maximum 99th percentile of latency after recovery,
+	// as a multiple of the one before the overload.
+	maxLatencyFactor = 2
+	// recoveryBuckets is the number of consecutive buckets in which both conditions
+	// must be met.
+	recoveryBuckets = 10
 )
 
-// timeline splits the whole run, the warm-up included, into buckets.
-func (o *Observation) timeline() []Bucket {
-	windows := o.windows()
+// buildTimeline returns the timeline of the whole run, including the warm-up.
+func (o *Observation) buildTimeline() []Bucket {
+	windows := o.phaseWindows()
 	count := int(windows[len(windows)-1].end.Sub(o.Load.Start) / bucketWidth)
 	buckets := make([]Bucket, count)
 	latencies := make([][]time.Duration, count)
 	for i := range buckets {
 		buckets[i].Seconds = (time.Duration(i) * bucketWidth).Seconds()
 	}
-	indexOf := func(moment time.Time) (int, bool) {
-		index := int(moment.Sub(o.Load.Start) / bucketWidth)
+	indexOf := func(t time.Time) (int, bool) {
+		index := int(t.Sub(o.Load.Start) / bucketWidth)
 		return index, index >= 0 && index < count
 	}
 	for _, call := range o.Load.History {
 		for _, attempt := range call.Attempts {
 			if i, ok := indexOf(attempt.Start); ok {
-				buckets[i].Tries++
+				buckets[i].Attempts++
 			}
 		}
 		complete := call.Verdict() == load.VerdictComplete
@@ -58,23 +59,23 @@
 	return buckets
 }
 
-// recovery finds the first moment after the overload from which on, for a
-// second, calls that start succeed as usual: in every bucket, smoothed, at
-// least 95% of them, with a 99th percentile of latency over the second of at
-// most twice the normal.
-func (o *Observation) recovery() Recovery {
-	before, after := o.window(PhaseBefore), o.window(PhaseAfter)
-	normal := quantile(completeLatencies(o.startedIn(before)), 0.99)
-	recovery := Recovery{Observed: after.seconds(), NormalP99Ms: milliseconds(normal)}
+// measureRecovery finds the start of the first second after the overload in which the
+// calls that start meet both conditions: in every bucket, after smoothing, at least
+// 95% of them succeed, and their 99th percentile of latency over the second is at most
+// twice the one before the overload.
+func (o *Observation) measureRecovery() Recovery {
+	before, after := o.phaseWindow(PhaseBefore), o.phaseWindow(PhaseAfter)
+	baseline := quantile(completeLatencies(o.callsStartedIn(before)), 0.99)
+	recovery := Recovery{Observed: after.seconds(), NormalP99Ms: milliseconds(baseline)}
 	shares := o.successShares(after)
-	for first := 0; first+recoveredHold <= len(shares); first++ {
-		if !allAtLeast(shares[first:first+recoveredHold], recoveredShare) {
+	for first := 0; first+recoveryBuckets <= len(shares); first++ {
+		if !allAtLeast(shares[first:first+recoveryBuckets], minSuccessShare) {
 			continue
 		}
 		begin := after.start.Add(time.Duration(first) * bucketWidth)
-		held := window{start: begin, end: begin.Add(recoveredHold * bucketWidth)}
-		latencies := completeLatencies(o.startedIn(held))
-		if quantile(latencies, 0.99) <= recoveredLatency*normal {
+		interval := window{start: begin, end: begin.Add(recoveryBuckets * bucketWidth)}
+		latencies := completeLatencies(o.callsStartedIn(interval))
+		if quantile(latencies, 0.99) <= maxLatencyFactor*baseline {
 			recovery.Recovered = true
 			recovery.Seconds = (time.Duration(first) * bucketWidth).Seconds()
 			return recovery
@@ -83,14 +84,13 @@
 	return recovery
 }
 
-// successShares returns the smoothed share of calls that succeeded, by the
-// bucket of the phase in which they started. Buckets without calls count as
-// unsuccessful.
+// successShares returns the smoothed share of successful calls for each bucket of the
+// window, by intended start. The share of buckets without calls is zero.
 func (o *Observation) successShares(w window) []float64 {
 	count := int(w.end.Sub(w.start) / bucketWidth)
 	offered := make([]float64, count)
 	succeeded := make([]float64, count)
-	for _, call := range o.startedIn(w) {
+	for _, call := range o.callsStartedIn(w) {
 		index := min(int(call.Intended.Sub(w.start)/bucketWidth), count-1)
 		offered[index]++
 		if call.Verdict() == load.VerdictComplete {
@@ -99,7 +99,7 @@
 	}
 	shares := make([]float64, count)
 	for i := range shares {
-		from, to := max(i-smoothing, 0), min(i+smoothing+1, count)
+		from, to := max(i-smoothingRadius, 0), min(i+smoothingRadius+1, count)
 		shares[i] = ratio(sum(succeeded[from:to]), sum(offered[from:to]))
 	}
 	return shares
@@ -113,9 +113,9 @@
 	return total
 }
 
-func allAtLeast(values []float64, least float64) bool {
+func allAtLeast(values []float64, minimum float64) bool {
 	for _, value := range values {
-		if value < least {
+		if value < minimum {
 			return false
 		}
 	}
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -20,24 +20,25 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Config says what is measured.
+// Config is the configuration of a run.
 type Config struct {
-	// Lugspur and Lab are the programs.
+	// Lugspur and Lab are the paths of the programs.
 	Lugspur, Lab string
-	// MeshFile is the mesh; Policies is the directory of the operators'
-	// policies, or empty for policies made from the mesh's expectations.
+	// MeshFile is the path of the mesh file. Policies is the directory of the
+	// operators' policies; empty generates policies with the criticalities of the
+	// mesh file.
 	MeshFile, Policies string
-	// ScenarioFile is the overload.
+	// ScenarioFile is the path of the scenario file.
 	ScenarioFile string
-	// System names the system.
+	// System is the name of the system, one of those in Systems.
 	System string
-	// Directory receives the result and the logs.
+	// Directory is the directory for the result and the logs.
 	Directory    string
 	NodesPerZone int
 	Seed         uint64
 }
 
-// experiment is one run.
+// experiment is the state of one run.
 type experiment struct {
 	config   Config
 	scenario *Scenario
@@ -46,39 +47,40 @@
 	cluster  *cluster.Cluster
 }
 
-// Run makes one run and returns its result, which is also written to
-// result.json in the directory.
+// Run runs one experiment and returns its result, which is also written to
+// ResultFile in the directory.
 func Run(ctx context.Context, config Config) (*Result, error) {
 	e, err := prepare(config)
 	if err != nil {
 		return nil, err
 	}
-	observed, err := e.observe(ctx)
+	observation, err := e.runCluster(ctx)
 	if err != nil {
 		return nil, oops.In("experiment").With("step", "run").Wrapf(err, "scenario %s, system %s", e.scenario.Name, e.system.Name)
 	}
-	result := Measure(observed)
-	return result, result.write(config.Directory)
+	result := Measure(observation)
+	return result, result.writeFile(config.Directory)
 }
 
-// prepare reads the files and writes the mesh that the run uses.
+// prepare loads the scenario and the mesh file and writes the scaled mesh for the
+// run.
 func prepare(config Config) (*experiment, error) {
 	e := &experiment{config: config}
 	var err error
-	if e.system, err = SystemNamed(config.System); err != nil {
+	if e.system, err = SystemByName(config.System); err != nil {
 		return nil, err
 	}
 	if e.scenario, err = LoadScenario(config.ScenarioFile); err != nil {
 		return nil, err
 	}
-	loaded, err := mesh.Load(config.MeshFile)
+	unscaled, err := mesh.Load(config.MeshFile)
 	if err != nil {
 		return nil, err
 	}
-	if err := e.scenario.Check(loaded); err != nil {
-		return nil, fmt.Errorf("scenario %s and mesh %s: %w", e.scenario.Name, loaded.Name, err)
+	if err := e.scenario.ValidateFor(unscaled); err != nil {
+		return nil, fmt.Errorf("scenario %s and mesh %s: %w", e.scenario.Name, unscaled.Name, err)
 	}
-	e.mesh = e.scenario.Scaled(loaded)
+	e.mesh = e.scenario.ScaledMesh(unscaled)
 	if err := os.MkdirAll(config.Directory, 0o755); err != nil {
 		return nil, err
 	}
@@ -91,9 +93,9 @@
 
 func (e *experiment) meshFile() string { return filepath.Join(e.config.Directory, "mesh.toml") }
 
-// observe runs the cluster with load and faults and returns what was seen.
-func (e *experiment) observe(ctx context.Context) (*Observation, error) {
-	policies, err := e.policies()
+// runCluster starts the cluster, runs the load and the faults, and stops the cluster.
+func (e *experiment) runCluster(ctx context.Context) (*Observation, error) {
+	policies, err := e.policyDirectory()
 	if err != nil {
 		return nil, err
 	}
@@ -114,25 +116,25 @@
 	if e.cluster, err = cluster.Start(ctx, config); err != nil {
 		return nil, err
 	}
-	observed, err := e.exercise(ctx)
+	observation, err := e.runLoad(ctx)
 	if err = errors.Join(err, e.cluster.Stop()); err != nil {
 		return nil, err
 	}
-	observed.Records, err = e.readRecords()
-	return observed, err
+	observation.Records, err = e.readRecords()
+	return observation, err
 }
 
-// exercise sends the load while the controller injects faults and samples.
-func (e *experiment) exercise(ctx context.Context) (*Observation, error) {
-	if err := e.setUpTargets(ctx); err != nil {
+// runLoad sends the load while the controller injects faults and takes samples.
+func (e *experiment) runLoad(ctx context.Context) (*Observation, error) {
+	if err := e.configureTargets(ctx); err != nil {
 		return nil, err
 	}
-	control := newController(e)
+	controller := newController(e)
 	controlContext, stopControl := context.WithCancel(ctx)
 	defer stopControl()
 	finished := make(chan error, 1)
-	go func() { finished <- control.run(controlContext) }()
-	result, err := load.Run(ctx, e.plan())
+	go func() { finished <- controller.run(controlContext) }()
+	result, err := load.Run(ctx, e.loadPlan())
 	stopControl()
 	if err = errors.Join(err, <-finished); err != nil {
 		return nil, err
@@ -143,23 +145,23 @@
 		Mesh:     e.mesh,
 		Seed:     e.config.Seed,
 		Load:     result,
-		Samples:  control.samples,
+		Samples:  controller.samples,
 	}, nil
 }
 
-func (e *experiment) plan() load.Plan {
+func (e *experiment) loadPlan() load.Plan {
 	return load.Plan{
 		Mesh:        e.mesh,
 		Edges:       e.edges(),
 		Rate:        e.mesh.Capacity().RequestsPerSecond,
 		Phases:      e.scenario.loadPhases(e.mesh),
 		Seed:        e.config.Seed,
-		Retry:       e.scenario.Clients.retry(),
+		Retry:       e.scenario.Clients.retryPolicy(),
 		KeepHistory: true,
 	}
 }
 
-// edges are the edge addresses of the zones that aren't lost in the run.
+// edges returns the edge addresses of the zones that don't fail in the run.
 func (e *experiment) edges() mesh.ZoneAddresses {
 	edges := e.cluster.Edges()
 	for _, loss := range e.scenario.ZoneLosses {
@@ -168,14 +170,14 @@
 	return edges
 }
 
-// setUpTargets declares and sets the targets as the system wants them.
-func (e *experiment) setUpTargets(ctx context.Context) error {
+// configureTargets applies the system's target configuration and base faults.
+func (e *experiment) configureTargets(ctx context.Context) error {
 	state, err := e.cluster.TargetState(ctx)
 	if err != nil {
 		return err
 	}
 	if e.system.Unlimited {
-		if err := e.declareUnlimited(ctx, state); err != nil {
+		if err := e.applyUnlimitedTargets(ctx, state); err != nil {
 			return err
 		}
 	}
@@ -187,33 +189,35 @@
 	return nil
 }
 
-// baseFaults hold during the whole run: targets of a system that passes on no
-// cancellation finish what they have begun.
+// baseFaults returns the faults that are set for the whole run: with NoPropagation,
+// targets complete every execution that they have started.
 func (e *experiment) baseFaults() emulator.Faults {
 	return emulator.Faults{IgnoreCancellation: e.system.NoPropagation, ShedWaiting: e.scenario.TargetWaiting}
 }
 
-// targetObject is a target as the command line takes it.
+// targetObject is a target in the format of lugspur's object files.
 type targetObject struct {
 	Kind string          `toml:"kind"`
 	Name string          `toml:"name"`
 	Spec resource.Target `toml:"spec"`
 }
 
+// targetFile is an object file with targets.
 type targetFile struct {
 	Objects []targetObject `toml:"object"`
 }
 
-// declareUnlimited declares the targets without bounds.
-func (e *experiment) declareUnlimited(ctx context.Context, state emulator.State) error {
+// applyUnlimitedTargets configures the targets without effective limits and waits
+// until the cluster is ready.
+func (e *experiment) applyUnlimitedTargets(ctx context.Context, state emulator.State) error {
 	var file targetFile
 	for _, target := range state.Targets {
 		file.Objects = append(file.Objects, targetObject{Kind: "target", Name: target.Name, Spec: resource.Target{
 			Service:     target.Service,
 			Zone:        target.Zone,
 			Address:     target.Address,
-			Slots:       unlimited,
-			Connections: unlimited,
+			Slots:       unlimitedCapacity,
+			Connections: unlimitedCapacity,
 		}})
 	}
 	content, err := toml.Marshal(file)
@@ -230,7 +234,8 @@
 	return e.cluster.AwaitReady(ctx)
 }
 
-// readRecords reads the executions after the targets have ended.
+// readRecords reads the targets' records of executions. They are complete once the
+// targets have stopped.
 func (e *experiment) readRecords() ([]emulator.Record, error) {
 	content, err := os.ReadFile(e.cluster.RecordsFile())
 	if err != nil {
@@ -239,11 +244,11 @@
 	return emulator.ReadRecords(bytes.NewReader(content))
 }
 
-// Observation is everything that was seen in a run.
+// Observation is the data collected in a run, from which the result is computed.
 type Observation struct {
 	Scenario *Scenario
 	System   System
-	// Mesh is the mesh as it was run, scaled in time.
+	// Mesh is the mesh of the run, scaled by the scenario.
 	Mesh    *mesh.Mesh
 	Seed    uint64
 	Load    *load.Result
@@ -251,20 +256,21 @@
 	Samples []Sample
 }
 
-// window is a part of a run.
+// window is a time interval of a run. The end is exclusive.
 type window struct {
 	name       string
 	start, end time.Time
 }
 
-func (w window) contains(moment time.Time) bool {
-	return !moment.Before(w.start) && moment.Before(w.end)
+func (w window) contains(t time.Time) bool {
+	return !t.Before(w.start) && t.Before(w.end)
 }
 
 func (w window) seconds() float64 { return w.end.Sub(w.start).Seconds() }
 
-// windows returns the phases of the run without the warm-up.
-func (o *Observation) windows() []window {
+// phaseWindows returns the windows of the measured phases, which are all but the
+// warm-up.
+func (o *Observation) phaseWindows() []window {
 	start := o.Load.Start.Add(seconds(o.Scenario.WarmUpSeconds))
 	var windows []window
 	for _, phase := range o.phases() {
@@ -275,6 +281,7 @@
 	return windows
 }
 
+// namedPhase is a phase with its name.
 type namedPhase struct {
 	Phase
 	name string
@@ -288,8 +295,8 @@
 	}
 }
 
-// window returns the phase with the given name.
-func (o *Observation) window(name string) window {
-	windows := o.windows()
+// phaseWindow returns the window of the measured phase with the given name.
+func (o *Observation) phaseWindow(name string) window {
+	windows := o.phaseWindows()
 	return windows[slices.IndexFunc(windows, func(w window) bool { return w.name == name })]
 }
--- a/lab/experiment/sample.go
+++ b/lab/experiment/sample.go
@@ -16,38 +16,42 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Sample is the state of all nodes and targets at one moment.
+// Sample is the state of all nodes and targets at one point in time.
 type Sample struct {
 	// Seconds is the time since the start of the load.
 	Seconds float64 `json:"seconds"`
-	// Nodes is the number of nodes that answered.
+	// Nodes is the number of nodes whose metrics could be read.
 	Nodes int `json:"nodes"`
-	// Retries counts the calls that nodes sent again since their start.
+	// Retries is the number of retries by nodes since their start.
 	Retries float64 `json:"retries"`
-	// Refusals counts the refusals of all listeners of nodes since their start.
+	// Refusals is the number of refusals by all listeners of the nodes since their
+	// start.
 	Refusals float64 `json:"refusals"`
-	// Services are the states of the services' targets.
+	// Services contains the state of each service's targets.
 	Services []ServiceSample `json:"services"`
 }
 
-// ServiceSample is the state of one service's targets, summed.
+// ServiceSample is the state of one service's targets; values are sums over the
+// targets unless noted.
 type ServiceSample struct {
 	Service string `json:"service"`
-	// Limit, InFlight and Queued are those at the targets' homes.
+	// Limit, InFlight and Queued are the concurrency limits, running calls and
+	// queued calls at the targets' home nodes.
 	Limit    float64 `json:"limit"`
 	InFlight float64 `json:"in_flight"`
 	Queued   float64 `json:"queued"`
-	// LowestThreshold and HighestThreshold are the rank keys from which on calls
-	// for a target are refused upstream; criticality.RankCount refuses none.
+	// LowestThreshold and HighestThreshold are the extremes of the targets' shed
+	// thresholds. Calls whose rank key is at or above the threshold of their target
+	// are refused upstream; criticality.RankCount refuses none.
 	LowestThreshold  float64 `json:"lowest_threshold"`
 	HighestThreshold float64 `json:"highest_threshold"`
-	// Busy and Waiting are slots in use and calls in line, by the targets
-	// themselves.
+	// Busy and Waiting are the used slots and the waiting calls that the targets
+	// report.
 	Busy    int64 `json:"busy"`
 	Waiting int64 `json:"waiting"`
 }
 
-// Queued is the number of calls that wait at homes, of all services.
+// Queued returns the number of calls of all services that are queued at home nodes.
 func (s Sample) Queued() float64 {
 	total := 0.0
 	for _, service := range s.Services {
@@ -56,7 +60,7 @@
 	return total
 }
 
-// Waiting is the number of calls in line at targets, of all services.
+// Waiting returns the number of calls of all services that wait at targets.
 func (s Sample) Waiting() int64 {
 	var total int64
 	for _, service := range s.Services {
@@ -65,7 +69,7 @@
 	return total
 }
 
-// LowestThreshold is the lowest of all services.
+// LowestThreshold returns the lowest shed threshold of all services.
 func (s Sample) LowestThreshold() float64 {
 	lowest := float64(criticality.RankCount)
 	for _, service := range s.Services {
@@ -74,20 +78,21 @@
 	return lowest
 }
 
-// sampler reads nodes and targets.
+// sampler takes samples of a cluster.
 type sampler struct {
 	cluster *cluster.Cluster
 	client  *http.Client
 }
 
-// sampleTimeout bounds one reading.
-const sampleTimeout = 500 * time.Millisecond
+// requestTimeout is the timeout for reading the metrics of one node.
+const requestTimeout = 500 * time.Millisecond
 
 func newSampler(c *cluster.Cluster) *sampler {
-	return &sampler{cluster: c, client: &http.Client{Timeout: sampleTimeout}}
+	return &sampler{cluster: c, client: &http.Client{Timeout: requestTimeout}}
 }
 
-// sample reads everything at once. What doesn't answer is left out.
+// sample reads the state of the targets and then of all nodes in parallel. Those that
+// don't respond are left out of the sums.
 func (s *sampler) sample(ctx context.Context, start time.Time) Sample {
 	sample := newSample(s.cluster.Mesh)
 	sample.Seconds = time.Since(start).Seconds()
@@ -102,7 +107,7 @@
 	for _, target := range s.cluster.Mesh.Targets {
 		serviceOf[target.Name] = target.Service
 	}
-	for _, families := range s.readNodes(ctx) {
+	for _, families := range s.scrapeNodes(ctx) {
 		if families != nil {
 			sample.addNode(families, serviceOf)
 		}
@@ -110,6 +115,8 @@
 	return sample
 }
 
+// newSample returns a sample without nodes, whose thresholds are the identity values
+// of minimum and maximum.
 func newSample(m *mesh.Mesh) Sample {
 	var sample Sample
 	for _, service := range m.Services {
@@ -122,29 +129,31 @@
 	return sample
 }
 
-// service returns the part of a service that the mesh has.
+// service returns the sample of a service, which must be in the mesh.
 func (s *Sample) service(name string) *ServiceSample {
-	index := slices.IndexFunc(s.Services, func(each ServiceSample) bool { return each.Service == name })
+	index := slices.IndexFunc(s.Services, func(service ServiceSample) bool { return service.Service == name })
 	return &s.Services[index]
 }
 
-// metricFamilies are the metrics of a node by name.
+// metricFamilies contains the metrics of a node by name.
 type metricFamilies map[string]*dto.MetricFamily
 
-func (s *sampler) readNodes(ctx context.Context) []metricFamilies {
-	answers := make([]metricFamilies, len(s.cluster.Nodes))
-	var reading sync.WaitGroup
+// scrapeNodes returns the metrics of all nodes; those of nodes that aren't running or
+// can't be read are nil.
+func (s *sampler) scrapeNodes(ctx context.Context) []metricFamilies {
+	results := make([]metricFamilies, len(s.cluster.Nodes))
+	var scrapes sync.WaitGroup
 	for i, node := range s.cluster.Nodes {
 		if node.Running() {
-			reading.Go(func() { answers[i] = s.readNode(ctx, node) })
+			scrapes.Go(func() { results[i] = s.scrapeNode(ctx, node) })
 		}
 	}
-	reading.Wait()
-	return answers
+	scrapes.Wait()
+	return results
 }
 
-// readNode returns the metrics of a node, or nil.
-func (s *sampler) readNode(ctx context.Context, node *cluster.Node) metricFamilies {
+// scrapeNode returns the metrics of a node, or nil if they can't be read.
+func (s *sampler) scrapeNode(ctx context.Context, node *cluster.Node) metricFamilies {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+node.Addresses.Admin+"/metrics", nil)
 	if err != nil {
 		return nil
@@ -162,30 +171,31 @@
 	return families
 }
 
+// addNode adds the metrics of a node. serviceOf maps names of targets to services.
 func (s *Sample) addNode(families metricFamilies, serviceOf map[string]string) {
 	s.Nodes++
-	s.Retries += families.sum("lugspur_retries_total")
-	s.Refusals += families.sum("lugspur_refusals_total")
-	each := func(name string, take func(service *ServiceSample, value float64)) {
+	s.Retries += families.sumSeries("lugspur_retries_total")
+	s.Refusals += families.sumSeries("lugspur_refusals_total")
+	addGauge := func(name string, add func(service *ServiceSample, value float64)) {
 		for _, metric := range families[name].GetMetric() {
 			for _, label := range metric.GetLabel() {
 				if service, known := serviceOf[label.GetValue()]; known && label.GetName() == "target" {
-					take(s.service(service), metric.GetGauge().GetValue())
+					add(s.service(service), metric.GetGauge().GetValue())
 				}
 			}
 		}
 	}
-	each("lugspur_target_limit", func(service *ServiceSample, value float64) { service.Limit += value })
-	each("lugspur_target_in_flight", func(service *ServiceSample, value float64) { service.InFlight += value })
-	each("lugspur_target_queued", func(service *ServiceSample, value float64) { service.Queued += value })
-	each("lugspur_target_shed_threshold", func(service *ServiceSample, value float64) {
+	addGauge("lugspur_target_limit", func(service *ServiceSample, value float64) { service.Limit += value })
+	addGauge("lugspur_target_in_flight", func(service *ServiceSample, value float64) { service.InFlight += value })
+	addGauge("lugspur_target_queued", func(service *ServiceSample, value float64) { service.Queued += value })
+	addGauge("lugspur_target_shed_threshold", func(service *ServiceSample, value float64) {
 		service.LowestThreshold = min(service.LowestThreshold, value)
 		service.HighestThreshold = max(service.HighestThreshold, value)
 	})
 }
 
-// sum adds up all series of a counter or gauge.
-func (m metricFamilies) sum(name string) float64 {
+// sumSeries returns the sum of all series of a counter or gauge.
+func (m metricFamilies) sumSeries(name string) float64 {
 	total := 0.0
 	for _, metric := range m[name].GetMetric() {
 		total += metric.GetCounter().GetValue() + metric.GetGauge().GetValue()
--- a/lab/experiment/scenario.go
+++ b/lab/experiment/scenario.go
@@ -16,7 +16,7 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// The names of the phases of every run.
+// Names of the phases of a run.
 const (
 	PhaseWarmUp = "warm-up"
 	PhaseBefore = "before"
@@ -24,67 +24,70 @@
 	PhaseAfter  = "after"
 )
 
-// Scenario is an overload as a file describes it.
+// Scenario is the content of a scenario file, which describes an overload.
 type Scenario struct {
 	Name        string `toml:"name" validate:"required"`
 	Description string `toml:"description"`
 	// TimeScale multiplies all service times and deadlines of the mesh, so that
-	// fewer calls a second fill it; zero means one.
+	// fewer calls per second saturate it; zero means one.
 	TimeScale float64 `toml:"time_scale" validate:"gte=0,lte=100"`
-	// DeadlineScale multiplies the deadlines of clients besides, for clients that
-	// are less patient than the mesh file says; zero means one.
+	// DeadlineScale additionally multiplies the deadlines of clients, for clients
+	// with shorter timeouts than in the mesh file; zero means one.
 	DeadlineScale float64 `toml:"deadline_scale" validate:"gte=0,lte=100"`
-	// WarmUpSeconds is how long the load of Before runs before it counts.
-	WarmUpSeconds float64 `toml:"warm_up_seconds" validate:"gte=0,lte=600"`
-	Before        Phase   `toml:"before"`
-	During        Phase   `toml:"during"`
-	After         Phase   `toml:"after"`
-	Clients       Clients `toml:"clients"`
-	// TargetWaiting replaces the number of waiting calls past which targets
-	// refuse by themselves, during the whole run; zero means never, and unset
-	// the mesh's own.
+	// WarmUpSeconds is the length of the warm-up, which has the load of Before and
+	// isn't measured.
+	WarmUpSeconds float64     `toml:"warm_up_seconds" validate:"gte=0,lte=600"`
+	Before        Phase       `toml:"before"`
+	During        Phase       `toml:"during"`
+	After         Phase       `toml:"after"`
+	Clients       ClientRetry `toml:"clients"`
+	// TargetWaiting replaces the number of waiting calls above which targets
+	// refuse calls themselves, for the whole run; zero disables these refusals,
+	// and nil means the mesh's value.
 	TargetWaiting *int `toml:"target_waiting" validate:"omitempty,gte=0"`
-	// Faults are what goes wrong with targets.
+	// Faults are the faults injected into targets.
 	Faults []Fault `toml:"faults" validate:"dive"`
-	// ZoneLosses are zones that go away with their nodes and targets.
+	// ZoneLosses are failures of whole zones.
 	ZoneLosses []ZoneLoss `toml:"zone_losses" validate:"dive"`
 }
 
-// Phase is a part of a run.
+// Phase is a part of a run with a constant load.
 type Phase struct {
 	// Seconds is the length of the phase.
 	Seconds float64 `toml:"seconds" validate:"gt=0,lte=3600"`
 	// Load is the rate of calls as a multiple of the mesh's capacity.
 	Load float64 `toml:"load" validate:"gte=0,lte=1000"`
-	// Kinds multiply the rates of single kinds on top.
+	// Kinds additionally multiply the rates of single kinds.
 	Kinds []KindFactor `toml:"kinds" validate:"dive"`
-	// Criticalities multiply the rates of all kinds of a criticality on top.
+	// Criticalities additionally multiply the rates of all kinds of a criticality.
 	Criticalities []CriticalityFactor `toml:"criticalities" validate:"dive"`
 }
 
-// KindFactor scales the rate of one kind of call.
+// KindFactor multiplies the rate of one kind of call.
 type KindFactor struct {
 	Kind   string  `toml:"kind" validate:"required"`
 	Factor float64 `toml:"factor" validate:"gte=0"`
 }
 
-// CriticalityFactor scales the rates of the kinds of one criticality.
+// CriticalityFactor multiplies the rates of the kinds of one criticality.
 type CriticalityFactor struct {
 	Criticality string  `toml:"criticality" validate:"required,oneof=critical-plus critical sheddable-plus sheddable"`
 	Factor      float64 `toml:"factor" validate:"gte=0"`
 }
 
-// Clients say what clients do after a call that wasn't answered completely.
-type Clients struct {
-	// Attempts is the number of tries in all; zero means one.
+// ClientRetry is the retry policy of clients for calls that weren't answered
+// completely.
+type ClientRetry struct {
+	// Attempts is the maximum number of attempts, including the first; zero means
+	// one.
 	Attempts int `toml:"attempts" validate:"gte=0,lte=100"`
-	// PauseMs is the pause between two tries, in milliseconds.
+	// PauseMs is the delay between two attempts in milliseconds.
 	PauseMs float64 `toml:"pause_ms" validate:"gte=0"`
-	// IgnoreRefusals makes clients try again although they were told not to.
+	// IgnoreRefusals makes clients retry calls whose refusal says not to retry.
 	IgnoreRefusals bool `toml:"ignore_refusals"`
 }
 
-// LoadScenario reads and checks a scenario file. Unknown keys are errors.
+// LoadScenario reads and validates a scenario file. Unknown keys are errors.
 func LoadScenario(path string) (*Scenario, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -97,7 +100,7 @@
 	return scenario, nil
 }
 
-// ParseScenario reads and checks the content of a scenario file.
+// ParseScenario parses and validates the content of a scenario file.
 func ParseScenario(content []byte) (*Scenario, error) {
 	var scenario Scenario
 	err := toml.NewDecoder(bytes.NewReader(content)).DisallowUnknownFields().Decode(&scenario)
@@ -111,35 +114,36 @@
 	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(&scenario); err != nil {
 		return nil, err
 	}
-	return &scenario, scenario.checkIntervals()
+	return &scenario, scenario.validateIntervals()
 }
 
-func (s *Scenario) checkIntervals() error {
-	longest := s.During.Seconds + s.After.Seconds
-	check := func(what string, interval Interval) error {
-		if interval.FromSeconds >= longest {
-			return fmt.Errorf("%s begins %g s after the start of the overload, when the run is over", what, interval.FromSeconds)
+func (s *Scenario) validateIntervals() error {
+	runEnd := s.During.Seconds + s.After.Seconds
+	validate := func(what string, interval Interval) error {
+		if interval.FromSeconds >= runEnd {
+			return fmt.Errorf("%s starts %g s after the start of the overload, after the end of the run", what, interval.FromSeconds)
 		}
 		if interval.Seconds == 0 && interval.FromSeconds >= s.During.Seconds {
-			return fmt.Errorf("%s begins after the phase during and has no length", what)
+			return fmt.Errorf("%s starts after the end of the phase during and needs a value for seconds", what)
 		}
 		return nil
 	}
 	for i, fault := range s.Faults {
-		if err := check(fmt.Sprintf("fault %d", i+1), fault.Interval); err != nil {
+		if err := validate(fmt.Sprintf("fault %d", i+1), fault.Interval); err != nil {
 			return err
 		}
 	}
 	for i, loss := range s.ZoneLosses {
-		if err := check(fmt.Sprintf("zone loss %d", i+1), loss.Interval); err != nil {
+		if err := validate(fmt.Sprintf("zone loss %d", i+1), loss.Interval); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Check reports what the scenario names and the mesh doesn't have.
-func (s *Scenario) Check(m *mesh.Mesh) error {
+// ValidateFor returns an error if the scenario refers to kinds, targets or zones
+// that the mesh doesn't have.
+func (s *Scenario) ValidateFor(m *mesh.Mesh) error {
 	for _, phase := range []Phase{s.Before, s.During, s.After} {
 		for _, factor := range phase.Kinds {
 			if _, ok := m.Kind(factor.Kind); !ok {
@@ -148,8 +152,8 @@
 		}
 	}
 	for i, fault := range s.Faults {
-		if len(fault.targetsOf(m)) == 0 {
-			return fmt.Errorf("fault %d hits no target of the mesh", i+1)
+		if len(fault.affectedTargets(m)) == 0 {
+			return fmt.Errorf("fault %d affects no target of the mesh", i+1)
 		}
 	}
 	for _, loss := range s.ZoneLosses {
@@ -169,28 +173,28 @@
 	return false
 }
 
-// Scaled returns the mesh with service times and deadlines multiplied by the
-// scenario's time scale, and deadlines by the scenario's deadline scale too.
-func (s *Scenario) Scaled(m *mesh.Mesh) *mesh.Mesh {
-	times, deadlines := orOne(s.TimeScale), orOne(s.DeadlineScale)
-	scaled := withTimes(m, func(string) float64 { return times })
+// ScaledMesh returns a copy of the mesh with service times and deadlines multiplied
+// by TimeScale, and deadlines also by DeadlineScale.
+func (s *Scenario) ScaledMesh(m *mesh.Mesh) *mesh.Mesh {
+	timeScale, deadlineScale := oneIfUnset(s.TimeScale), oneIfUnset(s.DeadlineScale)
+	scaled := withScaledServiceTimes(m, func(string) float64 { return timeScale })
 	scaled.Kinds = append([]mesh.Kind(nil), m.Kinds...)
 	for i := range scaled.Kinds {
-		scaled.Kinds[i].DeadlineMs *= times * deadlines
+		scaled.Kinds[i].DeadlineMs *= timeScale * deadlineScale
 	}
 	return scaled
 }
 
-// orOne returns one in place of a factor that is not set.
-func orOne(factor float64) float64 {
+// oneIfUnset returns the factor, or one if it is zero.
+func oneIfUnset(factor float64) float64 {
 	if factor == 0 {
 		return 1
 	}
 	return factor
 }
 
-// retry returns what the load's clients do.
-func (c Clients) retry() load.Retry {
+// retryPolicy returns the retry policy for the load generator.
+func (c ClientRetry) retryPolicy() load.Retry {
 	return load.Retry{
 		Attempts:       max(c.Attempts, 1),
 		Delay:          mesh.Milliseconds(c.PauseMs),
@@ -198,8 +202,8 @@
 	}
 }
 
-// loadPhases returns the phases of the load's plan: the rate of the plan is the
-// capacity of the mesh.
+// loadPhases returns the phases for the load generator. Their multipliers are
+// relative to the plan's rate, which is the capacity of the mesh.
 func (s *Scenario) loadPhases(m *mesh.Mesh) []load.Phase {
 	var phases []load.Phase
 	if s.WarmUpSeconds > 0 {
@@ -221,21 +225,21 @@
 		KindMultipliers: make(map[string]float64, len(m.Kinds)),
 	}
 	for _, kind := range m.Kinds {
-		phase.KindMultipliers[kind.Name] = p.factorOf(kind)
+		phase.KindMultipliers[kind.Name] = p.kindMultiplier(kind)
 	}
 	return phase
 }
 
-func (p Phase) factorOf(kind mesh.Kind) float64 {
+func (p Phase) kindMultiplier(kind mesh.Kind) float64 {
 	factor := 1.0
-	for _, scaled := range p.Kinds {
-		if scaled.Kind == kind.Name {
-			factor *= scaled.Factor
+	for _, kindFactor := range p.Kinds {
+		if kindFactor.Kind == kind.Name {
+			factor *= kindFactor.Factor
 		}
 	}
-	for _, scaled := range p.Criticalities {
-		if scaled.Criticality == kind.Criticality {
-			factor *= scaled.Factor
+	for _, criticalityFactor := range p.Criticalities {
+		if criticalityFactor.Criticality == kind.Criticality {
+			factor *= criticalityFactor.Factor
 		}
 	}
 	return factor
@@ -243,8 +247,9 @@
 
 func seconds(value float64) time.Duration { return time.Duration(value * float64(time.Second)) }
 
-// levelOf returns the criticality of a kind; the mesh file was checked.
-func levelOf(kind mesh.Kind) criticality.Level {
+// criticalityLevel returns the criticality of a kind. Parsing can't fail, as loading
+// the mesh file validates criticalities.
+func criticalityLevel(kind mesh.Kind) criticality.Level {
 	level, err := criticality.ParseLevel(kind.Criticality)
 	if err != nil {
 		return criticality.Sheddable
--- a/lab/experiment/system.go
+++ b/lab/experiment/system.go
@@ -5,42 +5,47 @@
 	"slices"
 )
 
-// System is what stands between the clients and the targets.
+// System is a configuration of nodes and targets whose results are compared with
+// those of other systems.
 type System struct {
 	Name string
-	// Description says what the system does, for reports.
+	// Description is a short description for reports.
 	Description string
-	// NodeFlags are the flags of the nodes.
+	// NodeFlags are additional flags of the nodes.
 	NodeFlags []string
-	// PlainPolicies replaces the operators' policies by ones that admit all
-	// calls, rank them alike and retry at each hop.
+	// PlainPolicies replaces the operators' policies with ones that admit all
+	// calls, give them the same rank and retry at each hop.
 	PlainPolicies bool
-	// Unlimited declares targets without bounds on calls and connections.
+	// Unlimited configures targets without effective limits on calls and
+	// connections.
 	Unlimited bool
-	// TargetAttempts is how often targets try their own calls.
+	// TargetAttempts is the maximum number of attempts of targets for their
+	// downstream calls.
 	TargetAttempts int
-	// NoPropagation has targets learn of no deadline and of no caller that left.
+	// NoPropagation makes targets complete executions after their callers have
+	// disconnected or their deadlines have passed.
 	NoPropagation bool
 }
 
 const (
-	// plainRetries is the number of retries at each hop in the baselines.
-	plainRetries = 3
-	// unlimited is a number of slots and connections that is never reached.
-	unlimited = 100_000
-	// noneAttempts is how often targets try their own calls where nothing
-	// bounds retries.
-	noneAttempts = 3
+	// baselineRetries is the number of retries at each hop in the baselines.
+	baselineRetries = 3
+	// unlimitedCapacity is a number of slots and connections that no run reaches.
+	unlimitedCapacity = 100_000
+	// noneTargetAttempts is the value of TargetAttempts in the system none, which
+	// doesn't limit retries.
+	noneTargetAttempts = 3
 )
 
-// retriesWithoutBound lift every bound on retries that settings can lift.
-var retriesWithoutBound = []string{
+// unboundedRetryFlags disable or raise the limits on retries, as far as settings
+// allow it.
+var unboundedRetryFlags = []string{
 	"-features-retry-ratio=false",
 	"-retries-max-per-request=20",
 }
 
-// withoutControl turns off everything that reacts to load.
-var withoutControl = []string{
+// noLoadControlFlags disable all mechanisms that react to load.
+var noLoadControlFlags = []string{
 	"-features-homes=false",
 	"-features-shed-levels=false",
 	"-features-adaptive-limit=false",
@@ -57,30 +62,30 @@
 		},
 		{
 			Name:        "local",
-			Description: "each node on its own: no home nodes, no shed levels passed on",
+			Description: "no coordination between nodes: no home nodes, no propagation of shed levels",
 			NodeFlags:   []string{"-features-homes=false", "-features-shed-levels=false"},
 		},
 		{
 			Name:          "static",
-			Description:   "each node limits each target to its slots, first in first out, three retries a hop",
-			NodeFlags:     slices.Concat(withoutControl, retriesWithoutBound),
+			Description:   "each node limits each target to its slots, queues in FIFO order, three retries per hop",
+			NodeFlags:     slices.Concat(noLoadControlFlags, unboundedRetryFlags),
 			PlainPolicies: true,
 		},
 		{
 			Name: "none",
-			Description: "plain routing without limits; nodes retry three times a hop, targets try their own calls three times; " +
-				"no deadline and no cancellation reaches targets",
-			NodeFlags:      slices.Concat(withoutControl, retriesWithoutBound, []string{"-limits-max-concurrent-calls=1000000"}),
+			Description: "routing without limits; nodes retry three times per hop, targets attempt their downstream calls three times; " +
+				"targets ignore deadlines and cancellations",
+			NodeFlags:      slices.Concat(noLoadControlFlags, unboundedRetryFlags, []string{"-limits-max-concurrent-calls=1000000"}),
 			PlainPolicies:  true,
 			Unlimited:      true,
-			TargetAttempts: noneAttempts,
+			TargetAttempts: noneTargetAttempts,
 			NoPropagation:  true,
 		},
 	}
 }
 
-// SystemNamed returns the system with the given name.
-func SystemNamed(name string) (System, error) {
+// SystemByName returns the system with the given name.
+func SystemByName(name string) (System, error) {
 	var names []string
 	for _, system := range Systems() {
 		if system.Name == name {
@@ -88,5 +93,5 @@
 		}
 		names = append(names, system.Name)
 	}
-	return System{}, fmt.Errorf("unknown system %q: allowed are %v", name, names)
+	return System{}, fmt.Errorf("unknown system %q, must be one of %v", name, names)
 }
--- a/lab/experiment/waste.go
+++ b/lab/experiment/waste.go
@@ -8,8 +8,8 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// answeredRequests returns the ids of the requests that were answered
-// completely. Each try of a client is a request of its own.
+// answeredRequests returns the IDs of the requests that were answered completely. Each
+// attempt of a client has its own request ID.
 func (o *Observation) answeredRequests() map[string]bool {
 	answered := make(map[string]bool)
 	for _, call := range o.Load.History {
@@ -20,34 +20,33 @@
 	return answered
 }
 
-// counted returns the executions that began in the counted phases or after
-// them.
-func (o *Observation) counted() []emulator.Record {
-	begin := o.window(PhaseBefore).start
-	var counted []emulator.Record
+// measuredRecords returns the executions that started after the warm-up.
+func (o *Observation) measuredRecords() []emulator.Record {
+	measuredFrom := o.phaseWindow(PhaseBefore).start
+	var measured []emulator.Record
 	for _, record := range o.Records {
-		if !record.Start.Before(begin) {
-			counted = append(counted, record)
+		if !record.Start.Before(measuredFrom) {
+			measured = append(measured, record)
 		}
 	}
-	return counted
+	return measured
 }
 
-// waste joins executions with what clients were told. The time of an execution
-// is the time that it held its slot, including its downstream calls.
-func (o *Observation) waste() Waste {
+// measureWaste computes the wasted slot time by matching executions with the answers
+// that clients received. The slot time of an execution includes its downstream calls.
+func (o *Observation) measureWaste() Waste {
 	answered := o.answeredRequests()
 	var waste Waste
 	services := make([]ServiceWaste, len(o.Mesh.Services))
 	for i, service := range o.Mesh.Services {
 		services[i].Service = service.Name
 	}
-	for _, record := range o.counted() {
-		held := record.End.Sub(record.Start).Seconds()
-		wasted := waste.add(record, answered[record.RequestID], held)
+	for _, record := range o.measuredRecords() {
+		slotSeconds := record.End.Sub(record.Start).Seconds()
+		wasted := waste.add(record, answered[record.RequestID], slotSeconds)
 		for i := range services {
 			if services[i].Service == record.Service {
-				services[i].SlotSeconds += held
+				services[i].SlotSeconds += slotSeconds
 				services[i].Wasted += wasted
 			}
 		}
@@ -57,74 +56,76 @@
 	return waste
 }
 
-// add counts one execution and returns how much of its time was wasted.
-func (w *Waste) add(record emulator.Record, answered bool, held float64) float64 {
+// add adds one execution and returns its wasted slot time.
+func (w *Waste) add(record emulator.Record, answered bool, slotSeconds float64) float64 {
 	w.Executions++
-	w.SlotSeconds += held
+	w.SlotSeconds += slotSeconds
 	switch {
 	case !answered:
-		w.FailedRequests += held
+		w.FailedRequests += slotSeconds
 	case record.Outcome != emulator.OutcomeComplete:
-		w.Discarded += held
+		w.Discarded += slotSeconds
 	default:
 		return 0
 	}
-	return held
+	return slotSeconds
 }
 
-// retries counts what was done again.
-func (o *Observation) retries(executions int) Retries {
+// measureRetries computes the retries of clients and nodes, and the number of
+// executions in relation to those that were required.
+func (o *Observation) measureRetries(executions int) Retries {
 	retries := Retries{Nodes: o.nodeRetries()}
-	needed := 0
-	begin := o.window(PhaseBefore).start
+	required := 0
+	measuredFrom := o.phaseWindow(PhaseBefore).start
 	for _, call := range o.Load.History {
-		if call.Intended.Before(begin) {
+		if call.Intended.Before(measuredFrom) {
 			continue
 		}
 		retries.Clients += max(len(call.Attempts)-1, 0)
 		if kind, ok := o.Mesh.Kind(call.Kind); ok && call.Verdict() == load.VerdictComplete {
-			needed += treeSize(o.Mesh, kind.Service, kind.Method, kind.Path)
+			required += callTreeSize(o.Mesh, kind.Service, kind.Method, kind.Path)
 		}
 	}
-	retries.Amplification = ratio(float64(executions), float64(needed))
-	retries.MostExecutions, retries.MostPerService = o.mostExecutions()
+	retries.Amplification = ratio(float64(executions), float64(required))
+	retries.MostExecutions, retries.MostPerService = o.maxExecutions()
 	return retries
 }
 
-// nodeRetries returns the growth of the nodes' counters since the warm-up. A
-// node that was started again counts from zero, so that falls are left out.
+// nodeRetries returns the increase of the nodes' retry counters since the warm-up. The
+// counters of a restarted node start from zero, so decreases are ignored.
 func (o *Observation) nodeRetries() float64 {
-	total, before := 0.0, -1.0
+	total, previous := 0.0, -1.0
 	for _, sample := range o.Samples {
 		if sample.Seconds < o.Scenario.WarmUpSeconds {
 			continue
 		}
-		if before >= 0 {
-			total += max(sample.Retries-before, 0)
+		if previous >= 0 {
+			total += max(sample.Retries-previous, 0)
 		}
-		before = sample.Retries
+		previous = sample.Retries
 	}
 	return total
 }
 
-// treeSize is the number of executions that one call needs.
-func treeSize(m *mesh.Mesh, name, method, path string) int {
+// callTreeSize returns the number of executions that a call requires, including its
+// downstream calls.
+func callTreeSize(m *mesh.Mesh, name, method, path string) int {
 	service, _ := m.Service(name)
 	work, _ := service.Work(method, path)
 	size := 1
 	for _, call := range work.Calls {
-		size += treeSize(m, call.Service, call.Method, call.Path)
+		size += callTreeSize(m, call.Service, call.Method, call.Path)
 	}
 	return size
 }
 
-// mostExecutions returns the most executions of one request, in all and of one
-// service.
-func (o *Observation) mostExecutions() (all, perService int) {
+// maxExecutions returns the maximum number of executions of one request, in total and
+// by one service.
+func (o *Observation) maxExecutions() (all, perService int) {
 	type requestService struct{ request, service string }
 	byRequest := make(map[string]int)
 	byService := make(map[requestService]int)
-	for _, record := range o.counted() {
+	for _, record := range o.measuredRecords() {
 		if record.RequestID == "" {
 			continue
 		}
@@ -137,30 +138,32 @@
 	return all, perService
 }
 
-// targetStretch compares the time of executions with the mean of the drawn
-// times, for services that call no others and that no fault slows. Only
-// executions that ended by themselves count.
+// targetStretch returns the ratio of the measured time of executions to the configured
+// mean service time. It includes only complete executions at targets without faults
+// and without downstream calls. Without any it returns one.
 func (o *Observation) targetStretch(w window) float64 {
-	took, drawn := 0.0, 0.0
+	measured, expected := 0.0, 0.0
 	for _, record := range o.Records {
 		if !w.contains(record.Start) || record.Outcome != emulator.OutcomeComplete {
 			continue
 		}
-		expected, known := o.expectedTime(record)
+		serviceTime, known := o.expectedServiceTime(record)
 		if known {
-			took += record.End.Sub(record.Start).Seconds()
-			drawn += expected.Seconds()
+			measured += record.End.Sub(record.Start).Seconds()
+			expected += serviceTime.Seconds()
 		}
 	}
-	if drawn == 0 {
+	if expected == 0 {
 		return 1
 	}
-	return took / drawn
+	return measured / expected
 }
 
-func (o *Observation) expectedTime(record emulator.Record) (time.Duration, bool) {
+// expectedServiceTime returns the configured mean service time of an execution, or
+// false if its time can't be predicted, due to faults or downstream calls.
+func (o *Observation) expectedServiceTime(record emulator.Record) (time.Duration, bool) {
 	service, ok := o.Mesh.Service(record.Service)
-	if !ok || o.disturbed(record.Target) {
+	if !ok || o.hasFault(record.Target) {
 		return 0, false
 	}
 	work, ok := service.Work(record.Method, record.Path)
@@ -170,17 +173,17 @@
 	return work.Time.Mean(), true
 }
 
-// disturbed reports whether a fault hits the target at any time of the run.
-func (o *Observation) disturbed(target string) bool {
+// hasFault reports whether a fault affects the target at any time of the run.
+func (o *Observation) hasFault(target string) bool {
 	for _, fault := range o.Scenario.Faults {
-		for _, hit := range fault.targetsOf(o.Mesh) {
+		for _, hit := range fault.affectedTargets(o.Mesh) {
 			if hit == target {
 				return true
 			}
 		}
 	}
 	for _, loss := range o.Scenario.ZoneLosses {
-		for _, hit := range (Fault{Zones: []string{loss.Zone}}).targetsOf(o.Mesh) {
+		for _, hit := range (Fault{Zones: []string{loss.Zone}}).affectedTargets(o.Mesh) {
 			if hit == target {
 				return true
 			}
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -161,7 +161,7 @@
 // retries adds the tries of clients after their first, from the timeline, to
 // the growth of the nodes' counters, from the samples.
 func retries(result *experiment.Result) plotter.XYs {
-	clients := rateOf(result, func(bucket experiment.Bucket) int { return max(bucket.Tries-bucket.Offered, 0) })
+	clients := rateOf(result, func(bucket experiment.Bucket) int { return max(bucket.Attempts-bucket.Offered, 0) })
 	points := make(plotter.XYs, 0, len(clients))
 	for _, point := range clients {
 		points = append(points, plotter.XY{X: point.X, Y: point.Y + nodeRetryRate(result.Samples, point.X)})
--- a/lab/report/report_test.go
+++ b/lab/report/report_test.go
@@ -16,11 +16,11 @@
 func resultOf(system string, seed uint64) *experiment.Result {
 	result := &experiment.Result{Scenario: "surge", Mesh: "naidu", System: system, Seed: seed, Phases: []experiment.PhaseResult{
 		{Name: experiment.PhaseDuring, Goodput: 123, ShareOfAttainable: 0.456,
-			Criticalities: []experiment.Group{{Name: "critical-plus", Offered: 9, Complete: 7}}},
+			Criticalities: []experiment.CallStats{{Name: "critical-plus", Offered: 9, Complete: 7}}},
 	}}
 	for i := range 20 {
 		moment := float64(i) / 10
-		result.Timeline = append(result.Timeline, experiment.Bucket{Seconds: moment, Offered: 10, Completed: 6, Tries: 14})
+		result.Timeline = append(result.Timeline, experiment.Bucket{Seconds: moment, Offered: 10, Completed: 6, Attempts: 14})
 		result.Samples = append(result.Samples, experiment.Sample{Seconds: moment, Retries: float64(2 * i)})
 	}
 	return result
