--- a/lab/report/command.go
+++ b/lab/report/command.go
@@ -13,7 +13,7 @@
 	"github.com/lugspur/lugspur/lab/experiment"
 )
 
-// Commands returns the lab's commands of this package.
+// Commands returns the lab commands of this package.
 func Commands() []subcommands.Command { return []subcommands.Command{&reportCommand{}} }
 
 type reportCommand struct {
@@ -22,14 +22,13 @@
 }
 
 func (*reportCommand) Name() string     { return "report" }
-func (*reportCommand) Synopsis() string { return "show the results of experiments side by side" }
+func (*reportCommand) Synopsis() string { return "compare the results of experiments in an HTML file" }
 
-// Usage describes the command.
 func (*reportCommand) Usage() string {
-	return `report -out FILE.html [-images DIR] DIR...: show the results of experiments side by side.
+	return `report -out FILE.html [-images DIR] DIR...: compare the results of experiments.
 
-Each DIR is the -out of a run of lugspur-lab experiment. Plots show the run of
-each system with the lowest seed.
+Each DIR is the -out directory of a lugspur-lab experiment run. Plots show the
+run with the lowest seed of each system.
 
 Example:
   lugspur-lab report -out /tmp/surge.html /tmp/surge-2x-*
@@ -40,13 +39,13 @@
 // SetFlags defines the command's flags.
 func (c *reportCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.out, "out", "", "HTML `file`")
-	flags.StringVar(&c.images, "images", "", "`directory` for the plots as PNG files; empty writes none")
+	flags.StringVar(&c.images, "images", "", "`directory` for the plots as PNG files; empty writes no PNG files")
 }
 
 // Execute writes the report.
 func (c *reportCommand) Execute(_ context.Context, flags *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if c.out == "" || flags.NArg() == 0 {
-		fmt.Fprintln(os.Stderr, "-out and at least one directory are needed")
+		fmt.Fprintln(os.Stderr, "-out and at least one directory are required")
 		return subcommands.ExitUsageError
 	}
 	if err := c.run(flags.Args()); err != nil {
@@ -65,20 +64,21 @@
 		}
 		results = append(results, result)
 	}
-	made, err := pageOf(results)
+	report, err := newPage(results)
 	if err != nil {
 		return err
 	}
-	if err := made.writeImages(c.images); err != nil {
+	if err := report.writeImages(c.images); err != nil {
 		return err
 	}
 	var content bytes.Buffer
-	if err := made.write(&content); err != nil {
+	if err := report.write(&content); err != nil {
 		return err
 	}
 	return os.WriteFile(c.out, content.Bytes(), 0o644)
 }
 
+// writeImages writes the plots as PNG files, unless the directory is empty.
 func (p page) writeImages(directory string) error {
 	if directory == "" {
 		return nil
--- a/lab/report/doc.go
+++ b/lab/report/doc.go
@@ -1,3 +1,3 @@
-// Package report turns the results of experiments into one HTML file with
-// tables and plots, the systems side by side.
+// Package report generates an HTML file from the results of experiments, with
+// tables and plots that compare the systems.
 package report
--- a/lab/report/group.go
+++ b/lab/report/group.go
@@ -9,15 +9,16 @@
 	"github.com/lugspur/lugspur/lab/experiment"
 )
 
-// group holds the results of one scenario on one mesh.
+// group contains the results of one scenario with one mesh.
 type group struct {
 	Scenario, Mesh string
 	Results        []*experiment.Result
 }
 
-// groupsOf sorts results into groups, in the order of their names; inside a
-// group by system, lugspur first, then by seed.
-func groupsOf(results []*experiment.Result) []group {
+// groupResults groups results by mesh and scenario and sorts the groups by both names.
+// Within a group, results are sorted by system, in the order of experiment.Systems, and
+// then by seed.
+func groupResults(results []*experiment.Result) []group {
 	var groups []group
 	for _, result := range results {
 		index := slices.IndexFunc(groups, func(g group) bool { return g.Scenario == result.Scenario && g.Mesh == result.Mesh })
@@ -38,7 +39,7 @@
 	return groups
 }
 
-// systemOrder is the place of a system in reports.
+// systemOrder returns the position of a system in reports; unknown systems are last.
 func systemOrder(name string) int {
 	systems := experiment.Systems()
 	index := slices.IndexFunc(systems, func(system experiment.System) bool { return system.Name == name })
@@ -48,21 +49,22 @@
 	return index
 }
 
-// lines returns one result of each system for plots: that with the lowest seed.
-func (g group) lines() []*experiment.Result {
-	var lines []*experiment.Result
+// plottedResults returns the results shown in plots: for each system, the one with the
+// lowest seed.
+func (g group) plottedResults() []*experiment.Result {
+	var plotted []*experiment.Result
 	for _, result := range g.Results {
-		if len(lines) == 0 || lines[len(lines)-1].System != result.System {
-			lines = append(lines, result)
+		if len(plotted) == 0 || plotted[len(plotted)-1].System != result.System {
+			plotted = append(plotted, result)
 		}
 	}
-	return lines
+	return plotted
 }
 
-// name is part of file names.
-func (g group) name() string { return g.Mesh + "-" + g.Scenario }
+// filePrefix returns the first part of the names of the group's image files.
+func (g group) filePrefix() string { return g.Mesh + "-" + g.Scenario }
 
-// row is one run in the table of a report.
+// row is the row of one run in the table of a group.
 type row struct {
 	System                         string
 	Seed                           uint64
@@ -78,25 +80,25 @@
 func (g group) rows() []row {
 	var rows []row
 	for _, result := range g.Results {
-		rows = append(rows, rowOf(result))
+		rows = append(rows, newRow(result))
 	}
 	return rows
 }
 
-func rowOf(result *experiment.Result) row {
+func newRow(result *experiment.Result) row {
 	before, during, after := result.Phase(experiment.PhaseBefore), result.Phase(experiment.PhaseDuring), result.Phase(experiment.PhaseAfter)
-	vital := during.Criticality(criticality.CriticalPlus.String())
-	made := row{
+	criticalPlus := during.Criticality(criticality.CriticalPlus.String())
+	r := row{
 		System:           result.System,
 		Seed:             result.Seed,
 		Before:           fmt.Sprintf("%.0f", before.Goodput),
 		During:           fmt.Sprintf("%.0f", during.Goodput),
 		After:            fmt.Sprintf("%.0f", after.Goodput),
-		OfAttainable:     percent(during.ShareOfAttainable),
-		OfOfferedAfter:   percent(after.ShareOfOffered),
-		CriticalPlusLost: fmt.Sprintf("%d of %d", vital.Lost(), vital.Offered),
+		OfAttainable:     formatPercent(during.ShareOfAttainable),
+		OfOfferedAfter:   formatPercent(after.ShareOfOffered),
+		CriticalPlusLost: fmt.Sprintf("%d of %d", criticalPlus.Lost(), criticalPlus.Offered),
 		Recovery:         result.Recovery.String(),
-		Waste:            percent(result.Waste.Share),
+		Waste:            formatPercent(result.Waste.Share),
 		ClientRetries:    fmt.Sprint(result.Retries.Clients),
 		NodeRetries:      fmt.Sprintf("%.0f", result.Retries.Nodes),
 		MostExecutions:   result.Retries.MostExecutions,
@@ -105,11 +107,11 @@
 	}
 	for i, reason := range result.Invalid {
 		if i > 0 {
-			made.Remark += "; "
+			r.Remark += "; "
 		}
-		made.Remark += reason
+		r.Remark += reason
 	}
-	return made
+	return r
 }
 
-func percent(share float64) string { return fmt.Sprintf("%.1f%%", 100*share) }
+func formatPercent(share float64) string { return fmt.Sprintf("%.1f%%", 100*share) }
--- a/lab/report/html.go
+++ b/lab/report/html.go
@@ -8,12 +8,13 @@
 	"github.com/lugspur/lugspur/lab/experiment"
 )
 
-// page is what the template shows.
+// page is the data of the HTML template.
 type page struct {
 	Systems []experiment.System
 	Groups  []section
 }
 
+// section is the data of one group of results.
 type section struct {
 	Scenario, Mesh string
 	Capacity       float64
@@ -41,16 +42,16 @@
 </head>
 <body>
 <h1>lugspur experiments</h1>
-<p>Goodput counts whole requests that were answered completely, correctly and in time. Attainable is the most that the mesh
-can complete of what was offered when the more important goes first. Runs in grey don't count.</p>
+<p>Goodput is the rate of client requests that were answered completely, correctly and before their deadline. Attainable is an upper bound
+of the rate that the mesh can complete of the offered calls if higher criticalities have strict priority. Invalid runs are grey.</p>
 <dl>{{range .Systems}}<dt>{{.Name}}</dt><dd>{{.Description}}</dd>{{end}}</dl>
 {{range .Groups}}
 <h2>{{.Scenario}} on {{.Mesh}}</h2>
-<p>Capacity at the mesh file's shares: {{printf "%.0f" .Capacity}} calls/s</p>
+<p>Capacity with the shares of the mesh file: {{printf "%.0f" .Capacity}} calls/s</p>
 <table>
 <tr><th>system</th><th>seed</th><th>goodput before /s</th><th>during /s</th><th>after /s</th><th>during, of attainable</th><th>after, of offered</th>
-<th>critical-plus lost during</th><th>recovery</th><th>wasted work</th><th>retries by clients</th><th>by nodes</th><th>executions of one try, at most</th>
-<th>refusal p50 ms</th><th>p99 ms</th><th>doesn't count because</th></tr>
+<th>critical-plus lost during</th><th>recovery</th><th>wasted work</th><th>retries by clients</th><th>by nodes</th><th>max. executions per client attempt</th>
+<th>refusal p50 ms</th><th>p99 ms</th><th>invalid because</th></tr>
 {{range .Rows}}<tr{{if .Remark}} class="invalid"{{end}}><td>{{.System}}</td><td>{{.Seed}}</td><td>{{.Before}}</td><td>{{.During}}</td><td>{{.After}}</td><td>{{.OfAttainable}}</td><td>{{.OfOfferedAfter}}</td><td>{{.CriticalPlusLost}}</td><td>{{.Recovery}}</td><td>{{.Waste}}</td><td>{{.ClientRetries}}</td><td>{{.NodeRetries}}</td><td>{{.MostExecutions}}</td><td>{{.RefusalP50}}</td><td>{{.RefusalP99}}</td><td>{{.Remark}}</td></tr>
 {{end}}</table>
 <p>{{range .Images}}<img src="{{source .PNG}}" alt="{{.Title}}">
@@ -60,15 +61,15 @@
 </html>
 `))
 
-// pageOf makes the page of the results, with all plots.
-func pageOf(results []*experiment.Result) (page, error) {
-	made := page{Systems: experiment.Systems()}
-	for _, g := range groupsOf(results) {
+// newPage returns the data for the template, including the rendered plots.
+func newPage(results []*experiment.Result) (page, error) {
+	report := page{Systems: experiment.Systems()}
+	for _, g := range groupResults(results) {
 		images, err := g.images()
 		if err != nil {
 			return page{}, err
 		}
-		made.Groups = append(made.Groups, section{
+		report.Groups = append(report.Groups, section{
 			Scenario: g.Scenario,
 			Mesh:     g.Mesh,
 			Capacity: g.Results[0].Capacity,
@@ -76,7 +77,7 @@
 			Images:   images,
 		})
 	}
-	return made, nil
+	return report, nil
 }
 
 func (p page) write(w io.Writer) error { return pageTemplate.Execute(w, p) }
--- a/lab/report/plots.go
+++ b/lab/report/plots.go
@@ -18,8 +18,8 @@
 	plotHeight = 8 * vg.Centimeter
 )
 
-// smoothedBuckets is the number of buckets over which rates are averaged.
-const smoothedBuckets = 3
+// averagedBuckets is the number of timeline buckets in the moving average of rates.
+const averagedBuckets = 3
 
 // image is a plot as a PNG file.
 type image struct {
@@ -27,11 +27,12 @@
 	PNG         []byte
 }
 
-// chart says what a plot shows.
+// chart is the definition of a plot.
 type chart struct {
 	name, title, unit string
-	points            func(*experiment.Result) plotter.XYs
-	// reference is a line of the first system besides, or nil.
+	series            func(*experiment.Result) plotter.XYs
+	// reference returns an additional line from the result of the first system; nil
+	// means none.
 	reference func(*experiment.Result) plotter.XYs
 }
 
@@ -40,29 +41,30 @@
 		name:      "goodput",
 		title:     "Goodput (grey: calls offered)",
 		unit:      "calls/s",
-		points:    goodput,
-		reference: offered,
+		series:    goodputSeries,
+		reference: offeredSeries,
 	},
-	{name: "shed-level", title: "Lowest shed threshold of any target (512: nothing shed; 128: critical-plus only)", unit: "rank key", points: shedLevel},
-	{name: "queue", title: "Calls that wait, at homes and at targets", unit: "calls", points: queued},
-	{name: "retries", title: "Retries by clients and nodes", unit: "calls/s", points: retries},
+	{name: "shed-level", title: "Lowest shed threshold of any target (512: no calls shed; 128: only critical-plus calls admitted)", unit: "rank key", series: shedThresholdSeries},
+	{name: "queue", title: "Calls queued at home nodes and waiting at targets", unit: "calls", series: queuedSeries},
+	{name: "retries", title: "Retries by clients and nodes", unit: "calls/s", series: retrySeries},
 }
 
-// images draws all plots of a group.
+// images renders all plots of a group.
 func (g group) images() ([]image, error) {
 	var images []image
 	for _, c := range charts {
-		drawn, err := c.draw(g)
+		encoded, err := c.render(g)
 		if err != nil {
 			return nil, err
 		}
-		images = append(images, image{Name: g.name() + "-" + c.name, Title: c.title, PNG: drawn})
+		images = append(images, image{Name: g.filePrefix() + "-" + c.name, Title: c.title, PNG: encoded})
 	}
 	return images, nil
 }
 
-// colors are those of the systems, in their order.
-var colors = []color.Color{
+// systemColors are the line colors of the systems in the order of experiment.Systems.
+// The last one is the color of unknown systems.
+var systemColors = []color.Color{
 	color.RGBA{R: 0x00, G: 0x72, B: 0xb2, A: 0xff},
 	color.RGBA{R: 0x00, G: 0x9e, B: 0x73, A: 0xff},
 	color.RGBA{R: 0xe6, G: 0x9f, B: 0x00, A: 0xff},
@@ -70,7 +72,7 @@
 	color.RGBA{R: 0x66, G: 0x66, B: 0x66, A: 0xff},
 }
 
-func (c chart) draw(g group) ([]byte, error) {
+func (c chart) render(g group) ([]byte, error) {
 	p := plot.New()
 	p.Title.Text = c.title
 	p.X.Label.Text = "seconds since the start of the load"
@@ -78,15 +80,15 @@
 	p.Y.Min = 0
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
-	lines := g.lines()
-	if c.reference != nil && len(lines) > 0 {
-		if err := addLine(p, c.reference(lines[0]), color.Gray{Y: 0xb0}, "offered"); err != nil {
+	results := g.plottedResults()
+	if c.reference != nil && len(results) > 0 {
+		if err := addLine(p, c.reference(results[0]), color.Gray{Y: 0xb0}, "offered"); err != nil {
 			return nil, err
 		}
 	}
-	for _, result := range lines {
-		order := min(systemOrder(result.System), len(colors)-1)
-		if err := addLine(p, c.points(result), colors[order], result.System); err != nil {
+	for _, result := range results {
+		order := min(systemOrder(result.System), len(systemColors)-1)
+		if err := addLine(p, c.series(result), systemColors[order], result.System); err != nil {
 			return nil, err
 		}
 	}
@@ -94,12 +96,12 @@
 	if err != nil {
 		return nil, err
 	}
-	var drawn bytes.Buffer
-	_, err = writer.WriteTo(&drawn)
-	return drawn.Bytes(), err
+	var encoded bytes.Buffer
+	_, err = writer.WriteTo(&encoded)
+	return encoded.Bytes(), err
 }
 
-func addLine(p *plot.Plot, points plotter.XYs, shade color.Color, name string) error {
+func addLine(p *plot.Plot, points plotter.XYs, lineColor color.Color, name string) error {
 	if len(points) == 0 {
 		return nil
 	}
@@ -107,24 +109,25 @@
 	if err != nil {
 		return err
 	}
-	line.Color = shade
+	line.Color = lineColor
 	line.Width = vg.Points(1.5)
 	p.Add(line)
 	p.Legend.Add(name, line)
 	return nil
 }
 
-// rateOf averages a count of the timeline's buckets.
-func rateOf(result *experiment.Result, count func(experiment.Bucket) int) plotter.XYs {
+// averageRate returns the moving average of a count in the timeline's buckets, as a
+// rate per second.
+func averageRate(result *experiment.Result, count func(experiment.Bucket) int) plotter.XYs {
 	var points plotter.XYs
 	buckets := result.Timeline
-	for i := smoothedBuckets; i <= len(buckets); i++ {
+	for i := averagedBuckets; i <= len(buckets); i++ {
 		total := 0
-		for _, bucket := range buckets[i-smoothedBuckets : i] {
+		for _, bucket := range buckets[i-averagedBuckets : i] {
 			total += count(bucket)
 		}
-		from, to := buckets[i-smoothedBuckets].Seconds, buckets[i-1].Seconds
-		width := (to - from) / (smoothedBuckets - 1) * smoothedBuckets
+		from, to := buckets[i-averagedBuckets].Seconds, buckets[i-1].Seconds
+		width := (to - from) / (averagedBuckets - 1) * averagedBuckets
 		if width > 0 {
 			points = append(points, plotter.XY{X: (from + to) / 2, Y: float64(total) / width})
 		}
@@ -132,25 +135,25 @@
 	return points
 }
 
-func goodput(result *experiment.Result) plotter.XYs {
-	return rateOf(result, func(bucket experiment.Bucket) int { return bucket.Completed })
+func goodputSeries(result *experiment.Result) plotter.XYs {
+	return averageRate(result, func(bucket experiment.Bucket) int { return bucket.Completed })
 }
 
-func offered(result *experiment.Result) plotter.XYs {
-	return rateOf(result, func(bucket experiment.Bucket) int { return bucket.Offered })
+func offeredSeries(result *experiment.Result) plotter.XYs {
+	return averageRate(result, func(bucket experiment.Bucket) int { return bucket.Offered })
 }
 
-func shedLevel(result *experiment.Result) plotter.XYs {
-	return sampled(result, func(sample experiment.Sample) float64 {
+func shedThresholdSeries(result *experiment.Result) plotter.XYs {
+	return sampleSeries(result, func(sample experiment.Sample) float64 {
 		return min(sample.LowestThreshold(), criticality.RankCount)
 	})
 }
 
-func queued(result *experiment.Result) plotter.XYs {
-	return sampled(result, func(sample experiment.Sample) float64 { return sample.Queued() + float64(sample.Waiting()) })
+func queuedSeries(result *experiment.Result) plotter.XYs {
+	return sampleSeries(result, func(sample experiment.Sample) float64 { return sample.Queued() + float64(sample.Waiting()) })
 }
 
-func sampled(result *experiment.Result, value func(experiment.Sample) float64) plotter.XYs {
+func sampleSeries(result *experiment.Result, value func(experiment.Sample) float64) plotter.XYs {
 	var points plotter.XYs
 	for _, sample := range result.Samples {
 		points = append(points, plotter.XY{X: sample.Seconds, Y: value(sample)})
@@ -158,10 +161,10 @@
 	return points
 }
 
-// retries adds the tries of clients after their first, from the timeline, to
-// the growth of the nodes' counters, from the samples.
-func retries(result *experiment.Result) plotter.XYs {
-	clients := rateOf(result, func(bucket experiment.Bucket) int { return max(bucket.Attempts-bucket.Offered, 0) })
+// retrySeries returns the sum of the retry rates of clients, from the timeline, and of
+// nodes, from the samples.
+func retrySeries(result *experiment.Result) plotter.XYs {
+	clients := averageRate(result, func(bucket experiment.Bucket) int { return max(bucket.Attempts-bucket.Offered, 0) })
 	points := make(plotter.XYs, 0, len(clients))
 	for _, point := range clients {
 		points = append(points, plotter.XY{X: point.X, Y: point.Y + nodeRetryRate(result.Samples, point.X)})
@@ -169,11 +172,12 @@
 	return points
 }
 
-// nodeRetryRate is the growth of the nodes' retry counters around the moment.
-// A node that was started again counts from zero, so that falls are left out.
-func nodeRetryRate(samples []experiment.Sample, moment float64) float64 {
+// nodeRetryRate returns the rate at which the nodes' retry counters increase at the
+// given time. The counters of a restarted node start from zero, so decreases are
+// ignored.
+func nodeRetryRate(samples []experiment.Sample, seconds float64) float64 {
 	for i := 1; i < len(samples); i++ {
-		if samples[i].Seconds < moment {
+		if samples[i].Seconds < seconds {
 			continue
 		}
 		elapsed := samples[i].Seconds - samples[i-1].Seconds
