--- a/lab/overhead/command.go
+++ b/lab/overhead/command.go
@@ -17,7 +17,7 @@
 	"github.com/lugspur/lugspur/lab/cluster"
 )
 
-// Commands returns the lab's commands of this package.
+// Commands returns the lab commands of this package.
 func Commands() []subcommands.Command { return []subcommands.Command{&overheadCommand{}} }
 
 type overheadCommand struct {
@@ -30,13 +30,13 @@
 }
 
 func (*overheadCommand) Name() string     { return "overhead" }
-func (*overheadCommand) Synopsis() string { return "measure what a node adds to a call" }
+func (*overheadCommand) Synopsis() string { return "measure the latency that a node adds to calls" }
 func (*overheadCommand) Usage() string {
-	return `overhead [flags]: call a target directly and through a node, interleaved.
+	return `overhead [flags]: call a target directly and through a node, alternately.
 
-Prints latencies of both ways, what the node adds, and the node's processor
-time and allocation for each call. Exits with 1 if a call failed or, with
--limit, if the node adds more at the 99th percentile.
+Prints the latencies of both paths, the latency that the node adds, and the
+node's CPU time and allocated bytes per call. Exits with 1 if a call failed or,
+with -limit, if the added latency at the 99th percentile exceeds the limit.
 
 Example:
   lugspur-lab overhead -lugspur bin/lugspur -rate 2000 -duration 10s
@@ -47,11 +47,11 @@
 // SetFlags defines the command's flags.
 func (c *overheadCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.lugspur, "lugspur", "bin/lugspur", "lugspur `program`")
-	flags.StringVar(&c.directory, "out", "", "`directory` for logs; empty means a temporary one")
-	flags.IntVar(&c.calls, "calls", 5000, "calls on each way, one at a time")
-	flags.Float64Var(&c.rate, "rate", 2000, "calls a `second` on each way")
-	flags.DurationVar(&c.duration, "duration", 10*time.Second, "`length` of the run at the rate")
-	flags.DurationVar(&c.limit, "limit", 0, "most that the node may add at the 99th percentile; 0 is no limit")
+	flags.StringVar(&c.directory, "out", "", "`directory` for logs; empty creates a temporary one")
+	flags.IntVar(&c.calls, "calls", 5000, "number of sequential calls on each path")
+	flags.Float64Var(&c.rate, "rate", 2000, "calls per `second` on each path")
+	flags.DurationVar(&c.duration, "duration", 10*time.Second, "`length` of the run with -rate")
+	flags.DurationVar(&c.limit, "limit", 0, "maximum added latency at the 99th percentile; 0 means no limit")
 }
 
 // Execute runs the measurement.
@@ -71,24 +71,24 @@
 			return err
 		}
 	}
-	target, err := serveTarget()
+	target, err := startTarget()
 	if err != nil {
 		return err
 	}
 	defer func() { _ = target.Close() }()
-	node, err := cluster.StartSingleNode(ctx, c.lugspur, c.directory, alone(target.Addr().String()))
+	node, err := cluster.StartSingleNode(ctx, c.lugspur, c.directory, targetConfig(target.Addr().String()))
 	if err != nil {
 		return err
 	}
 	defer func() { err = errors.Join(err, node.Stop(stopTimeout)) }()
-	return c.compare(ctx, node, "http://"+target.Addr().String()+"/", out)
+	return c.compareAll(ctx, node, "http://"+target.Addr().String()+"/", out)
 }
 
-// stopTimeout bounds the node's planned stop.
+// stopTimeout is the timeout of the node's graceful shutdown.
 const stopTimeout = 20 * time.Second
 
-// alone returns the objects of the one service and target.
-func alone(address string) string {
+// targetConfig returns the object file with the service and its single target.
+func targetConfig(address string) string {
 	return fmt.Sprintf(`[[object]]
 kind = "service"
 name = "echo"
@@ -107,31 +107,32 @@
 `, address)
 }
 
-func (c *overheadCommand) compare(ctx context.Context, node *cluster.Node, direct string, out io.Writer) error {
-	through := "http://" + node.Addresses.Edge + "/echo/"
-	OneAtATime(ctx, direct, through, c.calls/10)
-	first, err := c.measure(ctx, node, out, "one at a time", func() Comparison {
-		return OneAtATime(ctx, direct, through, c.calls)
+func (c *overheadCommand) compareAll(ctx context.Context, node *cluster.Node, directURL string, out io.Writer) error {
+	throughURL := "http://" + node.Addresses.Edge + "/echo/"
+	CompareSequential(ctx, directURL, throughURL, c.calls/10)
+	sequential, err := c.runComparison(ctx, node, out, "sequential calls", func() Comparison {
+		return CompareSequential(ctx, directURL, throughURL, c.calls)
 	})
 	if err != nil {
 		return err
 	}
-	second, err := c.measure(ctx, node, out, fmt.Sprintf("at %g calls/s", c.rate), func() Comparison {
-		return AtRate(ctx, direct, through, c.rate, c.duration)
+	atRate, err := c.runComparison(ctx, node, out, fmt.Sprintf("at %g calls/s", c.rate), func() Comparison {
+		return CompareAtRate(ctx, directURL, throughURL, c.rate, c.duration)
 	})
 	if err != nil {
 		return err
 	}
-	for _, comparison := range []Comparison{first, second} {
+	for _, comparison := range []Comparison{sequential, atRate} {
 		if c.limit > 0 && comparison.Added(99) > c.limit {
-			return fmt.Errorf("the node adds %s at the 99th percentile, allowed are %s", comparison.Added(99), c.limit)
+			return fmt.Errorf("the added latency at the 99th percentile is %s, which exceeds the limit of %s", comparison.Added(99), c.limit)
 		}
 	}
 	return nil
 }
 
-// measure runs a comparison and prints it with what the node spent on it.
-func (c *overheadCommand) measure(ctx context.Context, node *cluster.Node, out io.Writer, name string, run func() Comparison) (Comparison, error) {
+// runComparison runs a comparison and prints its result with the node's resource
+// usage.
+func (c *overheadCommand) runComparison(ctx context.Context, node *cluster.Node, out io.Writer, name string, run func() Comparison) (Comparison, error) {
 	before, err := node.Usage(ctx)
 	if err != nil {
 		return Comparison{}, err
@@ -141,19 +142,21 @@
 	if err != nil {
 		return Comparison{}, err
 	}
-	calls := comparison.Through.Latencies.TotalCount()
-	fmt.Fprintf(out, "%s: %d calls on each way in %.1f s, start delay p99 %s\n", name, calls, comparison.Duration.Seconds(), comparison.Lateness99.Round(time.Microsecond))
+	calls := comparison.ThroughNode.Latencies.TotalCount()
+	fmt.Fprintf(out, "%s: %d calls on each path in %.1f s, start delay p99 %s\n", name, calls, comparison.Duration.Seconds(), comparison.Lateness99.Round(time.Microsecond))
 	for _, quantile := range []float64{50, 90, 99, 99.9} {
 		fmt.Fprintf(out, "  p%-5g direct %8s  through %8s  added %8s\n", quantile,
-			rounded(comparison.Direct.Quantile(quantile)), rounded(comparison.Through.Quantile(quantile)), rounded(comparison.Added(quantile)))
+			roundToMicroseconds(comparison.Direct.Quantile(quantile)), roundToMicroseconds(comparison.ThroughNode.Quantile(quantile)), roundToMicroseconds(comparison.Added(quantile)))
 	}
-	processor := after.CPUTime - before.CPUTime
-	fmt.Fprintf(out, "  node: %s of processor time a call, %.0f calls/s per core, %.0f bytes allocated a call\n",
-		rounded(processor/time.Duration(max(calls, 1))), float64(calls)/processor.Seconds(), (after.Allocated-before.Allocated)/float64(max(calls, 1)))
-	if failures := comparison.Direct.Failures + comparison.Through.Failures; failures > 0 {
+	cpuTime := after.CPUTime - before.CPUTime
+	fmt.Fprintf(out, "  node: %s of CPU time per call, %.0f calls/s per core, %.0f bytes allocated per call\n",
+		roundToMicroseconds(cpuTime/time.Duration(max(calls, 1))), float64(calls)/cpuTime.Seconds(), (after.Allocated-before.Allocated)/float64(max(calls, 1)))
+	if failures := comparison.Direct.Failures + comparison.ThroughNode.Failures; failures > 0 {
 		return comparison, fmt.Errorf("%d calls failed (see %s)", failures, filepath.Join(c.directory, "*.log"))
 	}
 	return comparison, nil
 }
 
-func rounded(duration time.Duration) time.Duration { return duration.Round(time.Microsecond) }
+func roundToMicroseconds(duration time.Duration) time.Duration {
+	return duration.Round(time.Microsecond)
+}
--- a/lab/overhead/overhead.go
+++ b/lab/overhead/overhead.go
@@ -1,6 +1,6 @@
-// Package overhead measures what a node adds to a call: the same calls go to a
-// target directly and through a node, interleaved in one run, so that both see
-// the same machine at the same time.
+// Package overhead measures the latency that a node adds to calls. It calls a target
+// alternately directly and through a node in the same run, so that changes in the
+// machine's load affect both paths equally.
 package overhead
 
 import (
@@ -17,15 +17,16 @@
 	"github.com/samber/oops"
 )
 
-// Bounds of the histograms, in nanoseconds, and their precision.
+// Range of the histograms, in nanoseconds, and their significant digits.
 const (
 	lowestLatency  = 1_000
 	highestLatency = int64(10 * time.Second)
 	latencyDigits  = 3
 )
 
-// Way is one of the two ways of a call.
-type Way struct {
+// PathStats are the results of the calls on one path: directly to the target or through
+// the node.
+type PathStats struct {
 	Name      string
 	Latencies *hdrhistogram.Histogram
 	Failures  int
@@ -34,66 +35,68 @@
 	mutex sync.Mutex
 }
 
-func newWay(name, url string) *Way {
-	return &Way{Name: name, url: url, Latencies: hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)}
+func newPathStats(name, url string) *PathStats {
+	return &PathStats{Name: name, url: url, Latencies: hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)}
 }
 
-// Quantile returns a latency; the quantile goes from 0 to 100.
-func (w *Way) Quantile(quantile float64) time.Duration {
-	return time.Duration(w.Latencies.ValueAtQuantile(quantile))
+// Quantile returns a quantile of the latency. The argument is a percentage from 0 to
+// 100.
+func (s *PathStats) Quantile(quantile float64) time.Duration {
+	return time.Duration(s.Latencies.ValueAtQuantile(quantile))
 }
 
-func (w *Way) record(latency time.Duration, err error) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
+func (s *PathStats) record(latency time.Duration, err error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
 	if err != nil {
-		w.Failures++
+		s.Failures++
 		return
 	}
-	_ = w.Latencies.RecordValue(latency.Nanoseconds())
+	_ = s.Latencies.RecordValue(latency.Nanoseconds())
 }
 
-// Comparison is the result of one run.
+// Comparison is the result of one run with calls on both paths.
 type Comparison struct {
-	Direct, Through *Way
-	// Lateness99 is the 99th percentile of how late calls started.
+	Direct, ThroughNode *PathStats
+	// Lateness99 is the 99th percentile of the delay between the intended and the
+	// actual start of calls. CompareSequential leaves it at zero.
 	Lateness99 time.Duration
 	// Duration is the length of the run.
 	Duration time.Duration
 }
 
-// Added returns what the node adds at a quantile: the difference of the two
-// ways' quantiles.
+// Added returns the latency that the node adds at a quantile: the difference of the
+// quantiles of the two paths.
 func (c Comparison) Added(quantile float64) time.Duration {
-	return c.Through.Quantile(quantile) - c.Direct.Quantile(quantile)
+	return c.ThroughNode.Quantile(quantile) - c.Direct.Quantile(quantile)
 }
 
-// caller makes the calls.
-type caller struct {
-	client *http.Client
-	body   []byte
+// client sends the calls of both paths.
+type client struct {
+	http *http.Client
+	body []byte
 }
 
-func newCaller(connections int) *caller {
-	return &caller{client: &http.Client{Transport: &http.Transport{
+func newClient(connections int) *client {
+	return &client{http: &http.Client{Transport: &http.Transport{
 		MaxIdleConnsPerHost: connections,
 		DisableCompression:  true,
 	}}}
 }
 
-// call makes one call and reads its whole answer.
-func (c *caller) call(ctx context.Context, way *Way) {
+// measureCall sends one call, reads the complete response and records the latency.
+func (c *client) measureCall(ctx context.Context, path *PathStats) {
 	started := time.Now()
-	err := c.exchange(ctx, way.url)
-	way.record(time.Since(started), err)
+	err := c.get(ctx, path.url)
+	path.record(time.Since(started), err)
 }
 
-func (c *caller) exchange(ctx context.Context, url string) error {
+func (c *client) get(ctx context.Context, url string) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, bytes.NewReader(c.body))
 	if err != nil {
 		return err
 	}
-	response, err := c.client.Do(request)
+	response, err := c.http.Do(request)
 	if err != nil {
 		return err
 	}
@@ -107,62 +110,63 @@
 	return nil
 }
 
-// OneAtATime makes calls one after the other, by turns on each way.
-func OneAtATime(ctx context.Context, directURL, throughURL string, calls int) Comparison {
-	comparison := Comparison{Direct: newWay("direct", directURL), Through: newWay("through", throughURL)}
-	caller := newCaller(1)
+// CompareSequential sends the given number of calls on each path, one at a time and
+// alternately.
+func CompareSequential(ctx context.Context, directURL, throughURL string, calls int) Comparison {
+	comparison := Comparison{Direct: newPathStats("direct", directURL), ThroughNode: newPathStats("through", throughURL)}
+	client := newClient(1)
 	started := time.Now()
 	for range calls {
 		if ctx.Err() != nil {
 			break
 		}
-		caller.call(ctx, comparison.Direct)
-		caller.call(ctx, comparison.Through)
+		client.measureCall(ctx, comparison.Direct)
+		client.measureCall(ctx, comparison.ThroughNode)
 	}
 	comparison.Duration = time.Since(started)
 	return comparison
 }
 
-// AtRate makes calls at a rate on each way, by turns, without waiting for
-// answers.
-func AtRate(ctx context.Context, directURL, throughURL string, rate float64, duration time.Duration) Comparison {
+// CompareAtRate sends calls at the given rate on each path, alternately and without
+// waiting for responses.
+func CompareAtRate(ctx context.Context, directURL, throughURL string, rate float64, duration time.Duration) Comparison {
 	const connections = 512
-	comparison := Comparison{Direct: newWay("direct", directURL), Through: newWay("through", throughURL), Duration: duration}
-	caller := newCaller(connections)
-	lateness := newWay("lateness", "")
+	comparison := Comparison{Direct: newPathStats("direct", directURL), ThroughNode: newPathStats("through", throughURL), Duration: duration}
+	client := newClient(connections)
+	startDelays := newPathStats("lateness", "")
 	interval := time.Duration(float64(time.Second) / rate / 2)
 	started := time.Now()
-	var open sync.WaitGroup
-	ways := [2]*Way{comparison.Direct, comparison.Through}
+	var calls sync.WaitGroup
+	paths := [2]*PathStats{comparison.Direct, comparison.ThroughNode}
 	for i := 0; time.Duration(i)*interval < duration && ctx.Err() == nil; i++ {
 		due := started.Add(time.Duration(i) * interval)
 		if wait := time.Until(due); wait > 0 {
 			time.Sleep(wait)
 		}
-		lateness.record(time.Since(due), nil)
-		way := ways[i%len(ways)]
-		open.Go(func() { caller.call(ctx, way) })
+		startDelays.record(time.Since(due), nil)
+		path := paths[i%len(paths)]
+		calls.Go(func() { client.measureCall(ctx, path) })
 	}
-	open.Wait()
-	comparison.Lateness99 = lateness.Quantile(99)
+	calls.Wait()
+	comparison.Lateness99 = startDelays.Quantile(99)
 	return comparison
 }
 
-// answerBytes is the length of the target's answer.
-const answerBytes = 512
+// responseBytes is the length of the target's response body.
+const responseBytes = 512
 
-// serveTarget serves a target that answers at once, until the listener is
-// closed. It returns the target's address.
-func serveTarget() (net.Listener, error) {
+// startTarget starts a target that responds immediately. It serves until the returned
+// listener is closed.
+func startTarget() (net.Listener, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, oops.In("overhead").With("step", "listen").Wrap(err)
 	}
-	answer := bytes.Repeat([]byte("a"), answerBytes)
+	response := bytes.Repeat([]byte("a"), responseBytes)
 	server := &http.Server{
 		ReadHeaderTimeout: time.Second,
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			_, _ = w.Write(answer)
+			_, _ = w.Write(response)
 		}),
 	}
 	go func() { _ = server.Serve(listener) }()
