--- a/lab/experiment/control.go
+++ b/lab/experiment/control.go
@@ -45,7 +45,7 @@
 }
 
 // schedule adds the events for the start and the end of an interval. overloadStart is
-// the time from the start of the load to that of the phase during.
+// the time from the start of the load to that of the "during" phase.
 func (c *controller) schedule(overloadStart time.Duration, interval Interval, begin, end func(context.Context) error) {
 	c.events = append(c.events,
 		event{offset: overloadStart + seconds(interval.FromSeconds), run: begin},
@@ -94,12 +94,14 @@
 
 func (c *controller) endFault(fault Fault) func(context.Context) error {
 	return func(ctx context.Context) error {
-		c.activeFaults = slices.DeleteFunc(c.activeFaults, func(active Fault) bool { return active.equal(fault) })
+		c.activeFaults = slices.DeleteFunc(c.activeFaults, func(active Fault) bool { return active.matches(fault) })
 		return c.applyFaults(ctx)
 	}
 }
 
-func (f Fault) equal(other Fault) bool {
+// matches reports whether both faults have the same interval, targets, slow factor and
+// restart. It ignores error rates, reset rates and overrides.
+func (f Fault) matches(other Fault) bool {
 	return f.Interval == other.Interval && f.SlowFactor == other.SlowFactor && f.Restart == other.Restart &&
 		slices.Equal(f.Targets, other.Targets) && slices.Equal(f.Services, other.Services) && slices.Equal(f.Zones, other.Zones)
 }
--- a/lab/experiment/fault.go
+++ b/lab/experiment/fault.go
@@ -7,12 +7,13 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Interval is a part of the run. Its times are relative to the start of the phase
-// during.
+// Interval is a part of the run. Its start is relative to the start of the "during"
+// phase.
 type Interval struct {
 	// FromSeconds is the start.
 	FromSeconds float64 `toml:"from_seconds" validate:"gte=0"`
-	// Seconds is the length; zero means until the end of the phase during.
+	// Seconds is the length; zero means until the end of the "during"
+	// phase.
 	Seconds float64 `toml:"seconds" validate:"gte=0"`
 }
 
@@ -70,8 +71,8 @@
 	}
 }
 
-// end returns the end of the interval in seconds after the start of the phase
-// during.
+// end returns the end of the interval in seconds after the start of the "during"
+// phase.
 func (i Interval) end(during Phase) float64 {
 	if i.Seconds == 0 {
 		return during.Seconds
--- a/lab/experiment/result.go
+++ b/lab/experiment/result.go
@@ -95,9 +95,10 @@
 	return CallStats{Name: name}
 }
 
-// CallStats are the statistics of a group of calls: numbers by verdict, and latencies
-// of complete calls. RefusedNo counts the refusals that report that the call wasn't
-// executed, RefusedUnknown the others.
+// CallStats contains the statistics of a group of calls: numbers by verdict, and latencies
+// of complete calls. RefusedNo is the number of refused calls for which the responses
+// to all attempts report that the call wasn't executed, RefusedUnknown that of the other
+// refused calls.
 type CallStats struct {
 	Name           string  `json:"name"`
 	Offered        int     `json:"offered"`
@@ -128,6 +129,7 @@
 
 // Waste is the slot time of executions that didn't contribute to complete answers.
 type Waste struct {
+	// SlotSeconds is the slot time of all executions.
 	SlotSeconds float64 `json:"slot_seconds"`
 	// FailedRequests is the slot time of executions whose request wasn't answered
 	// completely.
@@ -163,7 +165,7 @@
 	Amplification float64 `json:"amplification"`
 }
 
-// Refusals are the statistics of refused attempts of clients.
+// Refusals contains the statistics of refused attempts of clients.
 type Refusals struct {
 	Count int `json:"count"`
 	// P50Ms and P99Ms are quantiles of the time from the start of an attempt to its
@@ -173,7 +175,7 @@
 	Reasons []ReasonCount `json:"reasons"`
 }
 
-// ReasonCount are the statistics of the refusals with the same reason and execution
+// ReasonCount contains the statistics of the refusals with the same reason and execution
 // status.
 type ReasonCount struct {
 	Reason   problem.Reason   `json:"reason"`
--- a/lab/experiment/run.go
+++ b/lab/experiment/run.go
@@ -189,8 +189,9 @@
 	return nil
 }
 
-// baseFaults returns the faults that are set for the whole run: with NoPropagation,
-// targets complete every execution that they have started.
+// baseFaults returns the faults that are set for the whole run. With NoPropagation,
+// targets complete every execution that they have started. TargetWaiting limits the
+// waiting calls of targets.
 func (e *experiment) baseFaults() emulator.Faults {
 	return emulator.Faults{IgnoreCancellation: e.system.NoPropagation, ShedWaiting: e.scenario.TargetWaiting}
 }
--- a/lab/experiment/sample.go
+++ b/lab/experiment/sample.go
@@ -176,19 +176,19 @@
 	s.Nodes++
 	s.Retries += families.sumSeries("lugspur_retries_total")
 	s.Refusals += families.sumSeries("lugspur_refusals_total")
-	addGauge := func(name string, add func(service *ServiceSample, value float64)) {
+	forEachTarget := func(name string, update func(service *ServiceSample, value float64)) {
 		for _, metric := range families[name].GetMetric() {
 			for _, label := range metric.GetLabel() {
 				if service, known := serviceOf[label.GetValue()]; known && label.GetName() == "target" {
-					add(s.service(service), metric.GetGauge().GetValue())
+					update(s.service(service), metric.GetGauge().GetValue())
 				}
 			}
 		}
 	}
-	addGauge("lugspur_target_limit", func(service *ServiceSample, value float64) { service.Limit += value })
-	addGauge("lugspur_target_in_flight", func(service *ServiceSample, value float64) { service.InFlight += value })
-	addGauge("lugspur_target_queued", func(service *ServiceSample, value float64) { service.Queued += value })
-	addGauge("lugspur_target_shed_threshold", func(service *ServiceSample, value float64) {
+	forEachTarget("lugspur_target_limit", func(service *ServiceSample, value float64) { service.Limit += value })
+	forEachTarget("lugspur_target_in_flight", func(service *ServiceSample, value float64) { service.InFlight += value })
+	forEachTarget("lugspur_target_queued", func(service *ServiceSample, value float64) { service.Queued += value })
+	forEachTarget("lugspur_target_shed_threshold", func(service *ServiceSample, value float64) {
 		service.LowestThreshold = min(service.LowestThreshold, value)
 		service.HighestThreshold = max(service.HighestThreshold, value)
 	})
--- a/lab/experiment/scenario.go
+++ b/lab/experiment/scenario.go
@@ -124,7 +124,7 @@
 			return fmt.Errorf("%s starts %g s after the start of the overload, after the end of the run", what, interval.FromSeconds)
 		}
 		if interval.Seconds == 0 && interval.FromSeconds >= s.During.Seconds {
-			return fmt.Errorf("%s starts after the end of the phase during and needs a value for seconds", what)
+			return fmt.Errorf("%s starts after the end of the \"during\" phase and needs a value for seconds", what)
 		}
 		return nil
 	}
--- a/lab/overhead/overhead.go
+++ b/lab/overhead/overhead.go
@@ -24,7 +24,7 @@
 	latencyDigits  = 3
 )
 
-// PathStats are the results of the calls on one path: directly to the target or through
+// PathStats contains the results of the calls on one path: directly to the target or through
 // the node.
 type PathStats struct {
 	Name      string
