--- a/lab/machinelist/doc.go
+++ b/lab/machinelist/doc.go
@@ -1,4 +1,4 @@
-// Package machinelist is the lab's stand-in for the platform's list of live
-// and leaving machines. The list that it shows lags behind the truth, which is
-// set through a separate control handler.
+// Package machinelist is a test server for the platform's list of live and
+// leaving machines. The machines are set through a separate control handler;
+// the served list reflects each update only after a configurable lag.
 package machinelist
--- a/lab/machinelist/handler.go
+++ b/lab/machinelist/handler.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Paths of the list and of the control handler.
+// URL paths of the list and of the control handler.
 const (
 	PathMachines = "/machines"
 	PathControl  = "/control"
 )
 
-// maxControlBytes bounds the body of a control request, in bytes.
+// maxControlBytes is the maximum size of a control request's body.
 const maxControlBytes = 1 << 20
 
-// Response is the answer to GET /machines.
+// Response is the body of the response to GET /machines.
 type Response struct {
 	Machines []Machine `json:"machines"`
 }
 
-// ControlRequest changes the truth, the lag or the availability. Absent fields
-// stay as they are.
+// ControlRequest sets the machines, the lag or the availability. Absent fields
+// change nothing.
 type ControlRequest struct {
 	Machines    *[]Machine `json:"machines,omitempty"`
 	LagMillis   *int64     `json:"lag_ms,omitempty"`
 	Unavailable *bool      `json:"unavailable,omitempty"`
 }
 
-// Handler returns the handler that shows the list.
+// Handler returns the handler that serves the list.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathMachines, func(w http.ResponseWriter, _ *http.Request) {
@@ -41,13 +41,14 @@
 			machines = []Machine{}
 		}
 		w.Header().Set("Content-Type", "application/json")
-		// A failed write means that the client has gone; nobody is left to tell.
+		// A failed write means that the client has disconnected, so the error can't be
+		// reported to it.
 		_ = json.NewEncoder(w).Encode(Response{Machines: machines})
 	})
 	return mux
 }
 
-// ControlHandler returns the handler that takes a ControlRequest by POST.
+// ControlHandler returns the handler that accepts a ControlRequest by POST.
 func (l *List) ControlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+PathControl, func(w http.ResponseWriter, r *http.Request) {
--- a/lab/machinelist/list.go
+++ b/lab/machinelist/list.go
@@ -11,14 +11,14 @@
 // State is the state of a machine in the list.
 type State string
 
-// The states. A machine that has gone is not in the list.
+// Values of State. A machine that has left is not in the list.
 const (
 	StateLive    State = "live"
 	StateLeaving State = "leaving"
 )
 
-// maxPending bounds the changes that are not shown yet.
-const maxPending = 1024
+// maxPendingUpdates bounds the updates that the view does not reflect yet.
+const maxPendingUpdates = 1024
 
 var errInvalid = errors.New("invalid machine list")
 
@@ -30,29 +30,30 @@
 	State   State  `json:"state"`
 }
 
-type change struct {
-	at       time.Time
+// update replaces the machines of the list at a time.
+type update struct {
+	time     time.Time
 	machines []Machine
 }
 
-// List is the truth about the machines and the lagging view of it. It is safe
-// for concurrent use.
+// List holds the machines that were set and a view that lags behind them. It is
+// safe for concurrent use.
 type List struct {
 	now func() time.Time
 
 	mu          sync.Mutex
 	lag         time.Duration
 	unavailable bool
-	shown       []Machine
-	pending     []change
+	visible     []Machine
+	pending     []update
 }
 
-// New returns an empty list whose view lags by the given duration.
+// New returns an empty list whose view lags by the duration.
 func New(now func() time.Time, lag time.Duration) *List {
 	return &List{now: now, lag: lag}
 }
 
-// Set changes the truth; the view follows after the lag.
+// Set replaces the machines. The view reflects the update after the lag.
 func (l *List) Set(machines []Machine) error {
 	for _, machine := range machines {
 		if machine.Name == "" || (machine.State != StateLive && machine.State != StateLeaving) {
@@ -61,23 +62,23 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.advance()
-	if len(l.pending) >= maxPending {
-		return fmt.Errorf("%w: more than %d changes within the lag", errInvalid, maxPending)
+	l.applyDue()
+	if len(l.pending) >= maxPendingUpdates {
+		return fmt.Errorf("%w: more than %d updates within the lag", errInvalid, maxPendingUpdates)
 	}
-	l.pending = append(l.pending, change{at: l.now(), machines: slices.Clone(machines)})
+	l.pending = append(l.pending, update{time: l.now(), machines: slices.Clone(machines)})
 	return nil
 }
 
-// SetLag changes the lag, also for changes that are not shown yet.
+// SetLag changes the lag, also of updates that the view does not reflect yet.
 func (l *List) SetLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.advance()
+	l.applyDue()
 	l.lag = lag
 }
 
-// SetUnavailable makes the list answer 503, or ends that.
+// SetUnavailable sets whether requests for the list get status 503.
 func (l *List) SetUnavailable(unavailable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -89,14 +90,16 @@
 func (l *List) View() (machines []Machine, available bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.advance()
-	return slices.Clone(l.shown), !l.unavailable
+	l.applyDue()
+	return slices.Clone(l.visible), !l.unavailable
 }
 
-func (l *List) advance() {
-	newest := l.now().Add(-l.lag)
-	for len(l.pending) > 0 && !l.pending[0].at.After(newest) {
-		l.shown = l.pending[0].machines
+// applyDue applies the pending updates that are at least as old as the lag. The
+// caller holds the mutex.
+func (l *List) applyDue() {
+	cutoff := l.now().Add(-l.lag)
+	for len(l.pending) > 0 && !l.pending[0].time.After(cutoff) {
+		l.visible = l.pending[0].machines
 		l.pending = l.pending[1:]
 	}
 }
--- a/lab/machinelist/machinelist_test.go
+++ b/lab/machinelist/machinelist_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const leaving = `{"name":"m1","address":"10.0.0.1:80","zone":"a","state":"leaving"}`
+const leavingMachine = `{"name":"m1","address":"10.0.0.1:80","zone":"a","state":"leaving"}`
 
 func request(handler http.Handler, method, path, body string) (int, string) {
 	recorder := httptest.NewRecorder()
@@ -23,10 +23,10 @@
 	return recorder.Code, strings.TrimSpace(recorder.Body.String())
 }
 
-func TestViewLagsBehindTheTruth(t *testing.T) {
+func TestViewLagsBehindUpdates(t *testing.T) {
 	now := time.Unix(1000, 0)
 	list := New(func() time.Time { return now }, 5*time.Second)
-	status, body := request(list.ControlHandler(), http.MethodPost, PathControl, `{"machines":[`+leaving+`]}`)
+	status, body := request(list.ControlHandler(), http.MethodPost, PathControl, `{"machines":[`+leavingMachine+`]}`)
 	assert.Equal(t, status, http.StatusNoContent, body)
 
 	now = now.Add(5*time.Second - 1)
@@ -36,7 +36,7 @@
 
 	now = now.Add(1)
 	_, body = request(list.Handler(), http.MethodGet, PathMachines, "")
-	assert.Equal(t, body, `{"machines":[`+leaving+`]}`)
+	assert.Equal(t, body, `{"machines":[`+leavingMachine+`]}`)
 
 	status, _ = request(list.ControlHandler(), http.MethodPost, PathControl, `{"machines":[],"lag_ms":0}`)
 	assert.Equal(t, status, http.StatusNoContent)
@@ -44,7 +44,7 @@
 	assert.Equal(t, body, `{"machines":[]}`)
 }
 
-func TestControlRefusesNonsense(t *testing.T) {
+func TestControlRejectsInvalidRequests(t *testing.T) {
 	list := New(time.Now, 0)
 	for _, body := range []string{`{"machines":[{"name":"m1","state":"gone"}]}`, `{"machines":[{"state":"live"}]}`, `{"x":1}`, `[`} {
 		status, _ := request(list.ControlHandler(), http.MethodPost, PathControl, body)
@@ -52,27 +52,27 @@
 	}
 }
 
-func TestUnavailable(t *testing.T) {
+func TestUnavailableListReturns503(t *testing.T) {
 	list := New(time.Now, 0)
 	request(list.ControlHandler(), http.MethodPost, PathControl, `{"unavailable":true}`)
 	status, _ := request(list.Handler(), http.MethodGet, PathMachines, "")
 	assert.Equal(t, status, http.StatusServiceUnavailable)
 }
 
-func TestCommandServesUntilItsContextEnds(t *testing.T) {
+func TestCommandServesUntilContextIsCancelled(t *testing.T) {
 	reader, writer := io.Pipe()
-	command := &machinesCommand{out: writer}
+	command := &machinesCommand{output: writer}
 	flags := flag.NewFlagSet("machines", flag.ContinueOnError)
 	command.SetFlags(flags)
 	ctx, cancel := context.WithCancel(context.Background())
 	status := make(chan subcommands.ExitStatus, 1)
 	go func() { status <- command.Execute(ctx, flags) }()
-	var addresses ready
+	var addresses listenAddresses
 	assert.NilError(t, json.NewDecoder(reader).Decode(&addresses))
-	answer, err := http.Get("http://" + addresses.Machines + PathMachines)
+	response, err := http.Get("http://" + addresses.Machines + PathMachines)
 	assert.NilError(t, err)
-	assert.NilError(t, answer.Body.Close())
-	assert.Equal(t, answer.StatusCode, http.StatusOK)
+	assert.NilError(t, response.Body.Close())
+	assert.Equal(t, response.StatusCode, http.StatusOK)
 	cancel()
 	assert.Equal(t, <-status, subcommands.ExitSuccess)
 }
