--- a/lab/replay/call.go
+++ b/lab/replay/call.go
@@ -20,51 +20,55 @@
 
 const (
 	defaultTimeout = 5 * time.Second
-	// cohortEpoch is how long the order of callers inside a level stays the same.
-	cohortEpoch = time.Hour
-	// budgetGrace is how long a retry budget outlives its request's deadline.
+	// cohortPeriod is how long callers keep their cohort, which orders them within a
+	// level.
+	cohortPeriod = time.Hour
+	// budgetGrace is how long after its request's deadline a retry budget expires.
 	budgetGrace = time.Second
-	// retryAfterDefault is told where nothing better is known.
-	retryAfterDefault = time.Second
+	// defaultRetryAfter is the Retry-After of problems for which no better value is
+	// known.
+	defaultRetryAfter = time.Second
 )
 
-// ingress is the peer address at which the node gives grants.
-var ingress = netip.MustParseAddrPort("127.0.0.1:7000")
+// ingressAddress is the peer address in call contexts at which the simulated node
+// grants retries.
+var ingressAddress = netip.MustParseAddrPort("127.0.0.1:7000")
 
-// call is one call on its way.
+// call is the state of one call.
 type call struct {
-	id     string
-	line   int
-	event  *CallEvent
-	caller string
-	number int
+	id       string
+	line     int
+	event    *CallEvent
+	caller   string
+	sequence int
 
 	service *catalog.Service
 	context callcontext.Context
-	// below is the context of the calls that the target makes for the last sending.
-	below       callcontext.Context
-	policy      policy.Call
-	threshold   uint16
-	fingerprint resend.Fingerprint
-	attempt     int
-	tried       []string
-	mayHaveRun  bool
-	route       gateway.Route
-	guard       *guard
-	permit      *scheduler.Permit
-	answer      Answer
-	claimed     *attempt
+	// downstreamContext is the context of the calls that the target makes while it
+	// runs the latest attempt.
+	downstreamContext callcontext.Context
+	policy            policy.Call
+	threshold         uint16
+	fingerprint       resend.Fingerprint
+	attempts          int
+	triedTargets      []string
+	mayHaveExecuted   bool
+	route             gateway.Route
+	targetState       *targetState
+	permit            *scheduler.Permit
+	response          Response
+	claimAttempt      *claimAttempt
 
-	sent     int
-	order    int
-	admitted time.Duration
-	target   string
-	result   *result
+	sendCount      int
+	admissionOrder int
+	admittedAt     time.Duration
+	lastTarget     string
+	result         *callResult
 }
 
-// result is how a call ended.
-type result struct {
-	at      time.Duration
+// callResult is the final outcome of a call.
+type callResult struct {
+	elapsed time.Duration
 	status  int
 	failure *problem.Problem
 }
@@ -74,8 +78,8 @@
 	if event.Call.Count > 1 {
 		c.id = fmt.Sprintf("%s-%d", c.id, index+1)
 	}
-	if event.Call.Callers > 1 {
-		c.caller = fmt.Sprintf("%s-%d", c.caller, index%event.Call.Callers+1)
+	if event.Call.CallerCount > 1 {
+		c.caller = fmt.Sprintf("%s-%d", c.caller, index%event.Call.CallerCount+1)
 	}
 	return c
 }
@@ -89,16 +93,16 @@
 	return c.event.Method
 }
 
-// arrive takes a call up to the point where it is admitted, as the gateway does.
-func (p *player) arrive(c *call) {
+// receiveCall receives a call and starts it if it is admitted, as the gateway does.
+func (p *player) receiveCall(c *call) {
 	p.sequence++
-	c.number = p.sequence
+	c.sequence = p.sequence
 	c.service = p.router.View().Services[c.event.Service]
 	if c.service == nil {
-		p.finish(c, 0, p.problem(problem.UnknownService, "receive", "no such service"))
+		p.finish(c, 0, p.newProblem(problem.UnknownService, "receive", "no such service"))
 		return
 	}
-	if failure := p.readContext(c); failure != nil {
+	if failure := p.setContext(c); failure != nil {
 		p.finish(c, 0, failure)
 		return
 	}
@@ -106,10 +110,11 @@
 		p.finish(c, 0, failure)
 		return
 	}
-	p.run(c)
+	p.startCall(c)
 }
 
-func (p *player) problem(reason problem.Reason, step, detail string) *problem.Problem {
+// newProblem returns a problem of the node for a call that was not executed.
+func (p *player) newProblem(reason problem.Reason, step, detail string) *problem.Problem {
 	return problem.New(reason, problem.ExecutedNo, step, nodeName, detail)
 }
 
@@ -125,13 +130,15 @@
 	return defaultTimeout
 }
 
-func (p *player) readContext(c *call) *problem.Problem {
+// setContext sets the call's context: a new one for a call without a parent, or the
+// parent's one for a call from a target.
+func (p *player) setContext(c *call) *problem.Problem {
 	now := p.clock.now()
 	deadline := now.Add(p.timeoutOf(c))
 	if c.event.Parent == "" {
 		c.context = callcontext.Context{
-			RequestID: requestIDOf(c.number),
-			Ingress:   ingress,
+			RequestID: requestIDOf(c.sequence),
+			Ingress:   ingressAddress,
 			Deadline:  deadline,
 			Rank:      criticality.Rank{Level: criticality.SheddablePlus, Cohort: cohortOf(c.caller, now)},
 			Caller:    callcontext.CallerName(c.caller),
@@ -142,16 +149,16 @@
 		return nil
 	}
 	parent := p.calls[c.event.Parent]
-	if parent == nil || parent.sent == 0 {
-		return p.problem(problem.BadContext, "context", "the parent has not been sent to a target")
+	if parent == nil || parent.sendCount == 0 {
+		return p.newProblem(problem.BadContext, "context", "the parent call has not been sent to a target")
 	}
-	c.context = parent.below
+	c.context = parent.downstreamContext
 	c.context.Hops++
 	if deadline.Before(c.context.Deadline) {
 		c.context.Deadline = deadline
 	}
 	if !c.context.Deadline.After(now) {
-		return p.problem(problem.DeadlineExceeded, "context", "the deadline has passed")
+		return p.newProblem(problem.DeadlineExceeded, "context", "the deadline has passed")
 	}
 	return nil
 }
@@ -163,39 +170,40 @@
 }
 
 func cohortOf(caller string, now time.Time) uint8 {
-	return criticality.CohortOf(caller, uint64(now.Unix()/int64(cohortEpoch/time.Second)))
+	return criticality.CohortOf(caller, uint64(now.Unix()/int64(cohortPeriod/time.Second)))
 }
 
-// admit applies the service's policy and the shed levels.
+// admit applies the service's policy and the shed thresholds to a call. It returns
+// the problem if the call is refused.
 func (p *player) admit(c *call) *problem.Problem {
 	c.policy = p.policyCall(c)
-	shedBy := ""
-	c.threshold, shedBy = p.shedThreshold(c.service)
+	sheddingService := ""
+	c.threshold, sheddingService = p.shedThreshold(c.service)
 	load := p.policyLoad(c)
 	admitted, err := c.service.Policy.Admit(c.policy, load)
-	p.notEvaluated(c, err)
+	p.notePolicyError(c, err)
 	if !admitted {
-		return p.problem(problem.NotAdmitted, "policy", "the service's policy does not admit the call")
+		return p.newProblem(problem.NotAdmitted, "policy", "the service's policy does not admit the call")
 	}
 	if !c.event.Orphan {
 		c.context.Rank.Level, err = c.service.Policy.Rank(c.policy)
-		p.notEvaluated(c, err)
+		p.notePolicyError(c, err)
 	}
 	if c.context.Rank.Key() >= c.threshold {
-		return p.whenToComeBack(c, p.problem(problem.Overloaded, "shed", "calls of this rank are being shed by "+shedBy))
+		return p.setRetryAfter(c, p.newProblem(problem.Overloaded, "shed", "calls of this rank are being shed by "+sheddingService))
 	}
 	return nil
 }
 
-// shedThreshold returns the strictest shed threshold of the service and those that
-// it requires, and the service whose it is.
+// shedThreshold returns the lowest shed threshold of the service and its
+// dependencies, and the service that has it.
 func (p *player) shedThreshold(called *catalog.Service) (threshold uint16, service string) {
 	now := p.clock.now()
 	service = called.Name
 	threshold = p.shed.Threshold(service, now)
 	for _, required := range called.Dependencies {
-		if next := p.shed.Threshold(required, now); next < threshold {
-			threshold, service = next, required
+		if requiredThreshold := p.shed.Threshold(required, now); requiredThreshold < threshold {
+			threshold, service = requiredThreshold, required
 		}
 	}
 	return threshold, service
@@ -229,42 +237,44 @@
 	return load
 }
 
-func (p *player) notEvaluated(c *call, err error) {
+// notePolicyError adds a note to the report if the error is not nil.
+func (p *player) notePolicyError(c *call, err error) {
 	if err != nil {
-		p.report.note(p, "call %s: policy was not evaluated: %v", c.id, err)
+		p.report.addNote(p, "call %s: policy evaluation failed: %v", c.id, err)
 	}
 }
 
-func (p *player) whenToComeBack(c *call, failure *problem.Problem) *problem.Problem {
+// setRetryAfter sets the problem's Retry-After from the service's policy.
+func (p *player) setRetryAfter(c *call, failure *problem.Problem) *problem.Problem {
 	outcome := policy.Outcome{Status: failure.Status, Executed: string(failure.Executed), Reason: string(failure.Reason)}
 	seconds, err := c.service.Policy.RefuseSeconds(c.policy, p.policyLoad(c), outcome)
-	p.notEvaluated(c, err)
+	p.notePolicyError(c, err)
 	return failure.WithRetryAfter(time.Duration(seconds) * time.Second)
 }
 
-// granted asks the request's budget for one retry. A lost answer is a grant
-// that is spent and not used.
-func (p *player) granted(c *call, lost bool) bool {
+// requestGrant requests one retry from the request's budget. If the response is
+// lost, a granted retry is charged to the budget but not used.
+func (p *player) requestGrant(c *call, responseLost bool) bool {
 	if c.event.Orphan {
 		return false
 	}
-	p.tokens++
+	p.lastToken++
 	var token grant.Token
-	binary.LittleEndian.PutUint64(token[:], p.tokens)
-	return p.budgets.Grant(c.context.RequestID, token) && !lost
+	binary.LittleEndian.PutUint64(token[:], p.lastToken)
+	return p.budgets.Grant(c.context.RequestID, token) && !responseLost
 }
 
-// grantTo plays another node's question for a grant.
-func (p *player) grantTo(event Event) error {
-	c := p.calls[event.Grant.Call]
+// playGrantRequest plays a retry grant request from another node.
+func (p *player) playGrantRequest(event Event) error {
+	c := p.calls[event.GrantRequest.Call]
 	if c == nil {
-		return fmt.Errorf("no call %s", event.Grant.Call)
+		return fmt.Errorf("unknown call %s", event.GrantRequest.Call)
 	}
 	var token grant.Token
-	copy(token[:], event.Grant.Token)
+	copy(token[:], event.GrantRequest.Token)
 	granted := p.budgets.Grant(c.context.RequestID, token)
-	if event.Grant.Granted != nil {
-		p.report.compare(p, event.Line, "grant "+event.Grant.Token+" for "+c.id, *event.Grant.Granted, granted)
+	if event.GrantRequest.Granted != nil {
+		p.report.compare(p, event.Line, "grant "+event.GrantRequest.Token+" for "+c.id, *event.GrantRequest.Granted, granted)
 	}
 	return nil
 }
--- a/lab/replay/clock.go
+++ b/lab/replay/clock.go
@@ -5,28 +5,30 @@
 	"time"
 )
 
-// ErrQueues tells that a call has to wait in a queue, which the clock can't play.
-var ErrQueues = errors.New("a call waits in a queue, whose timers follow a virtual clock only in the tests of lab/replay")
+// ErrCallQueued is returned if a call would be queued while the timers of the
+// runtime do not follow the trace's clock.
+var ErrCallQueued = errors.New("a call has to wait in a queue, whose timers follow a virtual clock only in the tests of lab/replay")
 
-// clock is the time in which a trace is played.
+// clock is the clock on which a trace is played.
 type clock interface {
-	// now returns the present time.
+	// now returns the current time.
 	now() time.Time
-	// sleep lets the time pass until the given one, or until something arrives on wake.
+	// sleep advances the clock to the time, or until a value is received from wake.
 	sleep(until time.Time, wake <-chan struct{})
-	// settle waits until no call can go on without the time passing.
-	settle()
-	// timers reports whether the runtime's timers follow this clock.
-	timers() bool
+	// waitIdle blocks until no call can make progress without the clock advancing.
+	waitIdle()
+	// drivesTimers reports whether the timers of the runtime follow this clock.
+	drivesTimers() bool
 }
 
-// steppingClock jumps from event to event.
-type steppingClock struct{ time time.Time }
+// steppingClock is a clock that jumps from event to event.
+type steppingClock struct{ current time.Time }
 
-// traceStart is the time at which traces start; a bubble's clock starts there too.
+// traceStart is the time at which traces start. It equals the initial time of a
+// testing/synctest bubble.
 var traceStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func (c *steppingClock) now() time.Time                           { return c.time }
-func (c *steppingClock) sleep(until time.Time, _ <-chan struct{}) { c.time = until }
-func (c *steppingClock) settle()                                  {}
-func (c *steppingClock) timers() bool                             { return false }
+func (c *steppingClock) now() time.Time                           { return c.current }
+func (c *steppingClock) sleep(until time.Time, _ <-chan struct{}) { c.current = until }
+func (c *steppingClock) waitIdle()                                {}
+func (c *steppingClock) drivesTimers() bool                       { return false }
--- a/lab/replay/configure.go
+++ b/lab/replay/configure.go
@@ -13,15 +13,15 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// marks are the emergency drains.
-type marks map[string]bool
+// emergencyDrains is the set of names that have an emergency drain.
+type emergencyDrains map[string]bool
 
-// Drained implements catalog.Marks.
-func (m marks) Drained(name string) bool { return m[name] }
+// Drained implements catalog.DrainSource.
+func (m emergencyDrains) Drained(name string) bool { return m[name] }
 
-func (m marks) set(event *MarkEvent) { m[event.Drain] = !event.Lift }
+func (m emergencyDrains) set(event *EmergencyDrainEvent) { m[event.DrainName] = !event.Remove }
 
-// configure applies the header's objects as a complete view of the store.
+// configure applies the objects of the header as a complete view of the store.
 func (p *player) configure() error {
 	var versions []resource.Versioned
 	for _, name := range slices.Sorted(maps.Keys(p.header.Services)) {
@@ -37,10 +37,10 @@
 		versions = append(versions, Object{Kind: resource.KindTarget, Name: name, Target: &specification}.version())
 	}
 	for i := range versions {
-		versions[i].Revision = ConfigurationRevision
+		versions[i].Revision = HeaderRevision
 	}
-	p.replica.ApplyComplete(versions, ConfigurationRevision)
-	p.rebuild()
+	p.replica.ApplyComplete(versions, HeaderRevision)
+	p.rebuildView()
 	return oops.In("replay").With("step", "configure").Wrap(p.err)
 }
 
@@ -52,7 +52,7 @@
 	return version
 }
 
-// apply takes in versions as they come from the store or from peers.
+// apply applies versions of objects as received from the store or from peers.
 func (p *player) apply(event *ApplyEvent) {
 	versions := make([]resource.Versioned, 0, len(event.Objects))
 	for _, object := range event.Objects {
@@ -63,46 +63,46 @@
 	} else {
 		p.replica.Apply(versions...)
 	}
-	p.rebuild()
+	p.rebuildView()
 }
 
-// rebuild takes the configuration into the view that calls are decided on. A
-// policy that doesn't compile leaves the one before in force, as in a node.
-func (p *player) rebuild() {
-	view, faults := catalog.Build(p.replica, p.marks, p.router.View())
-	for _, fault := range faults {
-		p.report.note(p, "configuration: %v", fault)
+// rebuildView rebuilds the router's view from the configuration. If a policy does not
+// compile, the previous one stays in effect, as in a node.
+func (p *player) rebuildView() {
+	view, policyErrors := catalog.Build(p.replica, p.emergencyDrains, p.router.View())
+	for _, err := range policyErrors {
+		p.report.addNote(p, "configuration: %v", err)
 	}
 	p.router.Update(view, nil)
 }
 
-func (p *player) takeShedReport(event Event) {
-	told := event.ShedReport
-	taken := p.shed.Update(shed.Entry{
-		Service:   told.Service,
-		Target:    told.Target,
-		Origin:    told.Origin,
-		Threshold: told.Threshold,
-		Weight:    told.Weight,
-		Version:   told.Version,
-		Age:       told.Age.Duration(),
+func (p *player) applyShedReport(event Event) {
+	report := event.ShedReport
+	accepted := p.shed.Update(shed.Entry{
+		Service:   report.Service,
+		Target:    report.Target,
+		Origin:    report.Origin,
+		Threshold: report.Threshold,
+		Weight:    report.Weight,
+		Version:   report.Version,
+		Age:       report.Age.Duration(),
 	}, p.clock.now())
-	if told.Taken != nil {
-		p.report.compare(p, event.Line, "shed report of "+told.Target+" taken", *told.Taken, taken)
+	if report.Taken != nil {
+		p.report.compare(p, event.Line, "shed report of "+report.Target+" accepted", *report.Taken, accepted)
 	}
 }
 
-// tellLevels takes the shed levels of this node's own targets into its table,
-// as a node does with each gossip.
-func (p *player) tellLevels(now time.Time) {
-	for _, name := range slices.Sorted(maps.Keys(p.guards)) {
-		g := p.guards[name]
+// updateShedTable updates the shed table with the thresholds of this node's own
+// targets, as a node does at each gossip interval.
+func (p *player) updateShedTable(now time.Time) {
+	for _, name := range slices.Sorted(maps.Keys(p.targetStates)) {
+		state := p.targetStates[name]
 		p.shed.Update(shed.Entry{
-			Service:   g.target.Service,
+			Service:   state.target.Service,
 			Target:    name,
 			Origin:    nodeName,
-			Threshold: g.shedding.Threshold(),
-			Weight:    float64(g.target.Slots),
+			Threshold: state.shedController.Threshold(),
+			Weight:    float64(state.target.Slots),
 			Version:   uint64(now.UnixMilli()),
 		}, now)
 	}
--- a/lab/replay/player.go
+++ b/lab/replay/player.go
@@ -16,79 +16,79 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// Periods of a node's own work, as packages home and node have them.
+// Intervals of a node's periodic work. They equal those of packages home and node.
 const (
 	tickPeriod     = 50 * time.Millisecond
 	gossipInterval = 100 * time.Millisecond
 )
 
-// nodeName names the one node that a trace is played on.
+// nodeName is the name of the single node on which a trace is played.
 const nodeName = "node"
 
-// player plays one trace. Only the goroutine of play changes it; calls that
-// wait in a queue have a goroutine each, which hands its result to arrived.
+// player plays one trace. Only the goroutine of play changes it. Each queued call has
+// a goroutine of its own, which appends its result to acquireResults.
 type player struct {
 	clock  clock
 	header Header
 	start  time.Time
 
-	replica *configuration.Replica
-	marks   marks
-	router  *gateway.Router
-	shed    *shed.Table
-	budgets *retrybudget.Ledger
-	ratio   *retrybudget.Ratio
-	resent  *resend.Table
-	claims  *claimCluster
-	guards  map[string]*guard
-	answers map[string]Answer
+	replica          *configuration.Replica
+	emergencyDrains  emergencyDrains
+	router           *gateway.Router
+	shed             *shed.Table
+	budgets          *retrybudget.Ledger
+	retryRatio       *retrybudget.Ratio
+	resends          *resend.Table
+	claims           *claimCluster
+	targetStates     map[string]*targetState
+	defaultResponses map[string]Response
 
 	timeline timeline
 	sequence int
-	// pending is the number of trace events and calls that are not done.
-	pending int
-	calls   map[string]*call
-	groups  map[string][]*call
-	tokens  uint64
+	// pending is the number of trace events and calls that are not finished.
+	pending    int
+	calls      map[string]*call
+	callGroups map[string][]*call
+	lastToken  uint64
 
-	mu      sync.Mutex
-	arrived []permission
-	wake    chan struct{}
+	mu             sync.Mutex
+	acquireResults []acquireResult
+	wake           chan struct{}
 
 	report Report
 	err    error
 }
 
-// step is something that happens at a time.
-type step struct {
-	at       time.Time
+// scheduledAction is a function that runs at a time.
+type scheduledAction struct {
+	time     time.Time
 	sequence int
 	run      func()
 }
 
-// timeline holds steps by time; steps of one time are in the order in which they were added.
-type timeline []step
+// timeline is a priority queue of actions by time. Actions with equal times run in
+// the order in which they were added.
+type timeline []scheduledAction
 
 func (t timeline) Len() int { return len(t) }
 func (t timeline) Less(i, j int) bool {
-	return cmp.Or(t[i].at.Compare(t[j].at), cmp.Compare(t[i].sequence, t[j].sequence)) < 0
+	return cmp.Or(t[i].time.Compare(t[j].time), cmp.Compare(t[i].sequence, t[j].sequence)) < 0
 }
 func (t timeline) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 
-// Push and Pop implement heap.Interface.
-func (t *timeline) Push(added any) { *t = append(*t, added.(step)) }
+// Push implements heap.Interface.
+func (t *timeline) Push(added any) { *t = append(*t, added.(scheduledAction)) }
 
-// Pop removes the last step.
+// Pop implements heap.Interface.
 func (t *timeline) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
 }
 
-// Play plays a trace in which no call waits in a queue; for others it fails
-// with ErrQueues.
+// Play plays a trace. It returns ErrCallQueued if a call would be queued.
 func Play(trace *Trace) (Report, error) {
-	return play(trace, &steppingClock{time: traceStart})
+	return play(trace, &steppingClock{current: traceStart})
 }
 
 func play(trace *Trace, clock clock) (Report, error) {
@@ -97,37 +97,37 @@
 		return Report{}, err
 	}
 	for _, event := range trace.Events {
-		p.schedule(event)
+		p.scheduleEvent(event)
 	}
-	p.keepTicking()
+	p.tick()
 	for p.err == nil && p.pending > 0 {
-		p.advance()
+		p.playNext()
 	}
-	p.abandon()
+	p.closeSchedulers()
 	p.report.verifyCalls(p)
 	return p.report, p.err
 }
 
 func newPlayer(trace *Trace, clock clock) (*player, error) {
 	p := &player{
-		clock:   clock,
-		header:  trace.Header,
-		start:   clock.now(),
-		replica: configuration.NewReplica(clock.now),
-		marks:   marks{},
-		shed:    shed.NewTable(shed.TableConfig{}),
-		budgets: retrybudget.NewLedger(0, clock.now),
-		ratio:   retrybudget.NewRatio(retrybudget.RatioConfig{}, clock.now),
-		resent:  resend.NewTable(clock.now),
-		guards:  map[string]*guard{},
-		answers: map[string]Answer{},
-		calls:   map[string]*call{},
-		groups:  map[string][]*call{},
-		wake:    make(chan struct{}, 1),
-		report:  Report{Trace: trace.Header.Trace, spent: map[string]int{}},
+		clock:            clock,
+		header:           trace.Header,
+		start:            clock.now(),
+		replica:          configuration.NewReplica(clock.now),
+		emergencyDrains:  emergencyDrains{},
+		shed:             shed.NewTable(shed.TableConfig{}),
+		budgets:          retrybudget.NewLedger(0, clock.now),
+		retryRatio:       retrybudget.NewRatio(retrybudget.RatioConfig{}, clock.now),
+		resends:          resend.NewTable(clock.now),
+		targetStates:     map[string]*targetState{},
+		defaultResponses: map[string]Response{},
+		calls:            map[string]*call{},
+		callGroups:       map[string][]*call{},
+		wake:             make(chan struct{}, 1),
+		report:           Report{TraceName: trace.Header.Name, retriesGranted: map[string]int{}},
 	}
-	for service, answer := range trace.Header.Answers {
-		p.answers[service] = answer
+	for service, response := range trace.Header.DefaultResponses {
+		p.defaultResponses[service] = response
 	}
 	p.router = gateway.NewRouter(gateway.RouterConfig{
 		Node: nodeName, Zone: trace.Header.Zone, Warmup: true, Shed: p.shed, Now: clock.now,
@@ -136,27 +136,28 @@
 		return nil, err
 	}
 	var err error
-	p.claims, err = newClaimCluster(trace.Header.Claims)
+	p.claims, err = newClaimCluster(trace.Header.ClaimReplicas)
 	return p, err
 }
 
-// at adds a step to the timeline.
-func (p *player) at(when time.Time, run func()) {
+// scheduleAt adds an action to the timeline.
+func (p *player) scheduleAt(at time.Time, run func()) {
 	p.sequence++
-	heap.Push(&p.timeline, step{at: when, sequence: p.sequence, run: run})
+	heap.Push(&p.timeline, scheduledAction{time: at, sequence: p.sequence, run: run})
 }
 
-// advance plays the next step, or what calls that waited got before it.
-func (p *player) advance() {
-	p.clock.settle()
-	if p.goOn() {
+// playNext resumes calls that received a permit or a refusal, or else runs the next
+// action of the timeline.
+func (p *player) playNext() {
+	p.clock.waitIdle()
+	if p.resumeCalls() {
 		return
 	}
 	next := p.timeline[0]
-	if next.at.After(p.clock.now()) {
-		p.clock.sleep(next.at, p.wake)
-		p.clock.settle()
-		if p.goOn() || next.at.After(p.clock.now()) {
+	if next.time.After(p.clock.now()) {
+		p.clock.sleep(next.time, p.wake)
+		p.clock.waitIdle()
+		if p.resumeCalls() || next.time.After(p.clock.now()) {
 			return
 		}
 	}
@@ -164,100 +165,101 @@
 	next.run()
 }
 
-// goOn lets calls go on that got a permit or a refusal, in the order of their
-// arrival. It reports whether there were any.
-func (p *player) goOn() bool {
+// resumeCalls resumes the calls that received a permit or a refusal, in the order in
+// which the calls arrived. It reports whether there were any.
+func (p *player) resumeCalls() bool {
 	p.mu.Lock()
-	arrived := p.arrived
-	p.arrived = nil
+	results := p.acquireResults
+	p.acquireResults = nil
 	p.mu.Unlock()
 	select {
 	case <-p.wake:
 	default:
 	}
-	slices.SortFunc(arrived, func(a, b permission) int { return cmp.Compare(a.call.number, b.call.number) })
-	for _, permission := range arrived {
-		p.take(permission)
-		p.clock.settle()
+	slices.SortFunc(results, func(a, b acquireResult) int { return cmp.Compare(a.call.sequence, b.call.sequence) })
+	for _, result := range results {
+		p.resume(result)
+		p.clock.waitIdle()
 	}
-	return len(arrived) > 0
+	return len(results) > 0
 }
 
-// abandon ends the calls that still wait when playing stopped on an error.
-func (p *player) abandon() {
-	for _, g := range p.guards {
-		g.scheduler.Close()
+// closeSchedulers ends the calls that are still queued when playing stopped with an
+// error.
+func (p *player) closeSchedulers() {
+	for _, state := range p.targetStates {
+		state.scheduler.Close()
 	}
-	p.clock.settle()
+	p.clock.waitIdle()
 }
 
-// keepTicking does what a node does by itself at regular times.
-func (p *player) keepTicking() {
+// tick does the periodic work of a node and schedules the next tick.
+func (p *player) tick() {
 	now := p.clock.now()
 	if now.Sub(p.start)%gossipInterval == 0 {
-		p.tellLevels(now)
+		p.updateShedTable(now)
 	}
-	for _, g := range p.guards {
-		stats := g.scheduler.Stats()
-		g.shedding.Tick(now, home.ShedState(stats))
+	for _, state := range p.targetStates {
+		stats := state.scheduler.Stats()
+		state.shedController.Tick(now, home.ShedState(stats))
 	}
-	p.at(now.Add(tickPeriod), p.keepTicking)
+	p.scheduleAt(now.Add(tickPeriod), p.tick)
 }
 
 // elapsed returns the time since the trace's start.
 func (p *player) elapsed() time.Duration { return p.clock.now().Sub(p.start) }
 
-// fail ends the trace with an error.
+// fail stops playing with an error. Only the first error is kept.
 func (p *player) fail(err error) {
 	if p.err == nil && err != nil {
 		p.err = fmt.Errorf("at %s: %w", p.elapsed(), err)
 	}
 }
 
-// schedule puts an event of the trace, or the calls of a group, on the timeline.
-func (p *player) schedule(event Event) {
+// scheduleEvent adds an event of the trace, or the calls of a group, to the timeline.
+func (p *player) scheduleEvent(event Event) {
 	if event.Call == nil {
 		p.pending++
-		p.at(p.start.Add(event.At.Duration()), func() {
+		p.scheduleAt(p.start.Add(event.At.Duration()), func() {
 			p.pending--
-			p.happen(event)
+			p.playEvent(event)
 		})
 		return
 	}
-	number := max(event.Call.Count, 1)
-	for i := range number {
+	count := max(event.Call.Count, 1)
+	for i := range count {
 		c := newCall(event, i)
 		if p.calls[c.id] != nil {
-			p.fail(fmt.Errorf("line %d: there is a call %s already", event.Line, c.id))
+			p.fail(fmt.Errorf("line %d: duplicate call %s", event.Line, c.id))
 			return
 		}
 		p.calls[c.id] = c
-		p.groups[event.Call.ID] = append(p.groups[event.Call.ID], c)
+		p.callGroups[event.Call.ID] = append(p.callGroups[event.Call.ID], c)
 		p.report.calls = append(p.report.calls, c)
 		p.pending++
-		at := event.At.Duration() + time.Duration(i)*event.Call.Every.Duration()
-		p.at(p.start.Add(at), func() { p.arrive(c) })
+		at := event.At.Duration() + time.Duration(i)*event.Call.Interval.Duration()
+		p.scheduleAt(p.start.Add(at), func() { p.receiveCall(c) })
 	}
 }
 
-func (p *player) happen(event Event) {
+func (p *player) playEvent(event Event) {
 	var err error
 	switch {
-	case event.Answers != nil:
-		p.answers[event.Answers.Service] = event.Answers.Answer
+	case event.DefaultResponse != nil:
+		p.defaultResponses[event.DefaultResponse.Service] = event.DefaultResponse.Response
 	case event.Apply != nil:
 		p.apply(event.Apply)
-	case event.Mark != nil:
-		p.marks.set(event.Mark)
-		p.rebuild()
+	case event.EmergencyDrain != nil:
+		p.emergencyDrains.set(event.EmergencyDrain)
+		p.rebuildView()
 	case event.ShedReport != nil:
-		p.takeShedReport(event)
-	case event.Grant != nil:
-		err = p.grantTo(event)
+		p.applyShedReport(event)
+	case event.GrantRequest != nil:
+		err = p.playGrantRequest(event)
 	case event.Claim != nil:
-		err = p.claims.begin(event.Claim, p.clock.now())
-	case event.Deliver != nil:
-		err = p.claims.deliver(event.Deliver, p.clock.now())
+		err = p.claims.startAttempt(event.Claim, p.clock.now())
+	case event.Delivery != nil:
+		err = p.claims.deliver(event.Delivery, p.clock.now())
 	case event.Restart != nil:
 		err = p.claims.restart(event.Restart.Replica)
 	case event.Rejoin != nil:
--- a/lab/replay/read.go
+++ b/lab/replay/read.go
@@ -12,10 +12,10 @@
 	"github.com/samber/oops"
 )
 
-// MaxTraceBytes bounds the size of a trace's file.
+// MaxTraceBytes is the maximum size of a trace file.
 const MaxTraceBytes = 16 << 20
 
-// ReadFile reads the trace in a file.
+// ReadFile reads a trace file.
 func ReadFile(path string) (*Trace, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -26,10 +26,10 @@
 	return trace, oops.In("replay").With("step", "read").With("file", path).Wrapf(err, "read %s", path)
 }
 
-// Read reads a trace: a header and events, one JSON object a line. Empty lines
-// and lines that start with # are passed over.
-func Read(from io.Reader) (*Trace, error) {
-	content, err := io.ReadAll(io.LimitReader(from, MaxTraceBytes+1))
+// Read reads a trace: a header and events, one JSON object per line. Empty lines and
+// lines that start with # are skipped.
+func Read(source io.Reader) (*Trace, error) {
+	content, err := io.ReadAll(io.LimitReader(source, MaxTraceBytes+1))
 	if err != nil {
 		return nil, err
 	}
@@ -37,15 +37,15 @@
 		return nil, fmt.Errorf("trace is longer than %d bytes", MaxTraceBytes)
 	}
 	trace := &Trace{}
-	haveHeader := false
+	headerRead := false
 	for index, line := range bytes.Split(content, []byte("\n")) {
 		line = bytes.TrimSpace(line)
 		if len(line) == 0 || line[0] == '#' {
 			continue
 		}
-		if !haveHeader {
+		if !headerRead {
 			err = decodeLine(line, &trace.Header)
-			haveHeader = true
+			headerRead = true
 		} else {
 			err = trace.addEvent(line, index+1)
 		}
@@ -53,16 +53,16 @@
 			return nil, fmt.Errorf("line %d: %w", index+1, err)
 		}
 	}
-	if trace.Header.Trace == "" {
-		return nil, errors.New("the first line must be a header with the trace's name")
+	if trace.Header.Name == "" {
+		return nil, errors.New("the first line must be a header with the name of the trace")
 	}
 	return trace, nil
 }
 
-func decodeLine(line []byte, into any) error {
+func decodeLine(line []byte, value any) error {
 	decoder := json.NewDecoder(bytes.NewReader(line))
 	decoder.DisallowUnknownFields()
-	if err := decoder.Decode(into); err != nil {
+	if err := decoder.Decode(value); err != nil {
 		return err
 	}
 	if decoder.More() {
@@ -71,8 +71,8 @@
 	return nil
 }
 
-func (t *Trace) addEvent(line []byte, number int) error {
-	event := Event{Line: number}
+func (t *Trace) addEvent(line []byte, lineNumber int) error {
+	event := Event{Line: lineNumber}
 	if err := decodeLine(line, &event); err != nil {
 		return err
 	}
@@ -80,22 +80,22 @@
 		return err
 	}
 	if len(t.Events) > 0 && event.At < t.Events[len(t.Events)-1].At {
-		return errors.New("the event is earlier than the one before")
+		return errors.New("the event is earlier than the previous event")
 	}
 	t.Events = append(t.Events, event)
 	return nil
 }
 
 func (e Event) validate() error {
-	members := count(e.Call != nil, e.Answers != nil, e.Apply != nil, e.Mark != nil, e.ShedReport != nil, e.Grant != nil,
-		e.Claim != nil, e.Deliver != nil, e.Restart != nil, e.Rejoin != nil, e.Check != nil)
+	memberCount := countTrue(e.Call != nil, e.DefaultResponse != nil, e.Apply != nil, e.EmergencyDrain != nil,
+		e.ShedReport != nil, e.GrantRequest != nil, e.Claim != nil, e.Delivery != nil, e.Restart != nil, e.Rejoin != nil, e.Check != nil)
 	switch {
-	case members != 1:
-		return fmt.Errorf("an event has exactly one member beside at_ms, not %d", members)
+	case memberCount != 1:
+		return fmt.Errorf("an event must have exactly one member besides at_ms; it has %d", memberCount)
 	case e.Call != nil:
 		return e.Call.validate()
-	case e.Answers != nil:
-		return e.Answers.Answer.validate()
+	case e.DefaultResponse != nil:
+		return e.DefaultResponse.Response.validate()
 	case e.Check != nil:
 		return e.Check.validate()
 	}
@@ -104,40 +104,41 @@
 
 func (e CallEvent) validate() error {
 	if e.ID == "" || e.Service == "" {
-		return errors.New("a call needs id and service")
+		return errors.New("a call must have an id and a service")
 	}
-	for _, answer := range e.Does {
-		if err := answer.validate(); err != nil {
+	for _, response := range e.Responses {
+		if err := response.validate(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-var outcomes = []string{"", OutcomeComplete, OutcomeRefused, OutcomeUnsent, OutcomeSent, OutcomeIncomplete}
+var validOutcomes = []string{"", OutcomeComplete, OutcomeRefused, OutcomeFailedUnsent, OutcomeFailedSent, OutcomeIncomplete}
 
-func (a Answer) validate() error {
-	if !slices.Contains(outcomes, a.Outcome) {
-		return fmt.Errorf("unknown outcome %q: allowed are %q", a.Outcome, outcomes[1:])
+func (a Response) validate() error {
+	if !slices.Contains(validOutcomes, a.Outcome) {
+		return fmt.Errorf("unknown outcome %q: allowed are %q", a.Outcome, validOutcomes[1:])
 	}
 	return nil
 }
 
 func (c Check) validate() error {
-	members := count(c.Limit != nil, c.Threshold != nil, c.Overloaded != nil, c.Revision != nil, c.Spent != nil,
-		c.Order != nil, c.Count != nil, c.Claim != nil, c.Claimed != nil)
-	if members != 1 {
-		return fmt.Errorf("a check has exactly one member, not %d", members)
+	memberCount := countTrue(c.Limit != nil, c.Threshold != nil, c.Overloaded != nil, c.Revision != nil, c.GrantedRetries != nil,
+		c.Order != nil, c.Count != nil, c.Claim != nil, c.GrantedClaims != nil)
+	if memberCount != 1 {
+		return fmt.Errorf("a check must have exactly one member; it has %d", memberCount)
 	}
 	return nil
 }
 
-func count(conditions ...bool) int {
-	holding := 0
-	for _, holds := range conditions {
-		if holds {
-			holding++
+// countTrue returns the number of conditions that are true.
+func countTrue(conditions ...bool) int {
+	total := 0
+	for _, condition := range conditions {
+		if condition {
+			total++
 		}
 	}
-	return holding
+	return total
 }
--- a/lab/replay/record.go
+++ b/lab/replay/record.go
@@ -19,13 +19,14 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// recordedRetention is the retention of a recorded trace's claim replicas.
-const recordedRetention = Millis(10 * time.Minute / time.Millisecond)
+// recordedClaimRetention is the retention of the claim replicas in recorded traces.
+const recordedClaimRetention = Millis(10 * time.Minute / time.Millisecond)
 
-// recordedMaxRetries is the product's default budget of a request.
+// recordedMaxRetries is the retry budget of requests in recorded traces. It equals
+// the default of lugspur.
 const recordedMaxRetries = 3
 
-// Recording is what a trace is made from.
+// Recording is the data of a run from which a trace is built.
 type Recording struct {
 	Mesh    *mesh.Mesh
 	Objects []resource.Envelope
@@ -33,58 +34,61 @@
 	Records []emulator.Record
 }
 
-// Cut says which part of a recording becomes a trace.
-type Cut struct {
-	Name, Promise string
-	// Zone is the zone whose edge took the calls.
+// Selection selects the part of a recording from which a trace is built.
+type Selection struct {
+	// Name and Guarantee are those of the trace's header.
+	Name, Guarantee string
+	// Zone is the zone at whose edge the calls arrived.
 	Zone string
-	// From is the time from the first call to the trace's start, For its length.
-	From, For time.Duration
+	// Offset is the time from the first call of the recording to the start of the
+	// trace, Duration the trace's length.
+	Offset, Duration time.Duration
 }
 
-// ErrNothingRecorded tells that no call lies in the cut.
-var ErrNothingRecorded = errors.New("no call of the zone was recorded in that time")
+// ErrNoCalls is returned if the selection contains no calls.
+var ErrNoCalls = errors.New("the recording has no calls at the zone's edge in the selected time")
 
-// Record makes a trace from the recorded calls at the edge of a zone: each try of a
-// client with what the targets of its own service did. The time that a target
-// spent on calls further down is part of its latency. Each call states the criticality
-// that the mesh expects; those that were run once and answered state that, too.
-func Record(recording Recording, cut Cut) (*Trace, error) {
-	trace := &Trace{Header: recording.header(cut)}
+// BuildTrace builds a trace from the recorded calls at the edge of a zone. It
+// contains one call for each attempt of a client, with the responses of the targets
+// of the called service; the time that a target spent on downstream calls is part of
+// its latency. Each call expects the criticality that the mesh defines. Calls that
+// were executed once and got a complete response also expect that.
+func BuildTrace(recording Recording, selection Selection) (*Trace, error) {
+	trace := &Trace{Header: recording.header(selection)}
 	executions := recording.executions()
-	start := recording.start().Add(cut.From)
-	for _, recorded := range recording.Calls {
-		kind, known := recording.kind(recorded.Kind)
-		if !known || recorded.Zone != cut.Zone {
+	start := recording.firstCallStart().Add(selection.Offset)
+	for _, call := range recording.Calls {
+		kind, known := recording.kind(call.Kind)
+		if !known || call.Zone != selection.Zone {
 			continue
 		}
-		for _, try := range recorded.Attempts {
-			at := try.Start.Sub(start)
-			if at < 0 || at >= cut.For {
+		for _, attempt := range call.Attempts {
+			offset := attempt.Start.Sub(start)
+			if offset < 0 || offset >= selection.Duration {
 				continue
 			}
 			event := &CallEvent{
 				ID: kind.Name, Service: kind.Service, Method: kind.Method, Path: kind.Path,
-				Caller: recorded.Caller, Timeout: Millis(kind.DeadlineMs), Key: recorded.IdempotencyKey,
+				Caller: call.Caller, Timeout: Millis(kind.DeadlineMs), Key: call.IdempotencyKey,
 			}
-			event.tell(executions[execution{try.RequestID, kind.Service}], try, kind)
-			trace.Events = append(trace.Events, Event{At: millisOf(at), Call: event})
+			event.addRecorded(executions[executionKey{attempt.RequestID, kind.Service}], attempt, kind)
+			trace.Events = append(trace.Events, Event{At: millisOf(offset), Call: event})
 		}
 	}
-	trace.order()
+	trace.sortAndNumber()
 	if len(trace.Events) == 0 {
-		return nil, oops.In("replay").With("step", "record").With("zone", cut.Zone).Wrap(ErrNothingRecorded)
+		return nil, oops.In("replay").With("step", "record").With("zone", selection.Zone).Wrap(ErrNoCalls)
 	}
 	return trace, nil
 }
 
-// execution names what a request did at a service.
-type execution struct{ request, service string }
+// executionKey identifies the executions of a request at a service.
+type executionKey struct{ requestID, service string }
 
-func (r Recording) executions() map[execution][]emulator.Record {
-	executions := map[execution][]emulator.Record{}
+func (r Recording) executions() map[executionKey][]emulator.Record {
+	executions := map[executionKey][]emulator.Record{}
 	for _, record := range r.Records {
-		key := execution{record.RequestID, record.Service}
+		key := executionKey{record.RequestID, record.Service}
 		executions[key] = append(executions[key], record)
 	}
 	for _, records := range executions {
@@ -93,7 +97,7 @@
 	return executions
 }
 
-func (r Recording) start() time.Time {
+func (r Recording) firstCallStart() time.Time {
 	var first time.Time
 	for _, call := range r.Calls {
 		if first.IsZero() || call.Intended.Before(first) {
@@ -111,13 +115,13 @@
 	return r.Mesh.Kinds[index], true
 }
 
-func (r Recording) header(cut Cut) Header {
+func (r Recording) header(selection Selection) Header {
 	header := Header{
-		Trace: cut.Name, Promise: cut.Promise, Zone: cut.Zone, MaxRetries: recordedMaxRetries,
-		Services: map[string]resource.Service{},
-		Policies: map[string]resource.Policy{},
-		Targets:  map[string]resource.Target{},
-		Claims:   &ClaimReplicas{Replicas: []string{"r1", "r2", "r3"}, Retention: recordedRetention},
+		Name: selection.Name, Guarantee: selection.Guarantee, Zone: selection.Zone, MaxRetries: recordedMaxRetries,
+		Services:      map[string]resource.Service{},
+		Policies:      map[string]resource.Policy{},
+		Targets:       map[string]resource.Target{},
+		ClaimReplicas: &ClaimReplicas{Replicas: []string{"r1", "r2", "r3"}, Retention: recordedClaimRetention},
 	}
 	for _, object := range r.Objects {
 		switch name := object.ID.Name; {
@@ -132,40 +136,42 @@
 	return header
 }
 
-// tell adds what the targets did, and what the recording lets state.
-func (e *CallEvent) tell(records []emulator.Record, try load.Attempt, kind mesh.Kind) {
+// addRecorded adds the recorded responses of the targets, and the expectations that
+// follow from the recording.
+func (e *CallEvent) addRecorded(records []emulator.Record, attempt load.Attempt, kind mesh.Kind) {
 	for _, record := range records {
-		e.Does = append(e.Does, answerOf(record, kind))
+		e.Responses = append(e.Responses, responseOf(record, kind))
 	}
 	e.Expect = &CallExpectation{Level: kind.Criticality}
-	if len(records) == 1 && records[0].Outcome == emulator.OutcomeComplete && try.Verdict == load.VerdictComplete {
-		once := 1
+	if len(records) == 1 && records[0].Outcome == emulator.OutcomeComplete && attempt.Verdict == load.VerdictComplete {
+		one := 1
 		e.Expect.Result = resultAnswered
-		e.Expect.Sent = &once
+		e.Expect.SendCount = &one
 	}
 }
 
-func answerOf(record emulator.Record, kind mesh.Kind) Answer {
-	answer := Answer{Latency: millisOf(record.End.Sub(record.Start))}
+func responseOf(record emulator.Record, kind mesh.Kind) Response {
+	response := Response{Latency: millisOf(record.End.Sub(record.Start))}
 	switch record.Outcome {
 	case emulator.OutcomeCancelled, emulator.OutcomeRunning:
-		// Nobody waited for the end, which came after the deadline.
-		answer.Latency = Millis(kind.DeadlineMs) + 1
+		// The caller did not wait for the response. A latency beyond the deadline makes
+		// the call time out in the trace, too.
+		response.Latency = Millis(kind.DeadlineMs) + 1
 	case emulator.OutcomeChildFailed:
-		answer.Status = http.StatusBadGateway
+		response.Status = http.StatusBadGateway
 	case emulator.OutcomeTruncated:
-		answer.Outcome = OutcomeIncomplete
+		response.Outcome = OutcomeIncomplete
 	case emulator.OutcomeFault:
-		answer.Outcome = OutcomeSent
+		response.Outcome = OutcomeFailedSent
 	}
-	return answer
+	return response
 }
 
-// millisOf rounds to a microsecond.
+// millisOf converts a duration to milliseconds, truncated to a microsecond.
 func millisOf(d time.Duration) Millis { return Millis(d.Microseconds()) / 1000 }
 
-// order sorts the events by time and numbers the calls of each kind.
-func (t *Trace) order() {
+// sortAndNumber sorts the events by time and numbers the calls of each kind.
+func (t *Trace) sortAndNumber() {
 	slices.SortStableFunc(t.Events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	numbers := map[string]int{}
 	for _, event := range t.Events {
@@ -175,9 +181,9 @@
 	}
 }
 
-// Write writes the trace as JSON lines.
-func (t *Trace) Write(to io.Writer) error {
-	encoder := json.NewEncoder(to)
+// Write writes the trace in the format that Read reads.
+func (t *Trace) Write(writer io.Writer) error {
+	encoder := json.NewEncoder(writer)
 	if err := encoder.Encode(t.Header); err != nil {
 		return err
 	}
--- a/lab/replay/record_command.go
+++ b/lab/replay/record_command.go
@@ -17,20 +17,20 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-type recordCommand struct {
-	meshFile, objects, history, records string
-	cut                                 Cut
+type recordTraceCommand struct {
+	meshFile, objectPaths, historyFile, recordsFile string
+	selection                                       Selection
 }
 
-func (*recordCommand) Name() string { return "record-trace" }
-func (*recordCommand) Synopsis() string {
-	return "make a trace from the recorded files of a run"
+func (*recordTraceCommand) Name() string { return "record-trace" }
+func (*recordTraceCommand) Synopsis() string {
+	return "build a trace from the recorded files of a run"
 }
-func (*recordCommand) Usage() string {
-	return `record-trace -mesh FILE -objects PATHS -history FILE -records FILE -zone ZONE: make a trace for replay from a recorded run.
+func (*recordTraceCommand) Usage() string {
+	return `record-trace -mesh FILE -objects PATHS -history FILE -records FILE -zone ZONE: build a trace for replay from a recorded run.
 
-Prints the trace. It states the criticality of each call and, of the calls that were run once and answered, that; state
-more by hand before you keep it.
+Prints the trace. It expects the criticality that the mesh defines for each call, and a complete response after a single
+attempt for those calls that had one in the run. Add further expectations by hand before you keep the trace.
 
 Example:
   lugspur-lab record-trace -mesh examples/naidu/mesh.toml -objects out/objects.toml,examples/policies \
@@ -40,43 +40,43 @@
 }
 
 // SetFlags defines the command's flags.
-func (c *recordCommand) SetFlags(flags *flag.FlagSet) {
+func (c *recordTraceCommand) SetFlags(flags *flag.FlagSet) {
 	flags.StringVar(&c.meshFile, "mesh", "", "mesh `file`")
-	flags.StringVar(&c.objects, "objects", "", "`files` and directories of objects, separated by commas")
-	flags.StringVar(&c.history, "history", "", "`file` of calls as callers saw them, as JSON lines")
-	flags.StringVar(&c.records, "records", "", "`file` of executions at targets, as JSON lines")
-	flags.StringVar(&c.cut.Zone, "zone", "", "`zone` whose edge took the calls")
-	flags.DurationVar(&c.cut.From, "from", 0, "`time` from the first call to the trace's start")
-	flags.DurationVar(&c.cut.For, "for", time.Second, "`time` that the trace covers")
-	flags.StringVar(&c.cut.Name, "name", "recorded", "`name` of the trace")
-	flags.StringVar(&c.cut.Promise, "promise", "", "`text` that says what the trace guards")
+	flags.StringVar(&c.objectPaths, "objects", "", "`files` and directories of objects, separated by commas")
+	flags.StringVar(&c.historyFile, "history", "", "`file` of calls as seen by the callers, as JSON lines")
+	flags.StringVar(&c.recordsFile, "records", "", "`file` of executions at targets, as JSON lines")
+	flags.StringVar(&c.selection.Zone, "zone", "", "`zone` at whose edge the calls arrived")
+	flags.DurationVar(&c.selection.Offset, "from", 0, "`time` from the first call to the trace's start")
+	flags.DurationVar(&c.selection.Duration, "for", time.Second, "`time` that the trace covers")
+	flags.StringVar(&c.selection.Name, "name", "recorded", "`name` of the trace")
+	flags.StringVar(&c.selection.Guarantee, "promise", "", "`text` that describes the property that the trace verifies")
 }
 
-// Execute makes the trace.
-func (c *recordCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
+// Execute builds the trace and prints it.
+func (c *recordTraceCommand) Execute(context.Context, *flag.FlagSet, ...any) subcommands.ExitStatus {
 	recording, err := c.read()
 	if err != nil {
-		logrus.WithError(err).Error("read recording")
+		logrus.WithError(err).Error("failed to read the recording")
 		return subcommands.ExitUsageError
 	}
-	trace, err := Record(recording, c.cut)
+	trace, err := BuildTrace(recording, c.selection)
 	if err == nil {
 		err = trace.Write(os.Stdout)
 	}
 	if err != nil {
-		logrus.WithError(err).Error("record trace")
+		logrus.WithError(err).Error("failed to build the trace")
 		return subcommands.ExitFailure
 	}
 	return subcommands.ExitSuccess
 }
 
-func (c *recordCommand) read() (Recording, error) {
+func (c *recordTraceCommand) read() (Recording, error) {
 	var recording Recording
 	var errs [4]error
 	recording.Mesh, errs[0] = mesh.Load(c.meshFile)
-	recording.Calls, errs[1] = judge.ReadLines[judge.Call](c.history)
-	recording.Records, errs[2] = judge.ReadLines[emulator.Record](c.records)
-	objects, err := objectfile.Load(strings.Split(c.objects, ",")...)
+	recording.Calls, errs[1] = judge.ReadLines[judge.Call](c.historyFile)
+	recording.Records, errs[2] = judge.ReadLines[emulator.Record](c.recordsFile)
+	objects, err := objectfile.Load(strings.Split(c.objectPaths, ",")...)
 	errs[3] = err
 	for _, object := range objects {
 		recording.Objects = append(recording.Objects, object.Envelope)
--- a/lab/replay/record_test.go
+++ b/lab/replay/record_test.go
@@ -53,11 +53,11 @@
 	}
 }
 
-func TestRecord(t *testing.T) {
-	recorded, err := Record(recordedRun(), Cut{Name: "r", Zone: "a", From: 100 * time.Millisecond, For: 500 * time.Millisecond})
+func TestBuildTrace(t *testing.T) {
+	built, err := BuildTrace(recordedRun(), Selection{Name: "r", Zone: "a", Offset: 100 * time.Millisecond, Duration: 500 * time.Millisecond})
 	assert.NilError(t, err)
 	var text strings.Builder
-	assert.NilError(t, recorded.Write(&text))
+	assert.NilError(t, built.Write(&text))
 	trace, err := Read(strings.NewReader(text.String()))
 	assert.NilError(t, err)
 
@@ -65,19 +65,19 @@
 	first, second, third := trace.Events[0], trace.Events[1], trace.Events[2]
 	assert.Equal(t, first.At, Millis(10))
 	assert.Equal(t, first.Call.ID, "look-1")
-	assert.DeepEqual(t, first.Call.Does, []Answer{{Latency: 25}})
+	assert.DeepEqual(t, first.Call.Responses, []Response{{Latency: 25}})
 	assert.Equal(t, first.Call.Expect.Result, resultAnswered)
-	assert.DeepEqual(t, second.Call.Does, []Answer{{Latency: 15, Outcome: OutcomeSent}, {Latency: 15}})
+	assert.DeepEqual(t, second.Call.Responses, []Response{{Latency: 15, Outcome: OutcomeFailedSent}, {Latency: 15}})
 	assert.Equal(t, second.Call.Expect.Result, "")
-	assert.DeepEqual(t, third.Call.Does, []Answer{{Latency: 501}})
+	assert.DeepEqual(t, third.Call.Responses, []Response{{Latency: 501}})
 
 	report, err := Play(trace)
 	assert.NilError(t, err)
-	assert.Assert(t, report.Holds(), "%s", textOf(t, report))
+	assert.Assert(t, report.Passed(), "%s", reportText(t, report))
 	assert.Equal(t, trace.Header.Targets["view-1"].Slots, 8)
 }
 
-func TestRecordOfNothingFails(t *testing.T) {
-	_, err := Record(recordedRun(), Cut{Zone: "c", For: time.Second})
-	assert.ErrorIs(t, err, ErrNothingRecorded)
+func TestBuildTraceWithoutCallsFails(t *testing.T) {
+	_, err := BuildTrace(recordedRun(), Selection{Zone: "c", Duration: time.Second})
+	assert.ErrorIs(t, err, ErrNoCalls)
 }
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -13,16 +13,16 @@
 	"github.com/lugspur/lugspur/internal/virtualtime"
 )
 
-var oneFile = flag.String("file", "", "play only the trace in this `file`, relative to lab/replay")
+var traceFile = flag.String("file", "", "play only the trace in this `file`, relative to lab/replay")
 
-// bubbleClock is the clock of a bubble of testing/synctest.
-type bubbleClock struct{}
+// synctestClock is the clock of a testing/synctest bubble.
+type synctestClock struct{}
 
-func (bubbleClock) now() time.Time { return time.Now() }
-func (bubbleClock) settle()        { synctest.Wait() }
-func (bubbleClock) timers() bool   { return true }
+func (synctestClock) now() time.Time     { return time.Now() }
+func (synctestClock) waitIdle()          { synctest.Wait() }
+func (synctestClock) drivesTimers() bool { return true }
 
-func (bubbleClock) sleep(until time.Time, wake <-chan struct{}) {
+func (synctestClock) sleep(until time.Time, wake <-chan struct{}) {
 	timer := time.NewTimer(time.Until(until))
 	defer timer.Stop()
 	select {
@@ -31,18 +31,19 @@
 	}
 }
 
-// playInBubble plays a trace with queues.
-func playInBubble(t *testing.T, trace *Trace) (report Report) {
+// playInSynctest plays a trace in a testing/synctest bubble, where calls can be
+// queued.
+func playInSynctest(t *testing.T, trace *Trace) (report Report) {
 	t.Helper()
 	virtualtime.Run(t, func(t *testing.T) {
 		var err error
-		report, err = play(trace, bubbleClock{})
+		report, err = play(trace, synctestClock{})
 		assert.NilError(t, err)
 	})
 	return report
 }
 
-func textOf(t *testing.T, report Report) string {
+func reportText(t *testing.T, report Report) string {
 	t.Helper()
 	var text strings.Builder
 	assert.NilError(t, report.WriteText(&text, true))
@@ -51,8 +52,8 @@
 
 func traceFiles(t *testing.T) []string {
 	t.Helper()
-	if *oneFile != "" {
-		return []string{*oneFile}
+	if *traceFile != "" {
+		return []string{*traceFile}
 	}
 	files, err := filepath.Glob("testdata/*.jsonl")
 	assert.NilError(t, err)
@@ -60,7 +61,7 @@
 	return files
 }
 
-func eachTrace(t *testing.T, test func(t *testing.T, path string, trace *Trace)) {
+func forEachTrace(t *testing.T, test func(t *testing.T, path string, trace *Trace)) {
 	t.Helper()
 	for _, path := range traceFiles(t) {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".jsonl"), func(t *testing.T) {
@@ -72,75 +73,76 @@
 }
 
 func TestTraces(t *testing.T) {
-	eachTrace(t, func(t *testing.T, path string, trace *Trace) {
-		first := playInBubble(t, trace)
-		text := textOf(t, first)
+	forEachTrace(t, func(t *testing.T, path string, trace *Trace) {
+		first := playInSynctest(t, trace)
+		text := reportText(t, first)
 		t.Log("\n" + text)
-		assert.Assert(t, len(first.Verdicts) > 0, "the trace states nothing")
-		assert.Assert(t, first.Holds(), "%d stated outcomes were not met", first.Failures())
+		assert.Assert(t, len(first.Comparisons) > 0, "the trace has no expectations")
+		assert.Assert(t, first.Passed(), "%d comparisons failed", first.Failures())
 
-		again, err := ReadFile(path)
+		reread, err := ReadFile(path)
 		assert.NilError(t, err)
-		assert.Equal(t, textOf(t, playInBubble(t, again)), text)
+		assert.Equal(t, reportText(t, playInSynctest(t, reread)), text)
 	})
 }
 
-// alteredOfEachKind bounds the outcomes of one kind that are altered in one
-// trace; a recorded trace states hundreds of like ones.
-const alteredOfEachKind = 12
+// maxMutationsPerKind bounds the mutations of one kind in one trace, because a
+// recorded trace has hundreds of similar expectations.
+const maxMutationsPerKind = 12
 
-// TestAlteredOutcomesFail alters the stated outcomes of each trace one at a
-// time. Each must be found.
-func TestAlteredOutcomesFail(t *testing.T) {
+// TestMutatedExpectationsFail changes the expectations of each trace one at a time.
+// Playing the trace must fail each time. This guards against expectations that are
+// read but never compared.
+func TestMutatedExpectationsFail(t *testing.T) {
 	kinds := map[string]int{}
-	eachTrace(t, func(t *testing.T, path string, trace *Trace) {
-		altered := map[string]int{}
+	forEachTrace(t, func(t *testing.T, path string, trace *Trace) {
+		mutated := map[string]int{}
 		for i := range trace.Events {
-			for _, alteration := range alterationsOf(&trace.Events[i]) {
-				if altered[alteration.kind]++; altered[alteration.kind] > alteredOfEachKind {
+			for _, mutation := range mutationsOf(&trace.Events[i]) {
+				if mutated[mutation.kind]++; mutated[mutation.kind] > maxMutationsPerKind {
 					continue
 				}
-				undo := alteration.apply()
-				report := playInBubble(t, trace)
-				assert.Assert(t, !report.Holds(), "line %d: an altered %s is not found", trace.Events[i].Line, alteration.kind)
+				undo := mutation.apply()
+				report := playInSynctest(t, trace)
+				assert.Assert(t, !report.Passed(), "line %d: a mutated %s was not detected", trace.Events[i].Line, mutation.kind)
 				undo()
-				kinds[alteration.kind]++
+				kinds[mutation.kind]++
 			}
 		}
 	})
-	if *oneFile == "" {
-		for _, kind := range stateable() {
-			assert.Assert(t, kinds[kind] > 0, "no trace states %s", kind)
+	if *traceFile == "" {
+		for _, kind := range expectationKinds() {
+			assert.Assert(t, kinds[kind] > 0, "no trace has an expectation of kind %s", kind)
 		}
 	}
-	t.Logf("altered outcomes found, by kind: %v", kinds)
+	t.Logf("detected mutations by kind: %v", kinds)
 }
 
-func TestCommandPlaysTracesWithoutQueuesAlike(t *testing.T) {
+func TestPlayMatchesSynctestWithoutQueueing(t *testing.T) {
 	played := 0
-	eachTrace(t, func(t *testing.T, _ string, trace *Trace) {
+	forEachTrace(t, func(t *testing.T, _ string, trace *Trace) {
 		report, err := Play(trace)
 		if err != nil {
-			assert.ErrorIs(t, err, ErrQueues)
+			assert.ErrorIs(t, err, ErrCallQueued)
 			return
 		}
 		played++
-		assert.Equal(t, textOf(t, report), textOf(t, playInBubble(t, trace)))
+		assert.Equal(t, reportText(t, report), reportText(t, playInSynctest(t, trace)))
 	})
-	if *oneFile == "" {
+	if *traceFile == "" {
 		assert.Assert(t, played >= 8, "%d traces were played", played)
 	}
 }
 
-func TestReadRefuses(t *testing.T) {
+func TestReadRejectsInvalidTraces(t *testing.T) {
 	header := `{"trace":"x","services":{"s":{}}}` + "\n"
 	tests := []struct{ name, content, want string }{
 		{"nothing", "# just a comment\n", "header"},
 		{"an unknown member", header + `{"at_ms":1,"calls":{}}`, "line 2"},
-		{"two members", header + `{"at_ms":1,"restart":{},"rejoin":{}}`, "exactly one member"},
+		{"two members of an event", header + `{"at_ms":1,"restart":{},"rejoin":{}}`, "exactly one member"},
 		{"an empty event", header + `{"at_ms":1}`, "exactly one member"},
-		{"a check of nothing", header + `{"at_ms":1,"check":{}}`, "a check has exactly one member"},
-		{"time that goes back", header + `{"at_ms":2,"restart":{}}` + "\n" + `{"at_ms":1,"restart":{}}`, "earlier"},
+		{"an empty check", header + `{"at_ms":1,"check":{}}`, "a check must have exactly one member"},
+		{"decreasing time", header + `{"at_ms":2,"restart":{}}` + "\n" + `{"at_ms":1,"restart":{}}`, "earlier"},
 		{"an unknown outcome", header + `{"at_ms":1,"call":{"id":"a","service":"s","does":[{"outcome":"maybe"}]}}`, "unknown outcome"},
 	}
 	for _, test := range tests {
@@ -151,7 +153,7 @@
 	}
 }
 
-func TestChecksOfUnknownThingsFail(t *testing.T) {
+func TestChecksOfUnknownNamesFail(t *testing.T) {
 	checks := []string{
 		`{"limit":{"target":"no","min":0}}`, `{"threshold":{"target":"no","min":0}}`, `{"overloaded":{"target":"no","is":false}}`,
 		`{"revision":{"kind":"policy","name":"no","equals":0}}`, `{"spent":{"call":"no","max":0}}`, `{"order":{"calls":["no","nor"]}}`,
--- a/lab/replay/report.go
+++ b/lab/replay/report.go
@@ -6,106 +6,107 @@
 	"time"
 )
 
-// Report is what came of a trace.
+// Report is the result of playing a trace.
 type Report struct {
-	// Trace is the trace's name.
-	Trace string
-	// Verdicts are in the order of the events and then of the calls.
-	Verdicts []Verdict
-	// Notes are what a node would log.
+	// TraceName is the trace's name.
+	TraceName string
+	// Comparisons has those of checks and other events first, in the order in which
+	// the events were played, then those of calls in the order of the trace.
+	Comparisons []Comparison
+	// Notes are errors that a node would log.
 	Notes []string
 
-	calls []*call
-	spent map[string]int
+	calls          []*call
+	retriesGranted map[string]int
 }
 
-// Verdict is one stated outcome with what happened.
-type Verdict struct {
-	// Line is the line of the trace that states the outcome.
+// Comparison compares one expected outcome with the actual one.
+type Comparison struct {
+	// Line is the line number of the expectation in the trace.
 	Line int
 	// At is the time of the comparison since the trace's start.
 	At time.Duration
-	// Subject says what is compared.
-	Subject        string
-	Stated, Actual string
-	Holds          bool
+	// Subject describes the compared value.
+	Subject          string
+	Expected, Actual string
+	Passed           bool
 }
 
-// Holds reports whether all stated outcomes were met.
-func (r *Report) Holds() bool { return r.Failures() == 0 }
+// Passed reports whether all comparisons passed.
+func (r *Report) Passed() bool { return r.Failures() == 0 }
 
-// Failures returns the number of stated outcomes that were not met.
+// Failures returns the number of failed comparisons.
 func (r *Report) Failures() int {
 	failures := 0
-	for _, verdict := range r.Verdicts {
-		if !verdict.Holds {
+	for _, comparison := range r.Comparisons {
+		if !comparison.Passed {
 			failures++
 		}
 	}
 	return failures
 }
 
-// WriteText prints all verdicts, or just those that don't hold, with a summary.
-func (r *Report) WriteText(to io.Writer, all bool) error {
+// WriteText prints the notes, all comparisons or just the failed ones, and a summary.
+func (r *Report) WriteText(writer io.Writer, all bool) error {
 	for _, note := range r.Notes {
-		if _, err := fmt.Fprintf(to, "%s: note: %s\n", r.Trace, note); err != nil {
+		if _, err := fmt.Fprintf(writer, "%s: note: %s\n", r.TraceName, note); err != nil {
 			return err
 		}
 	}
-	for _, verdict := range r.Verdicts {
-		if verdict.Holds && !all {
+	for _, comparison := range r.Comparisons {
+		if comparison.Passed && !all {
 			continue
 		}
-		if _, err := fmt.Fprintf(to, "%s: %s\n", r.Trace, verdict); err != nil {
+		if _, err := fmt.Fprintf(writer, "%s: %s\n", r.TraceName, comparison); err != nil {
 			return err
 		}
 	}
-	_, err := fmt.Fprintf(to, "%s: %d outcomes stated, %d failed\n", r.Trace, len(r.Verdicts), r.Failures())
+	_, err := fmt.Fprintf(writer, "%s: %d outcomes compared, %d failed\n", r.TraceName, len(r.Comparisons), r.Failures())
 	return err
 }
 
-// String returns the verdict as one line.
-func (v Verdict) String() string {
-	word := "ok"
-	if !v.Holds {
-		word = "FAIL"
+// String returns the comparison as one line.
+func (c Comparison) String() string {
+	status := "ok"
+	if !c.Passed {
+		status = "FAIL"
 	}
-	return fmt.Sprintf("line %d, at %s: %s: %s: stated %s, found %s", v.Line, v.At, word, v.Subject, v.Stated, v.Actual)
+	return fmt.Sprintf("line %d, at %s: %s: %s: expected %s, got %s", c.Line, c.At, status, c.Subject, c.Expected, c.Actual)
 }
 
-func (r *Report) note(p *player, format string, arguments ...any) {
+func (r *Report) addNote(p *player, format string, arguments ...any) {
 	r.Notes = append(r.Notes, fmt.Sprintf("at %s: ", p.elapsed())+fmt.Sprintf(format, arguments...))
 }
 
-func (r *Report) add(p *player, line int, subject, stated, actual string, holds bool) {
-	r.Verdicts = append(r.Verdicts, Verdict{
-		Line: line, At: p.elapsed(), Subject: subject, Stated: stated, Actual: actual, Holds: holds,
+func (r *Report) addComparison(p *player, line int, subject, expected, actual string, passed bool) {
+	r.Comparisons = append(r.Comparisons, Comparison{
+		Line: line, At: p.elapsed(), Subject: subject, Expected: expected, Actual: actual, Passed: passed,
 	})
 }
 
-// compare compares two values.
-func (r *Report) compare(p *player, line int, subject string, stated, actual any) {
-	r.add(p, line, subject, fmt.Sprint(stated), fmt.Sprint(actual), fmt.Sprint(stated) == fmt.Sprint(actual))
+// compare compares the texts of two values.
+func (r *Report) compare(p *player, line int, subject string, expected, actual any) {
+	r.addComparison(p, line, subject, fmt.Sprint(expected), fmt.Sprint(actual), fmt.Sprint(expected) == fmt.Sprint(actual))
 }
 
-// within compares a value with a range.
-func (r *Report) within(p *player, line int, subject string, least, most *int, actual int) {
-	stated, holds := "", true
-	if least != nil {
-		stated = fmt.Sprintf("at least %d", *least)
-		holds = actual >= *least
+// compareRange compares a value with a range. A range without bounds fails.
+func (r *Report) compareRange(p *player, line int, subject string, minimum, maximum *int, actual int) {
+	expected, passed := "", true
+	if minimum != nil {
+		expected = fmt.Sprintf("at least %d", *minimum)
+		passed = actual >= *minimum
 	}
-	if most != nil {
-		if stated != "" {
-			stated += ", "
+	if maximum != nil {
+		if expected != "" {
+			expected += ", "
 		}
-		stated += fmt.Sprintf("at most %d", *most)
-		holds = holds && actual <= *most
+		expected += fmt.Sprintf("at most %d", *maximum)
+		passed = passed && actual <= *maximum
 	}
-	r.add(p, line, subject, stated, fmt.Sprint(actual), holds && stated != "")
+	r.addComparison(p, line, subject, expected, fmt.Sprint(actual), passed && expected != "")
 }
 
-// unknown notes that a check names something that doesn't exist.
-func (r *Report) unknown(p *player, line int, subject string) {
-	r.add(p, line, subject, "it exists", "it does not", false)
+// addMissing adds a failed comparison for a check of something that does not exist.
+func (r *Report) addMissing(p *player, line int, subject string) {
+	r.addComparison(p, line, subject, "it exists", "it does not", false)
 }
--- a/lab/replay/run.go
+++ b/lab/replay/run.go
@@ -14,26 +14,26 @@
 	"github.com/lugspur/lugspur/internal/resend"
 )
 
-// run has an admitted call run, as the gateway does.
-func (p *player) run(c *call) {
+// startCall starts an admitted call, as the gateway does.
+func (p *player) startCall(c *call) {
 	if c.external() {
 		p.budgets.Open(c.context.RequestID, p.maxRetries(c), c.context.Deadline.Add(budgetGrace))
 	}
 	c.fingerprint = resend.FingerprintOf(c.service.Name, c.method(), c.event.Path, nil)
-	if c.event.Parent != "" && p.resent.IsResend(c.context, c.fingerprint) && !p.granted(c, false) {
-		failure := p.problem(problem.RetriesSpent, "resend", "the request has no retry left for a call that was sent again")
-		p.finish(c, 0, failure.WithRetryAfter(retryAfterDefault))
+	if c.event.Parent != "" && p.resends.IsResend(c.context, c.fingerprint) && !p.requestGrant(c, false) {
+		failure := p.newProblem(problem.RetriesSpent, "resend", "the request has no retry left for a call that was sent again")
+		p.finish(c, 0, failure.WithRetryAfter(defaultRetryAfter))
 		return
 	}
 	if c.event.Key != "" {
 		var failure *problem.Problem
-		c.claimed, failure = p.claims.claimNow(c, p.clock.now())
+		c.claimAttempt, failure = p.claims.claimKey(c, p.clock.now())
 		if failure != nil {
 			p.finish(c, 0, failure)
 			return
 		}
 	}
-	p.try(c)
+	p.startAttempt(c)
 }
 
 func (p *player) maxRetries(c *call) int {
@@ -43,90 +43,92 @@
 	return p.header.MaxRetries
 }
 
-// try sends the call to one target.
-func (p *player) try(c *call) {
-	c.attempt++
-	c.permit, c.guard = nil, nil
-	route, found := p.router.Pick(c.service.Name, c.tried)
-	if !found && len(c.tried) > 0 {
+// startAttempt picks a target and requests a permit for the call there.
+func (p *player) startAttempt(c *call) {
+	c.attempts++
+	c.permit, c.targetState = nil, nil
+	route, found := p.router.Pick(c.service.Name, c.triedTargets)
+	if !found && len(c.triedTargets) > 0 {
 		route, found = p.router.Pick(c.service.Name, nil)
 	}
 	if !found {
-		failure := p.problem(problem.NoTarget, "routing", "the service has no target that takes calls")
-		p.decide(c, 0, failure.WithRetryAfter(retryAfterDefault))
+		failure := p.newProblem(problem.NoTarget, "routing", "the service has no target that takes calls")
+		p.finishOrRetry(c, 0, failure.WithRetryAfter(defaultRetryAfter))
 		return
 	}
 	c.route = route
-	p.acquire(c, p.guardOf(route.Target))
+	p.acquirePermit(c, p.targetStateOf(route.Target))
 }
 
-// send begins the exchange with the target. It ends at the deadline at the latest.
+// send starts the exchange with the target, which ends at the call's deadline at the
+// latest.
 func (c *call) send(p *player) {
 	now := p.clock.now()
-	c.sent++
-	c.target = c.route.Target.Name
-	c.below = c.context
-	c.below.Span = callcontext.SpanID{byte(c.number), byte(c.number >> 8), byte(c.number >> 16), byte(c.sent)}
-	if c.sent == 1 {
+	c.sendCount++
+	c.lastTarget = c.route.Target.Name
+	c.downstreamContext = c.context
+	c.downstreamContext.Span = callcontext.SpanID{byte(c.sequence), byte(c.sequence >> 8), byte(c.sequence >> 16), byte(c.sendCount)}
+	if c.sendCount == 1 {
 		p.sequence++
-		c.order = p.sequence
-		c.admitted = p.elapsed()
+		c.admissionOrder = p.sequence
+		c.admittedAt = p.elapsed()
 	}
-	c.answer = p.answerTo(c)
-	end := now.Add(c.answer.Latency.Duration())
+	c.response = p.responseTo(c)
+	end := now.Add(c.response.Latency.Duration())
 	if end.After(c.context.Deadline) {
-		p.at(c.context.Deadline, func() { p.exceeded(c) })
+		p.scheduleAt(c.context.Deadline, func() { p.deadlineExceeded(c) })
 		return
 	}
-	p.at(end, func() { p.exchanged(c) })
+	p.scheduleAt(end, func() { p.completeExchange(c) })
 }
 
-// defaultLatency is how long a target takes of which the trace says nothing.
+// defaultLatency is the latency of targets for which the trace defines no response.
 const defaultLatency Millis = 10
 
-func (p *player) answerTo(c *call) Answer {
-	if len(c.event.Does) > 0 {
-		return c.event.Does[min(c.sent, len(c.event.Does))-1]
+func (p *player) responseTo(c *call) Response {
+	if len(c.event.Responses) > 0 {
+		return c.event.Responses[min(c.sendCount, len(c.event.Responses))-1]
 	}
-	if answer, stated := p.answers[c.service.Name]; stated {
-		return answer
+	if response, defined := p.defaultResponses[c.service.Name]; defined {
+		return response
 	}
-	return Answer{Latency: defaultLatency}
+	return Response{Latency: defaultLatency}
 }
 
-func (p *player) exceeded(c *call) {
+// deadlineExceeded ends an exchange at the call's deadline.
+func (p *player) deadlineExceeded(c *call) {
 	c.permit.Release(limit.Sample{Outcome: limit.Timeout})
-	p.attempted(c, 0, problem.New(problem.DeadlineExceeded, problem.ExecutedUnknown, "transport", c.target, "no complete answer from the target").
+	p.finishAttempt(c, 0, problem.New(problem.DeadlineExceeded, problem.ExecutedUnknown, "transport", c.lastTarget, "no complete answer from the target").
 		WithRetryAfter(time.Second))
 }
 
-// exchanged ends an exchange by what the target did.
-func (p *player) exchanged(c *call) {
-	switch c.answer.Outcome {
-	case OutcomeUnsent:
-		p.failed(c, problem.TargetFailed, problem.ExecutedNo)
+// completeExchange ends an exchange with the target's response.
+func (p *player) completeExchange(c *call) {
+	switch c.response.Outcome {
+	case OutcomeFailedUnsent:
+		p.failExchange(c, problem.TargetFailed, problem.ExecutedNo)
 		return
-	case OutcomeSent:
-		p.failed(c, problem.TargetFailed, problem.ExecutedUnknown)
+	case OutcomeFailedSent:
+		p.failExchange(c, problem.TargetFailed, problem.ExecutedUnknown)
 		return
 	case OutcomeIncomplete:
-		p.failed(c, problem.IncompleteAnswer, problem.ExecutedUnknown)
+		p.failExchange(c, problem.IncompleteAnswer, problem.ExecutedUnknown)
 		return
 	}
 	if c.service.Spec.LoadHeader != "" {
-		c.guard.limiter.Hint(c.answer.Load)
+		c.targetState.limiter.Hint(c.response.Load)
 	}
-	if c.answer.Outcome == OutcomeRefused && c.service.Spec.RefusalHeader != "" {
+	if c.response.Outcome == OutcomeRefused && c.service.Spec.RefusalHeader != "" {
 		c.permit.Release(limit.Sample{Outcome: limit.Overload})
-		p.attempted(c, 0, problem.New(problem.Overloaded, problem.ExecutedNo, home.Step, c.target, "refused by the target").
+		p.finishAttempt(c, 0, problem.New(problem.Overloaded, problem.ExecutedNo, home.Step, c.lastTarget, "refused by the target").
 			WithRetryAfter(time.Second))
 		return
 	}
 	c.permit.Release(limit.Sample{Outcome: limit.Success})
-	p.attempted(c, c.answer.status(), nil)
+	p.finishAttempt(c, c.response.status(), nil)
 }
 
-func (a Answer) status() int {
+func (a Response) status() int {
 	switch {
 	case a.Status != 0:
 		return a.Status
@@ -136,80 +138,83 @@
 	return http.StatusOK
 }
 
-func (p *player) failed(c *call, reason problem.Reason, executed problem.Executed) {
+func (p *player) failExchange(c *call, reason problem.Reason, executed problem.Executed) {
 	c.permit.Release(limit.Sample{Outcome: limit.Failure})
-	p.attempted(c, 0, problem.New(reason, executed, "transport", c.target, "no complete answer from the target").
+	p.finishAttempt(c, 0, problem.New(reason, executed, "transport", c.lastTarget, "no complete answer from the target").
 		WithRetryAfter(time.Second))
 }
 
-// attempted ends an attempt at a target and tells the router its load.
-func (p *player) attempted(c *call, status int, failure *problem.Problem) {
-	p.router.Done(c.route, c.guard.load(p.clock.now()))
-	p.decide(c, status, failure)
+// finishAttempt reports the target's load to the router at the end of an attempt.
+func (p *player) finishAttempt(c *call, status int, failure *problem.Problem) {
+	p.router.Done(c.route, c.targetState.load(p.clock.now()))
+	p.finishOrRetry(c, status, failure)
 }
 
-// decide ends the call or sends it again.
-func (p *player) decide(c *call, status int, failure *problem.Problem) {
+// finishOrRetry finishes the call or retries it at another target.
+func (p *player) finishOrRetry(c *call, status int, failure *problem.Problem) {
 	if failure == nil && !retryableStatus(status) {
-		p.ratio.RecordSuccess()
+		p.retryRatio.RecordSuccess()
 		p.finish(c, status, nil)
 		return
 	}
-	c.mayHaveRun = c.mayHaveRun || failure == nil || failure.Executed != problem.ExecutedNo
+	c.mayHaveExecuted = c.mayHaveExecuted || failure == nil || failure.Executed != problem.ExecutedNo
 	if !p.mayRetry(c, status, failure) {
-		p.finish(c, status, p.final(c, failure))
+		p.finish(c, status, p.finalProblem(c, failure))
 		return
 	}
 	if c.route.Target != nil {
-		c.tried = append(c.tried, c.route.Target.Name)
+		c.triedTargets = append(c.triedTargets, c.route.Target.Name)
 	}
-	p.try(c)
+	p.startAttempt(c)
 }
 
 func retryableStatus(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-func (p *player) final(c *call, failure *problem.Problem) *problem.Problem {
+// finalProblem returns the problem that the caller receives, or nil for a response.
+func (p *player) finalProblem(c *call, failure *problem.Problem) *problem.Problem {
 	if failure == nil {
 		return nil
 	}
-	if c.mayHaveRun {
+	if c.mayHaveExecuted {
 		failure.Executed = problem.ExecutedUnknown
 	}
 	if failure.Reason == problem.Overloaded {
-		return p.whenToComeBack(c, failure)
+		return p.setRetryAfter(c, failure)
 	}
 	return failure
 }
 
-// mayRetry asks the call, the policy, the node's share of retries and the
-// request's budget, in the gateway's order.
+// mayRetry reports whether the call is retried. It checks the call itself, the
+// service's policy, the node's retry ratio and finally the request's retry budget, in
+// the same order as the gateway.
 func (p *player) mayRetry(c *call, status int, failure *problem.Problem) bool {
-	if !p.clock.now().Before(c.context.Deadline) || !worthRetrying(c, failure) {
+	if !p.clock.now().Before(c.context.Deadline) || !isRetryable(c, failure) {
 		return false
 	}
-	outcome := policy.Outcome{Status: status, Executed: policy.ExecutedYes, Attempt: c.attempt}
+	outcome := policy.Outcome{Status: status, Executed: policy.ExecutedYes, Attempt: c.attempts}
 	if failure != nil {
 		outcome.Status = failure.Status
 		outcome.Executed = string(failure.Executed)
 		outcome.Reason = string(failure.Reason)
 	}
 	allowed, err := c.service.Policy.Retry(c.policy, outcome)
-	if err != nil || c.attempt > allowed {
+	if err != nil || c.attempts > allowed {
 		return false
 	}
-	if !unreachable(failure) && !mostImportantNotRun(c, failure) && !p.ratio.Allow() {
+	if !unreachable(failure) && !isUnexecutedCriticalPlus(c, failure) && !p.retryRatio.Allow() {
 		return false
 	}
-	return p.granted(c, c.answer.GrantLost)
+	return p.requestGrant(c, c.response.GrantResponseLost)
 }
 
 var retryableReasons = []problem.Reason{
 	problem.Overloaded, problem.NoTarget, problem.TargetFailed, problem.IncompleteAnswer, problem.Draining,
 }
 
-func worthRetrying(c *call, failure *problem.Problem) bool {
+// isRetryable reports whether a retry of the call may succeed and is safe.
+func isRetryable(c *call, failure *problem.Problem) bool {
 	if failure == nil {
 		return c.policy.Repeatable
 	}
@@ -219,31 +224,34 @@
 	return failure.Executed == problem.ExecutedNo || c.policy.Repeatable
 }
 
+// unreachable reports whether the call did not reach a target that accepts calls,
+// for a reason other than overload.
 func unreachable(failure *problem.Problem) bool {
 	return failure != nil && failure.Executed == problem.ExecutedNo && failure.Reason != problem.Overloaded
 }
 
-// finish ends a call.
+// finish records the call's result and releases its claim and its retry budget.
 func (p *player) finish(c *call, status int, failure *problem.Problem) {
-	c.result = &result{at: p.elapsed(), status: status, failure: failure}
+	c.result = &callResult{elapsed: p.elapsed(), status: status, failure: failure}
 	if failure != nil {
 		c.result.status = failure.Status
 	}
-	if c.claimed != nil && failure != nil && failure.Executed == problem.ExecutedNo {
-		p.claims.release(c.claimed, p.clock.now())
+	if c.claimAttempt != nil && failure != nil && failure.Executed == problem.ExecutedNo {
+		p.claims.release(c.claimAttempt, p.clock.now())
 	}
 	if c.service != nil && c.event.Parent != "" && c.result.status >= http.StatusInternalServerError {
-		p.resent.RecordFailure(c.context, c.fingerprint)
+		p.resends.RecordFailure(c.context, c.fingerprint)
 	}
-	if c.external() && c.attempt > 0 {
-		p.report.spent[c.id] = p.budgets.Spent(c.context.RequestID)
+	if c.external() && c.attempts > 0 {
+		p.report.retriesGranted[c.id] = p.budgets.Spent(c.context.RequestID)
 		p.budgets.Close(c.context.RequestID)
 	}
 	p.pending--
 }
 
-// mostImportantNotRun reports whether the failure is the refusal of a call of
-// the highest level that no target has run, as the gateway asks it.
-func mostImportantNotRun(c *call, failure *problem.Problem) bool {
+// isUnexecutedCriticalPlus reports whether the failure is that of a critical-plus
+// call that no target has executed, such as a refusal. As in the gateway, retries of
+// such calls are exempt from the retry ratio.
+func isUnexecutedCriticalPlus(c *call, failure *problem.Problem) bool {
 	return failure != nil && failure.Executed == problem.ExecutedNo && c.context.Rank.Level == criticality.CriticalPlus
 }
--- a/lab/replay/trace.go
+++ b/lab/replay/trace.go
@@ -6,10 +6,10 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// Millis is a time since the trace's start, or a duration, in milliseconds.
+// Millis is a duration in milliseconds. As a time it counts from the trace's start.
 type Millis float64
 
-// Duration returns the milliseconds as a duration.
+// Duration converts the milliseconds to a time.Duration.
 func (m Millis) Duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Millisecond))
 }
@@ -17,139 +17,152 @@
 // Trace is a recorded trace.
 type Trace struct {
 	Header Header
-	// Events are in order of time.
+	// Events are sorted by time.
 	Events []Event
 }
 
-// Header is the first line of a trace: its name and the configuration.
+// Header is the first line of a trace. It contains the trace's name and the
+// configuration.
 type Header struct {
-	// Trace names the trace and Promise says what it guards.
-	Trace   string `json:"trace,omitempty"`
-	Promise string `json:"promise,omitempty"`
-	// Zone is the zone of the node.
+	// Name is the trace's name. Guarantee describes the property that it verifies.
+	Name      string `json:"trace,omitempty"`
+	Guarantee string `json:"promise,omitempty"`
+	// Zone is the zone of the simulated node.
 	Zone string `json:"zone,omitempty"`
-	// MaxRetries is the retry budget of a request whose service states none.
+	// MaxRetries is the retry budget of requests whose service defines none.
 	MaxRetries int `json:"max_retries,omitempty"`
-	// DefaultTimeout bounds calls for which nothing else does; default 5000.
+	// DefaultTimeout is the timeout of calls for which neither the call nor the
+	// service defines one; default 5000.
 	DefaultTimeout Millis `json:"default_timeout_ms,omitempty"`
-	// Queue bounds the queue in front of each target.
-	Queue Queue `json:"queue,omitempty"`
-	// FixedLimit keeps the limits of targets at their slots.
+	// Queue configures the queue of each target.
+	Queue QueueConfig `json:"queue,omitempty"`
+	// FixedLimit disables the adaptive concurrency limit: each target's limit stays
+	// at its ceiling, the smaller of its slots and connections.
 	FixedLimit bool `json:"fixed_limit,omitempty"`
 
 	Services map[string]resource.Service `json:"services,omitempty"`
 	Policies map[string]resource.Policy  `json:"policies,omitempty"`
 	Targets  map[string]resource.Target  `json:"targets,omitempty"`
-	// Answers says how the targets of a service answer calls that state nothing.
-	Answers map[string]Answer `json:"answers,omitempty"`
-	// Claims lists the claim replicas; without them keyed calls are refused.
-	Claims *ClaimReplicas `json:"claims,omitempty"`
+	// DefaultResponses maps a service to the response of its targets to calls that
+	// define none.
+	DefaultResponses map[string]Response `json:"answers,omitempty"`
+	// ClaimReplicas configures the claim replicas. If it is nil, calls with an
+	// idempotency key are refused.
+	ClaimReplicas *ClaimReplicas `json:"claims,omitempty"`
 }
 
-// ConfigurationRevision is the revision of all objects of the header.
-const ConfigurationRevision = 10
+// HeaderRevision is the revision of all objects of the header.
+const HeaderRevision = 10
 
-// Queue bounds the queue in front of a target; zero fields take the defaults
-// of package scheduler.
-type Queue struct {
+// QueueConfig configures the queue of a target. Zero fields take the defaults of
+// package scheduler.
+type QueueConfig struct {
 	MaxQueue int    `json:"max_queue,omitempty"`
 	MaxWait  Millis `json:"max_wait_ms,omitempty"`
 	Target   Millis `json:"target_ms,omitempty"`
 	Interval Millis `json:"interval_ms,omitempty"`
 }
 
-// ClaimReplicas are the replicas of the first roster.
+// ClaimReplicas lists the claim replicas of the first roster, with their retention.
 type ClaimReplicas struct {
 	Replicas  []string `json:"replicas,omitempty"`
 	Retention Millis   `json:"retention_ms,omitempty"`
 }
 
-// Event is one line after the header. Exactly one of its members is set.
+// Event is one line after the header. Exactly one member besides the time is set.
 type Event struct {
-	// Line is the event's line in the file.
+	// Line is the event's line number in the file.
 	Line int `json:"-"`
-	// At is when it happens.
+	// At is the time of the event.
 	At Millis `json:"at_ms,omitempty"`
 
-	Call       *CallEvent    `json:"call,omitempty"`
-	Answers    *AnswersEvent `json:"answers,omitempty"`
-	Apply      *ApplyEvent   `json:"apply,omitempty"`
-	Mark       *MarkEvent    `json:"mark,omitempty"`
-	ShedReport *ShedReport   `json:"shed_report,omitempty"`
-	Grant      *GrantEvent   `json:"grant,omitempty"`
-	Claim      *ClaimEvent   `json:"claim,omitempty"`
-	Deliver    *DeliverEvent `json:"deliver,omitempty"`
-	Restart    *ReplicaEvent `json:"restart,omitempty"`
-	Rejoin     *ReplicaEvent `json:"rejoin,omitempty"`
-	Check      *Check        `json:"check,omitempty"`
+	Call            *CallEvent            `json:"call,omitempty"`
+	DefaultResponse *DefaultResponseEvent `json:"answers,omitempty"`
+	Apply           *ApplyEvent           `json:"apply,omitempty"`
+	EmergencyDrain  *EmergencyDrainEvent  `json:"mark,omitempty"`
+	ShedReport      *ShedReport           `json:"shed_report,omitempty"`
+	GrantRequest    *GrantRequestEvent    `json:"grant,omitempty"`
+	Claim           *ClaimEvent           `json:"claim,omitempty"`
+	Delivery        *DeliveryEvent        `json:"deliver,omitempty"`
+	Restart         *ReplicaEvent         `json:"restart,omitempty"`
+	Rejoin          *ReplicaEvent         `json:"rejoin,omitempty"`
+	Check           *Check                `json:"check,omitempty"`
 }
 
-// CallEvent is a call, or a group of like calls at equal distances.
+// CallEvent is a call, or a group of equal calls at a fixed interval.
 type CallEvent struct {
 	// ID names the call; the calls of a group are named ID-1, ID-2 and so on.
-	ID    string `json:"id,omitempty"`
-	Count int    `json:"count,omitempty"`
-	Every Millis `json:"every_ms,omitempty"`
+	ID       string `json:"id,omitempty"`
+	Count    int    `json:"count,omitempty"`
+	Interval Millis `json:"every_ms,omitempty"`
 
 	Service string `json:"service,omitempty"`
 	Method  string `json:"method,omitempty"`
 	Path    string `json:"path,omitempty"`
-	// Caller is the caller's name; a group of several Callers takes turns among Caller-1, Caller-2 and so on.
-	Caller  string `json:"caller,omitempty"`
-	Callers int    `json:"callers,omitempty"`
-	// Timeout is the time that the caller allows.
+	// Caller is the caller's name. If CallerCount is above 1, the calls of a group are
+	// assigned in turn to callers named Caller-1, Caller-2 and so on.
+	Caller      string `json:"caller,omitempty"`
+	CallerCount int    `json:"callers,omitempty"`
+	// Timeout is the timeout set by the caller.
 	Timeout Millis `json:"timeout_ms,omitempty"`
 	Key     string `json:"key,omitempty"`
-	// Parent is the call whose target makes this one: it comes by the mesh
-	// listener with the parent's context. Without it the call comes by the edge.
+	// Parent is the ID of the call whose target makes this one. Such a call arrives
+	// at the mesh listener with the parent's context; a call without a parent arrives
+	// at the edge listener.
 	Parent string `json:"parent,omitempty"`
-	// Orphan marks a mesh call without context.
+	// Orphan marks a call that arrives at the mesh listener without a context.
 	Orphan bool `json:"orphan,omitempty"`
-	// Does lists what targets do, one entry for each sending; the last one repeats.
-	Does []Answer `json:"does,omitempty"`
-	// Expect states the outcome of the call, or of each call of the group.
+	// Responses lists the responses of targets, one for each attempt. The last one
+	// is used for all further attempts.
+	Responses []Response `json:"does,omitempty"`
+	// Expect is the expected outcome of the call, or of each call of the group.
 	Expect *CallExpectation `json:"expect,omitempty"`
 }
 
-// The outcomes of an Answer.
+// Values of Response.Outcome. An empty outcome means OutcomeComplete.
 const (
-	// OutcomeComplete is a complete answer with Status, 200 by default.
+	// OutcomeComplete is a complete response with Status, 200 by default.
 	OutcomeComplete = "complete"
-	// OutcomeRefused is a refusal by the service's refusal header.
+	// OutcomeRefused is a refusal that the target signals with the service's refusal
+	// header.
 	OutcomeRefused = "refused"
-	// OutcomeUnsent is a failure before the call was sent.
-	OutcomeUnsent = "failed-unsent"
-	// OutcomeSent is a failure after the call was sent.
-	OutcomeSent = "failed-sent"
-	// OutcomeIncomplete is an answer that was cut off.
+	// OutcomeFailedUnsent is a failure before the call was sent.
+	OutcomeFailedUnsent = "failed-unsent"
+	// OutcomeFailedSent is a failure after the call was sent.
+	OutcomeFailedSent = "failed-sent"
+	// OutcomeIncomplete is a truncated response.
 	OutcomeIncomplete = "incomplete"
 )
 
-// Answer is what a target does with one call.
-type Answer struct {
+// Response is the simulated response of a target to one call.
+type Response struct {
 	Latency Millis `json:"latency_ms,omitempty"`
 	Outcome string `json:"outcome,omitempty"`
 	Status  int    `json:"status,omitempty"`
-	// Load is the load that the target reports, if it does.
+	// Load is the load in the target's load header. It is used only if the service
+	// defines such a header.
 	Load float64 `json:"load,omitempty"`
-	// GrantLost loses the answer to the question for a grant that follows.
-	GrantLost bool `json:"grant_lost,omitempty"`
+	// GrantResponseLost drops the response to the retry grant request that follows
+	// this response.
+	GrantResponseLost bool `json:"grant_lost,omitempty"`
 }
 
-// AnswersEvent changes how the targets of a service answer from now on.
-type AnswersEvent struct {
-	Service string `json:"service,omitempty"`
-	Answer  Answer `json:"answer,omitempty"`
+// DefaultResponseEvent sets the default response of a service's targets for calls
+// sent from now on.
+type DefaultResponseEvent struct {
+	Service  string   `json:"service,omitempty"`
+	Response Response `json:"answer,omitempty"`
 }
 
-// ApplyEvent is the arrival of versions of objects. With a Floor it is a
+// ApplyEvent delivers versions of objects to the node. With a Floor it is a
 // complete view of the store at that revision.
 type ApplyEvent struct {
 	Objects []Object `json:"objects,omitempty"`
 	Floor   int64    `json:"floor,omitempty"`
 }
 
-// Object is one version of an object; exactly one specification is set unless it is deleted.
+// Object is one version of an object. Exactly one specification is set unless the
+// object is deleted.
 type Object struct {
 	Kind     resource.Kind     `json:"kind,omitempty"`
 	Name     string            `json:"name,omitempty"`
@@ -161,13 +174,13 @@
 	Drain    *resource.Drain   `json:"drain,omitempty"`
 }
 
-// MarkEvent sets or lifts an emergency drain.
-type MarkEvent struct {
-	Drain string `json:"drain,omitempty"`
-	Lift  bool   `json:"lift,omitempty"`
+// EmergencyDrainEvent adds or removes an emergency drain.
+type EmergencyDrainEvent struct {
+	DrainName string `json:"drain,omitempty"`
+	Remove    bool   `json:"lift,omitempty"`
 }
 
-// ShedReport is the shed level of a target as another node tells it.
+// ShedReport is the shed level of a target as reported by another node.
 type ShedReport struct {
 	Service   string  `json:"service,omitempty"`
 	Target    string  `json:"target,omitempty"`
@@ -176,35 +189,38 @@
 	Weight    float64 `json:"weight,omitempty"`
 	Version   uint64  `json:"version,omitempty"`
 	Age       Millis  `json:"age_ms,omitempty"`
-	// Taken states whether the report is news.
+	// Taken is whether the shed table is expected to accept the report.
 	Taken *bool `json:"taken,omitempty"`
 }
 
-// GrantEvent is another node's question for a retry of a request.
-type GrantEvent struct {
+// GrantRequestEvent is a retry grant request from another node.
+type GrantRequestEvent struct {
 	Call  string `json:"call,omitempty"`
 	Token string `json:"token,omitempty"`
-	// Granted states the answer.
+	// Granted is whether the retry is expected to be granted.
 	Granted *bool `json:"granted,omitempty"`
 }
 
-// ClaimEvent begins an attempt to claim a key; DeliverEvents carry its messages.
+// ClaimEvent starts an attempt to claim a key. Its messages are delivered by
+// DeliveryEvents.
 type ClaimEvent struct {
 	Attempt string `json:"attempt,omitempty"`
 	Key     string `json:"key,omitempty"`
 }
 
-// DeliverEvent takes an attempt's request to a replica and the answer back.
-type DeliverEvent struct {
+// DeliveryEvent delivers an attempt's request to a replica and the replica's response
+// to the attempt.
+type DeliveryEvent struct {
 	Attempt string `json:"attempt,omitempty"`
 	Replica string `json:"replica,omitempty"`
-	// Copies is how often the request arrives, 1 by default.
+	// Copies is the number of times that the request is delivered; default 1.
 	Copies int `json:"copies,omitempty"`
-	// LoseAnswer drops the answers.
-	LoseAnswer bool `json:"lose_answer,omitempty"`
+	// DropResponse drops the responses to all copies.
+	DropResponse bool `json:"lose_answer,omitempty"`
 }
 
-// ReplicaEvent restarts a replica without its memory, or lets it join again.
+// ReplicaEvent restarts a replica, which loses its state, or adds it to the roster
+// again.
 type ReplicaEvent struct {
 	Replica string `json:"replica,omitempty"`
 }
--- a/lab/replay/verify.go
+++ b/lab/replay/verify.go
@@ -9,24 +9,25 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// The results of a call as expectations name them.
+// Names of a call's result in expectations.
 const (
-	resultAnswered = "answered"
-	resultRefused  = "refused"
-	resultOpen     = "open"
+	resultAnswered   = "answered"
+	resultRefused    = "refused"
+	resultUnfinished = "open"
 )
 
 func (c *call) resultName() string {
 	switch {
 	case c.result == nil:
-		return resultOpen
+		return resultUnfinished
 	case c.result.failure != nil:
 		return resultRefused
 	}
 	return resultAnswered
 }
 
-// verifyCalls compares the calls with their stated outcomes, once all have ended.
+// verifyCalls compares the calls with their expected outcomes after the trace has
+// been played.
 func (r *Report) verifyCalls(p *player) {
 	for _, c := range r.calls {
 		if c.event.Expect != nil {
@@ -35,48 +36,48 @@
 	}
 }
 
-func (r *Report) verifyCall(p *player, c *call, stated *CallExpectation) {
+func (r *Report) verifyCall(p *player, c *call, expected *CallExpectation) {
 	compare := func(member string, want, have any) {
 		r.compare(p, c.line, "call "+c.id+" "+member, want, have)
 	}
-	if stated.Result != "" {
-		compare("result", stated.Result, c.resultName())
+	if expected.Result != "" {
+		compare("result", expected.Result, c.resultName())
 	}
 	if c.result == nil {
 		return
 	}
-	if stated.Status != nil {
-		compare("status", *stated.Status, c.result.status)
+	if expected.Status != nil {
+		compare("status", *expected.Status, c.result.status)
 	}
-	if stated.Level != "" {
-		compare("level", stated.Level, c.context.Rank.Level)
+	if expected.Level != "" {
+		compare("level", expected.Level, c.context.Rank.Level)
 	}
-	if stated.Target != "" {
-		compare("target", stated.Target, c.target)
+	if expected.Target != "" {
+		compare("target", expected.Target, c.lastTarget)
 	}
-	if stated.Sent != nil {
-		compare("sent", *stated.Sent, c.sent)
+	if expected.SendCount != nil {
+		compare("sent", *expected.SendCount, c.sendCount)
 	}
-	if stated.Admitted != nil {
-		compare("admitted", stated.Admitted.Duration(), c.admittedText())
+	if expected.AdmittedAt != nil {
+		compare("admitted", expected.AdmittedAt.Duration(), c.admittedText())
 	}
-	if stated.Finished != nil {
-		compare("finished", stated.Finished.Duration(), c.result.at)
+	if expected.FinishedAt != nil {
+		compare("finished", expected.FinishedAt.Duration(), c.result.elapsed)
 	}
-	c.compareProblem(stated, compare)
+	c.compareProblem(expected, compare)
 }
 
-func (c *call) compareProblem(stated *CallExpectation, compare func(member string, want, have any)) {
+func (c *call) compareProblem(expected *CallExpectation, compare func(member string, want, have any)) {
 	var reason, step, detail, executed string
 	if failure := c.result.failure; failure != nil {
 		reason, step, detail = string(failure.Reason), failure.Step, failure.Detail
 		executed = string(failure.Executed)
 	}
 	for _, member := range []struct{ name, want, have string }{
-		{"reason", stated.Reason, reason},
-		{"step", stated.Step, step},
-		{"detail", stated.Detail, detail},
-		{"executed", stated.Executed, executed},
+		{"reason", expected.Reason, reason},
+		{"step", expected.Step, step},
+		{"detail", expected.Detail, detail},
+		{"executed", expected.Executed, executed},
 	} {
 		if member.want != "" {
 			compare(member.name, member.want, member.have)
@@ -85,13 +86,13 @@
 }
 
 func (c *call) admittedText() string {
-	if c.sent == 0 {
+	if c.sendCount == 0 {
 		return "never"
 	}
-	return c.admitted.String()
+	return c.admittedAt.String()
 }
 
-// check compares the state with what a check states.
+// check compares the node's state with the expectation of a check.
 func (p *player) check(event Event) {
 	check := event.Check
 	switch {
@@ -103,59 +104,59 @@
 		p.checkOverloaded(event.Line, check.Overloaded)
 	case check.Revision != nil:
 		p.checkRevision(event.Line, check.Revision)
-	case check.Spent != nil:
-		p.checkSpent(event.Line, check.Spent)
+	case check.GrantedRetries != nil:
+		p.checkGrantedRetries(event.Line, check.GrantedRetries)
 	case check.Order != nil:
 		p.checkOrder(event.Line, check.Order)
 	case check.Count != nil:
 		p.checkCount(event.Line, check.Count)
 	case check.Claim != nil:
 		p.checkClaim(event.Line, check.Claim)
-	case check.Claimed != nil:
-		p.checkClaimed(event.Line, check.Claimed)
+	case check.GrantedClaims != nil:
+		p.checkGrantedClaims(event.Line, check.GrantedClaims)
 	}
 }
 
 func (p *player) checkLimit(line int, check *LimitCheck) {
 	subject := "limit of " + check.Target
-	g := p.guards[check.Target]
-	if g == nil {
-		p.report.unknown(p, line, subject)
+	state := p.targetStates[check.Target]
+	if state == nil {
+		p.report.addMissing(p, line, subject)
 		return
 	}
-	p.report.within(p, line, subject, check.Min, check.Max, g.limiter.Limit())
+	p.report.compareRange(p, line, subject, check.Min, check.Max, state.limiter.Limit())
 }
 
 func (p *player) checkThreshold(line int, check *ThresholdCheck) {
 	if check.Service != "" {
 		threshold := p.shed.Threshold(check.Service, p.clock.now())
-		p.report.within(p, line, "threshold of service "+check.Service, check.Min, check.Max, int(threshold))
+		p.report.compareRange(p, line, "threshold of service "+check.Service, check.Min, check.Max, int(threshold))
 		return
 	}
 	subject := "threshold of " + check.Target
-	g := p.guards[check.Target]
-	if g == nil {
-		p.report.unknown(p, line, subject)
+	state := p.targetStates[check.Target]
+	if state == nil {
+		p.report.addMissing(p, line, subject)
 		return
 	}
-	p.report.within(p, line, subject, check.Min, check.Max, int(g.shedding.Threshold()))
+	p.report.compareRange(p, line, subject, check.Min, check.Max, int(state.shedController.Threshold()))
 }
 
 func (p *player) checkOverloaded(line int, check *OverloadedCheck) {
 	subject := "overload of " + check.Target
-	g := p.guards[check.Target]
-	if g == nil || check.Is == nil {
-		p.report.unknown(p, line, subject)
+	state := p.targetStates[check.Target]
+	if state == nil || check.Is == nil {
+		p.report.addMissing(p, line, subject)
 		return
 	}
-	p.report.compare(p, line, subject, *check.Is, g.scheduler.Stats().Overloaded)
+	p.report.compare(p, line, subject, *check.Is, state.scheduler.Stats().Overloaded)
 }
 
 func (p *player) checkRevision(line int, check *RevisionCheck) {
 	id := resource.ID{Kind: resource.Kind(check.Kind), Name: check.Name}
 	version, found := p.replica.Get(id)
 	if !found {
-		p.report.unknown(p, line, id.String())
+		p.report.addMissing(p, line, id.String())
 		return
 	}
 	if check.Equals != nil {
@@ -166,110 +167,110 @@
 	}
 }
 
-func (p *player) checkSpent(line int, check *SpentCheck) {
+func (p *player) checkGrantedRetries(line int, check *GrantedRetriesCheck) {
 	subject := "retries granted to " + check.Call
 	c := p.calls[check.Call]
 	if c == nil {
-		p.report.unknown(p, line, subject)
+		p.report.addMissing(p, line, subject)
 		return
 	}
-	spent, closed := p.report.spent[c.id]
+	granted, closed := p.report.retriesGranted[c.id]
 	if !closed {
-		spent = p.budgets.Spent(c.context.RequestID)
+		granted = p.budgets.Spent(c.context.RequestID)
 	}
-	p.report.within(p, line, subject, check.Min, check.Max, spent)
+	p.report.compareRange(p, line, subject, check.Min, check.Max, granted)
 }
 
-// checkOrder compares the admission of groups pair by pair. A group of which no
-// call was admitted has no order.
+// checkOrder compares the admission order of each pair of successive groups. The
+// comparison fails if a group has no admitted calls.
 func (p *player) checkOrder(line int, check *OrderCheck) {
 	for i := 1; i < len(check.Calls); i++ {
 		before, after := check.Calls[i-1], check.Calls[i]
 		subject := "admission of " + before + " before " + after
-		_, last := p.admissions(before)
-		first, _ := p.admissions(after)
-		if last == 0 || first == 0 {
-			p.report.unknown(p, line, subject)
+		_, lastBefore := p.admissionRange(before)
+		firstAfter, _ := p.admissionRange(after)
+		if lastBefore == 0 || firstAfter == 0 {
+			p.report.addMissing(p, line, subject)
 			continue
 		}
-		p.report.compare(p, line, subject, true, last < first)
+		p.report.compare(p, line, subject, true, lastBefore < firstAfter)
 	}
 }
 
-// admissions returns the places of the first and the last admitted call of a
-// group, or of one call; zero for none.
-func (p *player) admissions(name string) (first, last int) {
-	calls := p.groups[name]
+// admissionRange returns the admission order of the first and the last admitted call
+// of a group, or that of a single call. It is zero if no call was admitted.
+func (p *player) admissionRange(name string) (first, last int) {
+	calls := p.callGroups[name]
 	if single := p.calls[name]; single != nil {
 		calls = []*call{single}
 	}
 	for _, c := range calls {
-		if c.order == 0 {
+		if c.admissionOrder == 0 {
 			continue
 		}
-		if first == 0 || c.order < first {
-			first = c.order
+		if first == 0 || c.admissionOrder < first {
+			first = c.admissionOrder
 		}
-		last = max(last, c.order)
+		last = max(last, c.admissionOrder)
 	}
 	return first, last
 }
 
 func (p *player) checkCount(line int, check *CountCheck) {
-	found := 0
+	matching := 0
 	for _, name := range check.Calls {
-		if p.groups[name] == nil {
-			p.report.unknown(p, line, "calls "+name)
+		if p.callGroups[name] == nil {
+			p.report.addMissing(p, line, "calls "+name)
 			return
 		}
-		for _, c := range p.groups[name] {
-			if check.selects(c) {
-				found++
+		for _, c := range p.callGroups[name] {
+			if check.matches(c) {
+				matching++
 			}
 		}
 	}
-	p.report.within(p, line, check.subject(), check.Min, check.Max, found)
+	p.report.compareRange(p, line, check.subject(), check.Min, check.Max, matching)
 }
 
-func (c *CountCheck) selects(counted *call) bool {
-	if c.Result != "" && c.Result != counted.resultName() {
+func (c *CountCheck) matches(candidate *call) bool {
+	if c.Result != "" && c.Result != candidate.resultName() {
 		return false
 	}
-	if c.Target != "" && c.Target != counted.target {
+	if c.Target != "" && c.Target != candidate.lastTarget {
 		return false
 	}
 	if c.Reason == "" && c.Step == "" {
 		return true
 	}
-	if counted.result == nil || counted.result.failure == nil {
+	if candidate.result == nil || candidate.result.failure == nil {
 		return false
 	}
-	failure := counted.result.failure
-	reasonFits := c.Reason == "" || c.Reason == string(failure.Reason) || c.Reason == failure.Detail
-	return reasonFits && (c.Step == "" || c.Step == failure.Step)
+	failure := candidate.result.failure
+	reasonMatches := c.Reason == "" || c.Reason == string(failure.Reason) || c.Reason == failure.Detail
+	return reasonMatches && (c.Step == "" || c.Step == failure.Step)
 }
 
 func (c *CountCheck) subject() string {
 	parts := []string{c.Result, c.Reason, c.Step, c.Target}
 	parts = slices.DeleteFunc(parts, func(part string) bool { return part == "" })
-	return fmt.Sprintf("calls of %s that are [%s]", strings.Join(c.Calls, ", "), strings.Join(parts, " "))
+	return fmt.Sprintf("number of calls of %s with outcome [%s]", strings.Join(c.Calls, ", "), strings.Join(parts, " "))
 }
 
 func (p *player) checkClaim(line int, check *ClaimCheck) {
 	subject := "claim by " + check.Attempt
 	if p.claims == nil || p.claims.attempts[check.Attempt] == nil {
-		p.report.unknown(p, line, subject)
+		p.report.addMissing(p, line, subject)
 		return
 	}
 	outcome := p.claims.attempts[check.Attempt].coordinator.Decide(p.clock.now())
 	p.report.compare(p, line, subject, check.Outcome, claim.Outcome(outcome))
 }
 
-func (p *player) checkClaimed(line int, check *ClaimedCheck) {
+func (p *player) checkGrantedClaims(line int, check *GrantedClaimsCheck) {
 	subject := "attempts granted the key " + check.Key
 	if p.claims == nil || check.Equals == nil {
-		p.report.unknown(p, line, subject)
+		p.report.addMissing(p, line, subject)
 		return
 	}
-	p.report.compare(p, line, subject, *check.Equals, p.claims.granted[check.Key])
+	p.report.compare(p, line, subject, *check.Equals, p.claims.grantCounts[check.Key])
 }
