--- a/lab/replay/call.go
+++ b/lab/replay/call.go
@@ -130,8 +130,8 @@
 	return defaultTimeout
 }
 
-// setContext sets the call's context: a new one for a call without a parent, or the
-// parent's one for a call from a target.
+// setContext sets the call's context: a new one for a call without a parent, that of
+// the parent for a call from a target.
 func (p *player) setContext(c *call) *problem.Problem {
 	now := p.clock.now()
 	deadline := now.Add(p.timeoutOf(c))
@@ -163,9 +163,9 @@
 	return nil
 }
 
-func requestIDOf(number int) callcontext.RequestID {
+func requestIDOf(sequence int) callcontext.RequestID {
 	var id callcontext.RequestID
-	binary.LittleEndian.PutUint64(id[:], uint64(number))
+	binary.LittleEndian.PutUint64(id[:], uint64(sequence))
 	return id
 }
 
@@ -201,9 +201,9 @@
 	now := p.clock.now()
 	service = called.Name
 	threshold = p.shed.Threshold(service, now)
-	for _, required := range called.Dependencies {
-		if requiredThreshold := p.shed.Threshold(required, now); requiredThreshold < threshold {
-			threshold, service = requiredThreshold, required
+	for _, dependency := range called.Dependencies {
+		if dependencyThreshold := p.shed.Threshold(dependency, now); dependencyThreshold < threshold {
+			threshold, service = dependencyThreshold, dependency
 		}
 	}
 	return threshold, service
--- a/lab/replay/mutation_test.go
+++ b/lab/replay/mutation_test.go
@@ -49,20 +49,20 @@
 
 func mutationsIn(expectation reflect.Value) []mutation {
 	var mutations []mutation
-	kind := expectation.Type().Name()
+	typeName := expectation.Type().Name()
 	for i := range expectation.NumField() {
-		name := expectation.Type().Field(i).Name
+		fieldName := expectation.Type().Field(i).Name
 		field := expectation.Field(i)
-		if field.IsZero() || !isExpectation(kind, name) {
+		if field.IsZero() || !isExpectation(typeName, fieldName) {
 			continue
 		}
-		mutations = append(mutations, mutation{kind: kind + "." + name, apply: func() func() { return mutate(field, name) }})
+		mutations = append(mutations, mutation{kind: typeName + "." + fieldName, apply: func() func() { return mutate(field, fieldName) }})
 	}
 	return mutations
 }
 
-func isExpectation(kind, name string) bool {
-	return kind == "CallExpectation" || kind == "OrderCheck" || slices.Contains(expectationFields, name)
+func isExpectation(typeName, fieldName string) bool {
+	return typeName == "CallExpectation" || typeName == "OrderCheck" || slices.Contains(expectationFields, fieldName)
 }
 
 // expectationKinds lists all fields of a trace that can contain an expected value.
@@ -82,7 +82,7 @@
 // outOfRange is larger than every number in the traces.
 const outOfRange = 1_000_000
 
-func mutate(field reflect.Value, name string) (undo func()) {
+func mutate(field reflect.Value, fieldName string) (undo func()) {
 	before := reflect.New(field.Type()).Elem()
 	before.Set(field)
 	switch value := field.Interface().(type) {
@@ -90,7 +90,7 @@
 		field.SetString(value + "-altered")
 	case *int:
 		changed := *value + 1
-		switch name {
+		switch fieldName {
 		case "Min":
 			changed = outOfRange
 		case "Max":
--- a/lab/replay/player.go
+++ b/lab/replay/player.go
@@ -25,8 +25,9 @@
 // nodeName is the name of the single node on which a trace is played.
 const nodeName = "node"
 
-// player plays one trace. Only the goroutine of play changes it. Each queued call has
-// a goroutine of its own, which appends its result to acquireResults.
+// player plays one trace. Only the goroutine of play changes it. If the clock drives
+// the runtime's timers, each call waits for its permit in a goroutine of its own, which
+// appends the result to acquireResults.
 type player struct {
 	clock  clock
 	header Header
--- a/lab/replay/read.go
+++ b/lab/replay/read.go
@@ -116,9 +116,9 @@
 
 var validOutcomes = []string{"", OutcomeComplete, OutcomeRefused, OutcomeFailedUnsent, OutcomeFailedSent, OutcomeIncomplete}
 
-func (a Response) validate() error {
-	if !slices.Contains(validOutcomes, a.Outcome) {
-		return fmt.Errorf("unknown outcome %q: allowed are %q", a.Outcome, validOutcomes[1:])
+func (r Response) validate() error {
+	if !slices.Contains(validOutcomes, r.Outcome) {
+		return fmt.Errorf("unknown outcome %q: allowed are %q", r.Outcome, validOutcomes[1:])
 	}
 	return nil
 }
--- a/lab/replay/run.go
+++ b/lab/replay/run.go
@@ -128,11 +128,11 @@
 	p.finishAttempt(c, c.response.status(), nil)
 }
 
-func (a Response) status() int {
+func (r Response) status() int {
 	switch {
-	case a.Status != 0:
-		return a.Status
-	case a.Outcome == OutcomeRefused:
+	case r.Status != 0:
+		return r.Status
+	case r.Outcome == OutcomeRefused:
 		return http.StatusServiceUnavailable
 	}
 	return http.StatusOK
@@ -144,7 +144,8 @@
 		WithRetryAfter(time.Second))
 }
 
-// finishAttempt reports the target's load to the router at the end of an attempt.
+// finishAttempt reports the target's load to the router at the end of an attempt, and
+// finishes or retries the call.
 func (p *player) finishAttempt(c *call, status int, failure *problem.Problem) {
 	p.router.Done(c.route, c.targetState.load(p.clock.now()))
 	p.finishOrRetry(c, status, failure)
@@ -230,7 +231,8 @@
 	return failure != nil && failure.Executed == problem.ExecutedNo && failure.Reason != problem.Overloaded
 }
 
-// finish records the call's result and releases its claim and its retry budget.
+// finish records the call's result. It releases the claim of a call that was not
+// executed and closes the retry budget of a call from outside the mesh.
 func (p *player) finish(c *call, status int, failure *problem.Problem) {
 	c.result = &callResult{elapsed: p.elapsed(), status: status, failure: failure}
 	if failure != nil {
