--- a/lab/chaos/injector.go
+++ b/lab/chaos/injector.go
@@ -104,13 +104,13 @@
 	faults := networkFaults(fault)
 	var failures []error
 	for _, node := range fault.Nodes {
-		i.recorder.note(judge.Event{Kind: judge.NodeCut, Node: node, Detail: string(fault.Kind)})
+		i.recorder.note(judge.Event{Kind: judge.NetworkFaultBegan, Node: node, Detail: string(fault.Kind)})
 		failures = append(failures, i.cluster.Proxies[node].SetFaults(faults.ToUpstream, faults.ToClient))
 	}
 	pause.For(ctx, fault.length())
 	for _, node := range fault.Nodes {
 		i.cluster.Proxies[node].Clear()
-		i.recorder.note(judge.Event{Kind: judge.NodeJoined, Node: node})
+		i.recorder.note(judge.Event{Kind: judge.NetworkFaultEnded, Node: node})
 	}
 	return errors.Join(failures...)
 }
@@ -128,13 +128,13 @@
 }
 
 func (i *injector) injectStore(ctx context.Context, fault Fault) error {
-	i.recorder.note(judge.Event{Kind: judge.StoreFaulty, Detail: string(fault.Kind)})
+	i.recorder.note(judge.Event{Kind: judge.StoreFaultBegan, Detail: string(fault.Kind)})
 	failed := i.cluster.StoreControl(ctx, storeControl(fault))
 	pause.For(ctx, fault.length())
 	undo, cancel := undoContext(ctx)
 	defer cancel()
 	cleared := i.cluster.StoreControl(undo, kvstore.ControlRequest{Clear: true})
-	i.recorder.note(judge.Event{Kind: judge.StoreSound})
+	i.recorder.note(judge.Event{Kind: judge.StoreFaultEnded})
 	return errors.Join(failed, cleared)
 }
 
@@ -162,7 +162,7 @@
 	}
 	var failures []error
 	for _, target := range targets {
-		i.recorder.note(judge.Event{Kind: judge.TargetFaulty, Target: target, Detail: string(fault.Kind)})
+		i.recorder.note(judge.Event{Kind: judge.TargetFaultBegan, Target: target, Detail: string(fault.Kind)})
 		failures = append(failures, i.cluster.SetTargetFaults(ctx, target, targetFaults(fault)))
 	}
 	pause.For(ctx, fault.length())
@@ -170,7 +170,7 @@
 	defer cancel()
 	for _, target := range targets {
 		failures = append(failures, i.cluster.SetTargetFaults(undo, target, emulator.Faults{}))
-		i.recorder.note(judge.Event{Kind: judge.TargetSound, Target: target})
+		i.recorder.note(judge.Event{Kind: judge.TargetFaultEnded, Target: target})
 	}
 	return errors.Join(failures...)
 }
@@ -234,7 +234,7 @@
 }
 
 func (i *injector) stop(node *cluster.Node) {
-	i.recorder.note(judge.Event{Kind: judge.StopAsked, Node: node.Name, Edge: node.Addresses.Edge})
+	i.recorder.note(judge.Event{Kind: judge.StopRequested, Node: node.Name, Edge: node.Addresses.Edge})
 	ended := judge.Event{Kind: judge.StopEnded, Node: node.Name}
 	if err := i.processOf(node).Stop(stopTimeout); err != nil {
 		ended.Detail = err.Error()
--- a/lab/chaos/observer.go
+++ b/lab/chaos/observer.go
@@ -55,7 +55,7 @@
 	}
 	for _, item := range list.Items {
 		o.recorder.note(judge.Event{
-			Kind: judge.Observed, At: at, Asked: asked, Node: o.node,
+			Kind: judge.RevisionObserved, At: at, QueriedAt: asked, Node: o.node,
 			Object: resource.ID{Kind: item.Kind, Name: item.Name}.String(), Revision: int64(item.Revision),
 		})
 	}
--- a/lab/chaos/operators.go
+++ b/lab/chaos/operators.go
@@ -122,7 +122,7 @@
 
 // join has an operator let the target take calls again.
 func (o *operators) join(ctx context.Context, target string) {
-	o.recorder.note(judge.Event{Kind: judge.JoinAsked, Target: target})
+	o.recorder.note(judge.Event{Kind: judge.JoinRequested, Target: target})
 	client, err := o.client(o.anyNode(), "operator")
 	if err != nil {
 		return
--- a/lab/judge/breach.go
+++ b/lab/judge/breach.go
@@ -7,48 +7,51 @@
 	"time"
 )
 
-// BreachKind names the promise that was broken.
+// BreachKind identifies the violated guarantee.
 type BreachKind string
 
-// The promises.
+// Breach kinds.
 const (
-	// RetriesOverBound is a request with more retries than the bound.
+	// RetriesOverBound is a request with more retries than Settings.RetryBound.
 	RetriesOverBound BreachKind = "retries-over-bound"
-	// CriticalityInversion is an order that was shed while a less important
-	// call got what it needed.
+	// CriticalityInversion is a critical-plus call that was shed while a call of
+	// lower criticality was executed.
 	CriticalityInversion BreachKind = "criticality-inversion"
-	// WrongAnswer is an answer that is not the complete one to the call.
-	WrongAnswer BreachKind = "wrong-answer"
-	// ExecutedAfterAll is a call that ran although its caller was told that it
-	// had not.
-	ExecutedAfterAll BreachKind = "executed-after-all"
-	// ExecutedTwice is a keyed call that ran more than once.
+	// IncorrectResponse is a response that is incomplete or belongs to another
+	// call.
+	IncorrectResponse BreachKind = "wrong-answer"
+	// ExecutedDespiteRefusal is a call that was executed although its caller was
+	// told that it was not.
+	ExecutedDespiteRefusal BreachKind = "executed-after-all"
+	// ExecutedTwice is a call with an idempotency key that was executed more than
+	// once.
 	ExecutedTwice BreachKind = "executed-twice"
-	// WorkAfterDrain is new work at a target that was leaving.
+	// WorkAfterDrain is new work at a target that was being drained.
 	WorkAfterDrain BreachKind = "work-after-drain"
-	// CutByStop is a call that a planned stop cut off.
-	CutByStop BreachKind = "cut-by-stop"
-	// StopFailed is a planned stop that did not end by itself in time.
+	// AbortedByStop is a call that was aborted by a graceful stop.
+	AbortedByStop BreachKind = "cut-by-stop"
+	// StopFailed is a graceful stop that did not complete in time or ended
+	// with an error.
 	StopFailed BreachKind = "stop-failed"
-	// ChangeNotInForce is an accepted change that a node did not have in time.
-	ChangeNotInForce BreachKind = "change-not-in-force"
-	// RevisionReverted is an older revision in force after a newer one.
+	// ChangeNotInEffect is an accepted change that a node did not apply in time.
+	ChangeNotInEffect BreachKind = "change-not-in-force"
+	// RevisionReverted is an older revision that replaced a newer one at a node.
 	RevisionReverted BreachKind = "revision-reverted"
-	// ChangeLost is an accepted change that the history does not hold, or a
-	// refused one that it does.
-	ChangeLost BreachKind = "change-lost"
+	// HistoryMismatch is an accepted change that is missing from the history, or a
+	// refused one that is in it.
+	HistoryMismatch BreachKind = "change-lost"
 )
 
-// Breach is one broken promise with its evidence.
+// Breach is one violation of a guarantee, with its evidence.
 type Breach struct {
 	Kind    BreachKind `json:"kind"`
 	At      time.Time  `json:"at"`
 	Summary string     `json:"summary"`
-	// RequestID, Node and Target say whom it concerns, where known.
+	// RequestID, Node and Target identify what is affected, where known.
 	RequestID string `json:"request_id,omitempty"`
 	Node      string `json:"node,omitempty"`
 	Target    string `json:"target,omitempty"`
-	// Evidence is the shortest list of records that proves it, in the order of
+	// Evidence lists the recorded facts that prove the violation, sorted by
 	// time.
 	Evidence []Evidence `json:"evidence"`
 }
@@ -63,30 +66,31 @@
 	return Evidence{At: at, Fact: fmt.Sprintf(format, values...)}
 }
 
-// maxKeptBreaches bounds the breaches of one kind that a report holds; Counts
-// has them all.
+// maxKeptBreaches limits the breaches of one kind that a report contains; Counts
+// includes all of them.
 const maxKeptBreaches = 50
 
-// Report is the judgement of a run.
+// Report is the result of checking a run.
 type Report struct {
-	// Calls, Tries, Executions and Observations count what was judged.
+	// Calls, Attempts, Executions and Observations count the checked records.
 	Calls        int `json:"calls"`
-	Tries        int `json:"tries"`
+	Attempts     int `json:"tries"`
 	Executions   int `json:"executions"`
 	Observations int `json:"observations"`
-	// Exercised tells how often each promise was put to the test.
-	Exercised Exercised `json:"exercised"`
-	// Counts are the breaches of each kind.
+	// Coverage counts how often each guarantee was exercised.
+	Coverage Coverage `json:"exercised"`
+	// Counts holds the number of breaches of each kind.
 	Counts map[BreachKind]int `json:"counts"`
-	// Breaches are those with the shortest evidence first, at most 50 a kind.
+	// Breaches holds at most 50 breaches of each kind, those with the least
+	// evidence first.
 	Breaches []Breach `json:"breaches"`
 }
 
-// Clean reports whether no promise was broken.
+// Clean reports whether all guarantees held.
 func (r Report) Clean() bool { return len(r.Breaches) == 0 }
 
-// add takes in the breaches of one check.
-func (r *Report) add(found []Breach) {
+// addBreaches adds the breaches found by one check.
+func (r *Report) addBreaches(found []Breach) {
 	for _, breach := range found {
 		r.Counts[breach.Kind]++
 	}
--- a/lab/judge/configuration.go
+++ b/lab/judge/configuration.go
@@ -8,101 +8,102 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// ordered returns the events in the order of time.
-func (i *index) ordered() []Event {
+// eventsByTime returns the events sorted by time.
+func (i *index) eventsByTime() []Event {
 	events := slices.Clone(i.Events)
 	slices.SortStableFunc(events, func(a, b Event) int { return a.At.Compare(b.At) })
 	return events
 }
 
 func changeEvidence(change Event) Evidence {
-	return evidence(change.At, "revision %d of %s was accepted at %s (change %s)", change.Revision, change.Object, change.Node, change.ChangeID)
+	return evidence(change.At, "revision %d of %s was accepted by %s (change %s)", change.Revision, change.Object, change.Node, change.ChangeID)
 }
 
 func observationEvidence(observed Event) Evidence {
-	return evidence(observed.At, "%s showed revision %d of %s, asked at %s",
-		observed.Node, observed.Revision, observed.Object, observed.Asked.Format(time.RFC3339Nano))
+	return evidence(observed.At, "%s reported revision %d of %s, queried at %s",
+		observed.Node, observed.Revision, observed.Object, observed.QueriedAt.Format(time.RFC3339Nano))
 }
 
-// missed is a change that a node did not have in time.
-type missed struct {
+// missedChange identifies a change that a node had not applied in time.
+type missedChange struct {
 	node, object string
 	revision     int64
 }
 
-// checkInForce looks for accepted changes that a node did not show although it
-// was connected for the whole time allowed. Each change counts once a node.
-func checkInForce(i *index) []Breach {
+// checkChangesInEffect finds accepted changes that a node did not report
+// although it was connected for the whole ConfigurationAllowance. Each change
+// counts at most once for each node.
+func checkChangesInEffect(i *index) []Breach {
 	nodes := newConnections()
 	accepted := map[string][]Event{}
-	reported := map[missed]bool{}
+	reported := map[missedChange]bool{}
 	var found []Breach
-	for _, event := range i.ordered() {
+	for _, event := range i.eventsByTime() {
 		nodes.apply(event)
 		switch event.Kind {
 		case ChangeAccepted:
 			accepted[event.Object] = append(accepted[event.Object], event)
-		case Observed:
-			since, connected := nodes.since(event.Node)
+		case RevisionObserved:
+			since, connected := nodes.connectedSince(event.Node)
 			if !connected {
 				continue
 			}
 			for _, change := range accepted[event.Object] {
 				due := latest(change.At, since).Add(i.Settings.ConfigurationAllowance)
-				key := missed{event.Node, event.Object, change.Revision}
-				if event.Revision >= change.Revision || event.Asked.Before(due) || reported[key] {
+				key := missedChange{event.Node, event.Object, change.Revision}
+				if event.Revision >= change.Revision || event.QueriedAt.Before(due) || reported[key] {
 					continue
 				}
 				reported[key] = true
-				found = append(found, i.notInForce(change, event))
+				found = append(found, i.changeNotInEffect(change, event))
 			}
 		}
 	}
 	return found
 }
 
-func (i *index) notInForce(change, observed Event) Breach {
+func (i *index) changeNotInEffect(change, observed Event) Breach {
 	return Breach{
-		Kind: ChangeNotInForce,
+		Kind: ChangeNotInEffect,
 		At:   observed.At,
-		Summary: fmt.Sprintf("%s still showed revision %d of %s %s after revision %d was accepted",
-			observed.Node, observed.Revision, observed.Object, observed.Asked.Sub(change.At).Round(time.Millisecond), change.Revision),
+		Summary: fmt.Sprintf("%s still reported revision %d of %s %s after revision %d was accepted",
+			observed.Node, observed.Revision, observed.Object, observed.QueriedAt.Sub(change.At).Round(time.Millisecond), change.Revision),
 		Node:     observed.Node,
 		Evidence: []Evidence{changeEvidence(change), observationEvidence(observed)},
 	}
 }
 
-// shown names an object at a node.
-type shown struct{ node, object string }
+// nodeObject identifies an object at a node.
+type nodeObject struct{ node, object string }
 
-// checkReversal looks for nodes that showed an older revision of an object
-// after a newer one, also after a restart.
-func checkReversal(i *index) []Breach {
-	newest := map[shown]Event{}
+// checkRevisionOrder finds nodes that reported an older revision of an object
+// after a newer one, including across a restart.
+func checkRevisionOrder(i *index) []Breach {
+	newest := map[nodeObject]Event{}
 	var found []Breach
-	for _, event := range i.ordered() {
-		if event.Kind != Observed {
+	for _, event := range i.eventsByTime() {
+		if event.Kind != RevisionObserved {
 			continue
 		}
-		key := shown{event.Node, event.Object}
-		before, known := newest[key]
-		if !known || event.Revision >= before.Revision {
+		key := nodeObject{event.Node, event.Object}
+		previous, known := newest[key]
+		if !known || event.Revision >= previous.Revision {
 			newest[key] = event
 			continue
 		}
 		found = append(found, Breach{
 			Kind:     RevisionReverted,
 			At:       event.At,
-			Summary:  fmt.Sprintf("%s went back from revision %d to %d of %s", event.Node, before.Revision, event.Revision, event.Object),
+			Summary:  fmt.Sprintf("%s reverted from revision %d to %d of %s", event.Node, previous.Revision, event.Revision, event.Object),
 			Node:     event.Node,
-			Evidence: append([]Evidence{observationEvidence(before), observationEvidence(event)}, i.restarts(event.Node, before.At, event.At)...),
+			Evidence: append([]Evidence{observationEvidence(previous), observationEvidence(event)}, i.restarts(event.Node, previous.At, event.At)...),
 		})
 		newest[key] = event
 	}
 	return found
 }
 
-// restarts returns the starts of a node in a time.
+// restarts returns the starts of a node between two times.
 func (i *index) restarts(node string, from, until time.Time) []Evidence {
 	var starts []Evidence
 	for _, event := range i.Events {
@@ -113,29 +114,29 @@
 	return starts
 }
 
-// checkHistory compares what operators were told with the histories that nodes
-// hold at the end.
+// checkHistory compares the outcomes reported to operators with the change
+// histories that the nodes hold at the end of the run.
 func checkHistory(i *index) []Breach {
-	histories := map[shown][]Event{}
+	histories := map[nodeObject][]Event{}
 	for _, event := range i.Events {
 		if event.Kind == HistoryEntry {
-			key := shown{event.Node, event.Object}
+			key := nodeObject{event.Node, event.Object}
 			histories[key] = append(histories[key], event)
 		}
 	}
 	var found []Breach
-	for _, told := range i.ordered() {
+	for _, outcome := range i.eventsByTime() {
 		for key, entries := range histories {
-			if key.object != told.Object {
+			if key.object != outcome.Object {
 				continue
 			}
-			if summary := contradiction(told, entries); summary != "" {
+			if summary := contradiction(outcome, entries); summary != "" {
 				found = append(found, Breach{
-					Kind:     ChangeLost,
-					At:       told.At,
+					Kind:     HistoryMismatch,
+					At:       outcome.At,
 					Summary:  summary,
 					Node:     key.node,
-					Evidence: []Evidence{evidence(told.At, "change %s of %s: %s", told.ChangeID, told.Object, told.Kind), historyEvidence(key, entries)},
+					Evidence: []Evidence{evidence(outcome.At, "change %s of %s: %s", outcome.ChangeID, outcome.Object, outcome.Kind), historyEvidence(key, entries)},
 				})
 				break
 			}
@@ -144,27 +145,29 @@
 	return found
 }
 
-func historyEvidence(key shown, entries []Event) Evidence {
+func historyEvidence(key nodeObject, entries []Event) Evidence {
 	newest := slices.MaxFunc(entries, byRevision)
-	return evidence(newest.At, "%s holds %d changes of %s, the newest is %s at revision %d", key.node, len(entries), key.object, newest.ChangeID, newest.Revision)
+	return evidence(newest.At, "%s has %d changes of %s in its history, the newest being %s at revision %d", key.node, len(entries), key.object, newest.ChangeID, newest.Revision)
 }
 
 func byRevision(a, b Event) int { return int(a.Revision - b.Revision) }
 
-// contradiction says how the history contradicts what an operator was told.
-func contradiction(told Event, entries []Event) string {
-	holds := slices.ContainsFunc(entries, func(entry Event) bool { return entry.ChangeID == told.ChangeID })
+// contradiction describes how the history contradicts the outcome reported to
+// the operator. It returns an empty string if there is no contradiction.
+func contradiction(outcome Event, entries []Event) string {
+	inHistory := slices.ContainsFunc(entries, func(entry Event) bool { return entry.ChangeID == outcome.ChangeID })
 	switch {
-	case told.Kind == ChangeRefused && holds:
-		return fmt.Sprintf("the refused change %s of %s took effect", told.ChangeID, told.Object)
-	case told.Kind == ChangeAccepted && !holds && reachesBack(entries, told.Revision):
-		return fmt.Sprintf("the accepted change %s of %s is not in the history", told.ChangeID, told.Object)
+	case outcome.Kind == ChangeRefused && inHistory:
+		return fmt.Sprintf("the refused change %s of %s took effect", outcome.ChangeID, outcome.Object)
+	case outcome.Kind == ChangeAccepted && !inHistory && historyCovers(entries, outcome.Revision):
+		return fmt.Sprintf("the accepted change %s of %s is not in the history", outcome.ChangeID, outcome.Object)
 	}
 	return ""
 }
 
-// reachesBack reports whether the history is long enough to hold a revision.
-func reachesBack(entries []Event, revision int64) bool {
+// historyCovers reports whether a history goes back far enough to include a
+// revision. A history shorter than resource.HistoryLength is complete.
+func historyCovers(entries []Event, revision int64) bool {
 	if len(entries) < resource.HistoryLength {
 		return true
 	}
--- a/lab/judge/connection.go
+++ b/lab/judge/connection.go
@@ -2,37 +2,40 @@
 
 import "time"
 
-// connections follows, event by event, which nodes run and can hear of changes.
-// A node is connected while its process runs, isn't frozen and isn't cut off.
-// While the store has a fault and some node is not connected, nobody counts as
-// connected: the only nodes that hold a change may be out of reach then.
+// connections tracks, event by event, which nodes are running and can receive
+// configuration changes. A node is connected while its process is running, not
+// suspended, and without a network fault. While the store has a fault and any
+// node is disconnected, all nodes count as disconnected, because the only nodes
+// that hold a change may be unreachable.
 type connections struct {
 	nodes       map[string]*nodeConnection
 	storeFaults int
-	// disturbed is the last moment at which nobody counted as connected.
-	disturbed time.Time
+	// lastDisconnected is the last time at which all nodes counted as disconnected.
+	lastDisconnected time.Time
 }
 
 type nodeConnection struct {
-	running      bool
-	frozen, cuts int
-	disturbed    time.Time
+	running               bool
+	frozen, networkFaults int
+	// lastDisconnected is the last time at which the node was disconnected.
+	lastDisconnected time.Time
 }
 
 func newConnections() *connections { return &connections{nodes: map[string]*nodeConnection{}} }
 
-func (n *nodeConnection) connected() bool { return n.running && n.frozen == 0 && n.cuts == 0 }
+func (n *nodeConnection) connected() bool { return n.running && n.frozen == 0 && n.networkFaults == 0 }
 
-// apply takes in the next event, in the order of time.
+// apply updates the state with the next event. Events must be applied in order
+// of time.
 func (c *connections) apply(event Event) {
-	if c.nobody() {
-		c.disturbed = event.At
+	if c.noneConnected() {
+		c.lastDisconnected = event.At
 	}
 	switch event.Kind {
-	case StoreFaulty:
+	case StoreFaultBegan:
 		c.storeFaults++
 		return
-	case StoreSound:
+	case StoreFaultEnded:
 		c.storeFaults--
 		return
 	}
@@ -41,11 +44,11 @@
 	}
 	node := c.node(event.Node)
 	if !node.connected() {
-		node.disturbed = event.At
+		node.lastDisconnected = event.At
 	}
 	node.apply(event.Kind)
-	if c.nobody() {
-		c.disturbed = event.At
+	if c.noneConnected() {
+		c.lastDisconnected = event.At
 	}
 }
 
@@ -53,16 +56,16 @@
 	switch kind {
 	case NodeStarted:
 		n.running, n.frozen = true, 0
-	case NodeKilled, StopAsked:
+	case NodeKilled, StopRequested:
 		n.running = false
 	case NodeFrozen:
 		n.frozen++
 	case NodeResumed:
 		n.frozen = max(n.frozen-1, 0)
-	case NodeCut:
-		n.cuts++
-	case NodeJoined:
-		n.cuts = max(n.cuts-1, 0)
+	case NetworkFaultBegan:
+		n.networkFaults++
+	case NetworkFaultEnded:
+		n.networkFaults = max(n.networkFaults-1, 0)
 	}
 }
 
@@ -73,7 +76,7 @@
 	return c.nodes[name]
 }
 
-func (c *connections) nobody() bool {
+func (c *connections) noneConnected() bool {
 	if c.storeFaults == 0 {
 		return false
 	}
@@ -85,14 +88,14 @@
 	return false
 }
 
-// since returns from when on the node has been connected without a break; it
-// is false while the node isn't.
-func (c *connections) since(name string) (time.Time, bool) {
+// connectedSince returns the time since which the node has been connected without
+// interruption. It returns false if the node is disconnected.
+func (c *connections) connectedSince(name string) (time.Time, bool) {
 	node := c.node(name)
-	if c.nobody() || !node.connected() {
+	if c.noneConnected() || !node.connected() {
 		return time.Time{}, false
 	}
-	return latest(node.disturbed, c.disturbed), true
+	return latest(node.lastDisconnected, c.lastDisconnected), true
 }
 
 func latest(a, b time.Time) time.Time {
--- a/lab/judge/files.go
+++ b/lab/judge/files.go
@@ -9,7 +9,7 @@
 	"github.com/samber/oops"
 )
 
-// WriteLines writes values as JSON lines to a new file.
+// WriteLines writes values as JSON lines to a file, replacing any existing one.
 func WriteLines[T any](path string, values []T) error {
 	file, err := os.Create(path)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return oops.In("judge").With("step", "write").With("file", path).Wrap(err)
 }
 
-// ReadLines reads a file of JSON lines.
+// ReadLines reads all values from a file of JSON lines.
 func ReadLines[T any](path string) ([]T, error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/lab/judge/inversion.go
+++ b/lab/judge/inversion.go
@@ -11,37 +11,38 @@
 	"github.com/lugspur/lugspur/lab/load"
 )
 
-// shedOrder is a try of a critical-plus call that was refused for load.
-type shedOrder struct {
+// shedCall is an attempt of a critical-plus call that was refused because of
+// overload.
+type shedCall struct {
 	call    Call
 	attempt load.Attempt
-	// from is the earliest moment at which it may have asked for what it was
-	// refused: when it was sent, or, where it was refused further down its chain,
-	// when its first execution began.
+	// from is the earliest time at which the refused service may have received
+	// the call: when the attempt was sent or, if a downstream call was refused,
+	// when the first execution of the request began.
 	from time.Time
-	// services are those at which it may have been refused.
+	// services are the services that may have been overloaded.
 	services []string
 }
 
-// admittedCall is a less important call that a service began to execute.
+// admittedCall is a call of lower criticality that a service began to execute.
 type admittedCall struct {
 	call    Call
 	attempt load.Attempt
 	record  emulator.Record
 }
 
-// checkInversion looks for less important calls that a service executed in the
-// moment in which it refused a critical-plus call for load.
+// checkInversion finds calls of lower criticality that a service executed while
+// it refused a critical-plus call because of overload.
 func checkInversion(i *index) []Breach {
-	orders := i.shedOrders()
-	if len(orders) == 0 {
+	shedCalls := i.shedCalls()
+	if len(shedCalls) == 0 {
 		return nil
 	}
 	admitted := i.admittedCalls()
 	var found []Breach
-	for _, order := range orders {
-		for _, service := range order.services {
-			if breach, inverted := i.inversion(order, service, admitted[service]); inverted {
+	for _, shed := range shedCalls {
+		for _, service := range shed.services {
+			if breach, inverted := i.inversion(shed, service, admitted[service]); inverted {
 				found = append(found, breach)
 				break
 			}
@@ -50,52 +51,54 @@
 	return found
 }
 
-func (i *index) shedOrders() []shedOrder {
-	var orders []shedOrder
+func (i *index) shedCalls() []shedCall {
+	var shedCalls []shedCall
 	for _, call := range i.Calls {
 		kind := i.kinds[call.Kind]
 		if kind.Criticality != criticality.CriticalPlus.String() {
 			continue
 		}
 		for _, attempt := range call.Attempts {
-			if order, shed := i.shedOrder(call, attempt); shed {
-				orders = append(orders, order)
+			if shed, refused := i.asShedCall(call, attempt); refused {
+				shedCalls = append(shedCalls, shed)
 			}
 		}
 	}
-	return orders
+	return shedCalls
 }
 
-// shedOrder tells whether a try was refused for load, by its edge or further
-// down its chain. In the second case its caller got its target's failure.
-func (i *index) shedOrder(call Call, attempt load.Attempt) (shedOrder, bool) {
-	order := shedOrder{call: call, attempt: attempt, from: attempt.Start}
+// asShedCall reports whether an attempt was refused because of overload, by its
+// edge or by a downstream call. In the second case the caller received the
+// error response of its target.
+func (i *index) asShedCall(call Call, attempt load.Attempt) (shedCall, bool) {
+	shed := shedCall{call: call, attempt: attempt, from: attempt.Start}
 	switch {
 	case attempt.Verdict == load.VerdictRefused && attempt.Reason == problem.Overloaded:
-		order.services = i.neededBy(call)
-		return order, true
+		shed.services = i.candidateServices(call)
+		return shed, true
 	case attempt.Verdict == load.VerdictError && call.RefusedBy != "" && len(i.byRequest[attempt.RequestID]) > 0:
-		order.services = []string{call.RefusedBy}
-		order.from = earliest(i.byRequest[attempt.RequestID]).Start
-		return order, true
+		shed.services = []string{call.RefusedBy}
+		shed.from = earliest(i.byRequest[attempt.RequestID]).Start
+		return shed, true
 	}
-	return order, false
+	return shed, false
 }
 
-// neededBy returns the service that refused the call, if that is known, or
-// else all that the call can't do without.
-func (i *index) neededBy(call Call) []string {
+// candidateServices returns the services at which the call may have been refused:
+// the refusing service if it is known, or else all services that the call
+// requires.
+func (i *index) candidateServices(call Call) []string {
 	if call.RefusedBy != "" {
 		return []string{call.RefusedBy}
 	}
 	kind := i.kinds[call.Kind]
-	var needed []string
+	var required []string
 	var visit func(name, method, path string)
 	visit = func(name, method, path string) {
-		if slices.Contains(needed, name) {
+		if slices.Contains(required, name) {
 			return
 		}
-		needed = append(needed, name)
+		required = append(required, name)
 		service, _ := i.Mesh.Service(name)
 		work, _ := service.Work(method, path)
 		for _, child := range work.Calls {
@@ -105,11 +108,11 @@
 		}
 	}
 	visit(kind.Service, kind.Method, kind.Path)
-	return needed
+	return required
 }
 
-// admittedCalls returns the executions on behalf of calls that are less
-// important than critical-plus, by service.
+// admittedCalls returns, by service, the executions for calls that are less
+// critical than critical-plus.
 func (i *index) admittedCalls() map[string][]admittedCall {
 	admitted := map[string][]admittedCall{}
 	for _, call := range i.Calls {
@@ -128,39 +131,40 @@
 	return admitted
 }
 
-func (i *index) inversion(order shedOrder, service string, candidates []admittedCall) (Breach, bool) {
+func (i *index) inversion(shed shedCall, service string, candidates []admittedCall) (Breach, bool) {
 	for _, candidate := range candidates {
-		if !overtook(order, candidate, i.Settings.InversionTolerance) {
+		if !overtook(shed, candidate, i.Settings.InversionTolerance) {
 			continue
 		}
 		return Breach{
 			Kind: CriticalityInversion,
-			At:   order.attempt.End,
-			Summary: fmt.Sprintf("a %s was shed while %s executed a %s that came later",
-				order.call.Kind, service, candidate.call.Kind),
-			RequestID: order.attempt.RequestID,
+			At:   shed.attempt.End,
+			Summary: fmt.Sprintf("a %s was shed while %s executed a %s that was sent later",
+				shed.call.Kind, service, candidate.call.Kind),
+			RequestID: shed.attempt.RequestID,
 			Target:    candidate.record.Target,
 			Evidence: []Evidence{
-				sent(order.call, order.attempt),
+				sent(shed.call, shed.attempt),
 				sent(candidate.call, candidate.attempt),
 				executed(candidate.record),
-				ended(order.attempt),
+				ended(shed.attempt),
 			},
 		}, true
 	}
 	return Breach{}, false
 }
 
-// overtook reports whether the less important call got in the order's way. It
-// must have been sent after the order and begun before the order was refused,
-// both by more than the tolerance; or else, at the same edge, it must have been
-// sent within the tolerance after the order and begun at all: an edge that
-// refuses an order at once must refuse it as well.
-func overtook(order shedOrder, candidate admittedCall, tolerance time.Duration) bool {
-	later := candidate.attempt.Start.Sub(order.from)
-	if later > tolerance && candidate.record.Start.Before(order.attempt.End.Add(-tolerance)) {
+// overtook reports whether the candidate was admitted at the expense of the more
+// critical shed call. Either it was sent after the shed call and began executing
+// before the shed call was refused, both by more than the tolerance. Or the shed
+// call was refused immediately, and the candidate was sent to the same edge
+// within the tolerance after it and was executed: an edge that immediately
+// refuses the more critical call must refuse the less critical one as well.
+func overtook(shed shedCall, candidate admittedCall, tolerance time.Duration) bool {
+	later := candidate.attempt.Start.Sub(shed.from)
+	if later > tolerance && candidate.record.Start.Before(shed.attempt.End.Add(-tolerance)) {
 		return true
 	}
-	immediate := order.attempt.End.Sub(order.attempt.Start) <= tolerance
-	return immediate && order.call.Edge == candidate.call.Edge && later >= 0 && later <= tolerance
+	immediate := shed.attempt.End.Sub(shed.attempt.Start) <= tolerance
+	return immediate && shed.call.Edge == candidate.call.Edge && later >= 0 && later <= tolerance
 }
--- a/lab/judge/judge.go
+++ b/lab/judge/judge.go
@@ -8,31 +8,33 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Call is a call as its caller saw it. A caller that sends a call again to
-// another edge makes a further Call with the same nonce and key.
+// Call is a call as seen by its caller. When a caller resends a call to another
+// edge, that is recorded as a further Call with the same nonce and idempotency
+// key.
 type Call struct {
 	load.Call
-	// RefusedBy names the service at which the last try was refused for load, by
-	// the edge or further down its chain; empty means that it isn't known.
+	// RefusedBy is the service for which the last attempt was refused because of
+	// overload, by the edge or by a downstream call. It is empty if unknown.
 	RefusedBy string `json:"refused_by,omitempty"`
 }
 
-// Settings are the bounds that the promises name.
+// Settings are the thresholds of the guarantees.
 type Settings struct {
-	// RetryBound is the most retries of one request in the whole chain.
+	// RetryBound is the maximum number of retries of one request over its whole
+	// call chain.
 	RetryBound int
-	// InversionTolerance is how far apart in time two calls may be seen and
-	// still count as being in the same moment.
+	// InversionTolerance is the time difference up to which two calls count as
+	// simultaneous.
 	InversionTolerance time.Duration
-	// DrainAllowance is how long after the acceptance of its drain a target may
-	// get new work.
+	// DrainAllowance is how long a target may still receive new work after its
+	// drain was accepted.
 	DrainAllowance time.Duration
-	// ConfigurationAllowance is how long after its acceptance a change may not
-	// be in force at a node that runs and is connected.
+	// ConfigurationAllowance is the time within which an accepted change must
+	// take effect at every node that is running and connected.
 	ConfigurationAllowance time.Duration
 }
 
-// DefaultSettings are the bounds that the project promises.
+// DefaultSettings returns the thresholds that the project guarantees.
 func DefaultSettings() Settings {
 	return Settings{
 		RetryBound:             3,
@@ -42,7 +44,7 @@
 	}
 }
 
-// Input is what was recorded of a run.
+// Input is the recording of a run.
 type Input struct {
 	Mesh     *mesh.Mesh
 	Calls    []Call
@@ -51,7 +53,7 @@
 	Settings Settings
 }
 
-// Judge checks every promise.
+// Judge checks all guarantees.
 func Judge(input Input) Report {
 	report := Report{
 		Calls:      len(input.Calls),
@@ -60,29 +62,29 @@
 		Breaches:   []Breach{},
 	}
 	for _, call := range input.Calls {
-		report.Tries += len(call.Attempts)
+		report.Attempts += len(call.Attempts)
 	}
 	for _, event := range input.Events {
-		if event.Kind == Observed {
+		if event.Kind == RevisionObserved {
 			report.Observations++
 		}
 	}
-	recorded := newIndex(input)
-	report.Exercised = recorded.exercised()
+	indexed := newIndex(input)
+	report.Coverage = indexed.coverage()
 	for _, check := range []func(*index) []Breach{
-		checkRetries, checkInversion, checkAnswers, checkNotExecuted, checkKeys,
-		checkDrains, checkStops, checkInForce, checkReversal, checkHistory,
+		checkRetries, checkInversion, checkResponses, checkNotExecuted, checkDuplicateExecutions,
+		checkDrains, checkStops, checkChangesInEffect, checkRevisionOrder, checkHistory,
 	} {
-		report.add(check(recorded))
+		report.addBreaches(check(indexed))
 	}
 	return report
 }
 
-// index finds the records of a run.
+// index provides lookups into the recording of a run.
 type index struct {
 	Input
 	byRequest map[string][]emulator.Record
-	// kinds are the kinds of calls by name.
+	// kinds holds the call kinds by name.
 	kinds map[string]mesh.Kind
 }
 
@@ -100,7 +102,7 @@
 }
 
 func executed(record emulator.Record) Evidence {
-	return evidence(record.Start, "%s ran %s %s of request %s (%s)",
+	return evidence(record.Start, "%s executed %s %s of request %s (%s)",
 		record.Target, record.Method, record.Path, record.RequestID, record.Outcome)
 }
 
@@ -111,9 +113,9 @@
 func ended(attempt load.Attempt) Evidence {
 	switch attempt.Verdict {
 	case load.VerdictRefused:
-		return evidence(attempt.End, "its caller was told: %s, executed: %s (request %s)", attempt.Reason, attempt.Executed, attempt.RequestID)
+		return evidence(attempt.End, "its caller was refused: %s, executed: %s (request %s)", attempt.Reason, attempt.Executed, attempt.RequestID)
 	case load.VerdictWrong:
-		return evidence(attempt.End, "its caller got a faulty answer to request %s: %v", attempt.RequestID, attempt.Faults)
+		return evidence(attempt.End, "its caller got an incorrect response to request %s: %v", attempt.RequestID, attempt.Faults)
 	}
-	return evidence(attempt.End, "it ended for its caller: %s, status %d, %s (request %s)", attempt.Verdict, attempt.Status, attempt.Error, attempt.RequestID)
+	return evidence(attempt.End, "outcome for its caller: %s, status %d, %s (request %s)", attempt.Verdict, attempt.Status, attempt.Error, attempt.RequestID)
 }
--- a/lab/judge/print.go
+++ b/lab/judge/print.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// WriteText writes the report for people: the counts, and for each kind the
-// breach with the shortest evidence.
+// WriteText writes a human-readable report: the counts and, for each kind, the
+// breach with the least evidence.
 func (r Report) WriteText(w io.Writer) error {
-	_, err := fmt.Fprintf(w, "judged %d calls with %d tries, %d executions and %d observations\n", r.Calls, r.Tries, r.Executions, r.Observations)
+	_, err := fmt.Fprintf(w, "checked %d calls with %d attempts, %d executions and %d observations\n", r.Calls, r.Attempts, r.Executions, r.Observations)
 	if err != nil {
 		return err
 	}
-	e := r.Exercised
-	_, err = fmt.Fprintf(w, "put to the test by: %d retried requests (most retries %d), %d shed orders, %d told not run, "+
-		"%d keys sent again (%d duplicates refused), %d drains, %d planned stops with %d open calls, %d accepted changes\n",
-		e.RetriedRequests, e.MostRetries, e.ShedOrders, e.ToldNotRun, e.KeysSentAgain, e.DuplicatesCaught,
-		e.Drains, e.PlannedStops, e.OpenAtStop, e.AcceptedChanges)
+	e := r.Coverage
+	_, err = fmt.Fprintf(w, "guarantees exercised by: %d retried requests (at most %d retries), %d shed critical-plus calls, %d attempts reported as not executed, "+
+		"%d reused idempotency keys (%d duplicates refused), %d drains, %d graceful stops with %d calls in flight, %d accepted changes\n",
+		e.RetriedRequests, e.MaxRetries, e.ShedCriticalCalls, e.ReportedNotExecuted, e.ReusedKeys, e.DuplicatesRefused,
+		e.Drains, e.GracefulStops, e.InFlightAtStop, e.AcceptedChanges)
 	if err != nil {
 		return err
 	}
 	if r.Clean() {
-		_, err = fmt.Fprintln(w, "no promise was broken")
+		_, err = fmt.Fprintln(w, "no guarantee was violated")
 		return err
 	}
 	for _, kind := range slices.Sorted(maps.Keys(r.Counts)) {
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// maxPrintedEvidence bounds the records that are printed for one breach.
+// maxPrintedEvidence limits the evidence that is printed for one breach.
 const maxPrintedEvidence = 12
 
 func (r Report) writeFirst(w io.Writer, kind BreachKind) error {
--- a/lab/judge/answers.go
+++ b/lab/judge/responses.go
@@ -9,9 +9,9 @@
 	"github.com/lugspur/lugspur/lab/load"
 )
 
-// checkAnswers looks for answers with status 200 that are not complete or not
-// the caller's own.
-func checkAnswers(i *index) []Breach {
+// checkResponses finds responses with status 200 that are incomplete or belong to
+// another call.
+func checkResponses(i *index) []Breach {
 	var found []Breach
 	for _, call := range i.Calls {
 		for _, attempt := range call.Attempts {
@@ -19,9 +19,9 @@
 				continue
 			}
 			found = append(found, Breach{
-				Kind:      WrongAnswer,
+				Kind:      IncorrectResponse,
 				At:        attempt.End,
-				Summary:   fmt.Sprintf("a %s got an answer that is not the complete one to it", call.Kind),
+				Summary:   fmt.Sprintf("a %s got an incomplete response or one that belongs to another call", call.Kind),
 				RequestID: attempt.RequestID,
 				Evidence:  []Evidence{sent(call, attempt), ended(attempt)},
 			})
@@ -30,7 +30,8 @@
 	return found
 }
 
-// checkNotExecuted looks for tries that were told "executed: no" and executed.
+// checkNotExecuted finds attempts that were refused with "executed: no" and were
+// executed all the same.
 func checkNotExecuted(i *index) []Breach {
 	var found []Breach
 	for _, call := range i.Calls {
@@ -43,9 +44,9 @@
 				continue
 			}
 			found = append(found, Breach{
-				Kind:      ExecutedAfterAll,
+				Kind:      ExecutedDespiteRefusal,
 				At:        attempt.End,
-				Summary:   fmt.Sprintf("a %s was said not to have been run and was run", call.Kind),
+				Summary:   fmt.Sprintf("a %s was reported as not executed but was executed", call.Kind),
 				RequestID: attempt.RequestID,
 				Target:    records[0].Target,
 				Evidence:  []Evidence{sent(call, attempt), executed(earliest(records)), ended(attempt)},
@@ -59,11 +60,13 @@
 	return slices.MinFunc(records, func(a, b emulator.Record) int { return a.Start.Compare(b.Start) })
 }
 
-// keyedService is what an idempotency key holds for.
+// keyedService is the scope of an idempotency key: keys are unique for each
+// service.
 type keyedService struct{ service, key string }
 
-// checkKeys looks for keys under which a service executed more than one call.
-func checkKeys(i *index) []Breach {
+// checkDuplicateExecutions finds idempotency keys with which a service executed
+// more than one call.
+func checkDuplicateExecutions(i *index) []Breach {
 	executions := map[keyedService][]emulator.Record{}
 	var order []keyedService
 	for _, record := range i.Records {
@@ -89,7 +92,7 @@
 	breach := Breach{
 		Kind:      ExecutedTwice,
 		At:        records[1].Start,
-		Summary:   fmt.Sprintf("%s executed %d calls with the key %s", keyed.service, len(records), keyed.key),
+		Summary:   fmt.Sprintf("%s executed %d calls with the idempotency key %s", keyed.service, len(records), keyed.key),
 		RequestID: records[0].RequestID,
 		Target:    records[0].Target,
 	}
--- a/lab/judge/retries.go
+++ b/lab/judge/retries.go
@@ -8,11 +8,12 @@
 	"github.com/lugspur/lugspur/lab/emulator"
 )
 
-// checkRetries counts the retries that the executions of a request prove. A
-// service is called once for each execution of a service that calls it, and
-// once if the request entered there; every execution beyond that was a retry
-// of the call to that service. Executions that a retry further up has led to
-// don't count again. Retries that no target executed don't show.
+// checkRetries finds requests with more retries than allowed, as far as the
+// executions prove them. Without retries, a service is executed once for each
+// execution of a service that calls it, and once more if the request entered the
+// mesh there. Each further execution is a retry of a call to that service.
+// Executions caused by a retry upstream are not counted again. Retries that no
+// target executed cannot be detected.
 func checkRetries(i *index) []Breach {
 	if i.Mesh == nil {
 		return nil
@@ -30,7 +31,7 @@
 	return found
 }
 
-// provenRetries returns the smallest number of retries that explains the
+// provenRetries returns the minimum number of retries that explains the
 // executions of one request.
 func (i *index) provenRetries(records []emulator.Record) int {
 	calls := map[string]int{}
@@ -60,8 +61,8 @@
 	return called
 }
 
-// entryOf returns the service that the request entered by: that of the first
-// execution, since a service is executed before those that it calls.
+// entryOf returns the service at which the request entered the mesh: that of the
+// first execution, since a service is executed before those that it calls.
 func (i *index) entryOf(records []emulator.Record) string {
 	first := records[0]
 	for _, record := range records {
@@ -76,7 +77,7 @@
 	breach := Breach{
 		Kind:      RetriesOverBound,
 		At:        records[0].Start,
-		Summary:   fmt.Sprintf("one request had at least %d retries; allowed are %d", retries, bound),
+		Summary:   fmt.Sprintf("one request had at least %d retries; at most %d are allowed", retries, bound),
 		RequestID: request,
 	}
 	for _, record := range records {
--- a/lab/judge/stops.go
+++ b/lab/judge/stops.go
@@ -9,42 +9,42 @@
 	"github.com/lugspur/lugspur/lab/load"
 )
 
-// plannedStop is the planned stop of one node.
-type plannedStop struct {
-	node, edge   string
-	asked, ended time.Time
-	failure      string
+// gracefulStop is the graceful stop of one node.
+type gracefulStop struct {
+	node, edge       string
+	requested, ended time.Time
+	failure          string
 }
 
-// checkStops looks for calls that were in a node when it was stopped as
-// planned and got neither an answer nor a refusal, and for stops that failed.
+// checkStops finds calls that were in flight at a node during a graceful stop
+// and got neither a response nor a refusal, and stops that failed.
 func checkStops(i *index) []Breach {
 	var found []Breach
-	for _, stop := range i.plannedStops() {
+	for _, stop := range i.gracefulStops() {
 		if stop.failure != "" {
 			found = append(found, Breach{
 				Kind:     StopFailed,
 				At:       stop.ended,
-				Summary:  fmt.Sprintf("the planned stop of %s failed: %s", stop.node, stop.failure),
+				Summary:  fmt.Sprintf("the graceful stop of %s failed: %s", stop.node, stop.failure),
 				Node:     stop.node,
 				Evidence: []Evidence{stopEvidence(stop), evidence(stop.ended, "%s ended: %s", stop.node, stop.failure)},
 			})
 		}
-		found = append(found, i.cutBy(stop)...)
+		found = append(found, i.abortedBy(stop)...)
 	}
 	return found
 }
 
-func stopEvidence(stop plannedStop) Evidence {
-	return evidence(stop.asked, "%s with edge %s was asked to stop", stop.node, stop.edge)
+func stopEvidence(stop gracefulStop) Evidence {
+	return evidence(stop.requested, "%s with edge %s was requested to stop", stop.node, stop.edge)
 }
 
-func (i *index) plannedStops() []plannedStop {
-	var stops []plannedStop
+func (i *index) gracefulStops() []gracefulStop {
+	var stops []gracefulStop
 	for _, event := range i.Events {
 		switch event.Kind {
-		case StopAsked:
-			stops = append(stops, plannedStop{node: event.Node, edge: event.Edge, asked: event.At})
+		case StopRequested:
+			stops = append(stops, gracefulStop{node: event.Node, edge: event.Edge, requested: event.At})
 		case StopEnded:
 			for s := range stops {
 				if stops[s].node == event.Node && stops[s].ended.IsZero() {
@@ -56,20 +56,20 @@
 	return stops
 }
 
-func (i *index) cutBy(stop plannedStop) []Breach {
+func (i *index) abortedBy(stop gracefulStop) []Breach {
 	var found []Breach
 	for _, call := range i.Calls {
 		if call.Edge != stop.edge {
 			continue
 		}
 		for _, attempt := range call.Attempts {
-			if !wasIn(stop, attempt) || !cutOff(attempt) {
+			if !inFlightDuring(stop, attempt) || !aborted(attempt) {
 				continue
 			}
 			found = append(found, Breach{
-				Kind:      CutByStop,
+				Kind:      AbortedByStop,
 				At:        attempt.End,
-				Summary:   fmt.Sprintf("the planned stop of %s cut off a %s", stop.node, call.Kind),
+				Summary:   fmt.Sprintf("the graceful stop of %s aborted a %s", stop.node, call.Kind),
 				RequestID: attempt.RequestID,
 				Node:      stop.node,
 				Evidence:  []Evidence{sent(call, attempt), stopEvidence(stop), ended(attempt)},
@@ -79,25 +79,25 @@
 	return found
 }
 
-// wasIn reports whether the try was open at some moment between the stop's
-// beginning and the process's end.
-func wasIn(stop plannedStop, attempt load.Attempt) bool {
-	if attempt.End.Before(stop.asked) {
+// inFlightDuring reports whether the attempt was in flight at any time between
+// the start of the stop and the exit of the process.
+func inFlightDuring(stop gracefulStop, attempt load.Attempt) bool {
+	if attempt.End.Before(stop.requested) {
 		return false
 	}
 	return stop.ended.IsZero() || attempt.Start.Before(stop.ended)
 }
 
-// dialFailure begins the error of a try whose connection was never made: it
-// was in no node.
-const dialFailure = "dial "
+// dialErrorPrefix is the prefix of the error of an attempt whose connection was
+// never established and that therefore reached no node.
+const dialErrorPrefix = "dial "
 
-// cutOff reports whether a try that reached a node got neither an answer nor a
-// refusal, although its caller was still there.
-func cutOff(attempt load.Attempt) bool {
+// aborted reports whether an attempt that reached a node got neither a response
+// nor a refusal although its caller was still waiting.
+func aborted(attempt load.Attempt) bool {
 	switch attempt.Verdict {
 	case load.VerdictError:
-		return attempt.Status == 0 && !strings.HasPrefix(attempt.Error, dialFailure)
+		return attempt.Status == 0 && !strings.HasPrefix(attempt.Error, dialErrorPrefix)
 	case load.VerdictRefused:
 		return attempt.Reason == problem.CallerGone
 	}
