--- a/lab/chaos/attempt.go
+++ b/lab/chaos/attempt.go
@@ -15,68 +15,69 @@
 	"github.com/lugspur/lugspur/lab/load"
 )
 
-// maxAnswerBytes bounds an answer, in bytes.
-const maxAnswerBytes = 16 << 20
+// maxResponseBytes limits the size of a response body.
+const maxResponseBytes = 16 << 20
 
-// attempt sends one request and looks at what comes back. For a refusal it
-// also returns the service that refused, if the refusal tells.
-func (c *callers) attempt(ctx context.Context, drawn request, to edge) (load.Attempt, string) {
+// attempt sends one request and classifies the outcome. If it was refused,
+// attempt also returns the service that refused it, if the response names one.
+func (c *callers) attempt(ctx context.Context, planned plannedCall, to edge) (load.Attempt, string) {
 	attempt := load.Attempt{Start: time.Now()}
-	refusedBy := c.exchange(ctx, drawn, to, &attempt)
+	refusedBy := c.exchange(ctx, planned, to, &attempt)
 	attempt.End = time.Now()
 	return attempt, refusedBy
 }
 
-func (c *callers) exchange(ctx context.Context, drawn request, to edge, attempt *load.Attempt) string {
-	ctx, cancel := context.WithTimeout(ctx, drawn.kind.Deadline())
+func (c *callers) exchange(ctx context.Context, planned plannedCall, to edge, attempt *load.Attempt) string {
+	ctx, cancel := context.WithTimeout(ctx, planned.kind.Deadline())
 	defer cancel()
-	message, err := newMessage(ctx, drawn, to)
+	request, err := newRequest(ctx, planned, to)
 	if err != nil {
-		fail(attempt, err)
+		recordError(attempt, err)
 		return ""
 	}
-	response, err := c.transport.RoundTrip(message)
+	response, err := c.transport.RoundTrip(request)
 	if err != nil {
-		fail(attempt, err)
+		recordError(attempt, err)
 		return ""
 	}
 	defer func() { _ = response.Body.Close() }()
 	attempt.Status = response.StatusCode
 	attempt.RequestID = response.Header.Get(callcontext.RequestIDHeader)
-	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
-		// The answer broke off: the caller knows that it has none.
+		// The response was truncated, and the caller can tell that it has no
+		// complete response.
 		attempt.Status = 0
-		fail(attempt, err)
+		recordError(attempt, err)
 		return ""
 	}
 	if response.StatusCode == http.StatusOK {
-		c.verify(drawn, body, attempt)
+		c.verify(planned, body, attempt)
 		return ""
 	}
-	return c.refused(response, body, attempt)
+	return c.recordRefusal(response, body, attempt)
 }
 
-func newMessage(ctx context.Context, drawn request, to edge) (*http.Request, error) {
+func newRequest(ctx context.Context, planned plannedCall, to edge) (*http.Request, error) {
 	var body io.Reader
-	if drawn.kind.Method != http.MethodGet {
-		body = strings.NewReader(`{"nonce":"` + drawn.nonce + `"}`)
+	if planned.kind.Method != http.MethodGet {
+		body = strings.NewReader(`{"nonce":"` + planned.nonce + `"}`)
 	}
-	url := "http://" + to.address + "/" + drawn.kind.Service + drawn.kind.Path
-	message, err := http.NewRequestWithContext(ctx, drawn.kind.Method, url, body)
+	url := "http://" + to.address + "/" + planned.kind.Service + planned.kind.Path
+	request, err := http.NewRequestWithContext(ctx, planned.kind.Method, url, body)
 	if err != nil {
 		return nil, err
 	}
-	message.Header.Set(callcontext.CallerHeader, drawn.caller)
-	message.Header.Set(callcontext.TimeoutHeader, strconv.FormatInt(drawn.kind.Deadline().Milliseconds(), 10))
-	message.Header.Set(answer.NonceHeader, drawn.nonce)
-	if drawn.key != "" {
-		message.Header.Set(callcontext.IdempotencyKeyHeader, drawn.key)
+	request.Header.Set(callcontext.CallerHeader, planned.caller)
+	request.Header.Set(callcontext.TimeoutHeader, strconv.FormatInt(planned.kind.Deadline().Milliseconds(), 10))
+	request.Header.Set(answer.NonceHeader, planned.nonce)
+	if planned.key != "" {
+		request.Header.Set(callcontext.IdempotencyKeyHeader, planned.key)
 	}
-	return message, nil
+	return request, nil
 }
 
-func fail(attempt *load.Attempt, err error) {
+func recordError(attempt *load.Attempt, err error) {
 	attempt.Verdict = load.VerdictError
 	if errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled) {
 		attempt.Verdict = load.VerdictTimeout
@@ -84,9 +85,9 @@
 	attempt.Error = err.Error()
 }
 
-func (c *callers) verify(drawn request, body []byte, attempt *load.Attempt) {
-	expected := c.expectations[drawn.kind.Name]
-	expected.Nonce = drawn.nonce
+func (c *callers) verify(planned plannedCall, body []byte, attempt *load.Attempt) {
+	expected := c.expectations[planned.kind.Name]
+	expected.Nonce = planned.nonce
 	attempt.Faults = answer.Verify(body, expected)
 	attempt.Verdict = load.VerdictComplete
 	if len(attempt.Faults) > 0 {
@@ -94,24 +95,25 @@
 	}
 }
 
-func (c *callers) refused(response *http.Response, body []byte, attempt *load.Attempt) string {
+func (c *callers) recordRefusal(response *http.Response, body []byte, attempt *load.Attempt) string {
 	document, err := problem.Parse(body)
 	if err != nil {
 		attempt.Verdict = load.VerdictError
 		attempt.Error = "status " + strconv.Itoa(response.StatusCode) + " without a problem document: " + strings.TrimSpace(string(body))
-		return c.chainRefuser(string(body))
+		return c.refusingDownstream(string(body))
 	}
 	attempt.Verdict = load.VerdictRefused
 	attempt.Executed = document.Executed
 	attempt.Reason = document.Reason
 	attempt.Error = document.Error()
 	attempt.RetryAfterSeconds, _ = strconv.Atoi(response.Header.Get("Retry-After"))
-	return c.refuser(document)
+	return c.refusingService(document)
 }
 
-// refuser returns the service that refused: that of the target whose home did,
-// or the one that an edge names as shedding.
-func (c *callers) refuser(document *problem.Problem) string {
+// refusingService returns the service that refused the call: the service of the
+// target whose home node refused it, or the service for which the edge reports
+// that it is shedding load, which is the last word of the problem's detail.
+func (c *callers) refusingService(document *problem.Problem) string {
 	for _, target := range c.mesh.Targets {
 		if target.Name == document.Peer {
 			return target.Service
@@ -128,10 +130,10 @@
 	return last
 }
 
-// chainRefuser returns the service at which a target's own call was refused for
-// load, as the stand-in targets say: "call SERVICE in zone ZONE: status 503,
-// overloaded".
-func (c *callers) chainRefuser(body string) string {
+// refusingDownstream returns the service that refused a target's downstream call
+// because of overload. The emulated targets report it as "call SERVICE in zone
+// ZONE: status 503, overloaded".
+func (c *callers) refusingDownstream(body string) string {
 	words := strings.Fields(body)
 	if len(words) < 2 || words[len(words)-1] != string(problem.Overloaded) {
 		return ""
--- a/lab/chaos/callers.go
+++ b/lab/chaos/callers.go
@@ -17,26 +17,27 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// What callers do.
+// Behaviour of the callers.
 const (
-	// maxSends is how often a caller sends a keyed call, each time to another
-	// edge.
+	// maxSends is the maximum number of times that a caller sends a call with an
+	// idempotency key, each time to another edge.
 	maxSends = 3
-	// longestPause bounds the pause before a call is sent again.
-	longestPause = 100 * time.Millisecond
-	// impatientShare is the fraction of keyed calls that are sent to a second
-	// edge at once, without waiting for the first.
-	impatientShare = 0.2
-	// longestPatience bounds the time until then.
-	longestPatience = 40 * time.Millisecond
-	// maxOpen bounds the calls that are open at once, and maxCalls those of a
-	// run.
-	maxOpen  = 4000
-	maxCalls = 200_000
+	// maxRetryDelay limits the delay before a call is sent again.
+	maxRetryDelay = 100 * time.Millisecond
+	// hedgedFraction is the fraction of these calls that are hedged: sent to a
+	// second edge without waiting for the first one to respond.
+	hedgedFraction = 0.2
+	// maxHedgeDelay limits the delay before the hedged request is sent.
+	maxHedgeDelay = 40 * time.Millisecond
+	// maxInFlight limits the number of concurrent calls, and maxCalls the total
+	// number of calls in a run.
+	maxInFlight = 4000
+	maxCalls    = 200_000
 )
 
-// callers make the calls of a run: at random moments, whether or not earlier
-// calls have been answered, at random edges of all zones.
+// callers generates the calls of a run as an open-loop load: calls arrive at
+// random times, whether or not earlier calls have completed, at random edges of
+// all zones.
 type callers struct {
 	mesh         *mesh.Mesh
 	edges        []edge
@@ -44,14 +45,14 @@
 	transport    *http.Transport
 	expectations map[string]answer.Expectation
 	random       *rand.Rand
-	// multiplier scales the rate; its bits are those of a float64.
+	// multiplier scales the call rate. It holds the bits of a float64.
 	multiplier atomic.Uint64
-	open       atomic.Int64
+	inFlight   atomic.Int64
 	notSent    atomic.Int64
-	running    sync.WaitGroup
+	pending    sync.WaitGroup
 }
 
-// edge is the address of a node for callers.
+// edge is the address at which a node accepts calls, and its zone.
 type edge struct{ zone, address string }
 
 func newCallers(m *mesh.Mesh, edges []edge, recorder *recorder, seed uint64) *callers {
@@ -70,7 +71,8 @@
 	return c
 }
 
-// expectationOf follows the required downstream calls of a call.
+// expectationOf returns what the response to a call must contain, including the
+// responses to its required downstream calls.
 func expectationOf(m *mesh.Mesh, name, method, path string) answer.Expectation {
 	expected := answer.Expectation{Service: name}
 	service, _ := m.Service(name)
@@ -87,11 +89,11 @@
 
 func (c *callers) currentMultiplier() float64 { return math.Float64frombits(c.multiplier.Load()) }
 
-// run makes calls until the first context ends, and waits for their ends. The
-// second one cancels them.
+// run starts calls until ctx ends and then waits for all calls in flight. The
+// calls themselves run under the second context.
 func (c *callers) run(ctx, calls context.Context, rate float64) {
 	defer c.transport.CloseIdleConnections()
-	defer c.running.Wait()
+	defer c.pending.Wait()
 	next := time.Now()
 	for count := 0; count < maxCalls; count++ {
 		gap := c.random.ExpFloat64() / (rate * c.currentMultiplier())
@@ -99,56 +101,58 @@
 		if !pause.For(ctx, time.Until(next)) {
 			return
 		}
-		c.launch(calls, c.draw(count))
+		c.launch(calls, c.plan(count))
 	}
 }
 
-func (c *callers) launch(ctx context.Context, drawn request) {
-	if c.open.Add(1) > maxOpen {
-		c.open.Add(-1)
+func (c *callers) launch(ctx context.Context, planned plannedCall) {
+	if c.inFlight.Add(1) > maxInFlight {
+		c.inFlight.Add(-1)
 		c.notSent.Add(1)
 		return
 	}
-	c.running.Go(func() {
-		defer c.open.Add(-1)
-		c.make(ctx, drawn)
+	c.pending.Go(func() {
+		defer c.inFlight.Add(-1)
+		c.makeCall(ctx, planned)
 	})
 }
 
-// request is a call that is to be made, with all that is random about it.
-type request struct {
+// plannedCall is a call to be made, with all its random parameters already
+// chosen.
+type plannedCall struct {
 	kind   mesh.Kind
 	caller string
 	nonce  string
 	key    string
-	// edges are where it is sent, one after the other, each in another zone.
-	edges     []edge
-	pauses    []time.Duration
-	impatient bool
-	patience  time.Duration
+	// edges lists where the call is sent, one after the other. Each edge is in a
+	// different zone.
+	edges       []edge
+	retryDelays []time.Duration
+	hedged      bool
+	hedgeDelay  time.Duration
 }
 
-func (c *callers) draw(count int) request {
-	kind := c.drawKind()
+func (c *callers) plan(count int) plannedCall {
+	kind := c.chooseKind()
 	group := kind.Callers[c.random.IntN(len(kind.Callers))]
-	drawn := request{
-		kind:      kind,
-		caller:    fmt.Sprintf("%s-%d", group, c.random.IntN(kind.CallersEach)),
-		nonce:     fmt.Sprintf("%06d-%016x", count, c.random.Uint64()),
-		edges:     c.drawEdges(),
-		impatient: kind.Keyed && c.random.Float64() < impatientShare,
-		patience:  time.Duration(c.random.Int64N(int64(longestPatience))),
+	planned := plannedCall{
+		kind:       kind,
+		caller:     fmt.Sprintf("%s-%d", group, c.random.IntN(kind.CallersEach)),
+		nonce:      fmt.Sprintf("%06d-%016x", count, c.random.Uint64()),
+		edges:      c.chooseEdges(),
+		hedged:     kind.Keyed && c.random.Float64() < hedgedFraction,
+		hedgeDelay: time.Duration(c.random.Int64N(int64(maxHedgeDelay))),
 	}
-	for range drawn.edges {
-		drawn.pauses = append(drawn.pauses, time.Duration(c.random.Int64N(int64(longestPause))))
+	for range planned.edges {
+		planned.retryDelays = append(planned.retryDelays, time.Duration(c.random.Int64N(int64(maxRetryDelay))))
 	}
 	if kind.Keyed {
-		drawn.key = "key-" + drawn.nonce
+		planned.key = "key-" + planned.nonce
 	}
-	return drawn
+	return planned
 }
 
-func (c *callers) drawKind() mesh.Kind {
+func (c *callers) chooseKind() mesh.Kind {
 	total := 0.0
 	for _, kind := range c.mesh.Kinds {
 		total += kind.Share
@@ -162,8 +166,8 @@
 	return c.mesh.Kinds[len(c.mesh.Kinds)-1]
 }
 
-// drawEdges returns up to maxSends edges, no two in one zone.
-func (c *callers) drawEdges() []edge {
+// chooseEdges returns up to maxSends random edges, each in a different zone.
+func (c *callers) chooseEdges() []edge {
 	var chosen []edge
 	seen := map[string]bool{}
 	for _, index := range c.random.Perm(len(c.edges)) {
@@ -175,31 +179,31 @@
 	return chosen
 }
 
-// make makes a call. A keyed one that got an error or was not run is sent again
-// to other edges with the same key; an impatient caller's is sent to two at
-// once.
-func (c *callers) make(ctx context.Context, drawn request) {
-	edges := drawn.edges
-	if drawn.impatient && len(edges) > 1 {
-		hasty := edges[len(edges)-1]
+// makeCall makes a call. A call with an idempotency key that failed or was not
+// executed is sent again to other edges with the same key. A hedged call is sent
+// to two edges concurrently.
+func (c *callers) makeCall(ctx context.Context, planned plannedCall) {
+	edges := planned.edges
+	if planned.hedged && len(edges) > 1 {
+		hedgeEdge := edges[len(edges)-1]
 		edges = edges[:len(edges)-1]
-		c.running.Go(func() {
-			if pause.For(ctx, drawn.patience) {
-				c.send(ctx, drawn, hasty)
+		c.pending.Go(func() {
+			if pause.For(ctx, planned.hedgeDelay) {
+				c.send(ctx, planned, hedgeEdge)
 			}
 		})
 	}
 	for index, to := range edges {
-		last := c.send(ctx, drawn, to)
-		if drawn.key == "" || !sendAgain(last) || !pause.For(ctx, drawn.pauses[index]) {
+		last := c.send(ctx, planned, to)
+		if planned.key == "" || !shouldRetry(last) || !pause.For(ctx, planned.retryDelays[index]) {
 			return
 		}
 	}
 }
 
-// sendAgain reports whether the caller knows no answer, or knows that nothing
-// was run.
-func sendAgain(last load.Attempt) bool {
+// shouldRetry reports whether the caller got no response, or got a refusal that
+// gives both the execution status and a time after which to retry.
+func shouldRetry(last load.Attempt) bool {
 	switch last.Verdict {
 	case load.VerdictError, load.VerdictTimeout:
 		return true
@@ -209,18 +213,18 @@
 	return false
 }
 
-// send sends a call to one edge and records what came of it.
-func (c *callers) send(ctx context.Context, drawn request, to edge) load.Attempt {
+// send sends a call to one edge and records the outcome.
+func (c *callers) send(ctx context.Context, planned plannedCall, to edge) load.Attempt {
 	call := judge.Call{Call: load.Call{
-		Kind:           drawn.kind.Name,
-		Caller:         drawn.caller,
-		Nonce:          drawn.nonce,
-		IdempotencyKey: drawn.key,
+		Kind:           planned.kind.Name,
+		Caller:         planned.caller,
+		Nonce:          planned.nonce,
+		IdempotencyKey: planned.key,
 		Zone:           to.zone,
 		Edge:           to.address,
 		Intended:       time.Now(),
 	}}
-	attempt, refusedBy := c.attempt(ctx, drawn, to)
+	attempt, refusedBy := c.attempt(ctx, planned, to)
 	call.Attempts = []load.Attempt{attempt}
 	call.RefusedBy = refusedBy
 	c.recorder.addCall(call)
--- a/lab/chaos/chaos_test.go
+++ b/lab/chaos/chaos_test.go
@@ -31,7 +31,7 @@
 
 const testDuration = 30 * time.Second
 
-func TestSeedGivesSchedule(t *testing.T) {
+func TestSameSeedGivesSameSchedule(t *testing.T) {
 	m := loadMesh(t)
 	assert.DeepEqual(t, NewSchedule(m, 2, 7, testDuration), NewSchedule(m, 2, 7, testDuration))
 	first, err := json.Marshal(NewSchedule(m, 2, 7, testDuration))
@@ -41,7 +41,7 @@
 	assert.Assert(t, string(first) != string(second))
 }
 
-func TestSchedulesKeepTheirBounds(t *testing.T) {
+func TestScheduleRespectsConstraints(t *testing.T) {
 	m := loadMesh(t)
 	seen := map[FaultKind]bool{}
 	pairs := 0
@@ -50,25 +50,25 @@
 		faults := NewSchedule(m, 2, seed, testDuration)
 		for index, fault := range faults {
 			seen[fault.Kind] = true
-			assert.Assert(t, fault.begin()+fault.length() <= testDuration, "%+v", fault)
+			assert.Assert(t, fault.start()+fault.duration() <= testDuration, "%+v", fault)
 			if index > 0 {
-				assert.Assert(t, fault.At >= faults[index-1].At)
-				pairs += btoi(fault.At == faults[index-1].At)
+				assert.Assert(t, fault.StartMS >= faults[index-1].StartMS)
+				pairs += boolToInt(fault.StartMS == faults[index-1].StartMS)
 			}
 			if fault.Kind == Kill || fault.Kind == Freeze || fault.Kind == Stop {
-				assert.Assert(t, busy[fault.Nodes[0]] <= fault.begin(), "%s has two faults", fault.Nodes[0])
-				busy[fault.Nodes[0]] = fault.begin() + fault.length()
+				assert.Assert(t, busy[fault.Nodes[0]] <= fault.start(), "%s has overlapping faults", fault.Nodes[0])
+				busy[fault.Nodes[0]] = fault.start() + fault.duration()
 			}
-			assert.Assert(t, !ofStore(fault.Kind) || hasRaceAfter(faults, fault))
+			assert.Assert(t, !isStoreFault(fault.Kind) || hasRaceAfter(faults, fault))
 		}
 	}
-	assert.Assert(t, pairs > 100, "only %d pairs", pairs)
-	for _, settings := range drawn {
-		assert.Assert(t, seen[settings.kind], "%s was never drawn", settings.kind)
+	assert.Assert(t, pairs > 100, "only %d pairs of simultaneous faults", pairs)
+	for _, settings := range faultKinds {
+		assert.Assert(t, seen[settings.kind], "%s was never generated", settings.kind)
 	}
 }
 
-func btoi(condition bool) int {
+func boolToInt(condition bool) int {
 	if condition {
 		return 1
 	}
@@ -77,14 +77,14 @@
 
 func hasRaceAfter(faults []Fault, of Fault) bool {
 	for _, fault := range faults {
-		if fault.Kind == Race && fault.begin() == of.begin()+raceDelay {
+		if fault.Kind == Race && fault.start() == of.start()+raceDelay {
 			return true
 		}
 	}
 	return false
 }
 
-// edgeOf starts an edge that answers every call in one way.
+// edgeOf starts an edge that handles every call with the given handler.
 func edgeOf(t *testing.T, zone string, handler http.HandlerFunc) edge {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -98,7 +98,7 @@
 	}
 }
 
-func answerWhole(t *testing.T) http.HandlerFunc {
+func respondComplete(t *testing.T) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		body, err := answer.Answer{Service: "ventctl", Nonce: r.Header.Get(answer.NonceHeader)}.Encode()
 		assert.NilError(t, err)
@@ -106,22 +106,22 @@
 	}
 }
 
-func ventOrder(t *testing.T, m *mesh.Mesh, edges ...edge) request {
+func plannedVentOrder(t *testing.T, m *mesh.Mesh, edges ...edge) plannedCall {
 	t.Helper()
 	kind, found := m.Kind("vent-order")
 	assert.Assert(t, found)
-	return request{kind: kind, caller: "grower-1", nonce: "n", key: "key-n", edges: edges, pauses: make([]time.Duration, len(edges))}
+	return plannedCall{kind: kind, caller: "grower-1", nonce: "n", key: "key-n", edges: edges, retryDelays: make([]time.Duration, len(edges))}
 }
 
-func TestKeyedCallsAreSentAgainElsewhere(t *testing.T) {
+func TestKeyedCallsAreRetriedAtOtherEdges(t *testing.T) {
 	m := loadMesh(t)
-	gone := edge{zone: "one", address: "127.0.0.1:1"}
+	unreachable := edge{zone: "one", address: "127.0.0.1:1"}
 	refusing := edgeOf(t, "two", refuse(problem.Overloaded, "shed", "calls of this rank are being shed by ventctl"))
-	answering := edgeOf(t, "three", answerWhole(t))
+	answering := edgeOf(t, "three", respondComplete(t))
 	recorder := &recorder{}
-	c := newCallers(m, []edge{gone, refusing, answering}, recorder, 1)
-	c.make(t.Context(), ventOrder(t, m, gone, refusing, answering))
-	_, calls := recorder.recorded()
+	c := newCallers(m, []edge{unreachable, refusing, answering}, recorder, 1)
+	c.makeCall(t.Context(), plannedVentOrder(t, m, unreachable, refusing, answering))
+	_, calls := recorder.snapshot()
 	assert.Equal(t, len(calls), 3)
 	for index, verdict := range []load.Verdict{load.VerdictError, load.VerdictRefused, load.VerdictComplete} {
 		assert.Equal(t, calls[index].Verdict(), verdict)
@@ -131,53 +131,53 @@
 	assert.Assert(t, strings.HasPrefix(calls[0].Last().Error, "dial "))
 }
 
-func TestDuplicatesAndCompleteCallsAreNotSentAgain(t *testing.T) {
+func TestDuplicateAndCompleteCallsAreNotRetried(t *testing.T) {
 	m := loadMesh(t)
 	duplicate := edgeOf(t, "one", func(w http.ResponseWriter, _ *http.Request) {
 		problem.New(problem.DuplicateRequest, problem.ExecutedUnknown, "claim", "node", "made before").Write(w)
 	})
-	for _, first := range []edge{duplicate, edgeOf(t, "one", answerWhole(t))} {
+	for _, first := range []edge{duplicate, edgeOf(t, "one", respondComplete(t))} {
 		recorder := &recorder{}
 		c := newCallers(m, nil, recorder, 1)
-		c.make(t.Context(), ventOrder(t, m, first, edgeOf(t, "two", answerWhole(t))))
-		_, calls := recorder.recorded()
+		c.makeCall(t.Context(), plannedVentOrder(t, m, first, edgeOf(t, "two", respondComplete(t))))
+		_, calls := recorder.snapshot()
 		assert.Equal(t, len(calls), 1)
 	}
 }
 
-func TestImpatientCallersUseTwoEdges(t *testing.T) {
+func TestHedgedCallsUseTwoEdges(t *testing.T) {
 	m := loadMesh(t)
 	recorder := &recorder{}
 	c := newCallers(m, nil, recorder, 1)
-	drawn := ventOrder(t, m, edgeOf(t, "one", answerWhole(t)), edgeOf(t, "two", answerWhole(t)))
-	drawn.impatient = true
-	c.make(t.Context(), drawn)
-	c.running.Wait()
-	_, calls := recorder.recorded()
+	planned := plannedVentOrder(t, m, edgeOf(t, "one", respondComplete(t)), edgeOf(t, "two", respondComplete(t)))
+	planned.hedged = true
+	c.makeCall(t.Context(), planned)
+	c.pending.Wait()
+	_, calls := recorder.snapshot()
 	assert.Equal(t, len(calls), 2)
 	assert.Assert(t, calls[0].Edge != calls[1].Edge)
 }
 
-func TestBrokenAndWrongAnswers(t *testing.T) {
+func TestTruncatedAndIncorrectResponses(t *testing.T) {
 	m := loadMesh(t)
-	cut := edgeOf(t, "one", func(w http.ResponseWriter, _ *http.Request) {
+	truncating := edgeOf(t, "one", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = w.Write([]byte("half"))
 		panic(http.ErrAbortHandler)
 	})
-	foreign := edgeOf(t, "one", func(w http.ResponseWriter, _ *http.Request) {
+	mismatched := edgeOf(t, "one", func(w http.ResponseWriter, _ *http.Request) {
 		body, _ := answer.Answer{Service: "ventctl", Nonce: "another"}.Encode()
 		_, _ = w.Write(body)
 	})
 	c := newCallers(m, nil, &recorder{}, 1)
-	for to, verdict := range map[edge]load.Verdict{cut: load.VerdictError, foreign: load.VerdictWrong} {
-		attempt, _ := c.attempt(t.Context(), ventOrder(t, m, to), to)
+	for to, verdict := range map[edge]load.Verdict{truncating: load.VerdictError, mismatched: load.VerdictWrong} {
+		attempt, _ := c.attempt(t.Context(), plannedVentOrder(t, m, to), to)
 		assert.Equal(t, attempt.Verdict, verdict)
 		assert.Equal(t, attempt.Status == 0, verdict == load.VerdictError)
 	}
 }
 
-func TestRefusalsInTheChainNameTheService(t *testing.T) {
+func TestDownstreamRefusalNamesTheService(t *testing.T) {
 	c := newCallers(loadMesh(t), nil, &recorder{}, 1)
 	for body, service := range map[string]string{
 		"call cropcal in zone malolo: status 503, overloaded\n":    "cropcal",
@@ -186,16 +186,16 @@
 		"call unheard-of in zone malolo: status 503, overloaded\n": "",
 		"": "",
 	} {
-		assert.Equal(t, c.chainRefuser(body), service, "%q", body)
+		assert.Equal(t, c.refusingDownstream(body), service, "%q", body)
 	}
 }
 
-func TestRequestsCountOnce(t *testing.T) {
+func TestResentRequestsAreCountedOnce(t *testing.T) {
 	sent := func(nonce string, from int, verdict load.Verdict) judge.Call {
-		begun := time.Unix(int64(from), 0)
-		return judge.Call{Call: load.Call{Kind: "view", Nonce: nonce, Intended: begun, Attempts: []load.Attempt{{Start: begun, Verdict: verdict}}}}
+		started := time.Unix(int64(from), 0)
+		return judge.Call{Call: load.Call{Kind: "view", Nonce: nonce, Intended: started, Attempts: []load.Attempt{{Start: started, Verdict: verdict}}}}
 	}
-	result := Result{Kinds: map[string]Counts{}, Endings: map[string]int{}}
+	result := Result{Kinds: map[string]Counts{}, Outcomes: map[string]int{}}
 	result.count([]judge.Call{
 		sent("a", 1, load.VerdictError), sent("a", 2, load.VerdictComplete),
 		sent("b", 3, load.VerdictTimeout), sent("c", 9, load.VerdictComplete),
@@ -204,7 +204,7 @@
 	assert.Equal(t, result.Recovery, Counts{Requests: 1, Sends: 1, Complete: 1})
 }
 
-func TestOperatorsEditsDiffer(t *testing.T) {
+func TestOperatorEditsAreDistinct(t *testing.T) {
 	o := &operators{}
 	original := json.RawMessage(`{"rank":"\"critical\"","refuse":"1"}`)
 	edited := map[string]bool{}
@@ -219,10 +219,11 @@
 	assert.Equal(t, len(edited), 3)
 }
 
-func TestCancelledRunsEndTheirCalls(t *testing.T) {
+func TestCancelledRunCancelsItsCalls(t *testing.T) {
 	m := loadMesh(t)
 	hanging := edgeOf(t, "one", func(_ http.ResponseWriter, r *http.Request) {
-		// The server notices that a caller has left once the body was read.
+		// The server detects that the client disconnected only after the request
+		// body was read.
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 	})
@@ -231,12 +232,12 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 200*time.Millisecond)
 	defer cancel()
 	c.run(ctx, ctx, 200)
-	_, calls := recorder.recorded()
+	_, calls := recorder.snapshot()
 	assert.Assert(t, len(calls) > 0)
-	assert.Equal(t, c.open.Load(), int64(0))
+	assert.Equal(t, c.inFlight.Load(), int64(0))
 }
 
-func TestFilesOfARun(t *testing.T) {
+func TestScheduleFileRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), ScheduleFile)
 	faults := NewSchedule(loadMesh(t), 2, 3, testDuration)
 	assert.NilError(t, writeJSON(path, faults))
--- a/lab/chaos/command.go
+++ b/lab/chaos/command.go
@@ -17,12 +17,13 @@
 	"github.com/lugspur/lugspur/lab/judge"
 )
 
-// Commands returns the lab's commands of this package.
+// Commands returns the commands that this package adds to lugspur-lab.
 func Commands() []subcommands.Command { return []subcommands.Command{&chaosCommand{}} }
 
-// nodeFlags shorten how long the nodes hold claims: longer than any caller
-// sends a call again, and short enough that claim replicas which have lost
-// their memory serve again within a run. No call may last longer than a claim.
+// nodeFlags shorten the claim retention of the nodes. It must exceed the time
+// over which a caller resends a call, and be short enough that claim replicas
+// that lost their state serve again within a run. The maximum call timeout must
+// not exceed the claim retention.
 var nodeFlags = []string{"-claims-retention-s", "25", "-limits-max-timeout-ms", "10000"}
 
 type chaosCommand struct {
@@ -32,14 +33,14 @@
 
 func (*chaosCommand) Name() string { return "chaos" }
 func (*chaosCommand) Synopsis() string {
-	return "run a mesh through a seeded schedule of faults and judge what came of it"
+	return "inject a seeded schedule of faults into a mesh and check its guarantees"
 }
 func (*chaosCommand) Usage() string {
-	return `chaos [flags]: run a mesh through a seeded schedule of faults and judge what came of it.
+	return `chaos [flags]: inject a seeded schedule of faults into a mesh and check its guarantees.
 
 Writes schedule.json, history.jsonl, records.jsonl, events.jsonl, result.json and
-the logs of all processes to the output directory. Exits with 1 if a promise was
-broken or the run failed.
+the logs of all processes to the output directory. Exits with 1 if a guarantee
+was violated or the run failed.
 
 Example:
   lugspur-lab chaos -lugspur bin/lugspur -mesh examples/ppba/mesh.toml -policies examples/policies -seed 7 -duration 30s -rate 100 -out out
@@ -52,18 +53,18 @@
 	flags.StringVar(&c.config.Cluster.Lugspur, "lugspur", "bin/lugspur", "lugspur `program`")
 	flags.StringVar(&c.config.Cluster.MeshFile, "mesh", "examples/naidu/mesh.toml", "mesh `file`")
 	flags.StringVar(&c.config.Cluster.Policies, "policies", "examples/policies", "`directory` of policies")
-	flags.StringVar(&c.config.Cluster.Directory, "out", "", "`directory` for the run's files; empty means a temporary one")
-	flags.IntVar(&c.config.Cluster.NodesPerZone, "nodes", 2, "nodes in each zone")
-	flags.Uint64Var(&c.config.Cluster.Seed, "seed", 1, "`seed` of the schedule and the arrivals")
-	flags.DurationVar(&c.config.Duration, "duration", 30*time.Second, "`time` with faults")
-	flags.DurationVar(&c.config.Settle, "settle", DefaultSettle, "`time` without faults after it")
-	flags.Float64Var(&c.config.Rate, "rate", 100, "calls a `second`")
-	flags.IntVar(&c.claimReplicas, "claim-replicas", settings.Default().Claims.Replicas, "`nodes` that hold the claims of keyed calls: 1, 3, 5 or 7")
+	flags.StringVar(&c.config.Cluster.Directory, "out", "", "output `directory`; empty means a temporary directory")
+	flags.IntVar(&c.config.Cluster.NodesPerZone, "nodes", 2, "`number` of nodes in each zone")
+	flags.Uint64Var(&c.config.Cluster.Seed, "seed", 1, "`seed` of the fault schedule and the call arrivals")
+	flags.DurationVar(&c.config.Duration, "duration", 30*time.Second, "`duration` of the phase with faults")
+	flags.DurationVar(&c.config.Settle, "settle", DefaultSettle, "`duration` of the phase without faults that follows")
+	flags.Float64Var(&c.config.Rate, "rate", 100, "`calls` per second")
+	flags.IntVar(&c.claimReplicas, "claim-replicas", settings.Default().Claims.Replicas, "`number` of nodes that replicate the claims of calls with idempotency keys: 1, 3, 5 or 7")
 	c.config.Settings = judge.DefaultSettings()
 	c.config.Settings.Register(flags)
 }
 
-// Execute runs the faults.
+// Execute runs the command.
 func (c *chaosCommand) Execute(ctx context.Context, _ *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	ctx, stop := signal.NotifyContext(ctx, os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -71,7 +72,7 @@
 		fmt.Fprintln(os.Stderr, "chaos:", err)
 		return subcommands.ExitUsageError
 	}
-	fmt.Println("files and logs in", c.config.Cluster.Directory)
+	fmt.Println("output files and logs are in", c.config.Cluster.Directory)
 	result, err := Run(ctx, c.config)
 	if result != nil {
 		if printed := result.WriteText(os.Stdout); printed != nil {
@@ -79,7 +80,7 @@
 		}
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "chaos failed:", err)
+		fmt.Fprintln(os.Stderr, "chaos run failed:", err)
 		return subcommands.ExitFailure
 	}
 	if !result.Report.Clean() {
--- a/lab/chaos/doc.go
+++ b/lab/chaos/doc.go
@@ -1,9 +1,10 @@
-// Package chaos runs a mesh with lugspur in front of it through a seeded
-// schedule of faults, several at once, while callers go on, and has package
-// judge look for broken promises in what was recorded.
+// Package chaos runs fault-injection tests against a mesh behind lugspur. Faults
+// from a seeded schedule, several of them concurrent, are injected under a
+// continuous load of calls. Package judge then checks the recording of the run
+// for violated guarantees.
 //
-// The same seed gives the same schedule and the same arrivals; what comes of
-// them depends on the machine. Every run is bounded in time and count, and all
-// child processes are ended, also on an interrupt. docs/CHAOS.md describes the
-// faults and the files.
+// The same seed gives the same schedule and the same call arrivals; their
+// effects depend on the machine. Every run is limited in duration and number of
+// calls, and all child processes are terminated at its end, also on an
+// interrupt. docs/CHAOS.md describes the faults and the output files.
 package chaos
--- a/lab/chaos/injector.go
+++ b/lab/chaos/injector.go
@@ -17,84 +17,86 @@
 )
 
 const (
-	// stopTimeout bounds a planned stop; it is longer than a node's own bound.
+	// stopTimeout limits a graceful stop. It is longer than the limit that
+	// nodes apply themselves.
 	stopTimeout = 40 * time.Second
-	// undoTimeout bounds the end of one fault.
-	undoTimeout = 10 * time.Second
-	// servingTimeout bounds the wait for a node to answer after its start, and
-	// servingPause is the time between two questions.
-	servingTimeout = 10 * time.Second
-	servingPause   = 50 * time.Millisecond
+	// revertTimeout limits the time for ending one fault.
+	revertTimeout = 10 * time.Second
+	// servingTimeout limits the wait for a node to respond after its start, and
+	// servingPollInterval is the interval between status requests.
+	servingTimeout      = 10 * time.Second
+	servingPollInterval = 50 * time.Millisecond
 )
 
-// injector makes faults and ends them. It is safe for concurrent use.
+// injector injects faults and ends them. It is safe for concurrent use.
 type injector struct {
 	cluster   *cluster.ProxiedCluster
 	recorder  *recorder
 	operators *operators
 	callers   *callers
 
-	// mutex guards the processes of the nodes and down.
+	// mutex guards down and the Process fields of the cluster's nodes.
 	mutex sync.Mutex
-	// down are the nodes that don't run or are stopping.
+	// down holds the nodes that are not running or are shutting down.
 	down map[string]bool
-	// perNode orders what is done to the process of one node.
-	perNode map[string]*sync.Mutex
+	// processLocks serializes the faults of each node's process.
+	processLocks map[string]*sync.Mutex
 }
 
 func newInjector(running *cluster.ProxiedCluster, recorder *recorder, operators *operators, callers *callers) *injector {
 	i := &injector{
-		cluster:   running,
-		recorder:  recorder,
-		operators: operators,
-		callers:   callers,
-		down:      map[string]bool{},
-		perNode:   map[string]*sync.Mutex{},
+		cluster:      running,
+		recorder:     recorder,
+		operators:    operators,
+		callers:      callers,
+		down:         map[string]bool{},
+		processLocks: map[string]*sync.Mutex{},
 	}
 	for _, node := range running.Nodes {
-		i.perNode[node.Name] = &sync.Mutex{}
+		i.processLocks[node.Name] = &sync.Mutex{}
 	}
 	return i
 }
 
-// inject makes a fault, waits for its time and ends it. A fault that has begun
-// is ended also when the context has.
+// inject injects a fault, waits for its duration and ends it. If the context ends
+// first, the fault is ended early, but nodes that were killed or stopped are not
+// restarted, and drained targets are not rejoined.
 func (i *injector) inject(ctx context.Context, fault Fault) error {
 	switch fault.Kind {
 	case Kill, Freeze, Stop:
 		return i.injectProcess(ctx, fault)
-	case CutZone, CutAll, LoseAnswers, LoseDatagrams:
+	case PartitionZone, PartitionAll, DropResponses, DropDatagrams:
 		return i.injectNetwork(ctx, fault)
-	case StoreRefuse, StoreHang, StoreUnavailable, StoreLostAnswers:
+	case StoreRefuse, StoreHang, StoreUnavailable, StoreDropResponses:
 		return i.injectStore(ctx, fault)
 	case Race:
 		i.operators.race(ctx, fault.Service, fault.Nodes)
 		return nil
 	case Drain:
 		i.operators.drain(ctx, fault.Target)
-		pause.For(ctx, fault.length())
+		pause.For(ctx, fault.duration())
 		i.operators.join(ctx, fault.Target)
 		return nil
 	case Surge:
 		i.callers.setMultiplier(fault.Factor)
-		pause.For(ctx, fault.length())
+		pause.For(ctx, fault.duration())
 		i.callers.setMultiplier(1)
 		return nil
 	}
 	return i.injectTarget(ctx, fault)
 }
 
-func undoContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.WithoutCancel(ctx), undoTimeout)
+func revertContext(ctx context.Context) (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.WithoutCancel(ctx), revertTimeout)
 }
 
-// networkFaults returns the faults of the proxy in front of a node.
+// networkFaults returns the settings of the proxy in front of a node.
 func networkFaults(fault Fault) faultproxy.RouteFaults {
 	cut := faultproxy.Faults{Cut: faultproxy.CutBlackhole}
 	switch fault.Kind {
-	case LoseAnswers:
+	case DropResponses:
 		return faultproxy.RouteFaults{ToClient: cut}
-	case LoseDatagrams:
+	case DropDatagrams:
 		return faultproxy.RouteFaults{ToUpstream: faultproxy.Faults{Loss: fault.Factor}}
 	}
 	return faultproxy.RouteFaults{ToUpstream: cut, ToClient: cut}
@@ -104,13 +106,13 @@
 	faults := networkFaults(fault)
 	var failures []error
 	for _, node := range fault.Nodes {
-		i.recorder.note(judge.Event{Kind: judge.NetworkFaultBegan, Node: node, Detail: string(fault.Kind)})
+		i.recorder.record(judge.Event{Kind: judge.NetworkFaultBegan, Node: node, Detail: string(fault.Kind)})
 		failures = append(failures, i.cluster.Proxies[node].SetFaults(faults.ToUpstream, faults.ToClient))
 	}
-	pause.For(ctx, fault.length())
+	pause.For(ctx, fault.duration())
 	for _, node := range fault.Nodes {
 		i.cluster.Proxies[node].Clear()
-		i.recorder.note(judge.Event{Kind: judge.NetworkFaultEnded, Node: node})
+		i.recorder.record(judge.Event{Kind: judge.NetworkFaultEnded, Node: node})
 	}
 	return errors.Join(failures...)
 }
@@ -128,13 +130,13 @@
 }
 
 func (i *injector) injectStore(ctx context.Context, fault Fault) error {
-	i.recorder.note(judge.Event{Kind: judge.StoreFaultBegan, Detail: string(fault.Kind)})
+	i.recorder.record(judge.Event{Kind: judge.StoreFaultBegan, Detail: string(fault.Kind)})
 	failed := i.cluster.StoreControl(ctx, storeControl(fault))
-	pause.For(ctx, fault.length())
-	undo, cancel := undoContext(ctx)
+	pause.For(ctx, fault.duration())
+	revertCtx, cancel := revertContext(ctx)
 	defer cancel()
-	cleared := i.cluster.StoreControl(undo, kvstore.ControlRequest{Clear: true})
-	i.recorder.note(judge.Event{Kind: judge.StoreFaultEnded})
+	cleared := i.cluster.StoreControl(revertCtx, kvstore.ControlRequest{Clear: true})
+	i.recorder.record(judge.Event{Kind: judge.StoreFaultEnded})
 	return errors.Join(failed, cleared)
 }
 
@@ -162,15 +164,15 @@
 	}
 	var failures []error
 	for _, target := range targets {
-		i.recorder.note(judge.Event{Kind: judge.TargetFaultBegan, Target: target, Detail: string(fault.Kind)})
+		i.recorder.record(judge.Event{Kind: judge.TargetFaultBegan, Target: target, Detail: string(fault.Kind)})
 		failures = append(failures, i.cluster.SetTargetFaults(ctx, target, targetFaults(fault)))
 	}
-	pause.For(ctx, fault.length())
-	undo, cancel := undoContext(ctx)
+	pause.For(ctx, fault.duration())
+	revertCtx, cancel := revertContext(ctx)
 	defer cancel()
 	for _, target := range targets {
-		failures = append(failures, i.cluster.SetTargetFaults(undo, target, emulator.Faults{}))
-		i.recorder.note(judge.Event{Kind: judge.TargetFaultEnded, Target: target})
+		failures = append(failures, i.cluster.SetTargetFaults(revertCtx, target, emulator.Faults{}))
+		i.recorder.record(judge.Event{Kind: judge.TargetFaultEnded, Target: target})
 	}
 	return errors.Join(failures...)
 }
@@ -185,25 +187,25 @@
 
 func (i *injector) injectProcess(ctx context.Context, fault Fault) error {
 	name := fault.Nodes[0]
-	i.perNode[name].Lock()
-	defer i.perNode[name].Unlock()
+	i.processLocks[name].Lock()
+	defer i.processLocks[name].Unlock()
 	if ctx.Err() != nil {
 		return nil
 	}
 	node := i.cluster.Nodes[slices.IndexFunc(i.cluster.Nodes, func(n *cluster.Node) bool { return n.Name == name })]
 	switch fault.Kind {
 	case Freeze:
-		i.freeze(ctx, node, fault.length())
+		i.freeze(ctx, node, fault.duration())
 		return nil
 	case Kill:
-		i.recorder.note(judge.Event{Kind: judge.NodeKilled, Node: name})
+		i.recorder.record(judge.Event{Kind: judge.NodeKilled, Node: name})
 		i.processOf(node).Kill()
-		return errors.Join(i.pointMesh(ctx, node, true), i.startAgain(ctx, node, fault.length()))
+		return errors.Join(i.redirectMesh(ctx, node, true), i.restart(ctx, node, fault.duration()))
 	}
 	i.awaitServing(ctx, node)
-	redirected := i.pointMesh(ctx, node, true)
+	redirected := i.redirectMesh(ctx, node, true)
 	i.stop(node)
-	return errors.Join(redirected, i.startAgain(ctx, node, fault.length()))
+	return errors.Join(redirected, i.restart(ctx, node, fault.duration()))
 }
 
 func (i *injector) processOf(node *cluster.Node) *cluster.Process {
@@ -214,52 +216,53 @@
 
 func (i *injector) freeze(ctx context.Context, node *cluster.Node, length time.Duration) {
 	process := i.processOf(node)
-	i.recorder.note(judge.Event{Kind: judge.NodeFrozen, Node: node.Name})
+	i.recorder.record(judge.Event{Kind: judge.NodeFrozen, Node: node.Name})
 	process.Freeze()
 	pause.For(ctx, length)
 	process.Resume()
-	i.recorder.note(judge.Event{Kind: judge.NodeResumed, Node: node.Name})
+	i.recorder.record(judge.Event{Kind: judge.NodeResumed, Node: node.Name})
 }
 
-// awaitServing waits until a node that was started just now answers: before
-// that it can't take a signal.
+// awaitServing waits until a node responds to status requests. A node that was
+// just started does not handle signals before that.
 func (i *injector) awaitServing(ctx context.Context, node *cluster.Node) {
 	ctx, cancel := context.WithTimeout(ctx, servingTimeout)
 	defer cancel()
 	for {
-		if _, err := node.Status(ctx); err == nil || !pause.For(ctx, servingPause) {
+		if _, err := node.Status(ctx); err == nil || !pause.For(ctx, servingPollInterval) {
 			return
 		}
 	}
 }
 
 func (i *injector) stop(node *cluster.Node) {
-	i.recorder.note(judge.Event{Kind: judge.StopRequested, Node: node.Name, Edge: node.Addresses.Edge})
+	i.recorder.record(judge.Event{Kind: judge.StopRequested, Node: node.Name, Edge: node.Addresses.Edge})
 	ended := judge.Event{Kind: judge.StopEnded, Node: node.Name}
 	if err := i.processOf(node).Stop(stopTimeout); err != nil {
 		ended.Detail = err.Error()
 	}
-	i.recorder.note(ended)
+	i.recorder.record(ended)
 }
 
-// startAgain starts a new process of the node after a pause.
-func (i *injector) startAgain(ctx context.Context, node *cluster.Node, after time.Duration) error {
+// restart starts a new process of the node after a delay.
+func (i *injector) restart(ctx context.Context, node *cluster.Node, after time.Duration) error {
 	if !pause.For(ctx, after) {
 		return nil
 	}
 	i.mutex.Lock()
-	i.recorder.note(judge.Event{Kind: judge.NodeStarted, Node: node.Name})
+	i.recorder.record(judge.Event{Kind: judge.NodeStarted, Node: node.Name})
 	err := i.cluster.StartNode(node)
 	i.mutex.Unlock()
 	if err != nil {
 		return err
 	}
-	return i.pointMesh(ctx, node, false)
+	return i.redirectMesh(ctx, node, false)
 }
 
-// pointMesh notes whether a node is down and has the targets of its zone call
-// through one that is not. When all are down they stay as they are.
-func (i *injector) pointMesh(ctx context.Context, node *cluster.Node, down bool) error {
+// redirectMesh records whether a node is down and directs the downstream calls of
+// the targets in its zone to a node that is up. If all nodes of the zone are
+// down, it leaves the targets unchanged.
+func (i *injector) redirectMesh(ctx context.Context, node *cluster.Node, down bool) error {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	i.down[node.Name] = down
--- a/lab/chaos/observer.go
+++ b/lab/chaos/observer.go
@@ -12,14 +12,15 @@
 )
 
 const (
-	// observeInterval is how often each node is asked for its policies.
+	// observeInterval is the interval at which each node is queried for its
+	// policies.
 	observeInterval = 250 * time.Millisecond
-	// observeTimeout bounds one question.
+	// observeTimeout limits one query.
 	observeTimeout = 2 * time.Second
 )
 
-// observer notes, again and again, which revision of each policy a node has in
-// force. It looks at one node and is for one goroutine.
+// observer periodically records the revision of each policy at one node. It is
+// not safe for concurrent use.
 type observer struct {
 	node, admin string
 	recorder    *recorder
@@ -29,8 +30,8 @@
 
 func newObserver(node, address string, recorder *recorder) (*observer, error) {
 	client := &http.Client{Timeout: observeTimeout, Transport: &http.Transport{MaxIdleConns: 4}}
-	reader, err := adminclient.New(adminclient.Options{Addresses: []string{address}, HTTP: client, ReadTimeout: observeTimeout})
-	return &observer{node: node, admin: address, recorder: recorder, client: reader, http: client}, err
+	admin, err := adminclient.New(adminclient.Options{Addresses: []string{address}, HTTP: client, ReadTimeout: observeTimeout})
+	return &observer{node: node, admin: address, recorder: recorder, client: admin, http: client}, err
 }
 
 // run observes until the context ends.
@@ -41,8 +42,8 @@
 	}
 }
 
-// observe notes the policies of a node that takes calls: one that was ready
-// before and after it showed them.
+// observe records the policies of the node if it was ready both before and after
+// it reported them.
 func (o *observer) observe(ctx context.Context) {
 	if !o.ready(ctx) {
 		return
@@ -54,7 +55,7 @@
 		return
 	}
 	for _, item := range list.Items {
-		o.recorder.note(judge.Event{
+		o.recorder.record(judge.Event{
 			Kind: judge.RevisionObserved, At: at, QueriedAt: asked, Node: o.node,
 			Object: resource.ID{Kind: item.Kind, Name: item.Name}.String(), Revision: int64(item.Revision),
 		})
--- a/lab/chaos/operators.go
+++ b/lab/chaos/operators.go
@@ -17,29 +17,30 @@
 	"github.com/lugspur/lugspur/lab/judge"
 )
 
-// Times of the operators.
+// Timing of the operators.
 const (
-	// operatorTimeout bounds one action of an operator.
+	// operatorTimeout limits one action of an operator.
 	operatorTimeout = 30 * time.Second
-	// joinTries and joinPause are how often, and after which pause, an operator
-	// tries to let a target join.
-	joinTries = 5
-	joinPause = time.Second
+	// joinAttempts is the maximum number of attempts to rejoin a target, and
+	// joinRetryDelay the delay between them.
+	joinAttempts   = 5
+	joinRetryDelay = time.Second
 )
 
-// operators change policies and drain targets by the administration API, and
-// note what they were told. They are safe for concurrent use.
+// operators changes policies and drains targets through the administration API
+// and records the reported outcomes. It is safe for concurrent use.
 type operators struct {
-	admins   map[string]string // by node
-	recorder *recorder
-	changes  atomic.Int64
+	adminAddresses map[string]string // by node
+	recorder       *recorder
+	changes        atomic.Int64
 }
 
 func (o *operators) client(addresses []string, author string) (*adminclient.Client, error) {
 	return adminclient.New(adminclient.Options{Addresses: addresses, Token: cluster.Token, Author: author})
 }
 
-// race has one operator at each node change the service's policy at once.
+// race has one operator at each of the nodes change the service's policy, all of
+// them concurrently.
 func (o *operators) race(ctx context.Context, service string, nodes []string) {
 	var racing sync.WaitGroup
 	for _, node := range nodes {
@@ -48,11 +49,12 @@
 	racing.Wait()
 }
 
-// change reads a policy at a node and writes it back with another refusal time.
+// change reads a policy from a node and writes it back with a different refuse
+// expression.
 func (o *operators) change(ctx context.Context, node string, id resource.ID) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	client, err := o.client([]string{o.admins[node]}, "operator-at-"+node)
+	client, err := o.client([]string{o.adminAddresses[node]}, "operator-at-"+node)
 	if err != nil {
 		return
 	}
@@ -64,11 +66,11 @@
 	if err != nil {
 		return
 	}
-	answer, err := client.Put(ctx, id, specification, object.Revision)
-	o.noteChange(node, id, answer, err)
+	response, err := client.Put(ctx, id, specification, object.Revision)
+	o.recordChange(node, id, response, err)
 }
 
-// edit sets the refusal time to a number that no other edit has.
+// edit sets the policy's refuse expression to one that no other edit uses.
 func (o *operators) edit(specification json.RawMessage) (json.RawMessage, error) {
 	var policy resource.Policy
 	if err := json.Unmarshal(specification, &policy); err != nil {
@@ -78,8 +80,8 @@
 	return json.Marshal(policy)
 }
 
-func (o *operators) noteChange(node string, id resource.ID, answer admin.WriteResponse, err error) {
-	event := judge.Event{Node: node, Object: id.String(), Revision: int64(answer.Revision), ChangeID: answer.ChangeID}
+func (o *operators) recordChange(node string, id resource.ID, response admin.WriteResponse, err error) {
+	event := judge.Event{Node: node, Object: id.String(), Revision: int64(response.Revision), ChangeID: response.ChangeID}
 	var failed *adminclient.Error
 	if errors.As(err, &failed) && failed.Problem != nil {
 		event.ChangeID = failed.Problem.ChangeID
@@ -95,51 +97,52 @@
 	if err != nil {
 		event.Detail = err.Error()
 	}
-	o.recorder.note(event)
+	o.recorder.record(event)
 }
 
-func (o *operators) anyNode() []string {
+func (o *operators) allAddresses() []string {
 	var addresses []string
-	for _, address := range o.admins {
+	for _, address := range o.adminAddresses {
 		addresses = append(addresses, address)
 	}
 	return addresses
 }
 
-// drain has an operator drain the target at some node.
+// drain drains the target through any node.
 func (o *operators) drain(ctx context.Context, target string) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
-	client, err := o.client(o.anyNode(), "operator")
+	client, err := o.client(o.allAddresses(), "operator")
 	if err != nil {
 		return
 	}
 	_, err = client.Drain(ctx, adminclient.DrainSubject{Collection: "targets", Name: target}, resource.Drain{Reason: "chaos"}, false)
 	if err == nil {
-		o.recorder.note(judge.Event{Kind: judge.DrainAccepted, Target: target})
+		o.recorder.record(judge.Event{Kind: judge.DrainAccepted, Target: target})
 	}
 }
 
-// join has an operator let the target take calls again.
+// join lets a drained target take calls again.
 func (o *operators) join(ctx context.Context, target string) {
-	o.recorder.note(judge.Event{Kind: judge.JoinRequested, Target: target})
-	client, err := o.client(o.anyNode(), "operator")
+	o.recorder.record(judge.Event{Kind: judge.JoinRequested, Target: target})
+	client, err := o.client(o.allAddresses(), "operator")
 	if err != nil {
 		return
 	}
-	for range joinTries {
+	for range joinAttempts {
 		bounded, cancel := context.WithTimeout(ctx, operatorTimeout)
 		_, err = client.Join(bounded, adminclient.DrainSubject{Collection: "targets", Name: target})
 		cancel()
-		if err == nil || !pause.For(ctx, joinPause) {
+		if err == nil || !pause.For(ctx, joinRetryDelay) {
 			return
 		}
 	}
 }
 
-// noteHistories records the histories of the policies at all nodes that answer.
-func (o *operators) noteHistories(ctx context.Context, services []string) {
-	for node, address := range o.admins {
+// recordHistories records the change histories of the policies from all nodes
+// that respond.
+func (o *operators) recordHistories(ctx context.Context, services []string) {
+	for node, address := range o.adminAddresses {
 		client, err := o.client([]string{address}, "judge")
 		if err != nil {
 			continue
@@ -151,7 +154,7 @@
 				continue
 			}
 			for _, entry := range history.Changes {
-				o.recorder.note(judge.Event{
+				o.recorder.record(judge.Event{
 					Kind: judge.HistoryEntry, Node: node, Object: id.String(),
 					Revision: int64(entry.Revision), ChangeID: entry.ID,
 				})
--- a/lab/chaos/recorder.go
+++ b/lab/chaos/recorder.go
@@ -16,8 +16,8 @@
 	calls  []judge.Call
 }
 
-// note records an event; one without a moment happened now.
-func (r *recorder) note(event judge.Event) {
+// record records an event. An event without a timestamp gets the current time.
+func (r *recorder) record(event judge.Event) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	if event.At.IsZero() {
@@ -32,7 +32,7 @@
 	r.calls = append(r.calls, call)
 }
 
-func (r *recorder) recorded() ([]judge.Event, []judge.Call) {
+func (r *recorder) snapshot() ([]judge.Event, []judge.Call) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return slices.Clone(r.events), slices.Clone(r.calls)
--- a/lab/chaos/result.go
+++ b/lab/chaos/result.go
@@ -14,43 +14,47 @@
 	"github.com/lugspur/lugspur/lab/load"
 )
 
-// Result is what a run has measured and what the judge found.
+// Result holds the measurements of a run and the report of its check.
 type Result struct {
 	Mesh         string  `json:"mesh"`
 	Seed         uint64  `json:"seed"`
 	Rate         float64 `json:"rate"`
 	NodesPerZone int     `json:"nodes_per_zone"`
-	// DurationSeconds is the time with calls, with faults and settling.
+	// DurationSeconds is the time with calls: from the first call to the end of
+	// the settle phase.
 	DurationSeconds float64 `json:"duration_s"`
-	// Faults counts the faults of the schedule.
+	// Faults counts the scheduled faults by kind.
 	Faults map[FaultKind]int `json:"faults"`
-	// Total and Kinds count requests. A request is one call of a caller with
-	// all its sends.
+	// Total and Kinds count requests, Kinds by call kind. A request is one call
+	// of a caller, including all its sends.
 	Total Counts            `json:"total"`
 	Kinds map[string]Counts `json:"kinds"`
-	// Goodput is the requests a second that were answered completely.
+	// Goodput is the number of requests per second that got a complete response.
 	Goodput float64 `json:"goodput_per_s"`
-	// Recovery counts the requests of the last seconds, after all faults had
-	// ended.
+	// Recovery counts the requests of the last seconds of the run, after all
+	// faults had ended.
 	Recovery Counts `json:"recovery"`
-	// Endings counts the sends by how they ended for the caller.
-	Endings map[string]int `json:"endings"`
-	// NotSent counts calls that were not made because too many were open.
+	// Outcomes counts the sends by their outcome for the caller.
+	Outcomes map[string]int `json:"endings"`
+	// NotSent counts calls that were not made because too many were in flight.
 	NotSent int64 `json:"not_sent"`
-	// Changes counts what operators were told of their changes.
+	// Changes counts the configuration changes by the outcome that was reported
+	// to the operator.
 	Changes map[judge.EventKind]int `json:"changes"`
 	Report  judge.Report            `json:"report"`
 }
 
-// Counts are numbers of requests.
+// Counts holds numbers of requests and sends.
 type Counts struct {
 	Requests int `json:"requests"`
 	Sends    int `json:"sends"`
-	// Complete requests got the complete answer to one of their sends.
+	// Complete counts requests that got a complete response to one of their
+	// sends.
 	Complete int `json:"complete"`
 }
 
-// Share is the part of the requests that were answered completely, from 0 to 1.
+// Share is the fraction of requests that got a complete response, from 0 to 1.
+// It is 1 if there were no requests.
 func (c Counts) Share() float64 {
 	if c.Requests == 0 {
 		return 1
@@ -66,7 +70,7 @@
 		NodesPerZone: r.config.Cluster.NodesPerZone,
 		Faults:       map[FaultKind]int{},
 		Kinds:        map[string]Counts{},
-		Endings:      map[string]int{},
+		Outcomes:     map[string]int{},
 		NotSent:      r.callers.notSent.Load(),
 		Changes:      map[judge.EventKind]int{},
 		Report:       judge.Judge(input),
@@ -80,21 +84,22 @@
 			result.Changes[event.Kind]++
 		}
 	}
-	result.count(input.Calls, r.ended.Add(-recoveryTime))
+	result.count(input.Calls, r.loadEnded.Add(-recoveryWindow))
 	if len(input.Calls) > 0 {
 		first := slices.MinFunc(input.Calls, func(a, b judge.Call) int { return a.Intended.Compare(b.Intended) })
-		result.DurationSeconds = r.ended.Sub(first.Intended).Seconds()
+		result.DurationSeconds = r.loadEnded.Sub(first.Intended).Seconds()
 		result.Goodput = float64(result.Total.Complete) / result.DurationSeconds
 	}
 	return result
 }
 
-// count counts requests; those begun after a moment count for the recovery too.
+// count counts the requests. Those that started after recovery are also counted in
+// Recovery.
 func (r *Result) count(calls []judge.Call, recovery time.Time) {
 	byNonce := map[string][]judge.Call{}
 	for _, call := range calls {
 		byNonce[call.Nonce] = append(byNonce[call.Nonce], call)
-		r.Endings[ending(call)]++
+		r.Outcomes[outcomeOf(call)]++
 	}
 	for _, sends := range byNonce {
 		complete := slices.ContainsFunc(sends, func(c judge.Call) bool { return c.Verdict() == load.VerdictComplete })
@@ -116,7 +121,7 @@
 	return c
 }
 
-func ending(call judge.Call) string {
+func outcomeOf(call judge.Call) string {
 	last := call.Last()
 	switch {
 	case last.Verdict == load.VerdictRefused:
@@ -127,7 +132,7 @@
 	return string(last.Verdict)
 }
 
-// WriteText writes the result for people.
+// WriteText writes the result in human-readable form.
 func (r *Result) WriteText(w io.Writer) error {
 	fmt.Fprintf(w, "%s, seed %d: %d requests in %.1f s, %.1f%% complete, goodput %.1f/s; after the faults %.1f%% of %d complete\n",
 		r.Mesh, r.Seed, r.Total.Requests, r.DurationSeconds, 100*r.Total.Share(), r.Goodput, 100*r.Recovery.Share(), r.Recovery.Requests)
@@ -141,7 +146,7 @@
 		return err
 	}
 	writeCounts(w, "faults", r.Faults)
-	writeCounts(w, "sends ended", r.Endings)
+	writeCounts(w, "outcomes of sends", r.Outcomes)
 	writeCounts(w, "operators", r.Changes)
 	return r.Report.WriteText(w)
 }
--- a/lab/chaos/run.go
+++ b/lab/chaos/run.go
@@ -15,29 +15,31 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Config says what a run consists of.
+// Config configures a run.
 type Config struct {
-	// Cluster is the mesh and its nodes; Records is always on.
+	// Cluster configures the mesh and its nodes. Run always sets Records.
 	Cluster cluster.Config
-	// Duration is the time with faults.
+	// Duration is the length of the phase with faults.
 	Duration time.Duration
-	// Settle is the time without faults after it, with calls going on.
+	// Settle is the length of the phase without faults that follows. Calls
+	// continue during it.
 	Settle time.Duration
-	// Rate is the calls a second.
+	// Rate is the number of calls per second.
 	Rate     float64
 	Settings judge.Settings
 }
 
-// Times of a run.
+// Durations of a run.
 const (
-	// DefaultSettle is longer than an accepted change may take to be in force.
+	// DefaultSettle is longer than the time within which an accepted change must
+	// take effect.
 	DefaultSettle = 10 * time.Second
-	// recoveryTime is the last part of the settling, whose calls show whether
-	// the mesh has recovered.
-	recoveryTime = 3 * time.Second
-	// runReserve bounds what a run takes besides its durations.
-	runReserve = 3 * time.Minute
-	// historyTimeout bounds the reading of histories at the end.
+	// recoveryWindow is the last part of the settle phase. The calls in it show
+	// whether the mesh has recovered.
+	recoveryWindow = 3 * time.Second
+	// runOverhead limits the time that a run takes in addition to its phases.
+	runOverhead = 3 * time.Minute
+	// historyTimeout limits the time for reading change histories at the end.
 	historyTimeout = 20 * time.Second
 )
 
@@ -49,7 +51,7 @@
 	ResultFile   = "result.json"
 )
 
-// run is a run while it lasts.
+// run is the state of a run in progress.
 type run struct {
 	config   Config
 	schedule []Fault
@@ -57,16 +59,17 @@
 	recorder *recorder
 	callers  *callers
 	injector *injector
-	// settled is when the last fault had ended.
-	settled time.Time
-	// ended is when the last call was begun.
-	ended time.Time
+	// faultsEnded is when the last fault had ended.
+	faultsEnded time.Time
+	// loadEnded is when callers stopped starting new calls.
+	loadEnded time.Time
 }
 
-// Run runs a mesh through the faults of the seed and judges what came of it.
-// The result is not nil if the run got as far as being judged.
+// Run injects the faults that the seed determines and checks the run for violated
+// guarantees. The result may be non-nil together with an error: it is set
+// whenever the run was checked.
 func Run(ctx context.Context, config Config) (*Result, error) {
-	ctx, cancel := context.WithTimeout(ctx, config.Duration+config.Settle+runReserve)
+	ctx, cancel := context.WithTimeout(ctx, config.Duration+config.Settle+runOverhead)
 	defer cancel()
 	config.Cluster.Records = true
 	loaded, err := mesh.Load(config.Cluster.MeshFile)
@@ -82,62 +85,64 @@
 	if err != nil {
 		return nil, err
 	}
-	failed := r.disturb(ctx)
+	failed := r.runLoadAndFaults(ctx)
 	failed = errors.Join(failed, r.cluster.Stop())
 	result, err := r.judge()
 	return result, errors.Join(failed, err)
 }
 
-// disturb makes the calls and the faults.
-func (r *run) disturb(ctx context.Context) error {
-	watching, stopWatching := context.WithCancel(ctx)
+// runLoadAndFaults generates the calls, injects the faults and observes the
+// nodes.
+func (r *run) runLoadAndFaults(ctx context.Context) error {
+	observing, stopObserving := context.WithCancel(ctx)
 	var observers sync.WaitGroup
 	defer observers.Wait()
-	defer stopWatching()
-	operators := &operators{admins: map[string]string{}, recorder: r.recorder}
+	defer stopObserving()
+	operators := &operators{adminAddresses: map[string]string{}, recorder: r.recorder}
 	var edges []edge
 	for _, node := range r.cluster.Nodes {
-		operators.admins[node.Name] = node.Addresses.Admin
+		operators.adminAddresses[node.Name] = node.Addresses.Admin
 		edges = append(edges, edge{zone: node.Zone, address: node.Addresses.Edge})
 		observer, err := newObserver(node.Name, node.Addresses.Admin, r.recorder)
 		if err != nil {
 			return err
 		}
-		r.recorder.note(judge.Event{Kind: judge.NodeStarted, Node: node.Name})
-		observers.Go(func() { observer.run(watching) })
+		r.recorder.record(judge.Event{Kind: judge.NodeStarted, Node: node.Name})
+		observers.Go(func() { observer.run(observing) })
 	}
 	r.callers = newCallers(r.cluster.Mesh, edges, r.recorder, r.config.Cluster.Seed)
 	r.injector = newInjector(r.cluster, r.recorder, operators, r.callers)
-	err := r.callAndInject(ctx)
-	r.noteHistories(ctx, operators)
+	err := r.injectUnderLoad(ctx)
+	r.recordHistories(ctx, operators)
 	return err
 }
 
-func (r *run) callAndInject(ctx context.Context) error {
+func (r *run) injectUnderLoad(ctx context.Context) error {
 	calling, stopCalling := context.WithCancel(ctx)
 	defer stopCalling()
 	var calls sync.WaitGroup
 	calls.Go(func() { r.callers.run(calling, ctx, r.config.Rate) })
 	err := r.injectAll(ctx)
-	r.settled = time.Now()
+	r.faultsEnded = time.Now()
 	pause.For(ctx, r.config.Settle)
-	r.ended = time.Now()
+	r.loadEnded = time.Now()
 	stopCalling()
 	calls.Wait()
 	if ctx.Err() != nil {
-		err = errors.Join(err, fmt.Errorf("the run was ended early: %w", context.Cause(ctx)))
+		err = errors.Join(err, fmt.Errorf("the run was stopped early: %w", context.Cause(ctx)))
 	}
 	return err
 }
 
-// injectAll makes all faults at their times and waits for their ends.
+// injectAll injects all faults at their scheduled times and waits until they have
+// ended.
 func (r *run) injectAll(ctx context.Context) error {
 	start := time.Now()
 	failures := make([]error, len(r.schedule))
 	var faults sync.WaitGroup
 	for index, fault := range r.schedule {
 		faults.Go(func() {
-			if !pause.For(ctx, time.Until(start.Add(fault.begin()))) {
+			if !pause.For(ctx, time.Until(start.Add(fault.start()))) {
 				return
 			}
 			if err := r.injector.inject(ctx, fault); err != nil {
@@ -150,23 +155,23 @@
 	return errors.Join(failures...)
 }
 
-func (r *run) noteHistories(ctx context.Context, operators *operators) {
+func (r *run) recordHistories(ctx context.Context, operators *operators) {
 	ctx, cancel := context.WithTimeout(ctx, historyTimeout)
 	defer cancel()
 	var services []string
 	for _, service := range r.cluster.Mesh.Services {
 		services = append(services, service.Name)
 	}
-	operators.noteHistories(ctx, services)
+	operators.recordHistories(ctx, services)
 }
 
-// judge reads the executions, judges the run and writes its files.
+// judge reads the execution records, checks the run and writes the output files.
 func (r *run) judge() (*Result, error) {
 	records, err := judge.ReadLines[emulator.Record](r.cluster.RecordsFile())
 	if err != nil {
 		return nil, err
 	}
-	events, calls := r.recorder.recorded()
+	events, calls := r.recorder.snapshot()
 	input := judge.Input{Mesh: r.cluster.Mesh, Calls: calls, Records: records, Events: events, Settings: r.config.Settings}
 	result := newResult(r, input)
 	return result, errors.Join(
--- a/lab/chaos/schedule.go
+++ b/lab/chaos/schedule.go
@@ -10,155 +10,158 @@
 	"github.com/lugspur/lugspur/lab/mesh"
 )
 
-// Times of a schedule.
+// Timing of a schedule.
 const (
-	// firstFault is when the first fault begins.
-	firstFault = 1500 * time.Millisecond
-	// shortestGap and longestGap bound the time between the beginnings of
-	// faults.
-	shortestGap = 700 * time.Millisecond
-	longestGap  = 2500 * time.Millisecond
-	// raceDelay is when operators begin to race after a fault of the store has
-	// begun.
+	// firstFaultAt is when the first fault begins.
+	firstFaultAt = 1500 * time.Millisecond
+	// minGap and maxGap limit the time between the starts of consecutive faults.
+	minGap = 700 * time.Millisecond
+	maxGap = 2500 * time.Millisecond
+	// raceDelay is the time from the start of a store fault to the Race that is
+	// scheduled with it.
 	raceDelay = 150 * time.Millisecond
-	// stopReserve is kept free for a planned stop besides its duration.
+	// stopReserve is the time that is reserved for a graceful stop in addition
+	// to the duration of the fault.
 	stopReserve = 9 * time.Second
 )
 
-// pairProbability is how often two faults begin at once.
+// pairProbability is the probability that two faults begin at the same time.
 const pairProbability = 0.5
 
-// maxDraws bounds how often a fault is drawn anew because what it concerns has
-// another fault.
-const maxDraws = 20
+// maxAttempts limits how often another fault is generated because the previous
+// one did not fit into the schedule.
+const maxAttempts = 20
 
-// NewSchedule draws the faults of a run, in the order of their beginnings. All
-// of them end within the duration, apart from planned stops that take long. No
-// two faults concern the same thing at the same time.
+// NewSchedule generates the faults of a run, sorted by start time. All of them
+// end within the duration, except for graceful stops that take long. No two
+// faults affect the same resource at the same time.
 func NewSchedule(m *mesh.Mesh, nodesPerZone int, seed uint64, duration time.Duration) []Fault {
-	d := &drawer{
-		mesh:         m,
-		nodesPerZone: nodesPerZone,
-		random:       rand.New(rand.NewPCG(seed, 0x6368616f73)),
-		end:          duration,
-		busy:         map[string]time.Duration{},
+	g := &generator{
+		mesh:          m,
+		nodesPerZone:  nodesPerZone,
+		random:        rand.New(rand.NewPCG(seed, 0x6368616f73)),
+		end:           duration,
+		reservedUntil: map[string]time.Duration{},
 	}
 	var faults []Fault
-	for at := firstFault; at < duration; at += d.between(shortestGap, longestGap) {
-		faults = append(faults, d.draw(at)...)
-		if d.random.Float64() < pairProbability {
-			faults = append(faults, d.draw(at)...)
+	for at := firstFaultAt; at < duration; at += g.durationBetween(minGap, maxGap) {
+		faults = append(faults, g.generate(at)...)
+		if g.random.Float64() < pairProbability {
+			faults = append(faults, g.generate(at)...)
 		}
 	}
-	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(faults, func(a, b Fault) int { return cmp.Compare(a.StartMS, b.StartMS) })
 	return faults
 }
 
-// drawer draws faults. Busy holds until when each thing has a fault.
-type drawer struct {
+// generator generates random faults.
+type generator struct {
 	mesh         *mesh.Mesh
 	nodesPerZone int
 	random       *rand.Rand
 	end          time.Duration
-	busy         map[string]time.Duration
+	// reservedUntil holds, by resource name, the time until which it is reserved
+	// for a fault.
+	reservedUntil map[string]time.Duration
 }
 
-func (d *drawer) between(shortest, longest time.Duration) time.Duration {
+func (g *generator) durationBetween(shortest, longest time.Duration) time.Duration {
 	if longest <= shortest {
 		return shortest
 	}
-	return shortest + time.Duration(d.random.Int64N(int64(longest-shortest)))
+	return shortest + time.Duration(g.random.Int64N(int64(longest-shortest)))
 }
 
-// draw draws one fault that begins at a moment, with the race of operators that
-// goes with a fault of the store. It returns nothing if nothing fits.
-func (d *drawer) draw(at time.Duration) []Fault {
-	for range maxDraws {
-		settings := d.drawKind()
-		length := d.between(settings.shortest, settings.longest)
-		fault := Fault{Kind: settings.kind, At: at.Milliseconds(), For: length.Milliseconds()}
-		if settings.most > 0 {
-			fault.Factor = settings.least + d.random.Float64()*(settings.most-settings.least)
+// generate returns one fault that begins at the given time. A store fault is
+// followed by a Race. It returns nothing if no generated fault fits into the
+// schedule.
+func (g *generator) generate(at time.Duration) []Fault {
+	for range maxAttempts {
+		settings := g.chooseKind()
+		duration := g.durationBetween(settings.minDuration, settings.maxDuration)
+		fault := Fault{Kind: settings.kind, StartMS: at.Milliseconds(), DurationMS: duration.Milliseconds()}
+		if settings.maxFactor > 0 {
+			fault.Factor = settings.minFactor + g.random.Float64()*(settings.maxFactor-settings.minFactor)
 		}
-		concerned := d.aim(&fault)
-		if at+length > d.end || d.anyBusy(concerned, at) {
+		resources := g.chooseScope(&fault)
+		if at+duration > g.end || g.anyReserved(resources, at) {
 			continue
 		}
-		d.occupy(concerned, at+length+reserveOf(fault.Kind))
-		if ofStore(fault.Kind) {
-			return []Fault{fault, d.race(at + raceDelay)}
+		g.reserve(resources, at+duration+reserveAfter(fault.Kind))
+		if isStoreFault(fault.Kind) {
+			return []Fault{fault, g.race(at + raceDelay)}
 		}
 		return []Fault{fault}
 	}
 	return nil
 }
 
-func (d *drawer) drawKind() kindSettings {
+func (g *generator) chooseKind() kindSettings {
 	total := 0
-	for _, settings := range drawn {
+	for _, settings := range faultKinds {
 		total += settings.weight
 	}
-	point := d.random.IntN(total)
-	for _, settings := range drawn {
+	point := g.random.IntN(total)
+	for _, settings := range faultKinds {
 		if point < settings.weight {
 			return settings
 		}
 		point -= settings.weight
 	}
-	return drawn[0]
+	return faultKinds[0]
 }
 
-func reserveOf(kind FaultKind) time.Duration {
+func reserveAfter(kind FaultKind) time.Duration {
 	if kind == Stop {
 		return stopReserve
 	}
 	return 0
 }
 
-func ofStore(kind FaultKind) bool {
-	return kind == StoreRefuse || kind == StoreHang || kind == StoreUnavailable || kind == StoreLostAnswers
+func isStoreFault(kind FaultKind) bool {
+	return kind == StoreRefuse || kind == StoreHang || kind == StoreUnavailable || kind == StoreDropResponses
 }
 
-// aim chooses what the fault concerns and returns the names under which that is
-// busy.
-func (d *drawer) aim(fault *Fault) []string {
+// chooseScope chooses what the fault affects and returns the names of the
+// resources that it occupies.
+func (g *generator) chooseScope(fault *Fault) []string {
 	switch fault.Kind {
 	case Kill, Freeze, Stop:
-		fault.Nodes = []string{pick(d, d.allNodes())}
+		fault.Nodes = []string{pick(g, g.allNodes())}
 		return []string{"process " + fault.Nodes[0]}
-	case LoseAnswers, LoseDatagrams:
-		fault.Nodes = []string{pick(d, d.allNodes())}
-	case CutZone:
-		fault.Nodes = d.nodesOf(pick(d, d.mesh.Zones).Name)
-	case CutAll:
-		fault.Nodes = d.allNodes()
-	case StoreRefuse, StoreHang, StoreUnavailable, StoreLostAnswers:
+	case DropResponses, DropDatagrams:
+		fault.Nodes = []string{pick(g, g.allNodes())}
+	case PartitionZone:
+		fault.Nodes = g.nodesOf(pick(g, g.mesh.Zones).Name)
+	case PartitionAll:
+		fault.Nodes = g.allNodes()
+	case StoreRefuse, StoreHang, StoreUnavailable, StoreDropResponses:
 		return []string{"store"}
 	case Race:
-		*fault = d.race(fault.begin())
+		*fault = g.race(fault.start())
 		return nil
 	case Surge:
 		return []string{"load"}
 	case Drain:
-		target := pick(d, d.mesh.Targets)
+		target := pick(g, g.mesh.Targets)
 		fault.Target = target.Name
 		return []string{"drain of " + target.Service}
 	case SlowService:
-		fault.Service = pick(d, d.mesh.Services).Name
-		return targetNames(d.mesh.TargetsOf(fault.Service))
+		fault.Service = pick(g, g.mesh.Services).Name
+		return targetResources(g.mesh.TargetsOf(fault.Service))
 	default:
-		fault.Target = pick(d, d.mesh.Targets).Name
-		return targetNames([]mesh.Target{{Name: fault.Target}})
+		fault.Target = pick(g, g.mesh.Targets).Name
+		return targetResources([]mesh.Target{{Name: fault.Target}})
 	}
-	var concerned []string
+	var resources []string
 	for _, node := range fault.Nodes {
-		concerned = append(concerned, "peer "+node)
+		resources = append(resources, "peer "+node)
 	}
-	return concerned
+	return resources
 }
 
-// targetNames are the names under which targets are busy.
-func targetNames(targets []mesh.Target) []string {
+// targetResources returns the resource names of targets.
+func targetResources(targets []mesh.Target) []string {
 	var names []string
 	for _, target := range targets {
 		names = append(names, "target "+target.Name)
@@ -166,37 +169,38 @@
 	return names
 }
 
-// race draws two operators at two nodes who change the same policy.
-func (d *drawer) race(at time.Duration) Fault {
-	nodes := d.allNodes()
-	d.random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
-	return Fault{Kind: Race, At: at.Milliseconds(), Nodes: nodes[:min(2, len(nodes))], Service: pick(d, d.mesh.Services).Name}
+// race returns a Race that begins at the given time, for a random service and two
+// random nodes.
+func (g *generator) race(at time.Duration) Fault {
+	nodes := g.allNodes()
+	g.random.Shuffle(len(nodes), func(i, j int) { nodes[i], nodes[j] = nodes[j], nodes[i] })
+	return Fault{Kind: Race, StartMS: at.Milliseconds(), Nodes: nodes[:min(2, len(nodes))], Service: pick(g, g.mesh.Services).Name}
 }
 
-func (d *drawer) anyBusy(concerned []string, at time.Duration) bool {
-	return slices.ContainsFunc(concerned, func(name string) bool { return d.busy[name] > at })
+func (g *generator) anyReserved(resources []string, at time.Duration) bool {
+	return slices.ContainsFunc(resources, func(name string) bool { return g.reservedUntil[name] > at })
 }
 
-func (d *drawer) occupy(concerned []string, until time.Duration) {
-	for _, name := range concerned {
-		d.busy[name] = until
+func (g *generator) reserve(resources []string, until time.Duration) {
+	for _, name := range resources {
+		g.reservedUntil[name] = until
 	}
 }
 
-func (d *drawer) allNodes() []string {
+func (g *generator) allNodes() []string {
 	var names []string
-	for _, zone := range d.mesh.Zones {
-		names = append(names, d.nodesOf(zone.Name)...)
+	for _, zone := range g.mesh.Zones {
+		names = append(names, g.nodesOf(zone.Name)...)
 	}
 	return names
 }
 
-func (d *drawer) nodesOf(zone string) []string {
+func (g *generator) nodesOf(zone string) []string {
 	var names []string
-	for index := range d.nodesPerZone {
+	for index := range g.nodesPerZone {
 		names = append(names, cluster.NodeName(zone, index))
 	}
 	return names
 }
 
-func pick[T any](d *drawer, from []T) T { return from[d.random.IntN(len(from))] }
+func pick[T any](g *generator, from []T) T { return from[g.random.IntN(len(from))] }
