--- a/lab/chaos/fault.go
+++ b/lab/chaos/fault.go
@@ -16,8 +16,8 @@
 	// duration has passed after the exit of the old one.
 	Stop FaultKind = "stop"
 	// PartitionZone drops what other nodes send to the nodes of one zone, and the
-	// responses to it. Requests that the nodes of the zone send themselves, and
-	// the responses to those, still pass.
+	// responses to it. What the nodes of the zone send to other nodes passes
+	// through the proxies of the receivers and is not dropped.
 	PartitionZone FaultKind = "cut-zone"
 	// PartitionAll isolates every node from all others.
 	PartitionAll FaultKind = "cut-all"
