--- a/internal/guard/answered.go
+++ b/internal/guard/answered.go
@@ -11,17 +11,18 @@
 const (
 	// answeredGeneration is the minimum time for which an answered request is remembered.
 	// Remembered requests are not suspected of a crash, which protects frequent requests.
-	// Without this, and with two suspects of one crash quarantined together, a request
-	// that all callers send was refused in 9 of 50 runs of six real processes under
-	// faults; with both measures, in none. The cost: a request that starts to crash
-	// targets after it was answered is detected one crash per target later.
+	// In runs of six real processes under faults, a harmless request that all callers
+	// send was refused in 9 of 50 runs while this was missing and two suspects of one
+	// crash could be quarantined together; with both fixed, it was refused in none. The
+	// cost: a request that starts to crash targets after it was answered is detected one
+	// crash per target later.
 	answeredGeneration = 10 * time.Second
-	// maxAnswered limits the requests of one generation. A request that arrives once a
-	// second is still remembered among a thousand different ones per second.
+	// maxAnswered limits the number of requests in one generation. At a thousand
+	// different requests per second, one that arrives every second is still remembered.
 	maxAnswered = 1024
-	// maxHashedBody is the largest body, in bytes, of a request that is remembered.
-	// Hashing that much takes less than 4 microseconds, and identical requests from many
-	// callers are short.
+	// maxHashedBody is the maximum body size, in bytes, of a request that is remembered.
+	// Hashing a body of this size takes less than 4 microseconds, and requests that many
+	// callers send identically are short.
 	maxHashedBody = 4 << 10
 )
 
@@ -46,7 +47,8 @@
 }
 
 // consume reports whether the request was answered recently and removes it. If a target
-// crashes while running the request again before another answer, it becomes a suspect.
+// crashes again while running the request, before it was answered once more, the request
+// becomes a suspect.
 func (s *answeredSet) consume(hash fingerprint.Fingerprint) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/guard/crash.go
+++ b/internal/guard/crash.go
@@ -15,19 +15,20 @@
 
 const (
 	// crashProbeDelay is the delay between a broken call and the probe of the target. When a
-	// process exits, all its calls break and all its connections close within that time.
+	// process exits, all its calls fail and all its connections close within that time.
 	crashProbeDelay = 5 * time.Millisecond
 	// probeTimeout limits a probe. The target is on the same machine, where the kernel
 	// refuses a connection at once.
 	probeTimeout = 100 * time.Millisecond
-	// brokenCallRetention is how long a broken call still counts as open at the target's
-	// end. The end of a target that went silent is detected only by connection timeouts.
+	// brokenCallRetention is how long a broken call counts as open at the crash of the
+	// target. The crash of a target that stops responding without closing its connections
+	// is detected only by connection timeouts.
 	brokenCallRetention = 5 * time.Second
-	// maxBrokenCalls limits the number of broken calls that are kept.
+	// maxBrokenCalls limits the number of broken calls kept per target.
 	maxBrokenCalls = 256
 )
 
-// brokenCall is a call whose connection to the target broke before the answer.
+// brokenCall is a call whose connection to the target broke before the response.
 type brokenCall struct {
 	quarantine.Call
 	at time.Time
@@ -41,25 +42,25 @@
 	broken []brokenCall
 	// probeDone is closed when the running probe ends; nil if none is running.
 	probeDone chan struct{}
-	// lastAnswer is the time of the most recent answer.
-	lastAnswer time.Time
-	crashed    bool
+	// lastResponse is the time of the most recent response.
+	lastResponse time.Time
+	crashed      bool
 	// exempted holds the open requests that are not suspects of this crash.
 	exempted map[fingerprint.Fingerprint]bool
 }
 
-// recordAnswer records an answer. It also revokes a crash verdict, which was wrong: the
-// target had refused the probe's connection for lack of capacity.
-func (d *crashDetector) recordAnswer(now time.Time) {
+// recordResponse records a response. If the target was marked as crashed, the mark was wrong
+// and is removed: the target had refused the probe's connection for lack of capacity.
+func (d *crashDetector) recordResponse(now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.lastAnswer = now
+	d.lastResponse = now
 	if d.crashed {
 		d.crashed, d.exempted = false, nil
 	}
 }
 
-// addBroken records a broken call.
+// addBroken records a broken call and drops those older than brokenCallRetention.
 func (d *crashDetector) addBroken(call quarantine.Call, now time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -115,7 +116,8 @@
 	return len(d.broken)
 }
 
-// joinProbe returns the running probe, or a new one that the caller, its leader, must run.
+// joinProbe returns the running probe, or a new one if there is none. The caller that gets a
+// new probe is its leader and must run it.
 func (d *crashDetector) joinProbe() (probe chan struct{}, leader bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -134,73 +136,74 @@
 	close(probe)
 }
 
-// hasCrashed reports whether the target was found to have crashed.
+// hasCrashed reports whether the target is marked as crashed.
 func (d *crashDetector) hasCrashed() bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.crashed
 }
 
-// answeredSince reports whether a call was answered after the given time.
-func (d *crashDetector) answeredSince(since time.Time) bool {
+// respondedSince reports whether the target has answered a call after the given time.
+func (d *crashDetector) respondedSince(since time.Time) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.lastAnswer.After(since)
+	return d.lastResponse.After(since)
 }
 
 // handleBrokenCall records a broken call and reports whether the target crashed while running
 // it. Concurrent callers share one probe.
-func (g *Guard) handleBrokenCall(ctx context.Context, i *incarnation, call quarantine.Call) bool {
+func (g *Guard) handleBrokenCall(ctx context.Context, inc *incarnation, call quarantine.Call) bool {
 	now := g.now()
-	i.crashDetector.addBroken(call, now)
-	if i.draining.Load() {
+	inc.crashDetector.addBroken(call, now)
+	if inc.draining.Load() {
 		return false
 	}
-	probe, leader := i.crashDetector.joinProbe()
+	probe, leader := inc.crashDetector.joinProbe()
 	if leader {
-		g.probeTarget(i, now)
-		i.crashDetector.finishProbe(probe)
-		return i.crashDetector.hasCrashed()
+		g.probeTarget(inc, now)
+		inc.crashDetector.finishProbe(probe)
+		return inc.crashDetector.hasCrashed()
 	}
 	select {
 	case <-probe:
 	case <-ctx.Done():
 	}
-	return i.crashDetector.hasCrashed()
+	return inc.crashDetector.hasCrashed()
 }
 
-// probeTarget checks whether the target still accepts connections and reports a crash if it
-// refuses them and has answered no call since the given time.
-func (g *Guard) probeTarget(i *incarnation, since time.Time) {
+// probeTarget checks whether the target still accepts connections. It reports a crash if the
+// target refuses them and has answered no call since the given time.
+func (g *Guard) probeTarget(inc *incarnation, since time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	select {
 	case <-time.After(crashProbeDelay):
 	case <-ctx.Done():
 	}
-	if !i.crashDetector.hasCrashed() && (!errors.Is(i.pool.Probe(ctx), syscall.ECONNREFUSED) || i.crashDetector.answeredSince(since)) {
+	if !inc.crashDetector.hasCrashed() && (!errors.Is(inc.pool.Probe(ctx), syscall.ECONNREFUSED) || inc.crashDetector.respondedSince(since)) {
 		return
 	}
-	g.reportCrash(i, "connection refused")
+	g.reportCrash(inc, "connection refused")
 }
 
-// reportCrash logs the crash of the target once and reports the suspects to the quarantine.
-func (g *Guard) reportCrash(i *incarnation, reason string) {
-	firstReport := !i.crashDetector.hasCrashed()
-	brokenCount := i.crashDetector.brokenCount()
-	suspects := i.crashDetector.takeSuspects(&g.answered)
+// reportCrash logs the crash of a target, once per target, and reports the suspects to the
+// quarantine.
+func (g *Guard) reportCrash(inc *incarnation, reason string) {
+	firstReport := !inc.crashDetector.hasCrashed()
+	brokenCount := inc.crashDetector.brokenCount()
+	suspects := inc.crashDetector.takeSuspects(&g.answered)
 	if firstReport {
-		i.reachability.markUnreachable(g.now())
-		g.log.Record(eventlog.Event{Kind: eventlog.TargetEnded, Service: i.target.Service, Target: i.target.Incarnation().String(), Count: brokenCount, Reason: reason})
+		inc.reachability.markUnreachable(g.now())
+		g.log.Record(eventlog.Event{Kind: eventlog.TargetEnded, Service: inc.target.Service, Target: inc.target.Incarnation().String(), Count: brokenCount, Reason: reason})
 	}
 	if len(suspects) > 0 {
-		g.config.Quarantine.RecordCrash(i.target.Incarnation().String(), suspects)
+		g.config.Quarantine.RecordCrash(inc.target.Incarnation().String(), suspects)
 	}
 }
 
-// handleReplaced reports a crash of the old target if another one replaced it before it
-// announced its drain.
-func (g *Guard) handleReplaced(old *incarnation) {
+// handleReplacement reports a crash of the old target if another one replaced it before it
+// started to drain.
+func (g *Guard) handleReplacement(old *incarnation) {
 	if !old.draining.Load() {
 		g.reportCrash(old, "another target took its place")
 	}
--- a/internal/guard/ended_test.go
+++ b/internal/guard/crash_log_test.go
@@ -16,13 +16,13 @@
 	"github.com/lugspur/lugspur/internal/registry"
 )
 
-// TestLogIdentifiesRequestsOpenAtTargetEnd breaks two attempts of one request and one of
-// another before a replacement target registers. The log entries of the attempts of one
-// request must carry the same fingerprint.
-func TestLogIdentifiesRequestsOpenAtTargetEnd(t *testing.T) {
+// TestLogIdentifiesRequestsOpenAtCrash closes the connections of two attempts of one request
+// and of one attempt of another, and then registers a replacement target. The log entries of
+// the attempts of one request must have the same fingerprint.
+func TestLogIdentifiesRequestsOpenAtCrash(t *testing.T) {
 	var output bytes.Buffer
 	log := eventlog.New(eventlog.Config{}, "node", &output, time.Now)
-	address := rawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() })
+	address := startRawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() })
 	g := newTestGuard(address)
 	g.log = log
 	other := newCall("c")
@@ -36,16 +36,16 @@
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	log.Run(ended)
-	fingerprints, ends := readTargetEnds(t, &output)
+	fingerprints, ends := readCrashLog(t, &output)
 	assert.Equal(t, fingerprints["a"], newCall("a").Fingerprint().String())
 	assert.Equal(t, fingerprints["a"], fingerprints["b"])
 	assert.Assert(t, fingerprints["c"] != fingerprints["a"])
 	assert.DeepEqual(t, ends, map[string]int{"i-1": 3})
 }
 
-// readTargetEnds returns the fingerprints of broken calls by request ID and, for each target
-// that ended, the number of its broken calls.
-func readTargetEnds(t *testing.T, output *bytes.Buffer) (fingerprints map[string]string, ends map[string]int) {
+// readCrashLog returns the fingerprints of broken calls by request ID and, for each crashed
+// target, the number of its broken calls.
+func readCrashLog(t *testing.T, output *bytes.Buffer) (fingerprints map[string]string, ends map[string]int) {
 	t.Helper()
 	fingerprints, ends = make(map[string]string), make(map[string]int)
 	lines := json.NewDecoder(output)
--- a/internal/guard/crash_test.go
+++ b/internal/guard/crash_test.go
@@ -18,10 +18,10 @@
 	"github.com/lugspur/lugspur/internal/registry"
 )
 
-// crashingTarget is a target that blocks requests until the test lets it answer or crash.
+// crashingTarget is a target that blocks requests until the test makes it respond or crash.
 type crashingTarget struct {
 	listener net.Listener
-	answer   chan struct{}
+	respond  chan struct{}
 	arrived  atomic.Int32
 	// maxOpen is the maximum number of concurrent requests.
 	open, maxOpen atomic.Int32
@@ -33,7 +33,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
-	target := &crashingTarget{listener: listener, answer: make(chan struct{})}
+	target := &crashingTarget{listener: listener, respond: make(chan struct{})}
 	server := &http.Server{Handler: http.HandlerFunc(target.serve), ConnState: func(connection net.Conn, state http.ConnState) {
 		if state == http.StateNew {
 			target.mutex.Lock()
@@ -51,7 +51,7 @@
 	c.maxOpen.Store(max(c.maxOpen.Load(), c.open.Add(1)))
 	defer c.open.Add(-1)
 	select {
-	case <-c.answer:
+	case <-c.respond:
 	case <-r.Context().Done():
 		return
 	}
@@ -60,7 +60,7 @@
 	_, _ = fmt.Fprint(w, "ok")
 }
 
-// crash closes the listener and all connections, as the exit of a process does.
+// crash closes the listener and all connections, as happens when a process exits.
 func (c *crashingTarget) crash() {
 	_ = c.listener.Close()
 	c.mutex.Lock()
@@ -121,7 +121,7 @@
 		assert.Equal(t, g.Run(context.Background(), newCallTo("c", "/c")).Reason, peering.NoTarget, "a crashed target gets no more calls")
 	})
 	t.Run("broken connection", func(t *testing.T) {
-		g := newTestGuard(rawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
+		g := newTestGuard(startRawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
 		reply := g.Run(context.Background(), newCallTo("a", "/a"))
 		assert.Equal(t, reply.Reason, peering.ExchangeBroken)
 		assert.Equal(t, reply.Crashes, 0)
@@ -142,11 +142,11 @@
 	})
 }
 
-// TestReplacementTargetRevealsCrash covers a target that crashes while a replacement already
-// accepts connections at its address, so that the probe succeeds. The crash must be reported
-// when the replacement registers.
+// TestReplacementTargetRevealsCrash covers a target that crashes and whose replacement
+// accepts connections at the same address before the probe, so that the probe succeeds. The
+// crash must be reported when the replacement registers.
 func TestReplacementTargetRevealsCrash(t *testing.T) {
-	g := newTestGuard(rawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
+	g := newTestGuard(startRawTarget(t, func(connection net.Conn, _ *http.Request) { _ = connection.Close() }))
 	assert.Equal(t, g.Run(context.Background(), newCallTo("a", "/a")).Reason, peering.ExchangeBroken)
 	next := newTarget(registry.Ready, 2)
 	next.ID = "i-2"
@@ -154,14 +154,14 @@
 	assert.Equal(t, quarantineStateOf(g, "/a").Crashes, 1)
 }
 
-// addSuspect reports the given number of crashes for requests with the URI.
+// addSuspect records the given number of crashes for requests with the URI.
 func addSuspect(g *Guard, uri string, crashes int) {
 	g.config.Quarantine.RecordCrash("earlier-"+uri, []quarantine.Call{{Fingerprint: newCallTo("", uri).Fingerprint(), Crashes: crashes}})
 }
 
 func TestQuarantinedCallDoesNotReachTarget(t *testing.T) {
 	target := startCrashingTarget(t)
-	close(target.answer)
+	close(target.respond)
 	g := newTestGuard(target.address())
 	addSuspect(g, "/deadly", 3)
 	reply := g.Run(context.Background(), newCallTo("a", "/deadly"))
@@ -172,7 +172,7 @@
 	assert.Equal(t, g.Run(context.Background(), newCallTo("b", "/harmless")).Outcome, peering.Answered)
 }
 
-// TestQuarantineCancelsRunningRequest quarantines a request while the target works on it.
+// TestQuarantineCancelsRunningRequest quarantines a request while the target executes it.
 func TestQuarantineCancelsRunningRequest(t *testing.T) {
 	target := startCrashingTarget(t)
 	g := newTestGuard(target.address())
@@ -185,14 +185,14 @@
 	assert.Equal(t, reply.Reason, peering.Quarantined)
 }
 
-// TestSuspectsAreSerialized runs two suspect calls concurrently. After one crash, calls of
-// the same request must not overlap; after two, no two suspects may overlap.
+// TestSuspectsAreSerialized starts two suspect calls at the same time. After one crash, calls
+// of the same request must not overlap; after two, no two suspects may overlap.
 func TestSuspectsAreSerialized(t *testing.T) {
 	cases := []struct {
 		name        string
 		crashes     int
 		first, next string
-		sideBySide  bool
+		concurrent  bool
 	}{
 		{"one crash, same request", 1, "/a", "/a", false},
 		{"one crash, other request", 1, "/a", "/b", true},
@@ -205,26 +205,26 @@
 			addSuspect(g, "/a", c.crashes)
 			addSuspect(g, "/b", c.crashes)
 			replies := runAll(g, newCallTo("1", c.first), newCallTo("2", c.next))
-			if c.sideBySide {
+			if c.concurrent {
 				target.awaitArrivals(t, 2)
-				close(target.answer)
+				close(target.respond)
 			} else {
 				target.awaitArrivals(t, 1)
-				target.answer <- struct{}{}
+				target.respond <- struct{}{}
 				target.awaitArrivals(t, 2)
-				close(target.answer)
+				close(target.respond)
 			}
 			for range 2 {
 				assert.Equal(t, (<-replies).Outcome, peering.Answered)
 			}
-			assert.Equal(t, target.maxOpen.Load() == 2, c.sideBySide)
-			assert.Assert(t, !quarantineStateOf(g, c.first).Suspected(), "an answer clears the request")
+			assert.Equal(t, target.maxOpen.Load() == 2, c.concurrent)
+			assert.Assert(t, !quarantineStateOf(g, c.first).Suspected(), "a response clears the request")
 		})
 	}
 }
 
-// TestSuspectWaitIsBoundedByMaxWait keeps the suspect lock held for longer than a second
-// call may wait.
+// TestSuspectWaitIsBoundedByMaxWait holds the suspect lock for longer than the maximum queue
+// time of a second call.
 func TestSuspectWaitIsBoundedByMaxWait(t *testing.T) {
 	target := startCrashingTarget(t)
 	g := newTestGuard(target.address())
@@ -234,15 +234,16 @@
 	waiting := newCallTo("2", "/a")
 	waiting.MaxWait = 20 * time.Millisecond
 	assert.Equal(t, g.Run(context.Background(), waiting).Reason, peering.QueueTimeout)
-	close(target.answer)
+	close(target.respond)
 	assert.Equal(t, (<-replies).Outcome, peering.Answered)
 }
 
-// TestRecentlyAnsweredRequestIsNoSuspect guards against quarantining a harmless request that
-// all callers send. In a run of real processes such a request was refused for a minute: it
-// was open each time a query of death crashed the local target, and no target was left to
-// answer and clear it. Without the exemption, the crash in the first case makes it a suspect.
-func TestRecentlyAnsweredRequestIsNoSuspect(t *testing.T) {
+// TestRecentlyAnsweredRequestIsNotSuspected guards against quarantining a harmless request
+// that all callers send. In a run of real processes such a request was refused for a minute:
+// it was open each time a query of death crashed the local target, and no target was left to
+// answer it, which would have cleared it. Without the exemption, the crash in the first case
+// makes the request a suspect.
+func TestRecentlyAnsweredRequestIsNotSuspected(t *testing.T) {
 	cases := []struct {
 		name          string
 		answeredFirst bool
@@ -255,7 +256,7 @@
 			if c.answeredFirst {
 				first := runAll(g, newCallTo("0", "/popular"))
 				target.awaitArrivals(t, 1)
-				target.answer <- struct{}{}
+				target.respond <- struct{}{}
 				assert.Equal(t, (<-first).Outcome, peering.Answered)
 			}
 			replies := runAll(g, newCallTo("a", "/popular"), newCallTo("b", "/popular"))
@@ -276,9 +277,9 @@
 	}
 }
 
-// TestAnswerExemptsRequestOnce checks that one answer exempts a request from suspicion for
+// TestResponseExemptsRequestOnce checks that a response exempts a request from suspicion for
 // one crash only, because a request may start to crash targets after it was answered.
-func TestAnswerExemptsRequestOnce(t *testing.T) {
+func TestResponseExemptsRequestOnce(t *testing.T) {
 	var answered answeredSet
 	hash := newCallTo("", "/popular").Fingerprint()
 	now := time.Now()
@@ -289,6 +290,6 @@
 	for i := range 2 * maxAnswered {
 		answered.add(newCallTo("", fmt.Sprint("/", i)).Fingerprint(), now)
 	}
-	assert.Assert(t, !answered.consume(hash), "the memory is bounded")
+	assert.Assert(t, !answered.consume(hash), "the size of the set is limited")
 	assert.Assert(t, len(answered.current)+len(answered.previous) <= 2*maxAnswered)
 }
--- a/internal/guard/exchange.go
+++ b/internal/guard/exchange.go
@@ -16,8 +16,8 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// exchange sends an admitted call to the target and returns the reply for its answer.
-func (g *Guard) exchange(ctx context.Context, i *incarnation, permit *scheduler.Permit, call *peering.Call, screened *screening, deadline time.Time) *peering.Reply {
+// exchange sends an admitted call to the target and returns the reply for its response.
+func (g *Guard) exchange(ctx context.Context, inc *incarnation, permit *scheduler.Permit, call *peering.Call, screened *screening, deadline time.Time) *peering.Reply {
 	started := g.now()
 	remainingMillis := deadline.Sub(started).Milliseconds()
 	if remainingMillis <= 0 {
@@ -31,8 +31,8 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	finish := g.running.begin(call, cancel)
-	i.stats.recordStart(call.Route, started)
-	answer, err := i.pool.Exchange(ctx, g.targetCall(i, call, remainingMillis))
+	inc.stats.recordStart(call.Route, started)
+	response, err := inc.pool.Exchange(ctx, g.targetCall(inc, call, remainingMillis))
 	ended := g.now()
 	callFailed := finish(err == nil, ended)
 	duration := ended.Sub(started)
@@ -41,42 +41,42 @@
 		reply := g.replyForError(ctx, call, err)
 		if reply.Reason == peering.ExchangeBroken {
 			openCall := screened.openCall(call)
-			if g.handleBrokenCall(ctx, i, openCall) {
+			if g.handleBrokenCall(ctx, inc, openCall) {
 				reply.Reason = peering.TargetCrashed
-				if i.crashDetector.isSuspect(openCall.Fingerprint) {
+				if inc.crashDetector.isSuspect(openCall.Fingerprint) {
 					reply.Crashes = openCall.Crashes
 				}
 			}
 		}
-		i.stats.recordEnd(call.Route, reply, duration, ended)
+		inc.stats.recordEnd(call.Route, reply, duration, ended)
 		if reply.Reason == peering.ConnectFailed {
-			g.recordReachability(i, false)
+			g.recordReachability(inc, false)
 		}
 		return reply
 	}
-	defer answer.Close()
-	i.crashDetector.recordAnswer(ended)
-	g.recordReachability(i, true)
-	reply := g.replyForAnswer(answer)
+	defer response.Close()
+	inc.crashDetector.recordResponse(ended)
+	g.recordReachability(inc, true)
+	reply := g.replyForResponse(response)
 	reply.TargetError = isTargetFailure(reply) && !callFailed
 	if reply.Outcome == peering.Answered {
 		g.recordAnswered(screened, call, ended)
 	}
 	permit.Release(limit.Sample{Outcome: limitOutcome(reply), Latency: duration})
-	i.stats.recordEnd(call.Route, reply, duration, ended)
+	inc.stats.recordEnd(call.Route, reply, duration, ended)
 	if reply.Reason == peering.Misdirected {
-		i.drain()
+		inc.drain()
 	}
 	return reply
 }
 
-// isTargetFailure reports whether the answer is a failure of the target. A gateway timeout is
-// not: the time left for the call may have been too short.
+// isTargetFailure reports whether the response is an error of the target. A gateway timeout
+// is not: the remaining time of the call may have been too short.
 func isTargetFailure(reply *peering.Reply) bool {
 	return reply.Outcome == peering.Answered && reply.Status >= http.StatusInternalServerError && reply.Status != http.StatusGatewayTimeout
 }
 
-// limitOutcome returns the outcome of a call for its concurrency limit.
+// limitOutcome returns the outcome of a call as it is reported to the concurrency limit.
 func limitOutcome(reply *peering.Reply) limit.Outcome {
 	switch {
 	case reply.Outcome == peering.Answered && reply.Status < http.StatusInternalServerError:
@@ -88,7 +88,7 @@
 }
 
 // targetCall returns the HTTP request to the target for a call.
-func (g *Guard) targetCall(i *incarnation, call *peering.Call, remainingMillis int64) *transport.Call {
+func (g *Guard) targetCall(inc *incarnation, call *peering.Call, remainingMillis int64) *transport.Call {
 	names := &g.config.Headers
 	header := call.Header
 	if header == nil {
@@ -97,22 +97,22 @@
 	header[names.RequestID] = []string{call.RequestID}
 	header[names.DeadlineMillis] = []string{strconv.FormatInt(remainingMillis, 10)}
 	header[names.Caller] = []string{call.Caller}
-	header[names.ExpectInstance] = []string{i.target.ID}
+	header[names.ExpectInstance] = []string{inc.target.ID}
 	return &transport.Call{
 		Method:     call.Method,
 		Host:       call.Host,
 		RequestURI: call.URI,
 		Header:     header,
 		Body:       call.Body,
-		Matches: func(answerHeader http.Header) bool {
-			id := answerHeader.Get(names.RequestID)
+		Matches: func(responseHeader http.Header) bool {
+			id := responseHeader.Get(names.RequestID)
 			return id == "" || id == call.RequestID
 		},
 	}
 }
 
-// replyForError returns the reply for an exchange that ended without an answer. The call
-// failed if it may have been sent, and was refused otherwise.
+// replyForError returns the reply for an exchange that ended without a response. The call
+// counts as failed if it may have been sent, and as refused otherwise.
 func (g *Guard) replyForError(ctx context.Context, call *peering.Call, err error) *peering.Reply {
 	var failure *transport.Failure
 	sent := !errors.As(err, &failure) || failure.Sent
@@ -136,26 +136,26 @@
 	return refusedReply(reason)
 }
 
-// replyForAnswer validates the target's answer and returns the reply for it.
-func (g *Guard) replyForAnswer(answer *transport.Response) *peering.Reply {
+// replyForResponse validates the target's response and returns the reply for it.
+func (g *Guard) replyForResponse(response *transport.Response) *peering.Reply {
 	names := &g.config.Headers
 	switch {
-	case answer.Status == http.StatusMisdirectedRequest:
+	case response.Status == http.StatusMisdirectedRequest:
 		return refusedReply(peering.Misdirected)
-	case answer.Header.Get(names.NotExecuted) != "":
+	case response.Header.Get(names.NotExecuted) != "":
 		return refusedReply(peering.TargetFull)
-	case answer.Remainder != nil:
+	case response.Remainder != nil:
 		return failedReply(peering.InvalidResponse)
-	case answer.Header.Get(names.RequestID) == "":
+	case response.Header.Get(names.RequestID) == "":
 		return failedReply(peering.InvalidResponse)
-	case answer.Header.Get("Content-Encoding") != "":
+	case response.Header.Get("Content-Encoding") != "":
 		return failedReply(peering.InvalidResponse)
-	case answer.Status < http.StatusMultipleChoices && answer.Header.Get(names.Signature) == "":
+	case response.Status < http.StatusMultipleChoices && response.Header.Get(names.Signature) == "":
 		return failedReply(peering.InvalidResponse)
 	}
-	callheader.StripConnection(answer.Header)
-	answer.Header.Del(names.Load)
-	// The caller's node has the request ID already.
-	answer.Header.Del(names.RequestID)
-	return &peering.Reply{Outcome: peering.Answered, Status: answer.Status, Header: answer.Header, Body: answer.Body}
+	callheader.StripConnection(response.Header)
+	response.Header.Del(names.Load)
+	// The entry node restores the request ID.
+	response.Header.Del(names.RequestID)
+	return &peering.Reply{Outcome: peering.Answered, Status: response.Status, Header: response.Header, Body: response.Body}
 }
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -1,8 +1,9 @@
 // Package guard controls admission of calls to the local target, the one target
-// that a node serves. Only this process can reach the target, so it counts the
-// target's work exactly. It consists of a fixed concurrency limit of at most the
-// target's slots, a priority queue and a connection pool. Each call gets a typed
-// outcome that states whether it may have run.
+// that a node serves. All calls to the target pass through this process, so the
+// number of calls in flight is known exactly. A guard consists of a fixed
+// concurrency limit of at most the target's slots, a priority queue and a
+// connection pool. Each call gets a typed outcome that states whether it may have
+// been executed.
 package guard
 
 import (
@@ -38,12 +39,12 @@
 	// MaxQueue and MaxWait limit the length of the queue and the time in it.
 	MaxQueue int
 	MaxWait  time.Duration
-	// MaxBuffered is the maximum size of an answer in bytes.
+	// MaxBuffered is the maximum size of a response in bytes.
 	MaxBuffered int64
 	// MaxConnections returns the maximum number of connections to the target, zero
 	// for no limit.
 	MaxConnections func() int
-	// Downstream returns the pressure of the downstream calls that requests of the route
+	// Downstream returns the pressure on the downstream calls that requests of the route
 	// make.
 	Downstream func(route string) pressure.Level
 	// Quarantine tracks requests that crash targets.
@@ -69,9 +70,9 @@
 
 // Observer receives the outcomes of calls, for metrics.
 type Observer interface {
-	// Ended records a finished call with its time in the queue and at the target. The
-	// latter is zero for a call that was refused admission.
-	Ended(outcome peering.Outcome, reason peering.Reason, waited, ran time.Duration)
+	// Ended records a finished call with the time that it spent in the queue and at the
+	// target. The latter is zero for a call that was refused admission.
+	Ended(outcome peering.Outcome, reason peering.Reason, queueTime, targetTime time.Duration)
 }
 
 // Guard admits calls to the target. It is safe for concurrent use.
@@ -82,7 +83,7 @@
 
 	stopping atomic.Bool
 	closed   atomic.Bool
-	// shutdownDeadline is the time by which all calls must have ended.
+	// shutdownDeadline is the time by which all calls must have finished.
 	shutdownDeadline ending.ShutdownTime
 	inFlight         atomic.Int64
 	current          atomic.Pointer[incarnation]
@@ -92,8 +93,8 @@
 	mutex            sync.Mutex
 }
 
-// incarnation is the state of one target process, from its registration to its
-// replacement.
+// incarnation is the state of one target process, from its registration until another
+// process replaces it.
 type incarnation struct {
 	target        registry.Target
 	limit         *fixedLimit
@@ -127,25 +128,25 @@
 		return
 	}
 	if old != nil {
-		g.handleReplaced(old)
+		g.handleReplacement(old)
 		old.drain()
 		old.pool.Close()
 	}
 	g.current.Store(g.newIncarnation(target))
 }
 
-// TCP timeouts that detect a dead connection to the target, also while a call waits for
-// its answer. They can be short because the target runs on the same machine, where no
+// TCP timeouts that detect a dead connection to the target, even while a call waits for
+// its response. They can be short because the target runs on the same machine, where no
 // packets are lost. They don't limit the duration of a call.
 const (
 	targetUserTimeout = time.Second
 	targetKeepAlive   = time.Second
 )
 
-// drain refuses queued and later calls; calls in flight continue.
-func (i *incarnation) drain() {
-	i.draining.Store(true)
-	i.scheduler.Close()
+// drain refuses queued and new calls; calls in flight continue.
+func (inc *incarnation) drain() {
+	inc.draining.Store(true)
+	inc.scheduler.Close()
 }
 
 func (g *Guard) newIncarnation(target registry.Target) *incarnation {
@@ -167,14 +168,14 @@
 	}
 }
 
-// updateLimit applies a changed number of slots to the limit.
-func (g *Guard) updateLimit(i *incarnation, target registry.Target) {
+// updateLimit adjusts the concurrency limit to the slots of a renewed registration.
+func (g *Guard) updateLimit(inc *incarnation, target registry.Target) {
 	newLimit := g.limitFor(target)
-	if i.limit.Limit() == newLimit {
+	if inc.limit.Limit() == newLimit {
 		return
 	}
-	i.limit.set(newLimit)
-	i.scheduler.Wake()
+	inc.limit.set(newLimit)
+	inc.scheduler.Wake()
 	g.log.Record(eventlog.Event{Kind: eventlog.LimitChanged, Target: target.Incarnation().String(), Count: newLimit})
 }
 
@@ -182,22 +183,21 @@
 	return max(int(float64(target.Slots)*g.config.SlotShare), 1)
 }
 
-// MarkStopping marks the node as stopping on all replies, so that peers prefer other homes
-// before a planned stop. Calls are still admitted, as this may be the last home of the
-// service.
+// MarkStopping reports in all replies that the node is about to stop, so that peers prefer
+// other homes. Calls are still admitted, as this may be the last home of the service.
 func (g *Guard) MarkStopping() { g.stopping.Store(true) }
 
-// SetShutdownDeadline refuses later calls that may not end by the given time. Calls in flight
-// continue.
+// SetShutdownDeadline makes the guard refuse new calls that may not finish by the given time.
+// Calls in flight continue.
 func (g *Guard) SetShutdownDeadline(deadline time.Time) { g.shutdownDeadline.Set(deadline) }
 
-// endsBeforeShutdown reports whether a call of the route that begins now is certain to end
-// before the shutdown deadline.
-func (g *Guard) endsBeforeShutdown(i *incarnation, route string, now time.Time) bool {
-	return g.shutdownDeadline.Allows(ending.SafeDuration(i.stats.latency(route, now)), now)
+// endsBeforeShutdown reports whether a call of the route that starts now will finish before
+// the shutdown deadline with a margin for slow calls.
+func (g *Guard) endsBeforeShutdown(inc *incarnation, route string, now time.Time) bool {
+	return g.shutdownDeadline.Allows(ending.SafeDuration(inc.stats.latency(route, now)), now)
 }
 
-// Close refuses all later calls; calls in flight continue.
+// Close makes the guard refuse all new calls; calls in flight continue.
 func (g *Guard) Close() { g.closed.Store(true) }
 
 // InFlight returns the number of calls that are queued or at the target.
@@ -205,20 +205,20 @@
 
 // Load returns the load that the guard reports to peers on replies to calls of the route.
 func (g *Guard) Load(route string) peering.Load {
-	i := g.current.Load()
-	if i == nil {
+	inc := g.current.Load()
+	if inc == nil {
 		return peering.Load{Threshold: shed.None}
 	}
-	stats := i.scheduler.Stats()
+	stats := inc.scheduler.Stats()
 	downstream := g.config.Downstream(route)
 	return peering.Load{
 		InFlight:        stats.InFlight,
 		Queued:          stats.Queued,
 		Limit:           stats.Limit,
-		Latency:         i.stats.latency(route, g.now()),
-		Threshold:       min(i.shedding.Threshold(), downstream.Threshold),
-		FailurePercent:  i.stats.failurePercent(),
-		ErrorPercent:    i.stats.errorPercent(),
+		Latency:         inc.stats.latency(route, g.now()),
+		Threshold:       min(inc.shedding.Threshold(), downstream.Threshold),
+		FailurePercent:  inc.stats.failurePercent(),
+		ErrorPercent:    inc.stats.errorPercent(),
 		CallsPerRequest: downstream.Calls,
 		RetryBudgetLow:  downstream.RetryBudgetLow,
 		Stopping:        g.stopping.Load(),
@@ -234,13 +234,13 @@
 	reply.Load = g.Load(call.Route)
 	g.logReply(call, reply, started)
 	if g.config.Observer != nil {
-		g.config.Observer.Ended(reply.Outcome, reply.Reason, times.waited, times.ran)
+		g.config.Observer.Ended(reply.Outcome, reply.Reason, times.queueTime, times.targetTime)
 	}
 	return reply
 }
 
-// callTimes holds the time of a call in the queue and at the target.
-type callTimes struct{ waited, ran time.Duration }
+// callTimes holds the time that a call spent in the queue and at the target.
+type callTimes struct{ queueTime, targetTime time.Duration }
 
 // logReply logs a call that was refused or failed, unless its caller left.
 func (g *Guard) logReply(call *peering.Call, reply *peering.Reply, started time.Time) {
@@ -267,19 +267,19 @@
 	return &peering.Reply{Outcome: peering.Failed, Reason: reason}
 }
 
-// run executes the call and measures its times.
+// run executes the call and measures its time in the queue and at the target.
 func (g *Guard) run(ctx context.Context, call *peering.Call, started time.Time) (*peering.Reply, callTimes) {
-	i := g.current.Load()
+	inc := g.current.Load()
 	switch {
 	case g.closed.Load():
 		return refusedReply(peering.Stopping), callTimes{}
-	case i == nil || call.Service != i.target.Service || call.Service != g.config.Service:
+	case inc == nil || call.Service != inc.target.Service || call.Service != g.config.Service:
 		return refusedReply(peering.NoTarget), callTimes{}
-	case i.draining.Load():
+	case inc.draining.Load():
 		return refusedReply(peering.TargetLeaving), callTimes{}
-	case !g.endsBeforeShutdown(i, call.Route, started):
+	case !g.endsBeforeShutdown(inc, call.Route, started):
 		return refusedReply(peering.Stopping), callTimes{}
-	case i.reachability.backingOff(started):
+	case inc.reachability.backingOff(started):
 		return refusedReply(peering.NoTarget), callTimes{}
 	}
 	deadline := started.Add(call.Remaining)
@@ -287,16 +287,16 @@
 	defer cancel()
 	screened, reply := g.screen(ctx, call)
 	if reply != nil {
-		return reply, callTimes{waited: g.now().Sub(started)}
+		return reply, callTimes{queueTime: g.now().Sub(started)}
 	}
 	defer screened.release()
-	permit, reply := g.acquire(ctx, i, call, deadline)
+	permit, reply := g.acquire(ctx, inc, call, deadline)
 	admitted := g.now()
-	times := callTimes{waited: admitted.Sub(started)}
+	times := callTimes{queueTime: admitted.Sub(started)}
 	if reply != nil {
 		return reply, times
 	}
-	reply = g.exchange(ctx, i, permit, call, &screened, deadline)
-	times.ran = g.now().Sub(admitted)
+	reply = g.exchange(ctx, inc, permit, call, &screened, deadline)
+	times.targetTime = g.now().Sub(admitted)
 	return reply, times
 }
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -27,8 +27,9 @@
 var headerNames = callheader.Names{RequestID: "X-Id", DeadlineMillis: "X-Deadline", Caller: "X-Caller", ExpectInstance: "X-Expect",
 	Instance: "X-Instance", Signature: "X-Signature", NotExecuted: "X-Not-Executed", Load: "X-Load"}
 
-// rawTarget starts a target that answers each request by a function that writes raw bytes.
-func rawTarget(t *testing.T, answer func(connection net.Conn, request *http.Request)) string {
+// startRawTarget starts a target that calls a function for each request, which writes the raw
+// bytes of the response to the connection. It returns the target's address.
+func startRawTarget(t *testing.T, respond func(connection net.Conn, request *http.Request)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -47,7 +48,7 @@
 					if err != nil {
 						return
 					}
-					answer(connection, request)
+					respond(connection, request)
 				}
 			}()
 		}
@@ -80,17 +81,17 @@
 		Remaining: 5 * time.Second, Caller: "caller", Route: "r", MaxWait: 5 * time.Second}
 }
 
-const okAnswer = "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Signature: sig\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nX-Id: %s\r\nX-Signature: sig\r\nContent-Length: 2\r\n\r\nok"
 
-func TestAnswerIsReturnedComplete(t *testing.T) {
-	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
+func TestResponseIsReturnedComplete(t *testing.T) {
+	address := startRawTarget(t, func(connection net.Conn, request *http.Request) {
 		assert.Equal(t, request.Host, "a.example")
 		assert.Equal(t, request.RequestURI, "/p/x?y")
 		assert.Equal(t, request.Header.Get("X-Expect"), "i-1")
 		assert.Equal(t, request.Header.Get("X-Caller"), "caller")
 		assert.Equal(t, request.Header.Get("X-Kept"), "1")
 		assert.Assert(t, request.Header.Get("X-Deadline") != "")
-		fmt.Fprintf(connection, okAnswer, request.Header.Get("X-Id"))
+		fmt.Fprintf(connection, okResponse, request.Header.Get("X-Id"))
 	})
 	reply := newTestGuard(address).Run(context.Background(), newCall("a"))
 	assert.Equal(t, reply.Outcome, peering.Answered)
@@ -98,15 +99,15 @@
 	assert.Equal(t, reply.Load.Limit, 2)
 }
 
-// TestOutcomeOfTargetAnswers checks the outcome of a call for each kind of answer.
-// A call whose answer is invalid may have run, unless the target reports otherwise.
-func TestOutcomeOfTargetAnswers(t *testing.T) {
+// TestOutcomeOfTargetResponses checks the outcome of a call for each kind of response. A
+// call with an invalid response may have been executed, unless the target reports otherwise.
+func TestOutcomeOfTargetResponses(t *testing.T) {
 	cases := []struct {
-		name, answer string
-		outcome      peering.Outcome
-		reason       peering.Reason
+		name, response string
+		outcome        peering.Outcome
+		reason         peering.Reason
 	}{
-		{"own failure", "HTTP/1.1 500 Oops\r\nX-Id: a\r\nContent-Length: 0\r\n\r\n", peering.Answered, ""},
+		{"target error", "HTTP/1.1 500 Oops\r\nX-Id: a\r\nContent-Length: 0\r\n\r\n", peering.Answered, ""},
 		{"full", "HTTP/1.1 503 Full\r\nX-Id: a\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", peering.Refused, peering.TargetFull},
 		{"another target", "HTTP/1.1 421 Other\r\nX-Id: a\r\nX-Instance: i-2\r\nContent-Length: 0\r\n\r\n", peering.Refused, peering.Misdirected},
 		{"no signature", "HTTP/1.1 200 OK\r\nX-Id: a\r\nContent-Length: 2\r\n\r\nok", peering.Failed, peering.InvalidResponse},
@@ -116,7 +117,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			address := rawTarget(t, func(connection net.Conn, _ *http.Request) { fmt.Fprint(connection, c.answer) })
+			address := startRawTarget(t, func(connection net.Conn, _ *http.Request) { fmt.Fprint(connection, c.response) })
 			reply := newTestGuard(address).Run(context.Background(), newCall("a"))
 			assert.Equal(t, reply.Outcome, c.outcome)
 			assert.Equal(t, reply.Reason, c.reason)
@@ -124,16 +125,16 @@
 	}
 }
 
-func TestTruncatedAnswerFails(t *testing.T) {
-	address := rawTarget(t, func(connection net.Conn, _ *http.Request) {
+func TestTruncatedResponseFails(t *testing.T) {
+	address := startRawTarget(t, func(connection net.Conn, _ *http.Request) {
 		fmt.Fprint(connection, "HTTP/1.1 200 OK\r\nX-Id: a\r\nX-Signature: s\r\nContent-Length: 10\r\n\r\nhalf")
 		_ = connection.Close()
 	})
 	assert.Equal(t, newTestGuard(address).Run(context.Background(), newCall("a")).Outcome, peering.Failed)
 }
 
-func TestAnswerWithoutLengthEndsWithConnection(t *testing.T) {
-	address := rawTarget(t, func(connection net.Conn, _ *http.Request) {
+func TestResponseWithoutLengthEndsWithConnection(t *testing.T) {
+	address := startRawTarget(t, func(connection net.Conn, _ *http.Request) {
 		fmt.Fprint(connection, "HTTP/1.1 200 OK\r\nX-Id: a\r\nX-Signature: s\r\n\r\nwhole")
 		_ = connection.Close()
 	})
@@ -142,31 +143,31 @@
 	assert.Equal(t, string(reply.Body), "whole")
 }
 
-// TestDuplicateAnswerIsSkipped sends a second answer to the first call on the
-// connection where the answer to the second call is expected.
-func TestDuplicateAnswerIsSkipped(t *testing.T) {
+// TestDuplicateResponseIsSkipped sends a second response to the first call on the
+// connection before the response to the second call.
+func TestDuplicateResponseIsSkipped(t *testing.T) {
 	var requests atomic.Int32
-	signed := strings.Replace(okAnswer, "sig", "signature of %s", 1)
-	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
+	signedResponse := strings.Replace(okResponse, "sig", "signature of %s", 1)
+	address := startRawTarget(t, func(connection net.Conn, request *http.Request) {
 		if requests.Add(1) == 2 {
-			fmt.Fprintf(connection, signed, "first", "first")
+			fmt.Fprintf(connection, signedResponse, "first", "first")
 		}
 		id := request.Header.Get("X-Id")
-		fmt.Fprintf(connection, signed, id, id)
+		fmt.Fprintf(connection, signedResponse, id, id)
 	})
 	g := newTestGuard(address)
 	assert.Equal(t, g.Run(context.Background(), newCall("first")).Outcome, peering.Answered)
 	reply := g.Run(context.Background(), newCall("second"))
 	assert.Equal(t, reply.Outcome, peering.Answered)
 	assert.Equal(t, reply.Header.Get("X-Signature"), "signature of second")
-	assert.Equal(t, reply.Header.Get("X-Id"), "", "the caller's node knows the request ID")
+	assert.Equal(t, reply.Header.Get("X-Id"), "", "the entry node restores the request ID")
 }
 
 func TestDrainRefusesQueuedCallsAndFinishesRunningOnes(t *testing.T) {
 	release := make(chan struct{})
-	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
+	address := startRawTarget(t, func(connection net.Conn, request *http.Request) {
 		<-release
-		fmt.Fprintf(connection, okAnswer, request.Header.Get("X-Id"))
+		fmt.Fprintf(connection, okResponse, request.Header.Get("X-Id"))
 	})
 	g := newTestGuard(address)
 	g.SetTarget(newTarget(registry.Ready, 1))
@@ -237,17 +238,17 @@
 	assert.Equal(t, reply.Reason, peering.ConnectFailed)
 	g.MarkStopping()
 	reply = g.Run(context.Background(), newCall("a"))
-	assert.Equal(t, reply.Reason, peering.ConnectFailed, "calls still go to the target, as this may be the last home")
+	assert.Equal(t, reply.Reason, peering.ConnectFailed, "calls are still sent to the target, as this may be the last home")
 	assert.Assert(t, reply.Load.Stopping)
 	g.Close()
 	assert.Equal(t, g.Run(context.Background(), newCall("b")).Reason, peering.Stopping)
 }
 
-// TestShutdownDeadlineAdmitsOnlyCallsThatFinishInTime sets a shutdown deadline that calls
-// of a route with a high latency may miss.
+// TestShutdownDeadlineAdmitsOnlyCallsThatFinishInTime sets a shutdown deadline by which
+// calls of a route with a high latency may not have finished.
 func TestShutdownDeadlineAdmitsOnlyCallsThatFinishInTime(t *testing.T) {
-	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
-		fmt.Fprintf(connection, okAnswer, request.Header.Get("X-Id"))
+	address := startRawTarget(t, func(connection net.Conn, request *http.Request) {
+		fmt.Fprintf(connection, okResponse, request.Header.Get("X-Id"))
 	})
 	g := newTestGuard(address)
 	for range 10 {
@@ -267,9 +268,9 @@
 
 func TestRunningRequestsAreFoundByID(t *testing.T) {
 	release := make(chan struct{})
-	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
+	address := startRawTarget(t, func(connection net.Conn, request *http.Request) {
 		<-release
-		fmt.Fprintf(connection, okAnswer, request.Header.Get("X-Id"))
+		fmt.Fprintf(connection, okResponse, request.Header.Get("X-Id"))
 	})
 	g := newTestGuard(address)
 	done := make(chan struct{})
@@ -295,11 +296,11 @@
 	assert.Assert(t, !g.Abandoned("a"), "it was answered")
 }
 
-// TestRequestWithoutAnswerIsAbandoned cancels a call while the target works on it.
-func TestRequestWithoutAnswerIsAbandoned(t *testing.T) {
+// TestRequestWithoutResponseIsAbandoned cancels a call while the target executes it.
+func TestRequestWithoutResponseIsAbandoned(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	address := rawTarget(t, func(net.Conn, *http.Request) { <-release })
+	address := startRawTarget(t, func(net.Conn, *http.Request) { <-release })
 	g := newTestGuard(address)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -307,20 +308,20 @@
 		defer close(done)
 		g.Run(ctx, newCall("a"))
 	}()
-	var wanted context.Context
+	var requestContext context.Context
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		running, found := g.Running("a")
 		if !found {
 			return poll.Continue("not running")
 		}
-		wanted = running.Context
+		requestContext = running.Context
 		return poll.Success()
 	}, poll.WithDelay(2*time.Millisecond))
-	assert.NilError(t, wanted.Err())
+	assert.NilError(t, requestContext.Err())
 	assert.Assert(t, !g.Abandoned("a"))
 	cancel()
 	<-done
-	assert.ErrorIs(t, wanted.Err(), context.Canceled)
+	assert.ErrorIs(t, requestContext.Err(), context.Canceled)
 	assert.Assert(t, g.Abandoned("a"))
 	assert.Assert(t, !g.Abandoned("b"))
 }
@@ -342,8 +343,8 @@
 	assert.Assert(t, len(s.current)+len(s.previous) <= 2*maxAbandoned)
 }
 
-// TestCallIsNotSentAfterSuspensionPastDeadline suspends the machine past the deadline of
-// a queued call. The target must not receive the call afterwards.
+// TestCallIsNotSentAfterSuspensionPastDeadline simulates a machine that is suspended until
+// after the deadline of a queued call. The target must not receive the call afterwards.
 func TestCallIsNotSentAfterSuspensionPastDeadline(t *testing.T) {
 	crashing := startCrashingTarget(t)
 	g := newTestGuard(crashing.address())
@@ -358,7 +359,7 @@
 	second := runAll(g, newCallTo("b", "/b"))
 	awaitLoad(t, g, func(load peering.Load) bool { return load.Queued == 1 })
 	suspended.Store(int64(time.Minute))
-	crashing.answer <- struct{}{}
+	crashing.respond <- struct{}{}
 	assert.Equal(t, (<-first).Outcome, peering.Answered)
 	reply := <-second
 	assert.Equal(t, reply.Outcome, peering.Refused)
--- a/internal/guard/latency.go
+++ b/internal/guard/latency.go
@@ -7,16 +7,17 @@
 	latencyWeight = 1.0 / 16
 	// latencyWindow is the length of one of the two windows that the estimate covers.
 	latencyWindow = time.Second
-	// priorCalls is the number of calls of average latency that are added to the
-	// estimate, so that a single call has little influence.
+	// priorCalls is the number of hypothetical calls of average latency that are
+	// included in the estimate, so that a single call has little influence.
 	priorCalls = 2
 )
 
 // latencyEstimator estimates the latency of calls of one route. The estimate is the
-// total time spent in calls divided by the number of answered calls: the estimator
-// of a mean with censored samples, which are durations known only to be longer.
-// Calls without an answer, whether canceled or in flight, add time only beyond the
-// average. Thus the estimate rises while calls hang, before any of them ends.
+// total time spent in calls divided by the number of answered calls. This estimates
+// the mean from right-censored samples: for calls without an answer, whether
+// canceled or in flight, only a lower bound of the duration is known. Such calls add
+// only the time by which they exceed the average. Thus the estimate rises while
+// calls hang, before any of them ends.
 type latencyEstimator struct {
 	// average is the long-term moving average in seconds, zero if unknown.
 	average float64
--- a/internal/guard/limit.go
+++ b/internal/guard/limit.go
@@ -6,8 +6,8 @@
 	"github.com/lugspur/lugspur/internal/limit"
 )
 
-// fixedLimit is a concurrency limit that doesn't adapt to outcomes: the target
-// declares its slots, and only this guard sends calls to it.
+// fixedLimit is a concurrency limit that isn't adapted to the outcomes of calls: the
+// target declares its slots, and only this guard sends calls to it.
 type fixedLimit struct {
 	value atomic.Int64
 }
@@ -15,7 +15,7 @@
 // Limit returns how many calls may be in flight.
 func (f *fixedLimit) Limit() int { return int(f.value.Load()) }
 
-// Observe does nothing, as the limit doesn't adapt.
+// Observe does nothing, as the limit is fixed.
 func (f *fixedLimit) Observe(limit.Sample) {}
 
 func (f *fixedLimit) set(value int) { f.value.Store(int64(value)) }
--- a/internal/guard/queue.go
+++ b/internal/guard/queue.go
@@ -10,12 +10,12 @@
 	"github.com/lugspur/lugspur/internal/scheduler"
 )
 
-// acquire waits in the queue until the target has capacity. It returns a permit or a
-// refusal.
-func (g *Guard) acquire(ctx context.Context, i *incarnation, call *peering.Call, deadline time.Time) (*scheduler.Permit, *peering.Reply) {
+// acquire queues the call until the target has capacity. It returns a permit, or the reply
+// for a refused call.
+func (g *Guard) acquire(ctx context.Context, inc *incarnation, call *peering.Call, deadline time.Time) (*scheduler.Permit, *peering.Reply) {
 	rank := criticality.RankOf(call.Rank)
-	i.shedding.Observe(rank)
-	permit, err := i.scheduler.Acquire(ctx, scheduler.Request{
+	inc.shedding.Observe(rank)
+	permit, err := inc.scheduler.Acquire(ctx, scheduler.Request{
 		Rank:       rank,
 		PriorCalls: call.PriorCalls,
 		Deadline:   deadline,
@@ -23,16 +23,16 @@
 		MaxWait:    call.MaxWait,
 	})
 	if err != nil {
-		return nil, refusalReply(err)
+		return nil, replyForAcquireError(err)
 	}
-	if i.draining.Load() {
+	if inc.draining.Load() {
 		permit.Cancel()
 		return nil, refusedReply(peering.TargetLeaving)
 	}
 	return permit, nil
 }
 
-// schedulerReasons maps the scheduler's refusals to those of the peer protocol.
+// schedulerReasons maps the scheduler's refusal reasons to those of the peer protocol.
 var schedulerReasons = map[scheduler.Reason]peering.Reason{
 	scheduler.QueueFull:  peering.QueueFull,
 	scheduler.Evicted:    peering.Evicted,
@@ -41,7 +41,7 @@
 	scheduler.Closed:     peering.TargetLeaving,
 }
 
-func refusalReply(err error) *peering.Reply {
+func replyForAcquireError(err error) *peering.Reply {
 	var refusal *scheduler.Refusal
 	if !errors.As(err, &refusal) {
 		return refusedReply(peering.CallerLeft)
--- a/internal/guard/reachability.go
+++ b/internal/guard/reachability.go
@@ -11,13 +11,13 @@
 	// unreachableThreshold is the number of consecutive connection failures after
 	// which a target counts as unreachable.
 	unreachableThreshold = 3
-	// unreachableBackoff is the time for which an unreachable target gets no calls
-	// before it is retried.
+	// unreachableBackoff is the delay before an unreachable target gets calls again.
 	unreachableBackoff = 500 * time.Millisecond
 )
 
-// reachability tracks whether a target accepts connections. Without it a crashed
-// target would look idle and attract calls. It is safe for concurrent use.
+// reachability tracks whether a target accepts connections. Without it, a crashed
+// target would appear idle and receive more calls than others. It is safe for
+// concurrent use.
 type reachability struct {
 	mutex           sync.Mutex
 	connectFailures int
@@ -31,8 +31,8 @@
 	return now.Before(r.retryAt)
 }
 
-// recordFailure records a connection failure. It reports whether the target has become
-// unreachable with it.
+// recordFailure records a connection failure. It reports whether this failure makes the
+// target unreachable.
 func (r *reachability) recordFailure(now time.Time) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -44,7 +44,7 @@
 	return r.connectFailures == unreachableThreshold
 }
 
-// markUnreachable marks the target as unreachable at once.
+// markUnreachable marks the target as unreachable without waiting for further failures.
 func (r *reachability) markUnreachable(now time.Time) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -63,13 +63,14 @@
 	return wasUnreachable
 }
 
-// recordReachability records whether a call reached the target and logs a change.
-func (g *Guard) recordReachability(i *incarnation, connected bool) {
-	event := eventlog.Event{Kind: eventlog.TargetChanged, Service: i.target.Service, Target: i.target.Incarnation().String()}
+// recordReachability records whether a call reached the target and logs a change of its
+// reachability.
+func (g *Guard) recordReachability(inc *incarnation, connected bool) {
+	event := eventlog.Event{Kind: eventlog.TargetChanged, Service: inc.target.Service, Target: inc.target.Incarnation().String()}
 	switch {
-	case connected && i.reachability.recordConnect():
+	case connected && inc.reachability.recordConnect():
 		event.Outcome = "reachable"
-	case !connected && i.reachability.recordFailure(g.now()):
+	case !connected && inc.reachability.recordFailure(g.now()):
 		event.Outcome = "unreachable"
 	default:
 		return
--- a/internal/guard/reachability_test.go
+++ b/internal/guard/reachability_test.go
@@ -13,9 +13,9 @@
 	"github.com/lugspur/lugspur/internal/peering"
 )
 
-// TestCrashedTargetReceivesNoCalls uses an address where nothing listens. After
-// several connection failures the home reports that it has no target, so that peers
-// choose other homes, and retries the target later.
+// TestCrashedTargetReceivesNoCalls uses an address that refuses connections. After
+// several failures the home must report that it has no target, so that peers choose
+// other homes, and must retry the target after the backoff.
 func TestCrashedTargetReceivesNoCalls(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -35,8 +35,8 @@
 	assert.Equal(t, g.Run(context.Background(), newCall("d")).Reason, peering.NoTarget)
 }
 
-// TestRecoveredTargetIsUsedAtOnce checks that the first connection to a target that
-// was unreachable ends its backoff.
+// TestRecoveredTargetIsUsedAtOnce checks that the first successful connection to an
+// unreachable target ends its backoff.
 func TestRecoveredTargetIsUsedAtOnce(t *testing.T) {
 	var r reachability
 	now := time.Unix(1000, 0)
@@ -51,16 +51,16 @@
 	assert.Assert(t, !r.recordConnect(), "the change is reported once")
 }
 
-// TestSingleConnectFailuresKeepTargetReachable mixes connection failures with answers; only
-// consecutive failures make a target unreachable.
+// TestSingleConnectFailuresKeepTargetReachable alternates connection failures with
+// responses: only consecutive failures make a target unreachable.
 func TestSingleConnectFailuresKeepTargetReachable(t *testing.T) {
-	address := rawTarget(t, func(connection net.Conn, request *http.Request) {
+	address := startRawTarget(t, func(connection net.Conn, request *http.Request) {
 		_, _ = connection.Write([]byte("HTTP/1.1 200 OK\r\nX-Id: " + request.Header.Get("X-Id") + "\r\nX-Signature: s\r\nContent-Length: 0\r\n\r\n"))
 	})
 	g := newTestGuard(address)
-	i := g.current.Load()
+	inc := g.current.Load()
 	for range 10 {
-		g.recordReachability(i, false)
+		g.recordReachability(inc, false)
 		assert.Equal(t, g.Run(context.Background(), newCall("a")).Outcome, peering.Answered)
 	}
 }
--- a/internal/guard/running.go
+++ b/internal/guard/running.go
@@ -13,23 +13,23 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// Running describes a request that is executing at the target.
+// Running describes a request that the target is executing.
 type Running struct {
 	Route string
 	Rank  criticality.Rank
-	// Retried is set if the request, or an upstream one that caused it, was sent to
-	// a target before.
+	// Retried is set if the request, or one of its ancestors in the call chain, was
+	// sent to a target before.
 	Retried bool
-	// Context is canceled when the request's caller no longer waits for the answer.
+	// Context is canceled when the caller of the request no longer waits for the response.
 	Context context.Context
 }
 
-// runningRequest is a request at the target with the downstream calls that it made.
+// runningRequest is a request at the target and the downstream calls that it has made.
 type runningRequest struct {
 	Running
 	// calls counts the downstream calls of the request by route.
 	calls map[string]int
-	// callFailed is set if one of them did not succeed.
+	// callFailed is set if one of these calls failed.
 	callFailed bool
 	// cancelContext cancels Context.
 	cancelContext context.CancelFunc
@@ -39,15 +39,15 @@
 }
 
 // abandonedGeneration is the minimum time for which an abandoned request is
-// remembered. It covers the time for which a target may continue to work on the
-// request, which ends at the request's deadline.
+// remembered. It covers the time until the request's deadline, for which the target
+// may continue to execute the request.
 const abandonedGeneration = 10 * time.Second
 
 // maxAbandoned limits the abandoned requests of one generation.
 const maxAbandoned = 4096
 
 // abandonedSet holds the IDs of requests whose exchange with the target ended without
-// an answer, in two rotating generations. The target may continue to work on such a
+// a response, in two rotating generations. The target may continue to execute such a
 // request and make downstream calls whose results are no longer needed.
 type abandonedSet struct {
 	current, previous map[string]bool
@@ -78,9 +78,9 @@
 	abandoned abandonedSet
 }
 
-// begin adds a request that is sent to the target. The returned function removes it when
-// its exchange ends, with or without an answer, and reports whether a downstream call of
-// the request failed.
+// begin adds a request that is sent to the target. The returned function must be called
+// when the exchange ends, with or without a response. It removes the request and reports
+// whether a downstream call of the request failed.
 func (t *runningTable) begin(call *peering.Call, cancelExchange context.CancelCauseFunc) func(answered bool, now time.Time) (callFailed bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	request := &runningRequest{
@@ -110,11 +110,11 @@
 	}
 }
 
-// errQuarantined is the cancellation cause for running requests that were quarantined.
+// errQuarantined is the cancellation cause of running requests that are quarantined.
 var errQuarantined = errors.New(string(peering.Quarantined))
 
-// CancelQuarantined cancels the running exchanges of a request that has been quarantined. A target
-// that stops working on it in time doesn't crash.
+// CancelQuarantined cancels the running exchanges of a request that has been quarantined. A
+// target that stops executing it in time doesn't crash.
 func (g *Guard) CancelQuarantined(hash fingerprint.Fingerprint) {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
@@ -125,7 +125,7 @@
 	}
 }
 
-// Running returns the request with the given ID if it is executing at the target.
+// Running returns the request with the given ID if the target is executing it.
 func (g *Guard) Running(id string) (Running, bool) {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
@@ -137,15 +137,15 @@
 }
 
 // Abandoned reports whether the exchange of a request with the target recently ended
-// without an answer.
+// without a response.
 func (g *Guard) Abandoned(id string) bool {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
 	return g.running.abandoned.contains(id)
 }
 
-// CountCall counts a downstream call of the route that a request at the target made. It
-// returns the number of such calls so far, or zero for an unknown request.
+// CountCall counts a call of the route that a request at the target has made. It returns
+// the number of such calls so far, or zero for an unknown request.
 func (g *Guard) CountCall(id, route string) int {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
@@ -160,8 +160,8 @@
 	return request.calls[route]
 }
 
-// RecordCallFailure records that a downstream call of a request at the target did not succeed,
-// so that a failure of the request isn't attributed to the target.
+// RecordCallFailure records that a downstream call of a request at the target failed, so
+// that a failure of the request isn't attributed to the target.
 func (g *Guard) RecordCallFailure(id string) {
 	g.running.mutex.Lock()
 	defer g.running.mutex.Unlock()
@@ -173,11 +173,11 @@
 const (
 	// shedInterval is the interval at which the shed threshold is updated.
 	shedInterval = 100 * time.Millisecond
-	// minLoggedChange is the smallest change of the threshold that is logged.
+	// minLoggedChange is the minimum change of the threshold that is logged.
 	minLoggedChange = criticality.CohortCount / 4
 )
 
-// shedConfig has a low floor: the threshold may fall until almost nothing is admitted.
+// shedConfig sets a low minimum threshold, at which almost no requests are admitted.
 var shedConfig = shed.Config{Floor: 8}
 
 // RunShedding adjusts the shed threshold to the state of the queue until the context ends.
@@ -197,23 +197,23 @@
 
 // updateThreshold updates the threshold and returns the one that was logged last.
 func (g *Guard) updateThreshold(logged uint16) uint16 {
-	i := g.current.Load()
-	if i == nil {
+	inc := g.current.Load()
+	if inc == nil {
 		return logged
 	}
-	stats := i.scheduler.Stats()
-	i.shedding.Tick(g.now(), shed.State{
+	stats := inc.scheduler.Stats()
+	inc.shedding.Tick(g.now(), shed.State{
 		InFlight:   stats.InFlight,
 		Limit:      stats.Limit,
 		Queued:     stats.Queued,
 		Overloaded: stats.Overloaded,
 		Served:     stats.Served,
 	})
-	threshold := i.shedding.Threshold()
+	threshold := inc.shedding.Threshold()
 	if max(threshold, logged)-min(threshold, logged) < minLoggedChange {
 		return logged
 	}
-	g.log.Record(eventlog.Event{Kind: eventlog.AdmissionChanged, Service: i.target.Service, Target: i.target.Incarnation().String(),
+	g.log.Record(eventlog.Event{Kind: eventlog.AdmissionChanged, Service: inc.target.Service, Target: inc.target.Incarnation().String(),
 		Count: int(threshold) * 100 / criticality.RankCount, Reason: "queue " + stats.QueueDelay.String()})
 	return threshold
 }
--- a/internal/guard/screening.go
+++ b/internal/guard/screening.go
@@ -29,7 +29,7 @@
 	s.unlock = nil
 }
 
-// fingerprint returns the call's fingerprint, which is computed once.
+// fingerprint returns the call's fingerprint and computes it on first use.
 func (s *screening) fingerprint(call *peering.Call) fingerprint.Fingerprint {
 	if !s.hashed {
 		s.hash, s.hashed = call.Fingerprint(), true
@@ -37,13 +37,13 @@
 	return s.hash
 }
 
-// openCall returns the entry for the call in a crash report.
+// openCall returns the call's entry in a crash report, which counts this crash.
 func (s *screening) openCall(call *peering.Call) quarantine.Call {
 	return quarantine.Call{Fingerprint: s.fingerprint(call), Service: call.Service, Route: call.Route, Crashes: s.state.Crashes + 1}
 }
 
-// refreshState updates the request's quarantine state. The number of crashes that the call
-// carries may be newer than the node's own, unless the request was cleared here.
+// refreshState updates the request's quarantine state. The crash count in the call may be
+// newer than the count known to this node, unless the request was cleared here.
 func (g *Guard) refreshState(s *screening, call *peering.Call) {
 	s.state = g.config.Quarantine.State(s.fingerprint(call))
 	if !s.state.Cleared {
@@ -51,8 +51,8 @@
 	}
 }
 
-// screen checks a call against the quarantine before it is queued. It refuses a quarantined
-// call and acquires the suspect lock for a suspect.
+// screen checks a call against the quarantine before the call is queued. It refuses a
+// quarantined request and acquires the suspect lock for a suspect.
 func (g *Guard) screen(ctx context.Context, call *peering.Call) (screening, *peering.Reply) {
 	var s screening
 	if g.config.Quarantine.Empty() && call.Crashes == 0 {
@@ -74,8 +74,8 @@
 	return s, g.rescreen(&s, call)
 }
 
-// rescreen checks a suspect again after it acquired the lock. The previous holder may have
-// crashed the target or shown that the request is harmless.
+// rescreen checks a suspect again after it has acquired the lock. The previous holder may
+// have crashed the target, or its answer may have cleared the request.
 func (g *Guard) rescreen(s *screening, call *peering.Call) *peering.Reply {
 	g.refreshState(s, call)
 	switch {
@@ -89,7 +89,8 @@
 }
 
 // screenBeforeSend checks a call again immediately before it is sent, because its state may
-// have changed while it was queued. It refuses a call that must not be sent now.
+// have changed while it was queued. It refuses a quarantined request, and a new suspect
+// that cannot acquire the suspect lock immediately.
 func (g *Guard) screenBeforeSend(s *screening, call *peering.Call) *peering.Reply {
 	if s.trial || g.config.Quarantine.Empty() {
 		return nil
--- a/internal/guard/suspect_lock.go
+++ b/internal/guard/suspect_lock.go
@@ -9,19 +9,19 @@
 	"github.com/lugspur/lugspur/internal/peering"
 )
 
-// suspectLock serializes suspects. Two attempts of the same request never run at the same
-// time, and of the requests that must be isolated, because several targets crashed while
-// running them, only one runs at a time. It is safe for concurrent use.
+// suspectLock serializes suspects: attempts of the same request never run concurrently. Of
+// the requests that must be isolated because several targets crashed while running them,
+// only one runs at a time. It is safe for concurrent use.
 type suspectLock struct {
 	mutex        sync.Mutex
 	held         map[fingerprint.Fingerprint]bool
 	isolatedHeld bool
-	// released is closed when a holder releases the lock; nil if no call waits.
+	// released is closed when a holder releases the lock; nil if no call waits for it.
 	released chan struct{}
 }
 
-// tryAcquire acquires the lock for a request if no conflicting one holds it. The returned
-// function releases it.
+// tryAcquire acquires the lock for a request unless a conflicting request holds it. The
+// returned function releases it.
 func (l *suspectLock) tryAcquire(hash fingerprint.Fingerprint, isolated bool) (unlock func(), acquired bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -59,8 +59,8 @@
 	return l.released
 }
 
-// acquire waits for the lock, for at most the call's maximum queue time or, if that is
-// zero, its remaining time. The returned function releases it.
+// acquire waits for the lock for at most the call's maximum queue time or, if that is
+// zero, its remaining time. The returned function releases the lock.
 func (l *suspectLock) acquire(ctx context.Context, hash fingerprint.Fingerprint, isolated bool, call *peering.Call) (unlock func(), reply *peering.Reply) {
 	wait := call.MaxWait
 	if wait == 0 {
--- a/internal/guard/target_stats.go
+++ b/internal/guard/target_stats.go
@@ -10,21 +10,22 @@
 const (
 	// rateWeight is the weight of one call in the moving averages of the rates.
 	rateWeight = 1.0 / 16
-	// maxTrackedRoutes limits the number of routes whose latencies are kept.
+	// maxTrackedRoutes limits the number of routes with a latency estimate.
 	maxTrackedRoutes = 256
 	percent          = 100
 )
 
-// targetStats holds the latencies and failure rates of one target. It is safe for
-// concurrent use.
+// targetStats holds the latency estimates and failure rates of one target. It is safe
+// for concurrent use.
 type targetStats struct {
 	mutex     sync.Mutex
 	latencies map[string]*latencyEstimator
-	// failureRate is the fraction of calls without a usable answer.
+	// failureRate is the fraction of calls without a valid response.
 	failureRate float64
-	// errorRate is the fraction of answers that are failures of the target itself.
+	// errorRate is the fraction of responses that report an error of the target itself.
 	errorRate float64
-	epoch     time.Time
+	// epoch is the time of the first recorded call.
+	epoch time.Time
 }
 
 // recordStart records a call that was sent to the target.
@@ -36,7 +37,8 @@
 	}
 }
 
-// latencyFor returns the latency estimator of a route, nil if there are too many routes.
+// latencyFor returns the latency estimator of a route and creates it if necessary. It
+// returns nil if the route is new and too many routes are tracked.
 func (s *targetStats) latencyFor(route string) *latencyEstimator {
 	estimator := s.latencies[route]
 	if estimator != nil || len(s.latencies) >= maxTrackedRoutes {
@@ -50,7 +52,7 @@
 	return estimator
 }
 
-// sinceEpoch returns a time as seconds since the first call.
+// sinceEpoch converts a time to seconds since the epoch.
 func (s *targetStats) sinceEpoch(now time.Time) float64 {
 	if s.epoch.IsZero() {
 		s.epoch = now
@@ -69,19 +71,19 @@
 	case reply.Outcome == peering.Refused:
 		estimator.cancel(s.sinceEpoch(now.Add(-duration)))
 	default:
-		// A failure of the target counts as unanswered, so that fast failures don't
-		// lower the latency.
+		// An error of the target counts as a call without an answer, so that fast errors
+		// don't lower the estimate.
 		estimator.end(s.sinceEpoch(now), duration.Seconds(), reply.Outcome == peering.Answered && !isTargetFailure(reply))
 	}
 }
 
-// overdueFactor is the multiple of the average latency that a call without an
-// answer must have lasted to count as failed; otherwise its caller may simply have
-// given up early.
+// overdueFactor is the multiple of the average latency that a call without a response
+// must have lasted to count as failed. A shorter call may only have been canceled by
+// its caller.
 const overdueFactor = 3
 
-// recordFailure updates the failure and error rates. A call failed if no usable
-// answer came, or if the target rejected it although its slots were not exceeded.
+// recordFailure updates the failure and error rates. A call counts as failed if it got
+// no valid response, or if the target rejected it although its slots were not exceeded.
 func (s *targetStats) recordFailure(route string, reply *peering.Reply, duration time.Duration) {
 	if reply.Outcome == peering.Answered {
 		s.errorRate += (indicator(reply.TargetError) - s.errorRate) * rateWeight
@@ -102,7 +104,7 @@
 	s.failureRate += (indicator(failed) - s.failureRate) * rateWeight
 }
 
-// indicator returns 1 if the condition holds, else 0.
+// indicator returns 1 if the condition holds and 0 otherwise.
 func indicator(condition bool) float64 {
 	if condition {
 		return 1
@@ -110,7 +112,7 @@
 	return 0
 }
 
-// errorPercent returns the percentage of answers that are failures of the target
+// errorPercent returns the percentage of responses that report an error of the target
 // itself.
 func (s *targetStats) errorPercent() int {
 	s.mutex.Lock()
@@ -129,7 +131,7 @@
 	return time.Duration(estimator.estimate(s.sinceEpoch(now)) * float64(time.Second))
 }
 
-// failurePercent returns the percentage of calls without a usable answer.
+// failurePercent returns the percentage of calls without a valid response.
 func (s *targetStats) failurePercent() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/guard/target_stats_test.go
+++ b/internal/guard/target_stats_test.go
@@ -11,8 +11,8 @@
 
 var startTime = time.Unix(1000, 0)
 
-// TestHangingCallsRaiseLatency covers a target that answered in 100 ms and then
-// hangs: the calls in flight must raise the estimate before any of them ends.
+// TestHangingCallsRaiseLatency covers a target that responded in 100 ms and then hangs:
+// the calls in flight must raise the estimate before any of them ends.
 func TestHangingCallsRaiseLatency(t *testing.T) {
 	var stats targetStats
 	now := startTime
@@ -27,7 +27,7 @@
 	}
 	assert.Assert(t, stats.latency("r", now) <= before)
 	assert.Assert(t, stats.latency("r", now.Add(3*time.Second)) > time.Second)
-	// Answered calls lower the estimate again.
+	// Fast responses lower the estimate again.
 	now = now.Add(3 * time.Second)
 	for range 10 {
 		stats.recordEnd("r", &peering.Reply{Outcome: peering.Refused}, 3*time.Second, now)
@@ -51,10 +51,10 @@
 	assert.Equal(t, stats.latency("unknown", startTime), time.Duration(0))
 }
 
-// TestLostAnswersCountAsFailures cancels calls that lasted much longer than the
-// average, because their answers were lost, which are failures, and others after a
-// short time, because their callers left, which are not.
-func TestLostAnswersCountAsFailures(t *testing.T) {
+// TestLostResponsesCountAsFailures cancels calls that have lasted much longer than the
+// average, as if their responses were lost. They count as failures, unlike calls that
+// their callers cancel after a short time.
+func TestLostResponsesCountAsFailures(t *testing.T) {
 	var lost, canceled targetStats
 	for _, stats := range []*targetStats{&lost, &canceled} {
 		for range 50 {
@@ -65,13 +65,13 @@
 		lost.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.CallerLeft}, time.Minute, startTime)
 		canceled.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.CallerLeft}, 20*time.Millisecond, startTime)
 	}
-	assert.Assert(t, lost.latency("r", startTime) > 100*time.Millisecond, "the time waited raises the average")
+	assert.Assert(t, lost.latency("r", startTime) > 100*time.Millisecond, "the duration of unanswered calls raises the average")
 	assert.Assert(t, lost.failurePercent() > 0)
 	assert.Equal(t, canceled.failurePercent(), 0)
 	assert.Equal(t, canceled.latency("r", startTime).Round(time.Millisecond), 100*time.Millisecond)
 }
 
-func TestBrokenAnswersCountAsFailures(t *testing.T) {
+func TestBrokenExchangesCountAsFailures(t *testing.T) {
 	var stats targetStats
 	for range 100 {
 		stats.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.ExchangeBroken}, time.Millisecond, startTime)
@@ -80,7 +80,7 @@
 	for range 100 {
 		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered, Status: 500}, time.Millisecond, startTime)
 	}
-	assert.Assert(t, stats.failurePercent() < 5, "a failure status is an answer")
+	assert.Assert(t, stats.failurePercent() < 5, "a response with an error status is valid")
 }
 
 func TestTargetErrorsAreCountedSeparately(t *testing.T) {
@@ -93,11 +93,11 @@
 	for range 100 {
 		stats.recordEnd("r", &peering.Reply{Outcome: peering.Answered, Status: 500}, time.Millisecond, startTime)
 	}
-	assert.Assert(t, stats.errorPercent() < 5, "a failure caused by a downstream call does not count")
+	assert.Assert(t, stats.errorPercent() < 5, "an error caused by a downstream call does not count")
 }
 
-// TestFastFailuresDoNotLowerLatency covers a target that answers in 100 ms and then
-// fails within a millisecond: its estimated latency must not fall.
+// TestFastFailuresDoNotLowerLatency covers a target that responds in 100 ms and then
+// returns errors within a millisecond: its estimated latency must not decrease.
 func TestFastFailuresDoNotLowerLatency(t *testing.T) {
 	var stats targetStats
 	now := startTime
@@ -115,8 +115,8 @@
 	assert.Assert(t, stats.errorPercent() > 90)
 }
 
-// TestTargetRejectionsCountAsFailures covers a target that rejects calls although
-// its slots are not exceeded.
+// TestTargetRejectionsCountAsFailures covers a target that rejects calls although the
+// number of calls in flight does not exceed its slots.
 func TestTargetRejectionsCountAsFailures(t *testing.T) {
 	var stats targetStats
 	for range 100 {
