--- a/internal/forward/budget_simulation_test.go
+++ b/internal/forward/budget_simulation_test.go
@@ -28,8 +28,8 @@
 )
 
 const (
-	// The bound on all nodes together: in each window the retries sent to a service are
-	// at most budgetRatio times its requests, plus budgetSlack.
+	// The bound for all nodes together: in each window, the number of retries sent to a
+	// service is at most budgetRatio times its requests plus budgetSlack.
 	budgetRatio  = 0.2
 	budgetSlack  = 49.0
 	budgetWindow = 10 * time.Second
@@ -39,21 +39,21 @@
 	callsPerCard = 4
 )
 
-// budgetSimulation has many nodes send trees of calls to targets that reject or fail some
-// of them, in virtual time, and counts the arrivals at the targets.
+// budgetSimulation simulates, in virtual time, many nodes that send trees of calls to targets
+// that reject or fail some of them. It counts the arrivals at the targets.
 type budgetSimulation struct {
 	t      *testing.T
 	now    time.Time
 	random *rand.Rand
-	// rejectedShare is the share of arrivals at the price service that its targets
-	// reject, and lostShare the share at both services whose answers are lost.
+	// rejectedShare is the fraction of arrivals at the price service that its targets
+	// reject, and lostShare the fraction at both services whose responses are lost.
 	rejectedShare, lostShare float64
 	// delay is the maximum time between sending and arrival of a call.
 	delay     time.Duration
 	directory *registry.Directory
 	nodes     []*Forwarder
-	// requests and retries are the times of first sends and of arrivals beyond the first,
-	// by route.
+	// requests holds the times at which requests were first sent, and retries those of
+	// further arrivals at targets, by route.
 	requests, retries map[string][]time.Time
 	nextID            int
 	completed         int
@@ -61,7 +61,7 @@
 	observer          *budgetObserver
 }
 
-// parentHome is the local home of a node whose target runs one request.
+// parentHome is the local home of a node whose target executes one request.
 type parentHome struct {
 	fakeHome
 	running   guard.Running
@@ -129,9 +129,9 @@
 // CloseIdle implements Peers.
 func (s *budgetSimulation) CloseIdle(string) {}
 
-// runCard has a target make the calls of a request, one after another.
+// runCard makes the calls of a card request, one after another, from the node of its target.
 func (s *budgetSimulation) runCard(call *peering.Call, load peering.Load) *peering.Reply {
-	// Only a few nodes are next to targets of the card service.
+	// Only a few nodes have a local target of the card service.
 	node := s.nodes[s.random.IntN(min(len(s.nodes), 3))]
 	node.local = &parentHome{running: guard.Running{Route: "card", Rank: criticality.RankOf(call.Rank), Retried: call.Retried}}
 	status := http.StatusOK
@@ -141,12 +141,12 @@
 			break
 		}
 	}
-	below := node.levels.Downstream("card")
-	load.CallsPerRequest, load.RetryBudgetLow = below.Calls, below.RetryBudgetLow
+	downstream := node.levels.Downstream("card")
+	load.CallsPerRequest, load.RetryBudgetLow = downstream.Calls, downstream.RetryBudgetLow
 	return &peering.Reply{Outcome: peering.Answered, Status: status, Load: load}
 }
 
-// send has the node send a request and reports whether it succeeded.
+// send sends a request from the node and reports whether it succeeded.
 func (s *budgetSimulation) send(node *Forwarder, route string, rank uint16, isRetry bool, parentRoute string) bool {
 	s.nextID++
 	id := fmt.Sprint(s.nextID)
@@ -154,11 +154,11 @@
 		route: &routetable.Route{Name: route, Kind: routetable.Repeatable, Attempts: 3, Services: []routetable.WeightedService{{Name: route, Weight: 1}}},
 		call:  &peering.Call{RequestID: id, Route: route, Rank: rank, Retried: isRetry}}
 	if parentRoute != "" {
-		q.inner, q.parent, q.parentRoute = true, "parent", parentRoute
+		q.nested, q.parent, q.parentRoute = true, "parent", parentRoute
 		q.callNumber = node.local.CountCall("parent", route)
 	}
 	q.policyCall = node.policyCallOf(q, httptest.NewRequest(http.MethodGet, "http://a.example/x", nil))
-	node.recordInnerCall(q)
+	node.recordNestedCall(q)
 	if !isRetry {
 		s.requests[route] = append(s.requests[route], s.now)
 	}
@@ -166,8 +166,8 @@
 	return failure == nil && reply.Status == http.StatusOK
 }
 
-// maxExcess returns by how many retries a route exceeds the bound in its worst window; it
-// is negative if the route never does.
+// maxExcess returns the number of retries by which a route exceeds the bound in its worst
+// window. It is negative if the bound holds in all windows.
 func (s *budgetSimulation) maxExcess(route string) float64 {
 	requests, retries := slices.Clone(s.requests[route]), slices.Clone(s.retries[route])
 	sortTimes(requests)
@@ -187,15 +187,16 @@
 	slices.SortFunc(times, func(a, b time.Time) int { return a.Compare(b) })
 }
 
-// countInWindow counts the times in the window that starts at begin.
+// countInWindow returns the number of times in the window that starts at begin.
 func countInWindow(sorted []time.Time, begin time.Time) int {
-	index := func(moment time.Time) int {
-		return sort.Search(len(sorted), func(i int) bool { return !sorted[i].Before(moment) })
+	index := func(bound time.Time) int {
+		return sort.Search(len(sorted), func(i int) bool { return !sorted[i].Before(bound) })
 	}
 	return index(begin.Add(budgetWindow)) - index(begin)
 }
 
-// run sends requests at the given rate, multiplied by scale of the time since the start.
+// run sends requests at the given rate multiplied by scale, a function of the time since the
+// start. It occasionally restarts a node.
 func (s *budgetSimulation) run(perSecond float64, scale func(at time.Duration) float64) {
 	begin := s.now
 	for s.now.Sub(begin) < simulatedDuration {
@@ -211,10 +212,10 @@
 	}
 }
 
-// TestRetriesStayWithinBudget has targets reject some of the arrivals or lose some
-// answers, for several numbers of nodes, with traffic that falls and rises in steps, late
-// arrivals and restarting nodes. The retries to either service must not exceed the bound
-// in any window, and the budget must be used.
+// TestRetriesStayWithinBudget simulates targets that reject some of the arrivals or whose
+// responses are lost, for several numbers of nodes, with traffic that falls and rises in
+// steps, delayed arrivals and restarting nodes. The retries to either service must not exceed
+// the bound in any window, and the budget must be used.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	scales := map[string]func(time.Duration) float64{
 		"steady":  func(time.Duration) float64 { return 1 },
@@ -234,14 +235,14 @@
 					assert.Check(t, s.maxExcess(route) <= 0, "%d nodes, %s, %+v: %s exceeds the bound by %.0f", nodes, name, fault, route, s.maxExcess(route))
 				}
 				retryRatio := float64(len(s.retries["price"])) / float64(len(s.requests["price"]))
-				assert.Check(t, retryRatio > 0.1, "%d nodes, %s, %+v: only %.3f retries a request", nodes, name, fault, retryRatio)
+				assert.Check(t, retryRatio > 0.1, "%d nodes, %s, %+v: only %.3f retries per request", nodes, name, fault, retryRatio)
 			}
 		}
 	}
 }
 
-// budgetUse returns the share of a route's allowed retries that were made in the window
-// that starts at begin.
+// budgetUse returns the ratio of retries to allowed retries of a route in the window that
+// starts at begin.
 func (s *budgetSimulation) budgetUse(route string, begin time.Time) float64 {
 	requests, retries := slices.Clone(s.requests[route]), slices.Clone(s.retries[route])
 	sortTimes(requests)
@@ -250,20 +251,20 @@
 	return float64(countInWindow(retries, begin)) / allowed
 }
 
-// TestRetryBudgetIsUsedDuringFailures has targets start to reject some of the arrivals,
-// with the same traffic per node in a small and in a larger fleet. Most of the allowed
-// retries must be used in the following window, although fewer calls are made then
-// because requests end early. The share used in that window was, for an allowance that
-// requests pay into as they are sent, and for one based on two windows (larger fleets
-// were run manually):
+// TestRetryBudgetIsUsedDuringFailures simulates targets that start to reject some of the
+// arrivals, with the same traffic per node in a small and a larger deployment. Most of the
+// allowed retries must be used in the following window, although fewer calls are made then
+// because requests end early. The fraction used in that window was, first for an allowance to
+// which each request adds only when it is sent, second for the present one, which is based on
+// two windows (larger deployments were run manually):
 // 17 nodes: 0.78, 0.82 (rejected: 0.2); 0.45, 0.68 (0.55); 0.32, 0.60 (0.8);
 // 100 nodes: 0.75, 0.83; 0.45, 0.70; 0.32, 0.63;
 // 300 nodes: 0.76, 0.80; 0.45, 0.72; 0.32, 0.63.
 func TestRetryBudgetIsUsedDuringFailures(t *testing.T) {
 	const faultStart = 20 * time.Second
-	leastUsed := map[float64]float64{0.2: 0.80, 0.55: 0.65, 0.8: 0.55}
+	minUseByRejectedShare := map[float64]float64{0.2: 0.80, 0.55: 0.65, 0.8: 0.55}
 	for nodes, perSecond := range map[int]float64{17: 120, 40: 280} {
-		for rejectedShare, minUse := range leastUsed {
+		for rejectedShare, minUse := range minUseByRejectedShare {
 			s := newBudgetSimulation(t, nodes, 5)
 			begin := s.now.Add(faultStart)
 			s.run(perSecond, func(at time.Duration) float64 {
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// kneeOccupancy is the occupancy up to which calls at a home hardly slow each other
-	// down. aboveKneeCost is the relative cost increase from there to a full home, and
-	// belowKneeCost scales the increase up to there.
+	// kneeOccupancy is the occupancy up to which concurrent calls hardly increase the
+	// latency of a home. belowKneeCost is the relative cost increase per unit of occupancy
+	// up to the knee, and aboveKneeCost the relative increase from the knee to a full home.
 	kneeOccupancy = 0.6
 	aboveKneeCost = 2.0
 	belowKneeCost = 0.5
-	// remoteFactor is how many times cheaper a home in another zone must be to be
-	// preferred to one in the node's own zone. It grows by one per bytesPerFactor of the
-	// average answer size, up to maxRemoteFactor, because these bytes cross zones, but
-	// only while the usual latency is at most ampleLatencyShare of the route's objective:
-	// then the added latency does not matter.
-	remoteFactor      = 2.0
-	maxRemoteFactor   = 12.0
-	bytesPerFactor    = 500.0
-	ampleLatencyShare = 0.4
-	// spareOccupancy is the occupancy below which a home has room for more calls, and
+	// crossZoneFactor multiplies the cost of a home in another zone. Because responses
+	// cause traffic between zones, the factor grows by one per bytesPerCrossZoneFactor
+	// bytes of the average response size, up to maxCrossZoneFactor. It grows only while
+	// the usual latency is at most lowLatencyShare of the route's objective: then the
+	// latency that the preference for the node's own zone adds does not matter.
+	crossZoneFactor         = 2.0
+	maxCrossZoneFactor      = 12.0
+	bytesPerCrossZoneFactor = 500.0
+	lowLatencyShare         = 0.4
+	// spareOccupancy is the occupancy below which a home has spare capacity, and
 	// lowFailureRate the rate of failed calls below which it counts as healthy.
 	spareOccupancy = 0.85
 	lowFailureRate = 0.1
@@ -33,15 +33,17 @@
 	// onceFailureFactor the same for requests that must not run twice.
 	failureFactor     = 12.0
 	onceFailureFactor = 40.0
-	// stoppingFactor multiplies the cost of a home that is about to stop.
+	// stoppingFactor multiplies the cost of a home that has reported that it is about to
+	// stop.
 	stoppingFactor = 8.0
-	// slowHomeRatio is the ratio to the latency elsewhere above which a home counts as
-	// slow on all routes: targets normally differ in speed.
+	// slowHomeRatio is the ratio of a home's latency to that of other homes above which it
+	// counts as slow on all routes. Lower ratios are normal differences in speed.
 	slowHomeRatio = 2.0
-	// safeTimeShare is the share of the remaining time up to which a call's usual latency
-	// makes hardly any call late.
+	// safeTimeShare is the ratio of usual latency to remaining time up to which hardly any
+	// call misses its deadline.
 	safeTimeShare = 0.4
-	// jitter spreads the choices of nodes that have the same information.
+	// jitter is the maximum random increase of a cost. It prevents nodes with the same
+	// information from all choosing the same home.
 	jitter = 0.2
 )
 
@@ -52,13 +54,14 @@
 	stats homeStats
 }
 
-// candidates returns the homes of the request's service that it was not offered to yet.
+// candidates returns the homes of the request's service that have neither been excluded nor
+// rejected the request.
 func (f *Forwarder) candidates(q *request, now time.Time) []candidate {
 	homes := f.directory.Homes(q.service)
 	candidates := make([]candidate, 0, len(homes))
 	median := f.homes.statsOf(q.route.Name).latency
 	for _, home := range homes {
-		if contains(q.excluded, home) || contains(q.rejected, home) {
+		if containsHome(q.excluded, home) || containsHome(q.rejected, home) {
 			continue
 		}
 		state := f.homes.state(home.Address)
@@ -74,8 +77,8 @@
 	latency time.Duration
 }
 
-// choose returns the untried home with the least expected cost, none if there is none. A
-// suspected home is chosen only for the first offer and only if no other is left.
+// choose returns the candidate with the lowest expected cost; its home is nil if there is
+// none. A suspected home is chosen only for the first offer, and only if there is no other.
 func (f *Forwarder) choose(q *request) choice {
 	now := f.now()
 	var best, fallback choice
@@ -85,22 +88,22 @@
 	if median > 0 {
 		f.homes.setLatency(q.route.Name, median)
 	}
-	usualErrors := medianErrors(candidates)
-	remote := remoteFactor
-	if len(q.excluded) == 0 && f.roomInZone(candidates, now) {
-		remote = f.remoteFactorOf(q.route)
+	baselineErrorRate := medianErrorRate(candidates)
+	zoneFactor := crossZoneFactor
+	if len(q.excluded) == 0 && f.zoneHasCapacity(candidates, now) {
+		zoneFactor = f.crossZoneFactorOf(q.route)
 	}
 	for _, c := range candidates {
-		excess := max(c.stats.errors-usualErrors, 0)
-		c.stats.failures += excess * (1 - c.stats.failures)
+		excessErrorRate := max(c.stats.errorRate-baselineErrorRate, 0)
+		c.stats.failureRate += excessErrorRate * (1 - c.stats.failureRate)
 		latency := expectedLatency(c.stats, median, q.route.Kind)
-		cost := f.cost(q, c, latency, q.deadline.Sub(now), remote)
+		cost := f.cost(q, c, latency, q.deadline.Sub(now), zoneFactor)
 		switch {
 		case c.state.usable(c.home, now):
 			if cost < least {
 				best, least = choice{c.home, latency}, cost
 			}
-		case cost < leastFallback && !c.state.isDeparted(c.home, now):
+		case cost < leastFallback && !c.state.isUnavailable(c.home, now):
 			fallback, leastFallback = choice{c.home, latency}, cost
 		}
 	}
@@ -110,55 +113,56 @@
 	return best
 }
 
-// cost returns the expected cost of a call at the home, in seconds of latency. It grows
-// with the rate of failed calls, and is remote times as high for a home in another zone.
-func (f *Forwarder) cost(q *request, c candidate, latency, remaining time.Duration, remote float64) float64 {
+// cost returns the expected cost of a call at the home, in seconds of latency. The cost
+// grows with occupancy and failure rate and is multiplied by zoneFactor for a home in
+// another zone.
+func (f *Forwarder) cost(q *request, c candidate, latency, remaining time.Duration, zoneFactor float64) float64 {
 	s := c.stats
 	cost := latency.Seconds() * (1 + belowKneeCost*min(s.occupancy, kneeOccupancy))
 	if s.occupancy > kneeOccupancy {
 		cost *= 1 + aboveKneeCost*(s.occupancy-kneeOccupancy)/(1-kneeOccupancy)
 	}
 	if q.route.Kind == routetable.Once {
-		failing := 1 - (1-s.failures)*(1-lateProbability(latency, remaining))
-		cost *= 1 + onceFailureFactor*failing
+		failureProbability := 1 - (1-s.failureRate)*(1-lateProbability(latency, remaining))
+		cost *= 1 + onceFailureFactor*failureProbability
 	} else {
-		cost *= 1 + failureFactor*s.failures
+		cost *= 1 + failureFactor*s.failureRate
 	}
 	if s.stopping {
 		cost *= stoppingFactor
 	}
 	if c.home.Zone != f.config.Zone {
-		cost *= remote
+		cost *= zoneFactor
 	}
 	return cost * (1 + jitter*rand.Float64())
 }
 
-// roomInZone reports whether a home in the node's own zone is healthy and has room. If
-// none is, calls to other zones are not held back.
-func (f *Forwarder) roomInZone(candidates []candidate, now time.Time) bool {
+// zoneHasCapacity reports whether a home in the node's own zone is healthy and has spare
+// capacity. Otherwise crossZoneFactor is not increased by the response size.
+func (f *Forwarder) zoneHasCapacity(candidates []candidate, now time.Time) bool {
 	for _, c := range candidates {
 		s := c.stats
-		if c.home.Zone == f.config.Zone && s.occupancy < spareOccupancy && s.failures < lowFailureRate && !s.stopping && c.state.usable(c.home, now) {
+		if c.home.Zone == f.config.Zone && s.occupancy < spareOccupancy && s.failureRate < lowFailureRate && !s.stopping && c.state.usable(c.home, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// remoteFactorOf returns how many times cheaper a home in another zone must be for calls
-// of the route.
-func (f *Forwarder) remoteFactorOf(route *routetable.Route) float64 {
+// crossZoneFactorOf returns the factor for the cost of homes in other zones, given the usual
+// latency and response size of the route.
+func (f *Forwarder) crossZoneFactorOf(route *routetable.Route) float64 {
 	stats := f.homes.statsOf(route.Name)
-	if stats.latency > time.Duration(ampleLatencyShare*float64(route.Objective)) {
-		return remoteFactor
+	if stats.latency > time.Duration(lowLatencyShare*float64(route.Objective)) {
+		return crossZoneFactor
 	}
-	return min(remoteFactor+stats.answerBytes/bytesPerFactor, maxRemoteFactor)
+	return min(crossZoneFactor+stats.responseBytes/bytesPerCrossZoneFactor, maxCrossZoneFactor)
 }
 
 // expectedLatency returns the expected latency of a call at the home. For a request that
-// must not run twice it is the worst of the known estimates. Other requests can be
-// retried elsewhere, and load is spread better without the noise of estimates from few
-// calls.
+// must not run twice it is the highest of the known estimates. For other requests, which can
+// be retried elsewhere, estimates from few calls are left out, because their noise would
+// make the load distribution less even.
 func expectedLatency(s homeStats, median time.Duration, kind routetable.Kind) time.Duration {
 	median = max(median, time.Millisecond)
 	latency := s.latency
@@ -174,8 +178,8 @@
 	return max(latency, s.pendingLatency)
 }
 
-// lateProbability estimates the share of calls that do not end in the remaining time,
-// from their usual latency.
+// lateProbability estimates, from the usual latency, the probability that a call does not
+// finish within the remaining time.
 func lateProbability(latency, remaining time.Duration) float64 {
 	if remaining <= 0 {
 		return 1
@@ -184,7 +188,7 @@
 	return min(max((used-safeTimeShare)/(1-safeTimeShare), 0), 1)
 }
 
-func contains(homes []*registry.Home, home *registry.Home) bool {
+func containsHome(homes []*registry.Home, home *registry.Home) bool {
 	for _, other := range homes {
 		if other.Address == home.Address {
 			return true
--- a/internal/forward/choose_benchmark_test.go
+++ b/internal/forward/choose_benchmark_test.go
@@ -9,8 +9,8 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// BenchmarkChoose measures a choice among the average number of homes of a service at the
-// design size, and among more.
+// BenchmarkChoose measures a choice among several numbers of homes: the average number per
+// service in a deployment of the design size, and larger ones.
 func BenchmarkChoose(b *testing.B) {
 	for _, homes := range []int{4, 35, 200} {
 		b.Run(fmt.Sprint(homes), func(b *testing.B) {
--- a/internal/forward/choose_test.go
+++ b/internal/forward/choose_test.go
@@ -13,12 +13,12 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// answerWithLoad answers calls and reports the load.
-func answerWithLoad(load peering.Load) func(context.Context, *peering.Call) *peering.Reply {
+// replyWithLoad returns a function that answers calls and reports the load.
+func replyWithLoad(load peering.Load) func(context.Context, *peering.Call) *peering.Reply {
 	load.Limit = 10
 	load.Threshold = shed.None
 	return func(ctx context.Context, call *peering.Call) *peering.Reply {
-		reply := answerOK(ctx, call)
+		reply := replyOK(ctx, call)
 		reply.Load = load
 		return reply
 	}
@@ -34,24 +34,24 @@
 }
 
 func TestStoppingHomeIsLastResort(t *testing.T) {
-	f := newFixture(t, answerWithLoad(peering.Load{Latency: time.Millisecond, Stopping: true}), answerWithLoad(peering.Load{Latency: 2 * time.Millisecond}))
+	f := newFixture(t, replyWithLoad(peering.Load{Latency: time.Millisecond, Stopping: true}), replyWithLoad(peering.Load{Latency: 2 * time.Millisecond}))
 	f.callBothHomes(t, "/read/x")
 	before := f.homes[0].count()
 	for range 20 {
 		assert.Equal(t, f.do("GET", "/read/x", "a", "").Code, 200)
 	}
 	assert.Equal(t, f.homes[0].count(), before)
-	f.homes[1].answer = refuseWith(peering.TargetLeaving)
-	assert.Equal(t, f.do("GET", "/read/x", "a", "").Code, 200, "the stopping home still serves when no other is left")
+	f.homes[1].reply = replyRefused(peering.TargetLeaving)
+	assert.Equal(t, f.do("GET", "/read/x", "a", "").Code, 200, "the stopping home is still used if no other is left")
 }
 
-// TestOnceRequestAvoidsHomeSlowOnOtherRoutes has one home report ten times the usual
+// TestOnceRequestAvoidsHomeSlowOnOtherRoutes uses one home that reports ten times the median
 // latency for another route.
 func TestOnceRequestAvoidsHomeSlowOnOtherRoutes(t *testing.T) {
-	f := newFixture(t, answerWithLoad(peering.Load{Latency: 20 * time.Millisecond}), answerWithLoad(peering.Load{Latency: 2 * time.Millisecond}))
+	f := newFixture(t, replyWithLoad(peering.Load{Latency: 20 * time.Millisecond}), replyWithLoad(peering.Load{Latency: 2 * time.Millisecond}))
 	f.callBothHomes(t, "/read/x")
-	f.homes[1].answer = answerWithLoad(peering.Load{Latency: 2 * time.Millisecond})
-	// The homes' reports count towards slowness once the median latency is known.
+	f.homes[1].reply = replyWithLoad(peering.Load{Latency: 2 * time.Millisecond})
+	// Load reports affect the slowness only after the median latency is known.
 	for range 5 {
 		f.do("GET", "/read/x", "a", "")
 	}
@@ -71,15 +71,15 @@
 	assert.Equal(t, f.homes[0].count(), 0, "the slow home got once requests")
 }
 
-// TestOnceRequestThatWouldMissDeadlineIsRefused has the only home take longer than the
-// route's timeout: the request is refused without being executed, and the answer has a
-// retry delay. A repeatable request is still offered.
+// TestOnceRequestThatWouldMissDeadlineIsRefused uses a single home whose latency exceeds the
+// route's timeout. The request must be refused without being executed, and the response must
+// have a retry delay. A repeatable request is still offered.
 func TestOnceRequestThatWouldMissDeadlineIsRefused(t *testing.T) {
-	f := newFixture(t, answerWithLoad(peering.Load{Latency: 2 * testTimeout}))
+	f := newFixture(t, replyWithLoad(peering.Load{Latency: 2 * testTimeout}))
 	assert.Equal(t, f.do("POST", "/once/x", "a", "").Code, 200, "the latency is still unknown")
-	answer := f.do("POST", "/once/x", "b", "")
-	assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
-	assert.Assert(t, answer.Header().Get("Retry-After") != "")
+	response := f.do("POST", "/once/x", "b", "")
+	assert.Equal(t, response.Code, http.StatusServiceUnavailable)
+	assert.Assert(t, response.Header().Get("Retry-After") != "")
 	assert.Equal(t, f.calls(), 1)
 	assert.Equal(t, f.do("GET", "/read/x", "c", "").Code, 200)
 }
@@ -104,10 +104,10 @@
 	assert.Assert(t, half > 0.4 && half < 0.6)
 }
 
-// TestHomeWithExcessErrorsIsAvoided has the target of one home answer with failures of
-// its own. Failures that all homes have in common must not count.
+// TestHomeWithExcessErrorsIsAvoided uses one home with a higher error rate than the other.
+// Errors that all homes have in common must not count.
 func TestHomeWithExcessErrorsIsAvoided(t *testing.T) {
-	f := newFixture(t, answerWithLoad(peering.Load{Latency: time.Millisecond, ErrorPercent: 60}), answerWithLoad(peering.Load{Latency: 3 * time.Millisecond, ErrorPercent: 10}))
+	f := newFixture(t, replyWithLoad(peering.Load{Latency: time.Millisecond, ErrorPercent: 60}), replyWithLoad(peering.Load{Latency: 3 * time.Millisecond, ErrorPercent: 10}))
 	f.callBothHomes(t, "/once/x")
 	before := f.homes[0].count()
 	for range 20 {
@@ -115,69 +115,70 @@
 	}
 	assert.Equal(t, f.homes[0].count(), before)
 
-	equal := newFixture(t, answerWithLoad(peering.Load{Latency: time.Millisecond, ErrorPercent: 60}), answerWithLoad(peering.Load{Latency: 3 * time.Millisecond, ErrorPercent: 60}))
-	equal.callBothHomes(t, "/once/x")
-	before = equal.homes[0].count()
+	sameErrorRate := newFixture(t, replyWithLoad(peering.Load{Latency: time.Millisecond, ErrorPercent: 60}), replyWithLoad(peering.Load{Latency: 3 * time.Millisecond, ErrorPercent: 60}))
+	sameErrorRate.callBothHomes(t, "/once/x")
+	before = sameErrorRate.homes[0].count()
 	for range 20 {
-		equal.do("POST", "/once/x", "a", "")
+		sameErrorRate.do("POST", "/once/x", "a", "")
 	}
-	assert.Equal(t, equal.homes[0].count(), before+20, "the faster home is used")
+	assert.Equal(t, sameErrorRate.homes[0].count(), before+20, "the faster home is used")
 }
 
-// TestTargetsOwnFailureIsRetried has one target fail by itself: a repeatable request is
-// offered to another target, even if all targets fail occasionally.
-func TestTargetsOwnFailureIsRetried(t *testing.T) {
-	f := newFixture(t, answerOwnFailure, answerOK)
+// TestTargetErrorIsRetried uses a target that returns errors of its own. A repeatable request
+// must be offered to another target, even if all targets return errors.
+func TestTargetErrorIsRetried(t *testing.T) {
+	f := newFixture(t, replyTargetError, replyOK)
 	for f.homes[0].count() == 0 {
 		assert.Equal(t, f.do("GET", "/read/x", "a", "").Code, 200)
 	}
-	once := newFixture(t, answerOwnFailure, answerOwnFailure)
-	answer := once.do("POST", "/once/x", "a", "")
-	assert.Equal(t, answer.Code, http.StatusInternalServerError, "the request must not run twice")
-	assert.Equal(t, answer.Header().Get("X-Signature"), "s", "the answer is passed on unchanged")
+	once := newFixture(t, replyTargetError, replyTargetError)
+	response := once.do("POST", "/once/x", "a", "")
+	assert.Equal(t, response.Code, http.StatusInternalServerError, "the request must not run twice")
+	assert.Equal(t, response.Header().Get("X-Signature"), "s", "the response is passed on unchanged")
 	assert.Equal(t, once.calls(), 1)
-	read := newFixture(t, answerOwnFailure, answerOwnFailure, answerOwnFailure)
+	read := newFixture(t, replyTargetError, replyTargetError, replyTargetError)
 	assert.Equal(t, read.do("GET", "/read/x", "a", "").Code, http.StatusInternalServerError)
 	assert.Equal(t, read.calls(), 2, "the route's attempts")
 }
 
-// TestFailedInnerCallIsReportedToLocalHome has a call of a running request fail. The
-// local home must be notified, so that the failure is not blamed on its target.
-func TestFailedInnerCallIsReportedToLocalHome(t *testing.T) {
-	f := newFixture(t, answerError)
+// TestFailedNestedCallIsReportedToLocalHome covers a failed call of a running request. The
+// local home must be notified, so that an error of the request is not attributed to its
+// target.
+func TestFailedNestedCallIsReportedToLocalHome(t *testing.T) {
+	f := newFixture(t, replyDownstreamError)
 	local := f.forwarder.local.(*fakeHome)
 	f.do("GET", "/read/x", "a", "")
-	assert.Equal(t, len(local.callsFailed), 0, "the request has no parent")
+	assert.Equal(t, len(local.failedCallParents), 0, "the request has no parent")
 	f.do("GET", "/read/x", "running.1", "")
-	assert.DeepEqual(t, local.callsFailed, []string{"running"})
-	succeeding := newFixture(t, answerOK)
+	assert.DeepEqual(t, local.failedCallParents, []string{"running"})
+	succeeding := newFixture(t, replyOK)
 	succeeding.do("GET", "/read/x", "running.1", "")
-	assert.Equal(t, len(succeeding.forwarder.local.(*fakeHome).callsFailed), 0)
+	assert.Equal(t, len(succeeding.forwarder.local.(*fakeHome).failedCallParents), 0)
 }
 
-// TestRemoteFactorGrowsWithAnswerSize compares the factor for homes in other zones for
-// two answer sizes.
-func TestRemoteFactorGrowsWithAnswerSize(t *testing.T) {
-	f := newFixture(t, answerOK)
+// TestCrossZoneFactorGrowsWithResponseSize compares the factor for homes in other zones for
+// two response sizes.
+func TestCrossZoneFactorGrowsWithResponseSize(t *testing.T) {
+	f := newFixture(t, replyOK)
 	route := &routetable.Route{Name: "read", Objective: time.Second}
-	assert.Equal(t, f.forwarder.remoteFactorOf(route), remoteFactor, "the answer size is unknown")
+	assert.Equal(t, f.forwarder.crossZoneFactorOf(route), crossZoneFactor, "the response size is unknown")
 	for range 200 {
-		f.forwarder.homes.recordAnswerSize("read", 6000)
+		f.forwarder.homes.recordResponseSize("read", 6000)
 	}
-	assert.Equal(t, f.forwarder.remoteFactorOf(route), maxRemoteFactor)
+	assert.Equal(t, f.forwarder.crossZoneFactorOf(route), maxCrossZoneFactor)
 	f.forwarder.homes.setLatency("read", 500*time.Millisecond)
-	assert.Equal(t, f.forwarder.remoteFactorOf(route), remoteFactor, "the latency is too close to the objective")
+	assert.Equal(t, f.forwarder.crossZoneFactorOf(route), crossZoneFactor, "the latency is too close to the objective")
 	for range 200 {
-		f.forwarder.homes.recordAnswerSize("small", 100)
+		f.forwarder.homes.recordResponseSize("small", 100)
 	}
-	smallFactor := f.forwarder.remoteFactorOf(&routetable.Route{Name: "small", Objective: time.Second})
-	assert.Assert(t, smallFactor > remoteFactor && smallFactor < remoteFactor+0.3, "%f", smallFactor)
+	smallFactor := f.forwarder.crossZoneFactorOf(&routetable.Route{Name: "small", Objective: time.Second})
+	assert.Assert(t, smallFactor > crossZoneFactor && smallFactor < crossZoneFactor+0.3, "%f", smallFactor)
 }
 
 // TestStoppingHomesDoNotRelyOnEachOther checks OtherHomesServe while both homes of the node's
-// own service are stopping.
+// own service are stopping: it must be true for only one of them.
 func TestStoppingHomesDoNotRelyOnEachOther(t *testing.T) {
-	f := newFixture(t, answerOK, answerOK)
+	f := newFixture(t, replyOK, replyOK)
 	f.forwarder.config.Service = "s"
 	homes := f.forwarder.directory.Homes("s")
 	first, last := homes[0].Address, homes[1].Address
@@ -198,21 +199,21 @@
 	assert.Assert(t, !othersServe(last))
 }
 
-// TestRoomInZone checks when a home in the node's own zone has room; only then are other
-// zones avoided.
-func TestRoomInZone(t *testing.T) {
-	f := newFixture(t, answerOK)
+// TestZoneHasCapacity checks which states of the homes in the node's own zone count as spare
+// capacity.
+func TestZoneHasCapacity(t *testing.T) {
+	f := newFixture(t, replyOK)
 	home := f.forwarder.directory.Homes("s")[0]
 	state := f.forwarder.homes.state(home.Address)
-	room := func(zone string, stats homeStats) bool {
+	hasCapacity := func(zone string, stats homeStats) bool {
 		f.forwarder.config.Zone = zone
-		return f.forwarder.roomInZone([]candidate{{home: home, state: state, stats: stats}}, time.Now())
+		return f.forwarder.zoneHasCapacity([]candidate{{home: home, state: state, stats: stats}}, time.Now())
 	}
-	assert.Assert(t, room(home.Zone, homeStats{occupancy: 0.5}))
-	assert.Assert(t, !room("elsewhere", homeStats{occupancy: 0.5}))
-	assert.Assert(t, !room(home.Zone, homeStats{occupancy: 0.9}))
-	assert.Assert(t, !room(home.Zone, homeStats{failures: 0.5}))
-	assert.Assert(t, !room(home.Zone, homeStats{stopping: true}))
+	assert.Assert(t, hasCapacity(home.Zone, homeStats{occupancy: 0.5}))
+	assert.Assert(t, !hasCapacity("elsewhere", homeStats{occupancy: 0.5}))
+	assert.Assert(t, !hasCapacity(home.Zone, homeStats{occupancy: 0.9}))
+	assert.Assert(t, !hasCapacity(home.Zone, homeStats{failureRate: 0.5}))
+	assert.Assert(t, !hasCapacity(home.Zone, homeStats{stopping: true}))
 	state.suspect(time.Now())
-	assert.Assert(t, !room(home.Zone, homeStats{}))
+	assert.Assert(t, !hasCapacity(home.Zone, homeStats{}))
 }
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -30,22 +30,22 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// fakeHome answers calls with a function and records them.
+// fakeHome replies to calls with a function and records them.
 type fakeHome struct {
 	mutex sync.Mutex
 	calls []*peering.Call
-	// callsFailed are the ids of requests that made a failed call.
-	callsFailed []string
-	// parentContext ends when the running request is abandoned.
+	// failedCallParents are the IDs of the requests that made failed calls.
+	failedCallParents []string
+	// parentContext is canceled when the running request is abandoned.
 	parentContext context.Context
-	answer        func(ctx context.Context, call *peering.Call) *peering.Reply
+	reply         func(ctx context.Context, call *peering.Call) *peering.Reply
 }
 
 func (h *fakeHome) Run(ctx context.Context, call *peering.Call) *peering.Reply {
 	h.mutex.Lock()
 	h.calls = append(h.calls, call)
 	h.mutex.Unlock()
-	return h.answer(ctx, call)
+	return h.reply(ctx, call)
 }
 
 func (h *fakeHome) Running(id string) (guard.Running, bool) {
@@ -67,7 +67,7 @@
 func (h *fakeHome) RecordCallFailure(id string) {
 	h.mutex.Lock()
 	defer h.mutex.Unlock()
-	h.callsFailed = append(h.callsFailed, id)
+	h.failedCallParents = append(h.failedCallParents, id)
 }
 
 func (h *fakeHome) count() int {
@@ -76,32 +76,33 @@
 	return len(h.calls)
 }
 
-func answerOK(context.Context, *peering.Call) *peering.Reply {
+func replyOK(context.Context, *peering.Call) *peering.Reply {
 	return &peering.Reply{Outcome: peering.Answered, Status: 200, Header: http.Header{"X-Signature": {"s"}}, Body: []byte("ok"),
 		Load: peering.Load{Limit: 10, Threshold: shed.None}}
 }
 
-func refuseWith(reason peering.Reason) func(context.Context, *peering.Call) *peering.Reply {
+func replyRefused(reason peering.Reason) func(context.Context, *peering.Call) *peering.Reply {
 	return func(context.Context, *peering.Call) *peering.Reply {
 		return &peering.Reply{Outcome: peering.Refused, Reason: reason, RetryAfter: 300 * time.Millisecond, Load: peering.Load{Limit: 10, Threshold: shed.None}}
 	}
 }
 
-// answerError answers with an error after a call that the target made had failed.
-func answerError(ctx context.Context, call *peering.Call) *peering.Reply {
-	reply := answerOK(ctx, call)
+// replyDownstreamError replies with an error response that was caused by a failed call of the
+// target.
+func replyDownstreamError(ctx context.Context, call *peering.Call) *peering.Reply {
+	reply := replyOK(ctx, call)
 	reply.Status = http.StatusInternalServerError
 	return reply
 }
 
-// answerOwnFailure answers with an error that the target itself caused.
-func answerOwnFailure(ctx context.Context, call *peering.Call) *peering.Reply {
-	reply := answerError(ctx, call)
+// replyTargetError replies with an error response that the target itself caused.
+func replyTargetError(ctx context.Context, call *peering.Call) *peering.Reply {
+	reply := replyDownstreamError(ctx, call)
 	reply.TargetError = true
 	return reply
 }
 
-func failCall(context.Context, *peering.Call) *peering.Reply {
+func replyFailed(context.Context, *peering.Call) *peering.Reply {
 	return &peering.Reply{Outcome: peering.Failed, Reason: peering.ExchangeBroken, Load: peering.Load{Limit: 10, Threshold: shed.None}}
 }
 
@@ -115,13 +116,13 @@
 
 func (noopObserver) Stalled(time.Duration) {}
 
-// fixture is a forwarder with peers on real sockets.
+// fixture is a forwarder with homes on real sockets.
 type fixture struct {
 	forwarder *Forwarder
 	homes     []*fakeHome
-	// pings counts the pings that homes received.
+	// pings counts the pings that the homes have received.
 	pings atomic.Int64
-	// addresses are the addresses of homes, in the same order.
+	// addresses are the addresses of the homes, in the same order.
 	addresses  []string
 	levels     *pressure.Levels
 	quarantine *quarantine.Quarantine
@@ -132,20 +133,20 @@
 const (
 	testTimeout = 2 * time.Second
 	// testRetryRatio is the number of retries that a request adds to the budget. Half of
-	// them are available at once, so that testRequestsPerRetry requests allow one
-	// immediate retry.
+	// that amount is available immediately, so that testRequestsPerRetry requests allow
+	// one immediate retry.
 	testRetryRatio       = 0.1
 	testRequestsPerRetry = 20
 	testRetryWindow      = 10 * time.Second
-	// testProcess is the process id that all homes report.
+	// testProcess is the process ID that all homes report.
 	testProcess = 7
 )
 
-func newFixture(t *testing.T, answers ...func(context.Context, *peering.Call) *peering.Reply) *fixture {
+func newFixture(t *testing.T, replies ...func(context.Context, *peering.Call) *peering.Reply) *fixture {
 	t.Helper()
 	fixture := &fixture{levels: pressure.New(time.Now), quarantine: quarantine.New(quarantine.Config{Now: time.Now})}
-	for _, answer := range answers {
-		home := &fakeHome{answer: answer}
+	for _, reply := range replies {
+		home := &fakeHome{reply: reply}
 		handler := peering.Handler(peering.Services{Home: home, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodGet {
@@ -180,7 +181,7 @@
 			return parent, found
 		},
 	}, Dependencies{
-		Routes: routes, Policies: compilePolicies(t, routepolicy.Sources{}), Directory: directoryOf(t, addresses), Local: &fakeHome{answer: answerOK}, Levels: fixture.levels,
+		Routes: routes, Policies: compilePolicies(t, routepolicy.Sources{}), Directory: directoryOf(t, addresses), Local: &fakeHome{reply: replyOK}, Levels: fixture.levels,
 		Quarantine: fixture.quarantine,
 		Peers: peering.NewClient(peering.ClientConfig{MaxBuffered: 1 << 20, DialTimeout: time.Second, UserTimeout: time.Second, MaxIdle: 4, IdleTimeout: time.Minute, Codec: testCodec,
 			OnInterim: func(address string) { forwarder.InterimReceived(address) }}),
@@ -200,7 +201,7 @@
 }
 
 // directoryOf returns a directory that lists the addresses as homes of the service in the
-// node's zone.
+// zone of the node.
 func directoryOf(t testing.TB, addresses []string) *registry.Directory {
 	t.Helper()
 	directory := registry.NewDirectory("homes/", "", nil, time.Now)
@@ -217,9 +218,9 @@
 	request.RequestURI = path
 	request.Header.Set("X-Id", id)
 	request.Header.Set("X-Deadline", "5000")
-	answer := httptest.NewRecorder()
-	f.forwarder.ServeHTTP(answer, request)
-	return answer
+	response := httptest.NewRecorder()
+	f.forwarder.ServeHTTP(response, request)
+	return response
 }
 
 func (f *fixture) calls() int {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,7 +1,8 @@
-// Package forward routes requests at the node where they enter: it matches the route,
-// chooses the home (the node next to a target) that runs the request, offers it to
-// another home while no target has executed it or the route allows a retry, and answers
-// with the target's complete answer or a typed refusal.
+// Package forward routes requests at the entry node, the node that receives them from the
+// caller. It matches the route and chooses a home, which is a node with a local target, to
+// run the request. It offers the request to another home as long as no target has executed
+// it or the route allows a retry. The caller gets the target's complete response or a
+// problem document.
 package forward
 
 import (
@@ -44,11 +45,12 @@
 	DefaultTimeout time.Duration
 	// Retries configures the retry budget of each service.
 	Retries retrybudget.AllowanceConfig
-	// WaitShare is the part of a route's objective that a request may spend queued for a
-	// target, and InnerWaitShare the part that a call made by a running request may.
+	// WaitShare is the maximum queue time of a request as a fraction of the route's
+	// objective, and InnerWaitShare the same for nested calls, which are calls made by a
+	// running request.
 	WaitShare, InnerWaitShare float64
-	// ParentOf returns the id of the request that made a call, false if the call's id
-	// does not contain it.
+	// ParentOf returns the ID of the request that made a call, and false if the ID of the
+	// call does not contain it.
 	ParentOf func(id string) (string, bool)
 }
 
@@ -94,7 +96,7 @@
 type Limits interface {
 	// Admit decides on a request of the tenant. It may block.
 	Admit(ctx context.Context, tenant *routetable.Tenant) ratelimit.Decision
-	// Return gives back the permit of a request that was not executed and will not be.
+	// Return returns the permit of a request that was not and will not be executed.
 	Return(tenant *routetable.Tenant, decision ratelimit.Decision)
 }
 
@@ -103,19 +105,19 @@
 	peering.Home
 	// Running returns a request that the target is processing.
 	Running(id string) (guard.Running, bool)
-	// Abandoned reports whether the caller of a request that the target may still be
-	// processing has gone.
+	// Abandoned reports whether the caller of a request has disconnected while the target
+	// may still be processing the request.
 	Abandoned(id string) bool
-	// CountCall records that such a request makes a call of the route, and returns the
-	// number of calls that it has made so far.
+	// CountCall counts a call of the route that a running request makes, and returns the
+	// number of such calls so far.
 	CountCall(id, route string) int
-	// RecordCallFailure records that a call made by such a request did not succeed.
+	// RecordCallFailure records that a call made by a running request failed.
 	RecordCallFailure(id string)
 }
 
-// Peers reaches the homes on other nodes.
+// Peers sends calls and pings to other nodes.
 type Peers interface {
-	// Call runs the call at the home with the address. The error is a *peering.Error.
+	// Call runs the call at the home with the address. Errors are of type *peering.Error.
 	Call(ctx context.Context, address string, call *peering.Call) (*peering.Reply, error)
 	// Ping checks that the node at the address responds.
 	Ping(ctx context.Context, address string) error
@@ -134,11 +136,11 @@
 	// BudgetCounted is called for each event that the retry budget of a service counts. The
 	// cause is empty for first sends.
 	BudgetCounted(service string, kind BudgetEvent, cause peering.Reason)
-	// Stalled is called after the whole process was stalled for the duration.
+	// Stalled is called after the whole process has stalled for the duration.
 	Stalled(duration time.Duration)
 }
 
-// Forwarder serves requests at the node where they enter. It is safe for concurrent use.
+// Forwarder serves requests at the entry node. It is safe for concurrent use.
 type Forwarder struct {
 	config     Config
 	routes     *routetable.Holder
@@ -157,11 +159,11 @@
 	homes    homeTable
 	splitter routetable.Splitter
 	stopping atomic.Bool
-	// shutdownDeadline is the time by which all requests must have ended.
+	// shutdownDeadline is the time by which all requests must have finished.
 	shutdownDeadline ending.ShutdownTime
 	inFlight         atomic.Int64
-	// created is when the forwarder was created, and lastArrival the time from then to
-	// the arrival of the last request. Both are readings of the monotonic clock.
+	// created is when the forwarder was created, and lastArrival the time from created to
+	// the arrival of the last request, in nanoseconds. Both use the monotonic clock.
 	created     time.Time
 	lastArrival atomic.Int64
 
@@ -170,22 +172,22 @@
 }
 
 // New returns a forwarder.
-func New(config Config, parts Dependencies) *Forwarder {
+func New(config Config, dependencies Dependencies) *Forwarder {
 	return &Forwarder{
 		config:     config,
-		routes:     parts.Routes,
-		directory:  parts.Directory,
-		local:      parts.Local,
-		policies:   parts.Policies,
-		levels:     parts.Levels,
-		quarantine: parts.Quarantine,
-		keys:       parts.Keys,
-		limits:     parts.Limits,
-		peers:      parts.Peers,
-		observer:   parts.Observer,
-		log:        parts.Log,
-		now:        parts.Now,
-		created:    parts.Now(),
+		routes:     dependencies.Routes,
+		directory:  dependencies.Directory,
+		local:      dependencies.Local,
+		policies:   dependencies.Policies,
+		levels:     dependencies.Levels,
+		quarantine: dependencies.Quarantine,
+		keys:       dependencies.Keys,
+		limits:     dependencies.Limits,
+		peers:      dependencies.Peers,
+		observer:   dependencies.Observer,
+		log:        dependencies.Log,
+		now:        dependencies.Now,
+		created:    dependencies.Now(),
 		budgets:    make(map[string]*retrybudget.Allowance),
 	}
 }
@@ -193,12 +195,12 @@
 // Run monitors the homes until the context ends.
 func (f *Forwarder) Run(ctx context.Context) { f.monitorHomes(ctx) }
 
-// Stop makes every later answer carry the header Connection: close.
+// Stop adds the header Connection: close to the responses to all later requests.
 func (f *Forwarder) Stop() { f.stopping.Store(true) }
 
-// OtherHomesServe reports whether another home could serve the service of the local target.
-// Among homes that are all stopping, only those with a smaller address count, so that no
-// two rely on each other.
+// OtherHomesServe reports whether another home can serve the service of the local target.
+// A home that is stopping counts only if its address is smaller than that of this node, so
+// that no two stopping homes rely on each other.
 func (f *Forwarder) OtherHomesServe() bool {
 	now := f.now()
 	for _, home := range f.directory.Homes(f.config.Service) {
@@ -213,8 +215,8 @@
 	return false
 }
 
-// SetShutdownDeadline makes the forwarder refuse later requests that may not have ended by the given
-// time.
+// SetShutdownDeadline makes the forwarder refuse new requests that may not finish by the
+// given time.
 func (f *Forwarder) SetShutdownDeadline(deadline time.Time) { f.shutdownDeadline.Set(deadline) }
 
 // PeerAlive records a liveness signal of a peer: a suspected home is probed at once to
@@ -225,7 +227,8 @@
 	}
 }
 
-// InterimReceived records that a peer reported that it runs a call, which is a liveness signal.
+// InterimReceived records that a peer sent an interim response to a call, which is a
+// liveness signal.
 func (f *Forwarder) InterimReceived(address string) {
 	if state := f.homes.find(address); state != nil {
 		state.markSeen(f.now())
@@ -243,8 +246,8 @@
 	return suspected
 }
 
-// RetryBudgetLeft returns the smallest number of retries that is left to any service, and
-// false before the first request.
+// RetryBudgetLeft returns the smallest retry budget left of all services, and false before
+// the first request.
 func (f *Forwarder) RetryBudgetLeft() (float64, bool) {
 	f.budgetMutex.Lock()
 	defer f.budgetMutex.Unlock()
@@ -255,7 +258,7 @@
 	return least, known
 }
 
-// InFlight returns the number of requests that are not answered yet.
+// InFlight returns the number of requests in progress.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
 // IdleTime returns the time since the last request arrived, or since the forwarder was
@@ -279,30 +282,31 @@
 	// policyCall holds the fields of the request that policies read.
 	policyCall policy.Call
 	// attempts counts the targets that may have executed the request, offers the homes
-	// that it was offered to, and arrivals the targets that it may have reached.
+	// that it was offered to, and arrivals the targets that may have received it.
 	attempts, offers, arrivals int
-	// charge is what the last offer took from the retry budget if it was a retry.
+	// charge is the amount that the last offer took from the retry budget if it was a
+	// retry.
 	charge retrybudget.Charge
-	// excluded are the homes that the request is not offered to again, and rejected those
-	// whose targets rejected it, which are offered it again once no other home is left.
+	// excluded are the homes that the request is not offered to again. rejected are the
+	// homes whose targets rejected it; they become eligible again once no other is left.
 	excluded, rejected []*registry.Home
-	// errorReply is an answer in which a target reports a failure of its own.
+	// errorReply is the last response that reports an error of the target itself.
 	errorReply *peering.Reply
 	rank       criticality.Rank
-	// inner is set if a request that runs at the local target made this one.
-	inner bool
-	// parent is the id of that request, parentRoute its route, and callNumber the number
-	// of calls of this route that it has made, including this one. parentContext ends
-	// when the caller of that request has gone.
+	// nested is set if a request that runs at the local target made this one.
+	nested bool
+	// parent is the ID of that request, parentRoute its route, and callNumber the number
+	// of calls of this route that it has made, including this one. parentContext is
+	// canceled when the caller of that request has disconnected.
 	parent, parentRoute string
 	callNumber          int
 	parentContext       context.Context
 	// hash is the request's fingerprint, computed only while there are suspects.
 	hash fingerprint.Fingerprint
-	// retryAfter is the shortest delay that a home proposed.
+	// retryAfter is the shortest retry delay that a home proposed.
 	retryAfter time.Duration
-	// lastHome is the home that the request was offered to last, and lastReason why that
-	// home did not answer.
+	// lastHome is the address of the home that the request was offered to last, and
+	// lastReason the reason why that offer was not successful.
 	lastHome   string
 	lastReason peering.Reason
 }
@@ -324,11 +328,11 @@
 	}
 	ctx, cancel := clock.WithTimeout(r.Context(), q.deadline.Sub(f.now()))
 	defer cancel()
-	if q.inner {
+	if q.nested {
 		defer context.AfterFunc(q.parentContext, cancel)()
 	}
 	reply, failure := f.run(ctx, q)
-	if q.inner && (failure != nil || reply.Status >= http.StatusMultipleChoices) {
+	if q.nested && (failure != nil || reply.Status >= http.StatusMultipleChoices) {
 		f.local.RecordCallFailure(q.parent)
 	}
 	switch {
@@ -338,7 +342,7 @@
 		f.returnPermit(q, failure)
 		f.writeProblem(w, q, failure)
 	default:
-		f.writeAnswer(w, q, reply)
+		f.writeResponse(w, q, reply)
 	}
 }
 
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -27,12 +27,12 @@
 )
 
 func TestRequestIsAnswered(t *testing.T) {
-	f := newFixture(t, answerOK)
-	answer := f.do("GET", "/read/x?y=1", "a", "")
-	assert.Equal(t, answer.Code, 200)
-	assert.Equal(t, answer.Body.String(), "ok")
-	assert.Equal(t, answer.Header().Get("X-Signature"), "s")
-	assert.Equal(t, answer.Header().Get("X-Id"), "a", "the answer names the request")
+	f := newFixture(t, replyOK)
+	response := f.do("GET", "/read/x?y=1", "a", "")
+	assert.Equal(t, response.Code, 200)
+	assert.Equal(t, response.Body.String(), "ok")
+	assert.Equal(t, response.Header().Get("X-Signature"), "s")
+	assert.Equal(t, response.Header().Get("X-Id"), "a", "the response has the request ID")
 	sent := f.homes[0].calls[0]
 	assert.Equal(t, len(sent.Header), 0, "headers that the home sets itself are not sent: %v", sent.Header)
 	assert.Equal(t, sent.URI, "/read/x?y=1")
@@ -43,59 +43,59 @@
 }
 
 func TestInvalidRequestsAreRejectedLocally(t *testing.T) {
-	f := newFixture(t, answerOK)
+	f := newFixture(t, replyOK)
 	assert.Equal(t, f.do("GET", "/none/", "a", "").Code, http.StatusNotFound)
 	assert.Equal(t, f.do("GET", "/read/", "", "").Code, http.StatusBadRequest)
 	assert.Equal(t, f.do("POST", "/read/", "a", strings.Repeat("x", 101)).Code, http.StatusRequestEntityTooLarge)
 	assert.Equal(t, f.do("GET", "/read/"+strings.Repeat("x", 1000), "a", "").Code, http.StatusRequestHeaderFieldsTooLarge)
 	assert.Equal(t, f.calls(), 0)
 	f.forwarder.routes = &routetable.Holder{}
-	answer := f.do("GET", "/read/", "a", "")
-	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "a node without configuration")
-	assert.Assert(t, answer.Header().Get("Retry-After") != "")
+	response := f.do("GET", "/read/", "a", "")
+	assert.Equal(t, response.Code, http.StatusServiceUnavailable, "a node without configuration")
+	assert.Assert(t, response.Header().Get("Retry-After") != "")
 }
 
 func TestRefusedRequestGoesToAnotherHome(t *testing.T) {
 	for _, path := range []string{"/read/x", "/once/x"} {
-		f := newFixture(t, refuseWith(peering.QueueFull), answerOK)
+		f := newFixture(t, replyRefused(peering.QueueFull), replyOK)
 		assert.Equal(t, f.do("GET", path, "a", "").Code, 200)
 	}
 }
 
 func TestRefusalByAllHomesHasRetryAfter(t *testing.T) {
-	f := newFixture(t, refuseWith(peering.QueueFull), refuseWith(peering.QueueTimeout))
-	answer := f.do("GET", "/once/x", "a", "")
-	assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
-	assert.Equal(t, answer.Header().Get("Retry-After"), "0.300")
+	f := newFixture(t, replyRefused(peering.QueueFull), replyRefused(peering.QueueTimeout))
+	response := f.do("GET", "/once/x", "a", "")
+	assert.Equal(t, response.Code, http.StatusServiceUnavailable)
+	assert.Equal(t, response.Header().Get("Retry-After"), "0.300")
 	assert.Equal(t, f.calls(), 2)
 }
 
 func TestFailedCallIsRetriedOnlyIfRepeatable(t *testing.T) {
-	once := newFixture(t, failCall, failCall)
+	once := newFixture(t, replyFailed, replyFailed)
 	assert.Equal(t, once.do("POST", "/once/x", "a", "").Code, http.StatusBadGateway)
 	assert.Equal(t, once.calls(), 1, "a request that must not run twice")
-	read := newFixture(t, failCall, failCall, failCall)
+	read := newFixture(t, replyFailed, replyFailed, replyFailed)
 	assert.Equal(t, read.do("GET", "/read/x", "a", "").Code, http.StatusBadGateway)
 	assert.Equal(t, read.calls(), 2, "the route's attempts")
 }
 
-// TestDownstreamFailureIsNotRetried has targets fail after calls that they made had
-// failed: the caller gets the target's answer, and the request runs once.
+// TestDownstreamFailureIsNotRetried uses targets that return errors because their downstream
+// calls failed. The caller must get the target's response, and the request must run once.
 func TestDownstreamFailureIsNotRetried(t *testing.T) {
 	for _, path := range []string{"/read/x", "/once/x"} {
-		f := newFixture(t, answerError, answerError)
-		answer := f.do("GET", path, "a", "")
-		assert.Equal(t, answer.Code, http.StatusInternalServerError)
-		assert.Equal(t, answer.Header().Get("X-Signature"), "s")
+		f := newFixture(t, replyDownstreamError, replyDownstreamError)
+		response := f.do("GET", path, "a", "")
+		assert.Equal(t, response.Code, http.StatusInternalServerError)
+		assert.Equal(t, response.Header().Get("X-Signature"), "s")
 		assert.Equal(t, f.calls(), 1)
 	}
 }
 
-// TestErrorAnswerIsReturnedIfNoOtherTargetAnswers retries a request after a target's own
-// failure while no other target is available.
-func TestErrorAnswerIsReturnedIfNoOtherTargetAnswers(t *testing.T) {
-	f := newFixture(t, refuseWith(peering.QueueFull))
-	previous := answerError(t.Context(), nil)
+// TestErrorResponseIsReturnedIfNoOtherTargetAnswers retries a request after an error of the
+// target itself while no other target is available.
+func TestErrorResponseIsReturnedIfNoOtherTargetAnswers(t *testing.T) {
+	f := newFixture(t, replyRefused(peering.QueueFull))
+	previous := replyDownstreamError(t.Context(), nil)
 	route := f.forwarder.routes.Current().Match("a.example", "/read/x")
 	q := &request{id: "a", route: route, service: "s", errorReply: previous, attempts: 1, deadline: time.Now().Add(time.Second), call: &peering.Call{}}
 	reply, failure := f.forwarder.run(t.Context(), q)
@@ -103,18 +103,18 @@
 	assert.Equal(t, reply, previous)
 }
 
-// TestFailureThenRefusalIsNotReportedAsNotExecuted has one home fail and the other
-// refuse: the request may have been executed, whatever the second home reports.
+// TestFailureThenRefusalIsNotReportedAsNotExecuted uses one home that fails and one that
+// refuses: the request may have been executed, whatever the second home reports.
 func TestFailureThenRefusalIsNotReportedAsNotExecuted(t *testing.T) {
 	for range 8 {
-		f := newFixture(t, failCall, refuseWith(peering.QueueFull))
-		answer := f.do("GET", "/read/x", "a", "")
-		assert.Equal(t, answer.Code, http.StatusBadGateway)
+		f := newFixture(t, replyFailed, replyRefused(peering.QueueFull))
+		response := f.do("GET", "/read/x", "a", "")
+		assert.Equal(t, response.Code, http.StatusBadGateway)
 	}
 }
 
 func TestRetryBudgetBoundsRetries(t *testing.T) {
-	f := newFixture(t, failCall, failCall)
+	f := newFixture(t, replyFailed, replyFailed)
 	const requests = 50
 	for i := range requests {
 		f.do("GET", "/read/x", strconv.Itoa(i), "")
@@ -124,7 +124,7 @@
 }
 
 func TestUnreachableHomeIsSkipped(t *testing.T) {
-	f := newFixture(t, answerOK)
+	f := newFixture(t, replyOK)
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	dead := listener.Addr().String()
@@ -140,13 +140,13 @@
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer listener.Close()
-	f := newFixture(t, answerOK)
+	f := newFixture(t, replyOK)
 	live := f.forwarder.directory.Homes("s")[0].Address
 	f.forwarder = newForwarder(t, f, []string{listener.Addr().String(), live})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go f.forwarder.Run(ctx)
-	// The silent home accepts connections and never answers.
+	// The silent home accepts connections and never responds.
 	state := f.forwarder.homes.state(listener.Addr().String())
 	suspected := func() bool {
 		state.mutex.Lock()
@@ -163,20 +163,20 @@
 func TestRouteTimeoutEndsRequest(t *testing.T) {
 	f := newFixture(t, func(ctx context.Context, call *peering.Call) *peering.Reply {
 		<-ctx.Done()
-		return failCall(ctx, call)
+		return replyFailed(ctx, call)
 	})
 	started := time.Now()
-	answer := f.do("GET", "/brief/x", "a", "")
-	assert.Equal(t, answer.Code, http.StatusGatewayTimeout)
+	response := f.do("GET", "/brief/x", "a", "")
+	assert.Equal(t, response.Code, http.StatusGatewayTimeout)
 	assert.Assert(t, time.Since(started) < testTimeout)
 }
 
 func TestCallerDisconnectCancelsCall(t *testing.T) {
-	cancelled := make(chan struct{})
+	canceled := make(chan struct{})
 	f := newFixture(t, func(ctx context.Context, call *peering.Call) *peering.Reply {
 		<-ctx.Done()
-		close(cancelled)
-		return failCall(ctx, call)
+		close(canceled)
+		return replyFailed(ctx, call)
 	})
 	server := httptest.NewServer(f.forwarder)
 	defer server.Close()
@@ -194,29 +194,29 @@
 	_, err = http.DefaultClient.Do(request)
 	assert.Assert(t, errors.Is(err, context.Canceled))
 	select {
-	case <-cancelled:
+	case <-canceled:
 	case <-time.After(10 * time.Second):
-		t.Fatal("the call at the home was not cancelled")
+		t.Fatal("the call at the home was not canceled")
 	}
 }
 
-// TestInnerCallsOfAbandonedRequestEnd guards against wasted work for abandoned requests.
-// A target may go on working after its caller disconnected and its connection was closed;
-// its calls used to continue through the call chain although no caller waited for the
-// answer.
-func TestInnerCallsOfAbandonedRequestEnd(t *testing.T) {
+// TestNestedCallsOfAbandonedRequestEnd guards against wasted work for abandoned requests. A
+// target may continue to execute a request after the caller has disconnected and the target's
+// connection was closed. Its calls used to continue through the call chain although no caller
+// waited for the response.
+func TestNestedCallsOfAbandonedRequestEnd(t *testing.T) {
 	t.Run("a new one is refused", func(t *testing.T) {
-		f := newFixture(t, answerOK)
-		answer := f.do("GET", "/read/x", "abandoned.b", "")
-		assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
-		assert.Assert(t, answer.Header().Get("Retry-After") != "")
+		f := newFixture(t, replyOK)
+		response := f.do("GET", "/read/x", "abandoned.b", "")
+		assert.Equal(t, response.Code, http.StatusServiceUnavailable)
+		assert.Assert(t, response.Header().Get("Retry-After") != "")
 		assert.Equal(t, f.calls(), 0)
 	})
-	t.Run("one in flight is cancelled", func(t *testing.T) {
-		cancelled := make(chan struct{})
+	t.Run("one in flight is canceled", func(t *testing.T) {
+		canceled := make(chan struct{})
 		f := newFixture(t, func(ctx context.Context, _ *peering.Call) *peering.Reply {
 			<-ctx.Done()
-			close(cancelled)
+			close(canceled)
 			return &peering.Reply{Outcome: peering.Failed, Reason: peering.CallerLeft}
 		})
 		parentContext, abandon := context.WithCancel(t.Context())
@@ -228,43 +228,44 @@
 			}
 			abandon()
 		}()
-		answer := f.do("GET", "/read/x", "running.b", "")
-		assert.Assert(t, answer.Code >= http.StatusInternalServerError)
+		response := f.do("GET", "/read/x", "running.b", "")
+		assert.Assert(t, response.Code >= http.StatusInternalServerError)
 		select {
-		case <-cancelled:
+		case <-canceled:
 			assert.Assert(t, time.Since(started) < testTimeout/2, "the call ended only at its deadline")
 		case <-time.After(10 * time.Second):
-			t.Fatal("the call at the home was not cancelled")
+			t.Fatal("the call at the home was not canceled")
 		}
 	})
 }
 
 // TestShedThresholdIsAppliedAtEntryNode reports a threshold that sheds less important
-// requests. They must be refused at the node where they enter, while more important
-// requests and calls of running requests go ahead.
+// requests. They must be refused at the entry node, while more important requests and nested
+// calls are admitted.
 func TestShedThresholdIsAppliedAtEntryNode(t *testing.T) {
-	f := newFixture(t, answerOK)
+	f := newFixture(t, replyOK)
 	address := f.forwarder.directory.Homes("s")[0].Address
 	for _, route := range []string{"read", "once"} {
 		f.levels.Report(route, address, pressure.Level{Threshold: criticality.CohortCount}, 10)
 	}
-	answer := f.do("GET", "/read/x", "a", "")
-	assert.Equal(t, answer.Code, http.StatusServiceUnavailable)
-	assert.Assert(t, answer.Header().Get("Retry-After") != "")
+	response := f.do("GET", "/read/x", "a", "")
+	assert.Equal(t, response.Code, http.StatusServiceUnavailable)
+	assert.Assert(t, response.Header().Get("Retry-After") != "")
 	assert.Equal(t, f.calls(), 0)
 	assert.Equal(t, f.do("POST", "/once/x", "a", "").Code, 200)
 	assert.Equal(t, f.do("GET", "/read/x", "running.b", "").Code, 200)
-	inner := f.homes[0].calls[1]
-	assert.Equal(t, inner.Rank, uint16(7), "a call has the rank of the request that made it")
-	assert.Assert(t, inner.Nested)
-	assert.Equal(t, inner.MaxWait, 600*time.Millisecond)
+	nestedCall := f.homes[0].calls[1]
+	assert.Equal(t, nestedCall.Rank, uint16(7), "a call has the rank of the request that made it")
+	assert.Assert(t, nestedCall.Nested)
+	assert.Equal(t, nestedCall.MaxWait, 600*time.Millisecond)
 	assert.Equal(t, f.levels.Downstream("parent").Threshold, shed.None, "the threshold in the reply replaces the reported one")
 }
 
-// TestThresholdOfLeavingHomeIsRemoved has a home that reported room say that its target
-// is leaving: the threshold of the full home must apply then.
+// TestThresholdOfLeavingHomeIsRemoved uses a home that has reported spare capacity and then
+// refuses a call because its target is leaving. From then on only the threshold of the other,
+// full home must apply.
 func TestThresholdOfLeavingHomeIsRemoved(t *testing.T) {
-	f := newFixture(t, refuseWith(peering.TargetLeaving))
+	f := newFixture(t, replyRefused(peering.TargetLeaving))
 	leaving := f.forwarder.directory.Homes("s")[0].Address
 	f.levels.Report("once", leaving, pressure.Level{Threshold: shed.None}, 10)
 	f.levels.Report("once", "full", pressure.Level{Threshold: 300}, 10)
@@ -273,14 +274,14 @@
 	assert.Equal(t, f.levels.Threshold("once"), uint16(300))
 }
 
-// TestShutdownDeadlineRefusesLongRequests gives a node a near shutdown deadline. Requests
-// that may take longer must be refused at once as not executed.
+// TestShutdownDeadlineRefusesLongRequests sets a shutdown deadline in the near future.
+// Requests that may take longer must be refused immediately as not executed.
 func TestShutdownDeadlineRefusesLongRequests(t *testing.T) {
-	f := newFixture(t, answerOK)
+	f := newFixture(t, replyOK)
 	f.forwarder.SetShutdownDeadline(time.Now().Add(testTimeout / 2))
-	answer := f.do("POST", "/once/x", "a", "")
-	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "the latency of the route is unknown")
-	assert.Assert(t, answer.Header().Get("Retry-After") != "")
+	response := f.do("POST", "/once/x", "a", "")
+	assert.Equal(t, response.Code, http.StatusServiceUnavailable, "the latency of the route is unknown")
+	assert.Assert(t, response.Header().Get("Retry-After") != "")
 	f.forwarder.homes.setLatency("once", time.Millisecond)
 	assert.Equal(t, f.do("POST", "/once/x", "a", "").Code, 200)
 	f.forwarder.homes.setLatency("once", testTimeout/4)
@@ -288,12 +289,12 @@
 	assert.Equal(t, f.calls(), 1)
 }
 
-// TestWeightedServiceOverflowIsNotMoved has one of a route's weighted services refuse
-// everything: its share of the requests is refused, and the other service gets no more
-// than its own share.
+// TestWeightedServiceOverflowIsNotMoved uses a route with two weighted services, one of which
+// refuses all requests. Its share of the requests must be refused, and the other service must
+// get no more than its own share.
 func TestWeightedServiceOverflowIsNotMoved(t *testing.T) {
 	const requests, tolerance = 300, 0.1
-	f := newFixture(t, answerOK, refuseWith(peering.QueueFull))
+	f := newFixture(t, replyOK, replyRefused(peering.QueueFull))
 	full := f.addresses[1]
 	record, err := cbor.Marshal(registry.Record{Instance: "i-full", Service: "full", Zone: "z", Address: full, Slots: 10, State: registry.Ready})
 	assert.NilError(t, err)
@@ -315,37 +316,37 @@
 }
 
 func TestStoppingNodeClosesConnections(t *testing.T) {
-	f := newFixture(t, answerOK)
+	f := newFixture(t, replyOK)
 	f.forwarder.Stop()
-	answer := f.do("GET", "/read/x", "a", "")
-	assert.Equal(t, answer.Code, 200)
-	assert.Equal(t, answer.Header().Get("Connection"), "close")
-	body, err := io.ReadAll(answer.Body)
+	response := f.do("GET", "/read/x", "a", "")
+	assert.Equal(t, response.Code, 200)
+	assert.Equal(t, response.Header().Get("Connection"), "close")
+	body, err := io.ReadAll(response.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, string(body), "ok")
 }
 
-// servePeerAt starts a home at the address that answers all calls.
+// servePeerAt starts a home at the address. It answers all calls.
 func servePeerAt(t *testing.T, address string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
-	server := &http.Server{Handler: peering.Handler(peering.Services{Home: &fakeHome{answer: answerOK}, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})}
+	server := &http.Server{Handler: peering.Handler(peering.Services{Home: &fakeHome{reply: replyOK}, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 }
 
-// TestNoOfferAfterSuspendPastDeadline suspends the machine while the first home refuses:
-// the request's deadline has passed although no timer has fired.
+// TestNoOfferAfterSuspendPastDeadline simulates a machine that is suspended while the first
+// home refuses the request: the deadline has passed although no timer has fired.
 func TestNoOfferAfterSuspendPastDeadline(t *testing.T) {
 	var suspended atomic.Int64
 	refuse := func(ctx context.Context, call *peering.Call) *peering.Reply {
 		suspended.Store(int64(2 * testTimeout))
-		return refuseWith(peering.QueueFull)(ctx, call)
+		return replyRefused(peering.QueueFull)(ctx, call)
 	}
 	f := newFixture(t, refuse, refuse)
 	f.forwarder.now = func() time.Time { return time.Now().Add(time.Duration(suspended.Load())) }
-	answer := f.do("GET", "/read/x", "a", "")
+	response := f.do("GET", "/read/x", "a", "")
 	assert.Equal(t, f.calls(), 1, "the request must not be offered to the second home")
-	assert.Equal(t, answer.Code, http.StatusServiceUnavailable, "the request was not executed")
+	assert.Equal(t, response.Code, http.StatusServiceUnavailable, "the request was not executed")
 }
--- a/internal/forward/home.go
+++ b/internal/forward/home.go
@@ -15,39 +15,40 @@
 	address string
 
 	mutex sync.Mutex
-	// inFlight holds the cancel function of each call that waits for the home, and
-	// pending sums these calls by route.
+	// inFlight holds the cancel functions of the calls that wait for the home, and pending
+	// summarizes these calls by route.
 	inFlight map[uint64]context.CancelCauseFunc
 	pending  map[string]pendingCalls
 	nextCall uint64
 	load     peering.Load
 	loadAt   time.Time
-	// latencies are the home's usual latencies by route.
+	// latencies holds the reported latencies by route.
 	latencies map[string]latencySample
-	// slowness is the ratio of the home's latency to that of other homes, averaged over
-	// all routes that it reported.
+	// slowness is the ratio of the home's latency to the median of all homes, as a moving
+	// average over the reports for all routes.
 	slowness   float64
 	slownessAt time.Time
-	// lastSeen is when the home last answered anything.
+	// lastSeen is the time of the last liveness signal.
 	lastSeen time.Time
-	// busySince is when a call began to wait while no other did.
+	// busySince is when the number of waiting calls last became greater than zero.
 	busySince time.Time
 	suspicion suspicion
-	// departedRevision is the revision of the home's record when the home reported that
-	// it has no target to offer. The home is skipped until departedUntil or until its
+	// unavailableRevision is the revision of the home's record when the home reported that
+	// it has no available target. The home is skipped until unavailableUntil or until its
 	// record changes.
-	departedRevision uint64
-	departedUntil    time.Time
+	unavailableRevision uint64
+	unavailableUntil    time.Time
 }
 
-// latencySample is the usual latency of a call as the home reported it.
+// latencySample is a latency that the home reported.
 type latencySample struct {
 	value time.Duration
 	at    time.Time
 }
 
-// suspicion marks a failed home, which is not chosen until it answers a probe. backoff is
-// the pause before the next probe; it grows with each failure.
+// suspicion is the state of a home that is suspected to have failed. The home is not chosen
+// until it responds to a probe. backoff is the delay before the next probe, which grows with
+// each failure; zero means that the home is not suspected.
 type suspicion struct {
 	since, until time.Time
 	backoff      time.Duration
@@ -56,29 +57,29 @@
 const (
 	minSuspicionBackoff = 300 * time.Millisecond
 	maxSuspicionBackoff = 3 * time.Second
-	// departedPeriod is how long a home is skipped that has no target to offer and whose
+	// unavailablePeriod is how long a home without an available target is skipped if its
 	// record does not change.
-	departedPeriod = time.Second
-	// loadMaxAge is how long a home's load report is valid.
+	unavailablePeriod = time.Second
+	// loadMaxAge is how long the number of calls that a home reported is valid.
 	loadMaxAge = time.Second
-	// maxTrackedRoutes bounds the routes whose latencies are kept for one home, and those
-	// with statistics over all homes.
+	// maxTrackedRoutes limits the number of routes with latencies of one home, and of
+	// routes with statistics over all homes.
 	maxTrackedRoutes = 256
 )
 
-// usable reports whether the home may be chosen. A suspected home is chosen again only
-// once it has answered a probe: requests are not used to find out whether it recovered.
+// usable reports whether the home may be chosen. A suspected home may be chosen again only
+// after it has responded to a probe: requests are not used to test whether it has recovered.
 func (s *homeState) usable(home *registry.Home, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if s.departedRevision == uint64(home.Revision) && now.Before(s.departedUntil) {
+	if s.unavailableRevision == uint64(home.Revision) && now.Before(s.unavailableUntil) {
 		return false
 	}
 	return s.suspicion.backoff == 0
 }
 
-// begin records a call of the route that waits for the home. The returned function ends
-// it.
+// begin records a call of the route that waits for the home. The returned function must be
+// called when the call ends.
 func (s *homeState) begin(route string, cancel context.CancelCauseFunc, now time.Time) func() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -102,8 +103,8 @@
 	}
 }
 
-// probeDue reports whether the home is to be probed: calls have waited without a liveness
-// signal, or the backoff after a failure is over.
+// probeDue reports whether the home must be probed: calls have waited longer than maxSilence
+// without a liveness signal, or the backoff of a suspected home is over.
 func (s *homeState) probeDue(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -143,8 +144,8 @@
 	return len(s.inFlight) == 0
 }
 
-// markReachable records an answer of the home, which ends its suspicion. It returns how
-// long the home was suspected.
+// markReachable records that the home has responded, which ends its suspicion. It returns
+// how long the home was suspected.
 func (s *homeState) markReachable(now time.Time) (suspectedFor time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -157,12 +158,13 @@
 	return suspectedFor
 }
 
-// markDeparted skips the home until its record changes or departedPeriod has passed.
-func (s *homeState) markDeparted(home *registry.Home, now time.Time) {
+// markUnavailable excludes the home from choices until its record changes or
+// unavailablePeriod has passed.
+func (s *homeState) markUnavailable(home *registry.Home, now time.Time) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.departedRevision = uint64(home.Revision)
-	s.departedUntil = now.Add(departedPeriod)
+	s.unavailableRevision = uint64(home.Revision)
+	s.unavailableUntil = now.Add(unavailablePeriod)
 }
 
 func (s *homeState) isSuspected() bool {
@@ -171,8 +173,8 @@
 	return s.suspicion.backoff > 0
 }
 
-// suspect marks the home as suspected and doubles its backoff, up to maxSuspicionBackoff.
-// It reports whether the home was not suspected before.
+// suspect marks the home as suspected and doubles its backoff, up to maxSuspicionBackoff. It
+// has no effect during the backoff. It reports whether the home was not suspected before.
 func (s *homeState) suspect(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -188,7 +190,7 @@
 	return first
 }
 
-// cancelCalls cancels the calls that wait for the home and may be offered elsewhere.
+// cancelCalls cancels the calls that wait for the home and may be offered to another one.
 func (s *homeState) cancelCalls(cause error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -207,25 +209,27 @@
 	routes map[string]routeStats
 }
 
-// routeStats holds the usual latency and answer size of one route.
+// routeStats holds the usual latency and response size of one route.
 type routeStats struct {
 	// latency is the median latency at all homes, zero if unknown.
 	latency time.Duration
-	// answerBytes is the average size of an answer's body.
-	answerBytes float64
+	// responseBytes is the average size of a response body.
+	responseBytes float64
 }
 
-// answerBytesWeight is the weight of one answer in the average size.
-const answerBytesWeight = 1.0 / 32
+// responseBytesWeight is the weight of one response in the average size.
+const responseBytesWeight = 1.0 / 32
 
 // setLatency records the median latency of a route.
 func (t *homeTable) setLatency(route string, latency time.Duration) {
 	t.updateStats(route, func(stats *routeStats) { stats.latency = latency })
 }
 
-// recordAnswerSize adds the size of an answer, in bytes, to the route's average.
-func (t *homeTable) recordAnswerSize(route string, bytes int) {
-	t.updateStats(route, func(stats *routeStats) { stats.answerBytes += (float64(bytes) - stats.answerBytes) * answerBytesWeight })
+// recordResponseSize adds the body size of a response to the route's average.
+func (t *homeTable) recordResponseSize(route string, bytes int) {
+	t.updateStats(route, func(stats *routeStats) {
+		stats.responseBytes += (float64(bytes) - stats.responseBytes) * responseBytesWeight
+	})
 }
 
 func (t *homeTable) updateStats(route string, apply func(*routeStats)) {
@@ -260,7 +264,7 @@
 	return s
 }
 
-// find returns the state of a home, nil if there is none.
+// find returns the state of a home, or nil if there is none.
 func (t *homeTable) find(address string) *homeState {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -292,20 +296,20 @@
 	return states
 }
 
-func (s *homeState) isDeparted(home *registry.Home, now time.Time) bool {
+func (s *homeState) isUnavailable(home *registry.Home, now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.departedRevision == uint64(home.Revision) && now.Before(s.departedUntil)
+	return s.unavailableRevision == uint64(home.Revision) && now.Before(s.unavailableUntil)
 }
 
-// suspect marks the home as suspected and logs the change.
+// suspect marks the home as suspected and logs it if it was not suspected before.
 func (f *Forwarder) suspect(state *homeState, reason string) {
 	if state.suspect(f.now()) {
 		f.log.Record(eventlog.Event{Kind: eventlog.HomeSuspected, Peer: state.address, Reason: reason})
 	}
 }
 
-// markReachable records an answer of a home, and logs it if that ends a suspicion.
+// markReachable records that a home has responded, and logs the end of a suspicion.
 func (f *Forwarder) markReachable(state *homeState) {
 	if suspectedFor := state.markReachable(f.now()); suspectedFor > 0 {
 		f.log.Record(eventlog.Event{Kind: eventlog.HomeTrusted, Peer: state.address, Age: suspectedFor})
--- a/internal/forward/home_stats.go
+++ b/internal/forward/home_stats.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// repeatableMaxAge is how long a home's reports of its latencies and failures are
-	// valid for requests that may be retried. After that a home with bad reports is tried
-	// again.
+	// repeatableMaxAge is how long a home's reports of its latency and failure rate are
+	// valid for requests that may be retried. After that, a home with a poor report is
+	// tried again.
 	repeatableMaxAge = 2 * time.Second
-	// onceMaxAge is the same for requests that must not run twice, which should not be
-	// used to find out whether a home has recovered.
+	// onceMaxAge is the same for requests that must not run twice. It is longer because
+	// these should not be used to test whether a home has recovered.
 	onceMaxAge = 6 * time.Second
 	// slowMaxAge is how long a home's latency is valid if it exceeds slowLatencyRatio
-	// times the median. Trying such a home again costs a late request.
+	// times the median. It is longer because trying such a home again makes a request late.
 	slowMaxAge       = 6 * time.Second
 	slowLatencyRatio = 3
 	// stoppingMaxAge is how long a home's report that it is about to stop is valid.
@@ -28,7 +28,7 @@
 	percent        = 100
 )
 
-// maxAgeFor returns how long reports are valid for requests to routes of the kind.
+// maxAgeFor returns how long reports are valid for requests of the kind.
 func maxAgeFor(kind routetable.Kind) time.Duration {
 	if kind == routetable.Once {
 		return onceMaxAge
@@ -59,7 +59,7 @@
 	return c
 }
 
-// meanAge returns the average time that the calls have waited.
+// meanAge returns the average time for which the calls have waited, zero if there are none.
 func (c pendingCalls) meanAge(now time.Time) time.Duration {
 	if c.count == 0 {
 		return 0
@@ -67,24 +67,24 @@
 	return now.Sub(c.firstStart) - c.offsetSum/time.Duration(c.count)
 }
 
-// homeStats holds the values of one home that choices are based on.
+// homeStats holds the statistics of one home on which choices are based.
 type homeStats struct {
-	// occupancy is the part of the home's limit that is in use, above 1 if calls are
-	// queued.
+	// occupancy is the fraction of the home's concurrency limit that is in use, above 1 if
+	// calls are queued.
 	occupancy float64
-	// latency is the usual latency of a call of the route, zero if unknown.
+	// latency is the reported latency of a call of the route, zero if unknown.
 	latency time.Duration
-	// slowness is the ratio of the latency of calls of any route to that at other homes,
-	// zero if unknown.
+	// slowness is the average ratio, over all routes, of the home's latency to the median
+	// of all homes, zero if unknown.
 	slowness float64
-	// pendingLatency is the latency estimated from this node's own pending calls, zero if
-	// there are none.
+	// pendingLatency is the latency estimated from the age of this node's pending calls,
+	// zero if there are none.
 	pendingLatency time.Duration
 	// stopping is set if the home is about to stop.
 	stopping bool
-	// failures is the share of calls that fail at the target, and errors the share of
-	// answers that report a failure of the target's own.
-	failures, errors float64
+	// failureRate is the fraction of calls without a valid response, and errorRate the
+	// fraction of responses that report an error of the target itself.
+	failureRate, errorRate float64
 }
 
 func (s *homeState) stats(home *registry.Home, route *routetable.Route, median time.Duration, now time.Time) homeStats {
@@ -99,7 +99,7 @@
 		busy = max(busy, s.load.InFlight+s.load.Queued)
 	}
 	maxAge := maxAgeFor(route.Kind)
-	// Pending calls are halfway through their time on average.
+	// On average, a pending call has run for half of its duration.
 	stats := homeStats{stopping: s.stoppingLocked(now), occupancy: float64(busy) / float64(limit), pendingLatency: 2 * s.pending[route.Name].meanAge(now)}
 	if latency := s.latencies[route.Name]; now.Sub(latency.at) < maxAge || (now.Sub(latency.at) < slowMaxAge && latency.value > slowLatencyRatio*median && median > 0) {
 		stats.latency = latency.value
@@ -108,13 +108,13 @@
 		stats.slowness = s.slowness
 	}
 	if now.Sub(s.loadAt) < maxAge {
-		stats.failures = float64(s.load.FailurePercent) / percent
-		stats.errors = float64(s.load.ErrorPercent) / percent
+		stats.failureRate = float64(s.load.FailurePercent) / percent
+		stats.errorRate = float64(s.load.ErrorPercent) / percent
 	}
 	return stats
 }
 
-// isStopping reports whether the home has reported that it is about to stop.
+// isStopping reports whether the home has recently reported that it is about to stop.
 func (s *homeState) isStopping(now time.Time) bool {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -125,7 +125,7 @@
 	return s.load.Stopping && now.Sub(s.loadAt) < stoppingMaxAge
 }
 
-// recordLoad records the load that the home reported with a reply to a call of the route.
+// recordLoad records the load that the home reported in a reply to a call of the route.
 // median is the median latency of the route at all homes, zero if unknown.
 func (s *homeState) recordLoad(route string, load peering.Load, median time.Duration, now time.Time) {
 	s.mutex.Lock()
@@ -153,22 +153,22 @@
 	s.slownessAt = now
 }
 
-// medianErrors returns the median share of errors. Errors that all homes have in common
-// are caused further down the call chain.
-func medianErrors(candidates []candidate) float64 {
+// medianErrorRate returns the median error rate of the candidates. A rate that all homes
+// have in common is caused further down the call chain.
+func medianErrorRate(candidates []candidate) float64 {
 	if len(candidates) == 0 {
 		return 0
 	}
-	shares := make([]float64, len(candidates))
+	rates := make([]float64, len(candidates))
 	for i, c := range candidates {
-		shares[i] = c.stats.errors
+		rates[i] = c.stats.errorRate
 	}
-	slices.Sort(shares)
-	return shares[(len(shares)-1)/2]
+	slices.Sort(rates)
+	return rates[(len(rates)-1)/2]
 }
 
-// medianLatency returns the median of the known latencies of a route, which is the
-// estimate for homes whose latency is unknown.
+// medianLatency returns the median of the known latencies, which is the estimate for homes
+// whose latency is unknown. It returns zero if no latency is known.
 func medianLatency(candidates []candidate) time.Duration {
 	latencies := make([]time.Duration, 0, len(candidates))
 	for _, c := range candidates {
--- a/internal/forward/home_test.go
+++ b/internal/forward/home_test.go
@@ -14,9 +14,9 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// TestSuspectedHomeGetsNoRequestsUntilReachable has one home fail while another is
-// healthy: the failed home is chosen again only after it has answered a probe, however
-// much time has passed.
+// TestSuspectedHomeGetsNoRequestsUntilReachable uses a suspected and a healthy home. The
+// suspected home must be chosen again only after it has responded to a probe, no matter how
+// much time passes.
 func TestSuspectedHomeGetsNoRequestsUntilReachable(t *testing.T) {
 	now := time.Now()
 	f := &Forwarder{config: Config{Zone: "z"}, now: func() time.Time { return now }, directory: directoryOf(t, []string{"failed", "well"})}
@@ -36,8 +36,8 @@
 	assert.Assert(t, chosen["failed"])
 }
 
-// TestSuspectedHomeIsProbedAfterBackoffOrPeerAlive checks when a suspected home is
-// probed.
+// TestSuspectedHomeIsProbedAfterBackoffOrPeerAlive checks that a suspected home is probed
+// after its backoff, or earlier after a liveness signal.
 func TestSuspectedHomeIsProbedAfterBackoffOrPeerAlive(t *testing.T) {
 	now := time.Now()
 	f := &Forwarder{now: func() time.Time { return now }}
@@ -71,10 +71,10 @@
 	assert.Equal(t, len(table.all()), 0)
 }
 
-// TestRecoveredHomeIsDetected has a home's address first refuse connections and then
-// answer.
+// TestRecoveredHomeIsDetected uses an address that first refuses connections and then serves
+// a home.
 func TestRecoveredHomeIsDetected(t *testing.T) {
-	f := newFixture(t, answerOK)
+	f := newFixture(t, replyOK)
 	live := f.forwarder.directory.Homes("s")[0].Address
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/internal/forward/monitor.go
+++ b/internal/forward/monitor.go
@@ -12,24 +12,25 @@
 
 const (
 	probePeriod = 100 * time.Millisecond
-	// prunePeriod is the interval at which states of homes that left the directory are
-	// removed.
+	// prunePeriod is the interval at which the states of homes that are no longer in the
+	// directory are removed.
 	prunePeriod = 5 * time.Second
-	// maxSilence is how long calls may wait without a liveness signal of the home before
-	// it is probed. Homes that run calls send one every 300 ms.
+	// maxSilence is how long calls may wait without a liveness signal from the home before
+	// the home is probed. Homes that run calls send one every 300 ms.
 	maxSilence  = 450 * time.Millisecond
 	pingTimeout = 300 * time.Millisecond
 	// stallTolerance is how late a probe tick may be before the process counts as
-	// stalled. It is below the timeouts of requests.
+	// stalled. It is shorter than the timeouts of requests.
 	stallTolerance = 150 * time.Millisecond
 )
 
-// errSuspected is the cancellation cause of calls that wait for a home that does not
-// respond.
+// errSuspected is the cancellation cause of calls that wait for a home that does not respond
+// to a probe.
 var errSuspected = errors.New(string(peering.Suspected))
 
-// monitorHomes probes homes that are silent while calls wait for them, for example
-// because their machine is frozen, and homes that failed, until the context ends.
+// monitorHomes probes suspected homes, and homes that send no liveness signal while calls
+// wait for them, for example because their machine is frozen. It runs until the context
+// ends.
 func (f *Forwarder) monitorHomes(ctx context.Context) {
 	ticker := time.NewTicker(probePeriod)
 	defer ticker.Stop()
@@ -59,8 +60,8 @@
 	}
 }
 
-// recordStall logs and counts a stall of the process. If a late request has no such event
-// near it, something inside the node delayed it.
+// recordStall logs and counts a stall of the process. If the log has no such event around
+// the time of a late request, the request was delayed by something inside the node.
 func (f *Forwarder) recordStall(late time.Duration) {
 	if late == 0 {
 		return
@@ -69,8 +70,8 @@
 	f.log.Record(eventlog.Event{Kind: eventlog.ProcessStalled, Duration: late, Count: int(f.inFlight.Load())})
 }
 
-// probe pings a home, and if it does not respond, suspects it and cancels the calls that
-// wait for it.
+// probe pings a home. If the home does not respond, it is suspected, and the calls that wait
+// for it are canceled.
 func (f *Forwarder) probe(ctx context.Context, state *homeState, done chan<- string) {
 	pingCtx, cancel := context.WithTimeout(ctx, pingTimeout)
 	err := f.peers.Ping(pingCtx, state.address)
--- a/internal/forward/monitor_test.go
+++ b/internal/forward/monitor_test.go
@@ -11,14 +11,14 @@
 	"github.com/lugspur/lugspur/internal/peering"
 )
 
-// TestHomeSendingInterimAnswersIsNotPinged guards against needless pings. Its call lasts
-// longer than maxSilence. With 24 nodes and calls of 400 to 600 ms, homes were pinged 756
-// times over new connections in 10 s, for 4,851 requests, although interim answers
-// arrived on the calls' own connections.
-func TestHomeSendingInterimAnswersIsNotPinged(t *testing.T) {
+// TestHomeSendingInterimResponsesIsNotPinged guards against unnecessary pings during calls
+// that last longer than maxSilence. With 24 nodes and calls of 400 to 600 ms, homes were
+// pinged 756 times over new connections in 10 s, for 4,851 requests, although interim
+// responses arrived on the connections of the calls.
+func TestHomeSendingInterimResponsesIsNotPinged(t *testing.T) {
 	f := newFixture(t, func(ctx context.Context, call *peering.Call) *peering.Reply {
 		time.Sleep(4 * maxSilence)
-		return answerOK(ctx, call)
+		return replyOK(ctx, call)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
--- a/internal/forward/policy.go
+++ b/internal/forward/policy.go
@@ -14,7 +14,7 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// policyCallOf returns the fields of a request that policies read.
+// policyCallOf returns the fields of a request that are available to policies.
 func (f *Forwarder) policyCallOf(q *request, r *http.Request) policy.Call {
 	tenant, tenantPriority := q.tenantOf()
 	return policy.Call{
@@ -25,7 +25,7 @@
 		Caller:      f.config.Service,
 		Zone:        f.config.Zone,
 		Repeatable:  q.route.Kind == routetable.Repeatable,
-		External:    !q.inner,
+		External:    !q.nested,
 		TimeoutMs:   int(q.deadline.Sub(q.arrived).Milliseconds()),
 		Priority:    q.route.Priority,
 		Attempts:    q.route.Attempts,
@@ -33,8 +33,8 @@
 	}
 }
 
-// loadOf returns the load of the request's route as policies read it. freeIn is the time
-// after which room is expected.
+// loadOf returns the load of the request's route that is available to policies. freeIn is
+// the time after which free capacity is expected.
 func (f *Forwarder) loadOf(q *request, freeIn time.Duration) policy.Load {
 	load := policy.Load{FreeIn: freeIn.Seconds()}
 	if threshold := f.levels.Threshold(q.route.Name); threshold < shed.None {
@@ -43,7 +43,7 @@
 	return load
 }
 
-// outcomeOf returns the outcome of the request so far as policies read it.
+// outcomeOf returns the outcome of the request so far that is available to policies.
 func (q *request) outcomeOf() policy.Outcome {
 	outcome := policy.Outcome{Executed: policy.ExecutedNo, Attempt: q.offers}
 	if q.attempts > 0 {
@@ -56,8 +56,8 @@
 	return outcome
 }
 
-// rankOf returns the rank of a request that enters at this node: the level that its
-// policy assigns, and a cohort within the level from the hash of its id.
+// rankOf returns the rank of a request that enters at this node: the level that its policy
+// assigns, and a cohort within the level derived from the hash of its ID.
 func (f *Forwarder) rankOf(q *request) criticality.Rank {
 	level, err := f.policies.For(q.route.Kind).Rank(q.policyCall)
 	f.logPolicyError(q, err)
@@ -71,23 +71,24 @@
 	return admitted
 }
 
-// maxRetries returns the number of additional homes that the policy lets the request be
-// offered to.
+// maxRetries returns the number of additional homes to which the policy allows the request
+// to be offered.
 func (f *Forwarder) maxRetries(q *request) int {
 	retries, err := f.policies.For(q.route.Kind).Retry(q.policyCall, q.outcomeOf())
 	f.logPolicyError(q, err)
 	return retries
 }
 
-// refusal returns the answer to a request that was not executed. The policy sets the
-// retry delay, given the time after which the node expects room.
+// refusal returns the problem for a request that was not executed. The policy determines
+// the retry delay, given the time after which free capacity is expected.
 func (f *Forwarder) refusal(q *request, reason problem.Reason, step, detail string, freeIn time.Duration) *problem.Problem {
 	delay, err := f.policies.For(q.route.Kind).RefuseDelay(q.policyCall, f.loadOf(q, freeIn), q.outcomeOf())
 	f.logPolicyError(q, err)
 	return f.problem(reason, problem.ExecutedNo, step, detail).WithRetryDelay(delay)
 }
 
-// logPolicyError logs a policy that could not be evaluated; its safe default applies.
+// logPolicyError logs that a policy could not be evaluated; the caller uses the policy's
+// safe default.
 func (f *Forwarder) logPolicyError(q *request, err error) {
 	if err != nil {
 		f.log.Record(eventlog.Event{Kind: eventlog.PolicyFailed, Request: q.id, Route: q.route.Name, Reason: err.Error()})
--- a/internal/forward/quarantine.go
+++ b/internal/forward/quarantine.go
@@ -12,12 +12,12 @@
 	"github.com/lugspur/lugspur/internal/quarantine"
 )
 
-// minQuarantineDelay is the minimum retry delay sent to callers of a quarantined request:
-// a trial run is due for only one of them.
+// minQuarantineDelay is the minimum retry delay sent to the callers of a quarantined request.
+// Even if a trial run is due, only one of the callers gets it.
 const minQuarantineDelay = time.Second
 
-// checkQuarantine looks the request up among those that crash targets. It returns the
-// refusal of a quarantined one, unless a trial run is due, which the home decides on.
+// checkQuarantine looks up the quarantine state of the request. It returns the problem for a
+// quarantined request, unless a trial run is due; then the home decides.
 func (f *Forwarder) checkQuarantine(q *request) *problem.Problem {
 	if f.quarantine.Empty() {
 		return nil
@@ -30,8 +30,8 @@
 	return nil
 }
 
-// quarantineProblem returns the answer to a quarantined request. One that may have been
-// executed at a previous offer is not reported as not executed.
+// quarantineProblem returns the problem for a quarantined request. A request that may have
+// been executed at a previous home is not reported as not executed.
 func (f *Forwarder) quarantineProblem(q *request, retryAfter time.Duration) *problem.Problem {
 	const detail = "targets that run the request crash"
 	if q.attempts > 0 {
@@ -42,22 +42,22 @@
 	return f.problem(problem.Quarantined, problem.ExecutedNo, "screen", detail).WithRetryDelay(max(retryAfter, minQuarantineDelay))
 }
 
-// isSuspect reports whether a target crashed while running the request. Its offers then
-// go, one at a time, to the home that all nodes choose.
+// isSuspect reports whether a target has crashed while running the request. A suspect is
+// offered only to the home that all nodes choose for it, which runs it once at a time.
 func (q *request) isSuspect() bool { return q.call.Crashes > 0 }
 
-// isolated reports whether the request must not run concurrently with other
-// isolated suspects.
+// isolated reports whether the request must not run concurrently with other isolated
+// suspects.
 func (q *request) isolated() bool {
 	return quarantine.State{Crashes: q.call.Crashes}.Isolated()
 }
 
-// recordCrashes updates the number of targets that crashed while running the request.
+// recordCrashes updates the number of targets that have crashed while running the request.
 func (q *request) recordCrashes(reply *peering.Reply) {
 	q.call.Crashes = max(q.call.Crashes, reply.Crashes)
 }
 
-// reportAnswered reports to the quarantine that a target answered a suspect.
+// reportAnswered reports to the quarantine that a target has answered a suspect.
 func (f *Forwarder) reportAnswered(q *request) {
 	if q.isSuspect() {
 		f.quarantine.RecordAnswer(quarantine.Call{Fingerprint: q.fingerprint(), Service: q.service, Route: q.route.Name})
@@ -72,10 +72,11 @@
 	return q.hash
 }
 
-// chooseByHash returns the home at which all nodes run a suspect, so that it runs once at
-// a time: the usable home with the highest hash of fingerprint and address. If that home
-// fails, the next highest is chosen.
-func (f *Forwarder) chooseByHash(q *request) choice {
+// chooseByRendezvousHash chooses the home for a suspect by rendezvous hashing, so that all
+// nodes offer it to the same home, which runs it once at a time. It returns the usable home
+// with the highest hash of fingerprint and address. If that home fails, the one with the next
+// highest hash is chosen.
+func (f *Forwarder) chooseByRendezvousHash(q *request) choice {
 	now := f.now()
 	var best choice
 	highest := uint64(0)
--- a/internal/forward/receive.go
+++ b/internal/forward/receive.go
@@ -18,7 +18,7 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// rawPath returns the request's path as sent by the caller.
+// rawPath returns the path of the request in the encoding that the caller used.
 func rawPath(r *http.Request) string {
 	if !strings.HasPrefix(r.RequestURI, "/") {
 		return r.URL.EscapedPath()
@@ -38,12 +38,11 @@
 // is about to stop.
 const notReadyDelay = 200 * time.Millisecond
 
-// shedDelay is the retry delay sent to callers whose requests are refused because the
-// homes further down the call chain shed their rank, or because their parent was
-// abandoned.
+// shedDelay is the retry delay sent to callers whose requests are refused because their rank
+// is shed further down the call chain, or because their parent was abandoned.
 const shedDelay = time.Second
 
-// receive reads and checks a complete request.
+// receive reads a complete request and decides whether to admit it.
 func (f *Forwarder) receive(w http.ResponseWriter, r *http.Request, started time.Time) (*request, *problem.Problem) {
 	q := &request{id: r.Header.Get(f.config.Headers.RequestID), arrived: started}
 	table := f.routes.Current()
@@ -88,7 +87,7 @@
 	f.config.Headers.StripInternal(r.Header)
 	f.setTenantHeader(r.Header, q, table)
 	q.service = f.splitter.Choose(q.route)
-	f.recordInnerCall(q)
+	f.recordNestedCall(q)
 	q.call = &peering.Call{
 		Service:    q.service,
 		RequestID:  q.id,
@@ -101,7 +100,7 @@
 		Route:      q.route.Name,
 		Rank:       q.rank.Key(),
 		AtMostOnce: q.route.Kind != routetable.Repeatable,
-		Nested:     q.inner,
+		Nested:     q.nested,
 		PriorCalls: max(q.callNumber-1, 0),
 		Retried:    parent.Retried,
 		MaxWait:    f.maxWait(q),
@@ -109,8 +108,9 @@
 	return q, f.checkQuarantine(q)
 }
 
-// endsBeforeShutdown reports whether the request is sure to end before the node's
-// shutdown deadline. If the usual latency is unknown, the request's full timeout counts.
+// endsBeforeShutdown reports whether the request will finish before the node's shutdown
+// deadline with a margin for slow requests. The request's timeout is the upper bound, and the
+// estimate if the usual latency is unknown.
 func (f *Forwarder) endsBeforeShutdown(q *request) bool {
 	needed := q.deadline.Sub(q.arrived)
 	if usual := f.homes.statsOf(q.route.Name).latency; usual > 0 {
@@ -119,7 +119,7 @@
 	return f.shutdownDeadline.Allows(needed, q.arrived)
 }
 
-// headerBytes returns the size of a request's header fields, in bytes.
+// headerBytes returns the size in bytes of the request's URI, host and header fields.
 func headerBytes(r *http.Request) int64 {
 	const separators = 4
 	size := len(r.RequestURI) + len(r.Host)
@@ -134,15 +134,15 @@
 // maxWait returns how long a request may be queued for a target.
 func (f *Forwarder) maxWait(q *request) time.Duration {
 	share := f.config.WaitShare
-	if q.inner {
+	if q.nested {
 		share = f.config.InnerWaitShare
 	}
 	return time.Duration(float64(q.route.Objective) * share)
 }
 
 // parentOf finds the request at the local target that made the call. If there is one, the
-// call is an inner call. A call of an abandoned request is refused: its target may go on
-// working although the caller's connection was closed.
+// call is a nested call. A call of an abandoned request is refused: the target may continue
+// to execute the request although the connection of its caller was closed.
 func (f *Forwarder) parentOf(q *request) (guard.Running, *problem.Problem) {
 	id, isCall := f.config.ParentOf(q.id)
 	if !isCall {
@@ -155,26 +155,26 @@
 		}
 		return guard.Running{}, nil
 	}
-	q.inner, q.parent, q.parentRoute, q.parentContext = true, id, parent.Route, parent.Context
+	q.nested, q.parent, q.parentRoute, q.parentContext = true, id, parent.Route, parent.Context
 	q.callNumber = f.local.CountCall(id, q.route.Name)
 	return parent, nil
 }
 
-// recordInnerCall records the calls that requests of the caller's route make, and whether
-// this node's retry budget would cover retries of them.
-func (f *Forwarder) recordInnerCall(q *request) {
-	if !q.inner {
+// recordNestedCall records the number of calls that a request of the parent route makes, and
+// whether this node's retry budget is low for retries of these calls.
+func (f *Forwarder) recordNestedCall(q *request) {
+	if !q.nested {
 		return
 	}
 	expected := max(f.levels.ExpectedCalls(q.parentRoute, q.route.Name), q.callNumber)
 	f.levels.RecordCalls(q.parentRoute, q.route.Name, pressure.CallStats{Count: q.callNumber, RetryBudgetLow: !f.budget(q.service).HasHeadroom(expected)})
 }
 
-// admit ranks a request that enters at this node, and refuses it if its policy does or if
-// its rank is shed further down the call chain. A call of a running request keeps the
-// rank of that request and is not checked.
+// admit ranks a request that enters at this node. It refuses the request if the policy does
+// not admit it or if its rank is shed further down the call chain. A nested call keeps the
+// rank of its parent and is always admitted.
 func (f *Forwarder) admit(q *request) *problem.Problem {
-	if q.inner {
+	if q.nested {
 		return nil
 	}
 	if !f.policyAdmits(q) {
@@ -189,7 +189,8 @@
 	return f.refusal(q, problem.Overloaded, "admit", detail, shedDelay)
 }
 
-// timeoutOf returns the shorter of the timeouts that the caller and the route set.
+// timeoutOf returns the timeout of the route, or the default if it has none, limited by the
+// timeout that the caller sent.
 func (f *Forwarder) timeoutOf(route *routetable.Route, header http.Header) time.Duration {
 	timeout := f.config.DefaultTimeout
 	if route.Timeout > 0 {
--- a/internal/forward/request_benchmark_test.go
+++ b/internal/forward/request_benchmark_test.go
@@ -15,11 +15,11 @@
 	"github.com/lugspur/lugspur/internal/replica"
 )
 
-// benchmarkFixture returns a forwarder with one peer on a real socket.
+// benchmarkFixture returns a forwarder with one home on a real socket.
 func benchmarkFixture(b *testing.B) *fixture {
 	b.Helper()
 	f := &fixture{levels: pressure.New(time.Now), quarantine: quarantine.New(quarantine.Config{Now: time.Now})}
-	home := &countingHome{}
+	home := &nonRecordingHome{}
 	server := httptest.NewServer(peering.Handler(peering.Services{Home: home, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess}))
 	b.Cleanup(server.Close)
 	f.addresses = []string{server.Listener.Addr().String()}
@@ -27,15 +27,15 @@
 	return f
 }
 
-// countingHome answers calls without recording them.
-type countingHome struct{ fakeHome }
+// nonRecordingHome answers calls without recording them.
+type nonRecordingHome struct{ fakeHome }
 
-func (h *countingHome) Run(ctx context.Context, call *peering.Call) *peering.Reply {
-	return answerOK(ctx, call)
+func (h *nonRecordingHome) Run(ctx context.Context, call *peering.Call) *peering.Reply {
+	return replyOK(ctx, call)
 }
 
-// BenchmarkRequest measures one request at a time: the entry node and both sides of the
-// exchange with the target's home, without the target.
+// BenchmarkRequest measures sequential requests: the work of the entry node and both sides of
+// the exchange with the home, without the target.
 func BenchmarkRequest(b *testing.B) {
 	f := benchmarkFixture(b)
 	b.ReportAllocs()
@@ -43,8 +43,8 @@
 		request := httptest.NewRequest(http.MethodGet, "http://a.example/read/x", nil)
 		request.RequestURI = "/read/x"
 		request.Header = http.Header{"X-Id": {"9c41d07be2a35f68"}, "X-Deadline": {"5000"}, "User-Agent": {"caller"}, "Accept": {"*/*"}}
-		answer := httptest.NewRecorder()
-		f.forwarder.ServeHTTP(answer, request)
-		assert.Equal(b, answer.Code, http.StatusOK)
+		response := httptest.NewRecorder()
+		f.forwarder.ServeHTTP(response, request)
+		assert.Equal(b, response.Code, http.StatusOK)
 	}
 }
--- a/internal/forward/answer.go
+++ b/internal/forward/response.go
@@ -9,8 +9,8 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-// writeAnswer passes the target's answer on to the caller.
-func (f *Forwarder) writeAnswer(w http.ResponseWriter, q *request, reply *peering.Reply) {
+// writeResponse sends the target's response to the caller.
+func (f *Forwarder) writeResponse(w http.ResponseWriter, q *request, reply *peering.Reply) {
 	header := w.Header()
 	for name, values := range reply.Header {
 		header[name] = values
@@ -28,7 +28,7 @@
 		Peer: q.lastHome, Status: reply.Status, Attempt: q.attempts, Duration: duration})
 }
 
-// writeProblem answers with a problem document.
+// writeProblem sends a problem document to the caller.
 func (f *Forwarder) writeProblem(w http.ResponseWriter, q *request, failure *problem.Problem) {
 	failure.RequestID = q.id
 	if q.id != "" {
@@ -48,7 +48,7 @@
 	f.log.Record(event)
 }
 
-// recordAbandoned logs and counts a request whose caller disconnected.
+// recordAbandoned logs and counts a request whose caller has disconnected.
 func (f *Forwarder) recordAbandoned(q *request) {
 	duration := f.now().Sub(q.arrived)
 	f.observer.Finished(q.route.Name, 0, string(problem.CallerGone), duration)
--- a/internal/forward/retry.go
+++ b/internal/forward/retry.go
@@ -12,7 +12,7 @@
 
 // The events that retry budgets count.
 const (
-	// FirstSent is a request that is sent to the service for the first time.
+	// FirstSent is the first attempt of a request.
 	FirstSent BudgetEvent = iota
 	// RetrySent is a retry that reached a target.
 	RetrySent
@@ -26,21 +26,21 @@
 // String returns the label value used in metrics.
 func (e BudgetEvent) String() string { return budgetEventNames[e] }
 
-// levelUrgency is the urgency of a retry that completes a request, by the request's
-// level. The values lie close together, so that requests that are almost complete precede
-// more important ones that have hardly begun.
+// levelUrgency is the urgency, by the request's level, of a retry after which no calls
+// remain. The values are close together, so that requests that are almost complete take
+// precedence over more important ones that have just started.
 var levelUrgency = [criticality.LevelCount]float64{1, 0.9, 0.8, 0.7}
 
-// minCriticalUrgency is the lowest urgency of retries of the highest level, used for its
-// last cohort, however many calls are left. It is low enough that some of these requests
-// get all of their retries, instead of all of them getting a few.
+// minCriticalUrgency is the minimum urgency of retries of the highest level, used for its
+// last cohort, regardless of the number of remaining calls. It is low enough that some of
+// these requests get all of their retries, instead of all of them getting a few.
 const minCriticalUrgency = 0.5
 
-// isRetry reports whether the next offer of the request is a retry, or the request is a
-// call of a retried request.
+// isRetry reports whether the next offer of the request is a retry: the request may have
+// reached a target before, or an ancestor of the request is a retry.
 func (q *request) isRetry() bool { return q.call.Retried || q.arrivals > 0 }
 
-// retryCause returns why the next offer is a retry.
+// retryCause returns the reason why the next offer is a retry.
 func (q *request) retryCause() peering.Reason {
 	if q.arrivals == 0 {
 		return peering.ParentRetried
@@ -48,17 +48,17 @@
 	return q.lastReason
 }
 
-// urgency returns the urgency of retrying the request, between 0 and 1. It is greater the
-// fewer calls are left to make after this one, because a request with many calls is
-// useless until the last of them has succeeded.
+// urgency returns the urgency of retrying the request, between 0 and 1. It increases as the
+// number of remaining calls decreases, because a request with many calls succeeds only if
+// the last of them does.
 func (f *Forwarder) urgency(q *request) float64 {
 	if q.call.Retried {
-		// The retry of the whole request was charged with the expected number of its
+		// The retry of the parent was charged together with the expected number of its
 		// calls.
 		return 1
 	}
 	callsLeft := 1
-	if q.inner {
+	if q.nested {
 		callsLeft = max(f.levels.ExpectedCalls(q.parentRoute, q.route.Name)-q.callNumber+1, 1)
 	}
 	calls := f.levels.Calls(q.route.Name)
@@ -70,8 +70,8 @@
 	return urgency
 }
 
-// spendRetryBudget charges the next offer to the retry budget if it is a retry. It
-// returns the answer to the request if the budget does not allow it.
+// spendRetryBudget charges the next offer to the retry budget if it is a retry. It returns
+// the final problem of the request if the budget does not allow the retry.
 func (f *Forwarder) spendRetryBudget(q *request) *problem.Problem {
 	if !q.isRetry() {
 		return nil
@@ -88,8 +88,8 @@
 	return nil
 }
 
-// recordArrival records whether the last offer reached a target. A retry that did not is
-// returned to the budget.
+// recordArrival records whether the last offer may have reached a target. The charge of a
+// retry that did not is refunded to the retry budget.
 func (f *Forwarder) recordArrival(q *request, reply *peering.Reply) {
 	reached := reply.MayHaveReachedTarget()
 	if q.isRetry() {
@@ -104,7 +104,7 @@
 	}
 }
 
-// budgetProblem returns the answer to a request whose retry the budget does not allow.
+// budgetProblem returns the problem for a request whose retry the budget does not allow.
 func (f *Forwarder) budgetProblem(q *request) *problem.Problem {
 	const detail = "no retry budget left"
 	if q.attempts > 0 {
@@ -113,7 +113,7 @@
 	return f.refusal(q, problem.Overloaded, "run", string(q.lastReason)+": "+detail, max(q.retryAfter, defaultRetryAfter))
 }
 
-// budget returns the service's retry budget.
+// budget returns the retry budget of the service and creates it if necessary.
 func (f *Forwarder) budget(service string) *retrybudget.Allowance {
 	f.budgetMutex.Lock()
 	defer f.budgetMutex.Unlock()
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// maxOffers bounds the homes that one request is offered to.
+	// maxOffers limits the number of homes that one request is offered to.
 	maxOffers = 4
 	// missedDeadlineDelay is the retry delay sent to callers if no home is likely to
-	// answer in time.
+	// respond before the deadline.
 	missedDeadlineDelay = 700 * time.Millisecond
-	// defaultRetryAfter is the retry delay used if no home proposed one.
+	// defaultRetryAfter is the retry delay sent to callers if no home proposed one.
 	defaultRetryAfter = 150 * time.Millisecond
 )
 
-// run offers the request to homes until one answers or none is left. A target's own
-// failure is the answer if no other target answers.
+// run offers the request to homes until one answers or none is left. The error response of a
+// target is returned if no other target answers.
 func (f *Forwarder) run(ctx context.Context, q *request) (*peering.Reply, *problem.Problem) {
 	if !q.call.Retried {
 		f.budget(q.service).CountRequest()
@@ -61,7 +61,7 @@
 		}
 		if reply.Outcome == peering.Answered {
 			f.reportAnswered(q)
-			if !f.shouldRetryAnswer(q, reply) {
+			if !f.shouldRetryResponse(q, reply) {
 				return reply, nil
 			}
 			q.errorReply = reply
@@ -82,17 +82,17 @@
 	return nil, f.exhaustedProblem(q)
 }
 
-// terminalProblem returns the answer to a request that must not be offered to another
-// home after a reply without an answer, nil if it may be.
+// terminalProblem returns the problem for a request that must not be offered to another home
+// after a refused or failed offer, and nil if it may be.
 func (f *Forwarder) terminalProblem(ctx context.Context, q *request, reply *peering.Reply) *problem.Problem {
 	switch {
 	case reply.Reason == peering.Quarantined:
-		// If the outcome is Failed, the call was running and was withdrawn from the
-		// target.
+		// If the outcome is Failed, the call was canceled while the target was executing
+		// it.
 		return f.quarantineProblem(q, reply.RetryAfter)
 	case ctx.Err() != nil, reply.Reason == peering.DeadlinePassed:
-		// The home checks the deadline too and may notice first. This is not a failure of
-		// its target, and no time is left to try another one.
+		// The home checks the deadline too and may detect first that it has passed. This
+		// is not a failure of its target, and no time is left to try another one.
 		return f.timeoutProblem(q, reply)
 	case reply.Outcome == peering.Failed:
 		return f.retryProblem(q, reply)
@@ -106,12 +106,12 @@
 	return q.offers <= f.maxRetries(q) && !(q.isSuspect() && reply.Reason == peering.QueueTimeout)
 }
 
-// nextChoice returns the home that the request is offered to next. Once no other is left,
-// homes whose targets rejected it become eligible again, as targets may reject requests
-// at random.
+// nextChoice returns the home that the request is offered to next. If no other is left,
+// homes whose targets rejected the request become eligible again, because targets may reject
+// requests at random.
 func (f *Forwarder) nextChoice(q *request) choice {
 	if q.isSuspect() {
-		return f.chooseByHash(q)
+		return f.chooseByRendezvousHash(q)
 	}
 	next := f.choose(q)
 	if next.home != nil || len(q.rejected) == 0 {
@@ -130,22 +130,22 @@
 	q.excluded = append(q.excluded, home)
 }
 
-// logRetry logs a retry with the reason of the last home.
+// logRetry logs a retry and the reason why the last offer was not successful.
 func (f *Forwarder) logRetry(q *request) {
 	f.log.Record(eventlog.Event{Kind: eventlog.RequestRetried, Request: q.id, Route: q.route.Name, Service: q.service, Peer: q.lastHome,
 		Attempt: q.attempts, Reason: string(q.lastReason)})
 }
 
-// shouldRetryAnswer reports whether an answered request is offered to another target: the
-// route must allow retries and the answer must be a failure of the target's own. If a
-// call that the request made had failed, another target would fail as well.
-func (f *Forwarder) shouldRetryAnswer(q *request, reply *peering.Reply) bool {
+// shouldRetryResponse reports whether an answered request is offered to another target: the
+// response must report an error of the target itself, and the route must allow retries. If
+// the error was caused by a failed downstream call, another target would fail as well.
+func (f *Forwarder) shouldRetryResponse(q *request, reply *peering.Reply) bool {
 	return reply.TargetError && f.retryProblem(q, reply) == nil
 }
 
 // wouldMissDeadline reports whether a request that must not run twice would probably miss
-// its deadline if it ran. Its caller could not send it again then, while a refused
-// request can be sent again when a home is faster.
+// its deadline at the chosen home. After a missed deadline its caller could not safely send
+// it again, but a refused request can be sent again when a home is faster.
 func (f *Forwarder) wouldMissDeadline(q *request, next choice) bool {
 	return q.route.Kind == routetable.Once && q.attempts == 0 && next.latency > q.deadline.Sub(f.now())
 }
@@ -156,8 +156,8 @@
 	}
 }
 
-// retryProblem returns nil if the request, which may have been executed, may be retried
-// at another target, and its final answer otherwise.
+// retryProblem returns nil if a request that may have been executed may be retried at another
+// target, and the final problem of the request otherwise.
 func (f *Forwarder) retryProblem(q *request, reply *peering.Reply) *problem.Problem {
 	detail := ""
 	switch {
@@ -176,7 +176,8 @@
 	return f.problem(problem.TargetFailed, problem.ExecutedUnknown, "run", string(reply.Reason)+": "+detail)
 }
 
-// timeoutProblem returns the answer to a request whose deadline has passed.
+// timeoutProblem returns the problem for a request whose deadline has passed or whose caller
+// has disconnected.
 func (f *Forwarder) timeoutProblem(q *request, reply *peering.Reply) *problem.Problem {
 	if q.attempts == 0 && reply.Outcome == peering.Refused {
 		return f.refusal(q, problem.Overloaded, "run", "no room before the deadline", defaultRetryAfter)
@@ -184,7 +185,7 @@
 	return f.problem(problem.DeadlineExceeded, problem.ExecutedUnknown, "run", "no answer before the deadline")
 }
 
-// exhaustedProblem returns the answer to a request that no home accepted.
+// exhaustedProblem returns the problem for a request that no further home accepted.
 func (f *Forwarder) exhaustedProblem(q *request) *problem.Problem {
 	if q.attempts > 0 {
 		return f.problem(problem.TargetFailed, problem.ExecutedUnknown, "run", "no other home took the repetition")
@@ -200,7 +201,7 @@
 	return f.refusal(q, reason, "run", "no home took the request: "+string(q.lastReason), delay)
 }
 
-// offer has one home run the request.
+// offer sends the request to one home and returns its reply.
 func (f *Forwarder) offer(ctx context.Context, q *request, home *registry.Home) *peering.Reply {
 	state := f.homes.state(home.Address)
 	call := *q.call
@@ -227,8 +228,8 @@
 	defer cancel(nil)
 	cancelOnSuspicion := cancel
 	if q.route.Kind != routetable.Repeatable {
-		// The request must not be offered to another home, so waiting for this one is all
-		// that is left.
+		// The request must not be offered to another home, so canceling this call would
+		// gain nothing.
 		cancelOnSuspicion = nil
 	}
 	done := state.begin(q.route.Name, cancelOnSuspicion, f.now())
@@ -241,8 +242,8 @@
 	return f.replyFromError(ctx, offerCtx, state, err)
 }
 
-// replyFromError returns the reply that represents a failed call to a peer. It suspects
-// the home, unless the deadline, the caller or an earlier suspicion ended the call.
+// replyFromError returns the reply that represents a failed call to a peer. It marks the home
+// as suspected, unless the call was ended by its deadline, its caller or an earlier suspicion.
 func (f *Forwarder) replyFromError(ctx, offerCtx context.Context, state *homeState, err error) *peering.Reply {
 	var failure *peering.Error
 	outcome, reason := peering.Failed, peering.ExchangeBroken
@@ -263,20 +264,19 @@
 	return &peering.Reply{Outcome: outcome, Reason: reason}
 }
 
-// recordReply updates the state of the home with the load and outcome that a reply
-// reports.
+// recordReply updates the state of the home with the load and the outcome in a reply.
 func (f *Forwarder) recordReply(q *request, home *registry.Home, state *homeState, reply *peering.Reply) {
 	f.markReachable(state)
 	state.recordLoad(q.route.Name, reply.Load, f.homes.statsOf(q.route.Name).latency, f.now())
 	if reply.Outcome == peering.Refused && reply.Reason.HomeUnavailable() {
-		// A home that accepts nothing has no room for requests, so its shed thresholds no
-		// longer count.
-		state.markDeparted(home, f.now())
+		// A home that accepts no requests has no capacity, so its shed thresholds no longer
+		// apply.
+		state.markUnavailable(home, f.now())
 		f.levels.Remove(home.Address)
 		return
 	}
 	if reply.Outcome == peering.Answered {
-		f.homes.recordAnswerSize(q.route.Name, len(reply.Body))
+		f.homes.recordResponseSize(q.route.Name, len(reply.Body))
 	}
 	if reply.Load.Limit > 0 {
 		f.levels.Report(q.route.Name, home.Address, pressure.Level{Threshold: reply.Load.Threshold, Calls: reply.Load.CallsPerRequest, RetryBudgetLow: reply.Load.RetryBudgetLow}, reply.Load.Limit)
--- a/internal/forward/simulation_test.go
+++ b/internal/forward/simulation_test.go
@@ -17,8 +17,8 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// simulation has one node choose among homes in virtual time. Homes differ in speed, and
-// some of them can be made slow.
+// simulation simulates, in virtual time, one node that chooses among homes. Homes differ in
+// speed, and some of them can be made slow.
 type simulation struct {
 	forwarder *Forwarder
 	route     *routetable.Route
@@ -83,26 +83,26 @@
 	return s
 }
 
-// run sends requests at the given rate for the duration and returns the share of them
-// that went to slow homes.
+// run sends requests at the given rate for the duration and returns the fraction of them that
+// were sent to slow homes.
 func (s *simulation) run(perSecond float64, duration time.Duration) float64 {
 	end := s.now.Add(duration)
-	all, slow := 0, 0
+	total, slow := 0, 0
 	for {
 		next := s.now.Add(time.Duration(s.random.ExpFloat64() / perSecond * float64(time.Second)))
 		if next.After(end) {
 			s.advance(end)
-			return float64(slow) / float64(max(all, 1))
+			return float64(slow) / float64(max(total, 1))
 		}
 		s.advance(next)
-		all++
+		total++
 		if s.request() {
 			slow++
 		}
 	}
 }
 
-// advance ends the calls whose end time is not after the given time.
+// advance sets the time and finishes the calls whose end time is not after it.
 func (s *simulation) advance(end time.Time) {
 	for len(s.pending) > 0 && !s.pending[0].end.After(end) {
 		ended := heap.Pop(&s.pending).(simulatedCall)
@@ -115,7 +115,7 @@
 	s.now = end
 }
 
-// request sends one request and reports whether it went to a slow home.
+// request sends one request and reports whether it was sent to a slow home.
 func (s *simulation) request() bool {
 	f := s.forwarder
 	home := f.choose(&request{route: s.route, service: "s", deadline: s.now.Add(5 * time.Second)}).home
@@ -136,8 +136,8 @@
 	}
 }
 
-// TestSlowHomesAreAvoidedAtAnySize makes some of the homes slow. A node that handles only
-// a few of a big service's requests must not try slow homes again and again.
+// TestSlowHomesAreAvoidedAtAnySize makes some of the homes slow. A node that sends only a few
+// of the requests to a large service must not repeatedly try slow homes.
 func TestSlowHomesAreAvoidedAtAnySize(t *testing.T) {
 	for _, c := range []struct {
 		homes     int
--- a/internal/forward/tenant.go
+++ b/internal/forward/tenant.go
@@ -11,10 +11,10 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// identify finds the tenant of the request's API key. Calls made by running requests need
-// no key, as the request that led to them was checked.
+// identify authenticates the request by its API key and sets its tenant. Nested calls need no
+// key, because the request that caused them was checked.
 func (f *Forwarder) identify(r *http.Request, q *request, table *routetable.Table) *problem.Problem {
-	if q.inner || q.route.Public || !table.HasTenants() {
+	if q.nested || q.route.Public || !table.HasTenants() {
 		return nil
 	}
 	decision := f.keys.Check(r.Context(), r.Header[f.config.Headers.APIKey], q.arrived)
@@ -36,7 +36,7 @@
 	return refusal
 }
 
-// checkLimit applies the tenant's rate limit. A request over the limit does not affect
+// checkLimit enforces the tenant's rate limit. A request over the limit does not affect
 // queues, targets, retry budgets or the shed thresholds of other requests.
 func (f *Forwarder) checkLimit(ctx context.Context, q *request) *problem.Problem {
 	if q.tenant == nil {
@@ -59,15 +59,15 @@
 	return f.problem(reason, problem.ExecutedNo, "limit", detail).WithRetryDelay(q.permit.RetryAfter)
 }
 
-// returnPermit gives back the permit of a request that was certainly not executed.
+// returnPermit returns the rate limit permit of a request that was certainly not executed.
 func (f *Forwarder) returnPermit(q *request, failure *problem.Problem) {
 	if q.tenant != nil && q.permit.Outcome == ratelimit.Admitted && failure.Executed == problem.ExecutedNo {
 		f.limits.Return(q.tenant, q.permit)
 	}
 }
 
-// setTenantHeader replaces the caller's API key with the tenant's name. Without tenants
-// the key header is not lugspur's and is passed on.
+// setTenantHeader replaces the caller's API key with the name of the tenant. If no tenants
+// are configured, the key header belongs to the application and is passed on.
 func (f *Forwarder) setTenantHeader(header http.Header, q *request, table *routetable.Table) {
 	if table.HasTenants() {
 		delete(header, f.config.Headers.APIKey)
@@ -77,8 +77,8 @@
 	}
 }
 
-// tenantOf returns the name and the priority of the request's tenant as policies read
-// them.
+// tenantOf returns the name and the priority of the request's tenant that are available to
+// policies.
 func (q *request) tenantOf() (name string, priority int) {
 	if q.tenant == nil {
 		return "", 0
--- a/internal/forward/tenant_test.go
+++ b/internal/forward/tenant_test.go
@@ -19,7 +19,7 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// fixedKeys returns the same decision for every key.
+// fixedKeys is a Keys that returns the same decision for every key.
 type fixedKeys struct {
 	decision apikey.Decision
 	checked  [][]string
@@ -35,9 +35,9 @@
 var testTenant = routetable.Tenant{Name: "acme", Keys: []routetable.KeyDigest{routetable.DigestKey(secretKey)}, Priority: 1}
 
 // newTenantFixture returns a fixture whose routes require keys, except /open/.
-func newTenantFixture(t *testing.T, keys *fixedKeys, answers ...func(context.Context, *peering.Call) *peering.Reply) *fixture {
+func newTenantFixture(t *testing.T, keys *fixedKeys, replies ...func(context.Context, *peering.Call) *peering.Reply) *fixture {
 	t.Helper()
-	fixture := newFixture(t, answers...)
+	fixture := newFixture(t, replies...)
 	service := []routetable.WeightedService{{Name: "s", Weight: 1}}
 	fixture.forwarder.routes.Update(&routetable.Configuration{Version: 5, Tenants: []routetable.Tenant{testTenant}, Routes: []routetable.Route{
 		{Name: "read", Host: "a.example", Prefix: "/read/", Kind: routetable.Repeatable, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Priority: 2, Services: service},
@@ -53,13 +53,13 @@
 	request := httptest.NewRequest(http.MethodGet, "http://a.example"+path, nil)
 	request.RequestURI = path
 	request.Header = http.Header{"X-Id": {id}, "X-Key": {secretKey}, "X-Tenant": {"forged"}, "X-Other": {"kept"}}
-	answer := httptest.NewRecorder()
-	f.forwarder.ServeHTTP(answer, request)
-	return answer
+	response := httptest.NewRecorder()
+	f.forwarder.ServeHTTP(response, request)
+	return response
 }
 
-// TestTargetGetsTenantHeaderWithoutKey sends a request with a key to each kind of route,
-// and a call of a running request, all with a forged tenant header.
+// TestTargetGetsTenantHeaderWithoutKey sends requests with a key and a forged tenant header:
+// one to a route that requires keys, one to a public route, and one nested call.
 func TestTargetGetsTenantHeaderWithoutKey(t *testing.T) {
 	keys := &fixedKeys{decision: apikey.Decision{Tenant: &testTenant}}
 	for _, test := range []struct {
@@ -68,7 +68,7 @@
 		checked  int
 	}{{"/read/x", "1", []string{"acme"}, 1}, {"/open/x", "2", nil, 0}, {"/read/x", "running.3", nil, 0}} {
 		keys.checked = nil
-		f := newTenantFixture(t, keys, answerOK)
+		f := newTenantFixture(t, keys, replyOK)
 		assert.Equal(t, f.doWithKey(test.path, test.id).Code, http.StatusOK)
 		header := f.homes[0].calls[0].Header
 		assert.DeepEqual(t, header["X-Tenant"], test.tenant)
@@ -78,10 +78,10 @@
 	}
 }
 
-// TestKeyHeaderIsPassedOnWithoutTenants sends a request with a header of the key's name
-// while the configuration has no tenants: it is passed on like any other header.
+// TestKeyHeaderIsPassedOnWithoutTenants sends a request with a key header while the
+// configuration has no tenants: the header must be passed on like any other.
 func TestKeyHeaderIsPassedOnWithoutTenants(t *testing.T) {
-	f := newFixture(t, answerOK)
+	f := newFixture(t, replyOK)
 	f.forwarder.config.Headers.APIKey, f.forwarder.config.Headers.Tenant = "X-Key", "X-Tenant"
 	assert.Equal(t, f.doWithKey("/read/x", "1").Code, http.StatusOK)
 	header := f.homes[0].calls[0].Header
@@ -89,7 +89,7 @@
 	assert.Equal(t, len(header["X-Tenant"]), 0)
 }
 
-// TestRefusedKeys has keys that are refused permanently, and one that cannot be checked.
+// TestRefusedKeys covers keys that are refused permanently and a key that cannot be checked.
 func TestRefusedKeys(t *testing.T) {
 	for _, test := range []struct {
 		decision   apikey.Decision
@@ -100,16 +100,16 @@
 		{apikey.Decision{Outcome: apikey.Unknown}, http.StatusUnauthorized, ""},
 		{apikey.Decision{Outcome: apikey.Unverified, RetryAfter: 700 * time.Millisecond}, http.StatusServiceUnavailable, "0.700"},
 	} {
-		f := newTenantFixture(t, &fixedKeys{decision: test.decision}, answerOK)
-		answer := f.doWithKey("/read/x", "1")
-		assert.Equal(t, answer.Code, test.status)
-		assert.Equal(t, answer.Header().Get("Retry-After"), test.retryAfter)
+		f := newTenantFixture(t, &fixedKeys{decision: test.decision}, replyOK)
+		response := f.doWithKey("/read/x", "1")
+		assert.Equal(t, response.Code, test.status)
+		assert.Equal(t, response.Header().Get("Retry-After"), test.retryAfter)
 		assert.Equal(t, f.calls(), 0)
 	}
 }
 
-// TestKeysAreNotLogged searches the log and the answers of requests with a key for the
-// key.
+// TestKeysAreNotLogged checks that neither the log nor the responses contain the key of a
+// request.
 func TestKeysAreNotLogged(t *testing.T) {
 	var written bytes.Buffer
 	log := eventlog.New(eventlog.Config{RootOf: func(id string) string { return id }}, "node", &written, time.Now)
@@ -120,10 +120,10 @@
 		log.Run(ctx)
 	}()
 	for _, decision := range []apikey.Decision{{Tenant: &testTenant}, {Outcome: apikey.Unknown}, {Outcome: apikey.Unverified}} {
-		f := newTenantFixture(t, &fixedKeys{decision: decision}, answerOK)
+		f := newTenantFixture(t, &fixedKeys{decision: decision}, replyOK)
 		f.forwarder.log = log
-		answer := f.doWithKey("/read/x", "1")
-		assert.Assert(t, !strings.Contains(answer.Body.String(), secretKey))
+		response := f.doWithKey("/read/x", "1")
+		assert.Assert(t, !strings.Contains(response.Body.String(), secretKey))
 	}
 	cancel()
 	<-ended
@@ -131,10 +131,10 @@
 	assert.Assert(t, !strings.Contains(written.String(), secretKey))
 }
 
-// TestTenantPriorityPrecedesRoutePriority ranks requests of tenants with priorities 0 and
-// 1 and without a tenant, on routes with priorities 0 to 2.
+// TestTenantPriorityPrecedesRoutePriority ranks requests of tenants with priorities 0 and 1
+// and requests without a tenant, on routes with priorities 0 to 2.
 func TestTenantPriorityPrecedesRoutePriority(t *testing.T) {
-	f := newFixture(t, answerOK)
+	f := newFixture(t, replyOK)
 	rank := func(tenant *routetable.Tenant, priority int) criticality.Level {
 		q := &request{route: &routetable.Route{Priority: priority, Services: []routetable.WeightedService{{Name: "s", Weight: 1}}}, tenant: tenant}
 		q.policyCall = f.forwarder.policyCallOf(q, httptest.NewRequest(http.MethodGet, "/", nil))
@@ -150,7 +150,8 @@
 	assert.Equal(t, rank(nil, 2), criticality.SheddablePlus)
 }
 
-// fixedLimits returns the same decision for every request and counts returned permits.
+// fixedLimits is a Limits that returns the same decision for every request and counts the
+// requests and returned permits.
 type fixedLimits struct {
 	decision           ratelimit.Decision
 	admitted, returned int
@@ -164,50 +165,50 @@
 func (l *fixedLimits) Return(*routetable.Tenant, ratelimit.Decision) { l.returned++ }
 
 // newLimitFixture returns a fixture whose requests belong to a tenant with a rate limit.
-func newLimitFixture(t *testing.T, limits *fixedLimits, answers ...func(context.Context, *peering.Call) *peering.Reply) *fixture {
+func newLimitFixture(t *testing.T, limits *fixedLimits, replies ...func(context.Context, *peering.Call) *peering.Reply) *fixture {
 	t.Helper()
 	limited := testTenant
 	limited.Rate, limited.Burst = 10, 10
-	f := newTenantFixture(t, &fixedKeys{decision: apikey.Decision{Tenant: &limited}}, answers...)
+	f := newTenantFixture(t, &fixedKeys{decision: apikey.Decision{Tenant: &limited}}, replies...)
 	f.forwarder.limits = limits
 	return f
 }
 
-// TestRequestOverLimitHasNoSideEffects refuses a request by its tenant's limit: no home
-// must receive it, and it must add nothing to its service's retry budget.
+// TestRequestOverLimitHasNoSideEffects sends a request that exceeds its tenant's limit. No
+// home must receive it, and it must add nothing to the service's retry budget.
 func TestRequestOverLimitHasNoSideEffects(t *testing.T) {
 	for outcome, status := range map[ratelimit.Outcome]int{ratelimit.LimitReached: http.StatusTooManyRequests, ratelimit.Unavailable: http.StatusServiceUnavailable} {
 		limits := &fixedLimits{decision: ratelimit.Decision{Outcome: outcome, RetryAfter: 400 * time.Millisecond}}
-		f := newLimitFixture(t, limits, answerOK)
+		f := newLimitFixture(t, limits, replyOK)
 		before := f.forwarder.budget("s").Balance()
-		answer := f.doWithKey("/read/x", "1")
-		assert.Equal(t, answer.Code, status)
-		assert.Equal(t, answer.Header().Get("Retry-After"), "0.400")
+		response := f.doWithKey("/read/x", "1")
+		assert.Equal(t, response.Code, status)
+		assert.Equal(t, response.Header().Get("Retry-After"), "0.400")
 		assert.Equal(t, f.calls(), 0)
 		assert.Equal(t, limits.returned, 0)
 		assert.Equal(t, f.forwarder.budget("s").Balance(), before)
 	}
 }
 
-// TestPermitsOfUnexecutedRequestsAreReturned checks the permits of requests that are
-// answered, fail or are refused. Offering a request to a second home takes no second
-// permit, and calls of running requests take none.
+// TestPermitsOfUnexecutedRequestsAreReturned checks the permits of requests that are answered,
+// fail or are refused. Offering a request to a second home must not take a second permit, and
+// nested calls take none.
 func TestPermitsOfUnexecutedRequestsAreReturned(t *testing.T) {
 	for name, test := range map[string]struct {
 		id       string
-		answers  []func(context.Context, *peering.Call) *peering.Reply
+		replies  []func(context.Context, *peering.Call) *peering.Reply
 		admitted int
 		returned int
 	}{
-		"answered":                    {"1", []func(context.Context, *peering.Call) *peering.Reply{answerOK}, 1, 0},
-		"failed":                      {"1", []func(context.Context, *peering.Call) *peering.Reply{failCall, failCall}, 1, 0},
-		"refused":                     {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout)}, 1, 1},
-		"refused by one, then run":    {"1", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout), answerOK}, 1, 0},
-		"a call of a running request": {"running.2", []func(context.Context, *peering.Call) *peering.Reply{refuseWith(peering.QueueTimeout)}, 0, 0},
+		"answered":                    {"1", []func(context.Context, *peering.Call) *peering.Reply{replyOK}, 1, 0},
+		"failed":                      {"1", []func(context.Context, *peering.Call) *peering.Reply{replyFailed, replyFailed}, 1, 0},
+		"refused":                     {"1", []func(context.Context, *peering.Call) *peering.Reply{replyRefused(peering.QueueTimeout)}, 1, 1},
+		"refused by one, then run":    {"1", []func(context.Context, *peering.Call) *peering.Reply{replyRefused(peering.QueueTimeout), replyOK}, 1, 0},
+		"a call of a running request": {"running.2", []func(context.Context, *peering.Call) *peering.Reply{replyRefused(peering.QueueTimeout)}, 0, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limits := &fixedLimits{}
-			f := newLimitFixture(t, limits, test.answers...)
+			f := newLimitFixture(t, limits, test.replies...)
 			f.doWithKey("/read/x", test.id)
 			assert.Equal(t, limits.admitted, test.admitted)
 			assert.Equal(t, limits.returned, test.returned)
