--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -108,9 +108,9 @@
 
 type noopObserver struct{}
 
-func (noopObserver) Finished(string, int, string, time.Duration) {}
+func (noopObserver) RequestFinished(string, int, string, time.Duration) {}
 
-func (noopObserver) Identified(string, problem.Reason) {}
+func (noopObserver) TenantChecked(string, problem.Reason) {}
 
 func (noopObserver) BudgetCounted(string, BudgetEvent, peering.Reason) {}
 
@@ -173,7 +173,7 @@
 	}})
 	var forwarder *Forwarder
 	forwarder = New(Config{
-		Node: "node", Zone: "z", Service: "caller", Address: "here", DefaultTimeout: time.Second, WaitShare: 0.2, InnerWaitShare: 0.6,
+		Node: "node", Zone: "z", Service: "caller", Address: "here", DefaultTimeout: time.Second, WaitShare: 0.2, NestedWaitShare: 0.6,
 		Retries: retrybudget.AllowanceConfig{Ratio: testRetryRatio, CurrentShare: 0.5, Reserve: func() float64 { return 1 }, Window: testRetryWindow},
 		Headers: callheader.Names{RequestID: "X-Id", DeadlineMillis: "X-Deadline"},
 		ParentOf: func(id string) (string, bool) {
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -46,9 +46,9 @@
 	// Retries configures the retry budget of each service.
 	Retries retrybudget.AllowanceConfig
 	// WaitShare is the maximum queue time of a request as a fraction of the route's
-	// objective, and InnerWaitShare the same for nested calls, which are calls made by a
+	// objective, and NestedWaitShare the same for nested calls, which are calls made by a
 	// running request.
-	WaitShare, InnerWaitShare float64
+	WaitShare, NestedWaitShare float64
 	// ParentOf returns the ID of the request that made a call, and false if the ID of the
 	// call does not contain it.
 	ParentOf func(id string) (string, bool)
@@ -127,12 +127,12 @@
 
 // Observer is notified of the results of requests, for metrics.
 type Observer interface {
-	// Finished is called when a request ends. Refusals and failures have a reason.
-	Finished(route string, status int, reason string, duration time.Duration)
-	// Identified is called with the result of the API key and rate limit checks of a
+	// RequestFinished is called when a request ends. Refusals and failures have a reason.
+	RequestFinished(route string, status int, reason string, duration time.Duration)
+	// TenantChecked is called with the result of the API key and rate limit checks of a
 	// request. The tenant is empty if the key was refused; the reason is empty if the
 	// request was admitted.
-	Identified(tenant string, reason problem.Reason)
+	TenantChecked(tenant string, reason problem.Reason)
 	// BudgetCounted is called for each event that the retry budget of a service counts. The
 	// cause is empty for first sends.
 	BudgetCounted(service string, kind BudgetEvent, cause peering.Reason)
--- a/internal/forward/receive.go
+++ b/internal/forward/receive.go
@@ -135,7 +135,7 @@
 func (f *Forwarder) maxWait(q *request) time.Duration {
 	share := f.config.WaitShare
 	if q.nested {
-		share = f.config.InnerWaitShare
+		share = f.config.NestedWaitShare
 	}
 	return time.Duration(float64(q.route.Objective) * share)
 }
--- a/internal/forward/response.go
+++ b/internal/forward/response.go
@@ -23,7 +23,7 @@
 	w.WriteHeader(reply.Status)
 	_, _ = w.Write(reply.Body)
 	duration := f.now().Sub(q.arrived)
-	f.observer.Finished(q.route.Name, reply.Status, "", duration)
+	f.observer.RequestFinished(q.route.Name, reply.Status, "", duration)
 	f.log.Record(eventlog.Event{Kind: eventlog.RequestAnswered, Request: q.id, Route: q.route.Name, Service: q.service,
 		Peer: q.lastHome, Status: reply.Status, Attempt: q.attempts, Duration: duration})
 }
@@ -44,14 +44,14 @@
 	if failure.Executed != problem.ExecutedNo {
 		event.Kind = eventlog.RequestFailed
 	}
-	f.observer.Finished(event.Route, failure.Status, string(failure.Reason), duration)
+	f.observer.RequestFinished(event.Route, failure.Status, string(failure.Reason), duration)
 	f.log.Record(event)
 }
 
 // recordAbandoned logs and counts a request whose caller has disconnected.
 func (f *Forwarder) recordAbandoned(q *request) {
 	duration := f.now().Sub(q.arrived)
-	f.observer.Finished(q.route.Name, 0, string(problem.CallerGone), duration)
+	f.observer.RequestFinished(q.route.Name, 0, string(problem.CallerGone), duration)
 	f.log.Record(eventlog.Event{Kind: eventlog.RequestAbandoned, Request: q.id, Route: q.route.Name, Service: q.service,
 		Peer: q.lastHome, Attempt: q.attempts, Reason: string(q.lastReason), Duration: duration})
 }
--- a/internal/forward/tenant.go
+++ b/internal/forward/tenant.go
@@ -26,7 +26,7 @@
 	if decision.Outcome == apikey.Unverified {
 		reason = problem.KeyUnproved
 	}
-	f.observer.Identified("", reason)
+	f.observer.TenantChecked("", reason)
 	f.log.Record(eventlog.Event{Kind: eventlog.KeyRefused, Request: q.id, Route: q.route.Name, Reason: detail, Age: decision.Age,
 		Wait: decision.RetryAfter, Version: uint64(f.routes.Version())})
 	refusal := f.problem(reason, problem.ExecutedNo, "identify", detail)
@@ -48,12 +48,12 @@
 	reason, detail := problem.LimitReached, "the tenant's limit is reached"
 	switch q.permit.Outcome {
 	case ratelimit.Admitted:
-		f.observer.Identified(q.tenant.Name, "")
+		f.observer.TenantChecked(q.tenant.Name, "")
 		return nil
 	case ratelimit.Unavailable:
 		reason, detail = problem.LimitUnknown, "the tenant's limit can't be checked"
 	}
-	f.observer.Identified(q.tenant.Name, reason)
+	f.observer.TenantChecked(q.tenant.Name, reason)
 	f.log.Record(eventlog.Event{Kind: eventlog.LimitRefused, Request: q.id, Route: q.route.Name, Outcome: q.tenant.Name, Reason: detail,
 		Count: q.permit.HoldersAsked, Wait: q.permit.RetryAfter, Version: uint64(f.routes.Version())})
 	return f.problem(reason, problem.ExecutedNo, "limit", detail).WithRetryDelay(q.permit.RetryAfter)
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -70,9 +70,9 @@
 
 // Observer receives the outcomes of calls, for metrics.
 type Observer interface {
-	// Ended records a finished call with the time that it spent in the queue and at the
+	// CallFinished records a finished call with the time that it spent in the queue and at the
 	// target. The latter is zero for a call that was refused admission.
-	Ended(outcome peering.Outcome, reason peering.Reason, queueTime, targetTime time.Duration)
+	CallFinished(outcome peering.Outcome, reason peering.Reason, queueTime, targetTime time.Duration)
 }
 
 // Guard admits calls to the target. It is safe for concurrent use.
@@ -234,7 +234,7 @@
 	reply.Load = g.Load(call.Route)
 	g.logReply(call, reply, started)
 	if g.config.Observer != nil {
-		g.config.Observer.Ended(reply.Outcome, reply.Reason, times.queueTime, times.targetTime)
+		g.config.Observer.CallFinished(reply.Outcome, reply.Reason, times.queueTime, times.targetTime)
 	}
 	return reply
 }
--- a/internal/sidecar/metrics.go
+++ b/internal/sidecar/metrics.go
@@ -106,8 +106,8 @@
 	return m
 }
 
-// Finished counts a finished request.
-func (m *metrics) Finished(route string, status int, reason string, duration time.Duration) {
+// RequestFinished counts a finished request.
+func (m *metrics) RequestFinished(route string, status int, reason string, duration time.Duration) {
 	series := m.seriesOf(requestLabels{m.routeLabel(route), status, reason})
 	series.count.Inc()
 	series.duration.Observe(duration.Seconds())
@@ -139,8 +139,10 @@
 	return series
 }
 
-// Identified counts the result of the API key check and of the tenant's rate limit.
-func (m *metrics) Identified(tenant string, reason problem.Reason) { m.tenants.count(tenant, reason) }
+// TenantChecked counts the result of the API key check and of the tenant's rate limit.
+func (m *metrics) TenantChecked(tenant string, reason problem.Reason) {
+	m.tenants.count(tenant, reason)
+}
 
 // BudgetCounted counts an event of a service's retry budget.
 func (m *metrics) BudgetCounted(service string, kind forward.BudgetEvent, cause peering.Reason) {
@@ -155,8 +157,8 @@
 	m.heartbeatRefusals.WithLabelValues(string(reason)).Inc()
 }
 
-// Ended counts a finished call to the target.
-func (m *metrics) Ended(outcome peering.Outcome, reason peering.Reason, queueTime, targetTime time.Duration) {
+// CallFinished counts a finished call to the target.
+func (m *metrics) CallFinished(outcome peering.Outcome, reason peering.Reason, queueTime, targetTime time.Duration) {
 	name := outcome.String()
 	m.calls.WithLabelValues(name, string(reason)).Inc()
 	m.queueTime.WithLabelValues(name).Observe(queueTime.Seconds())
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -39,9 +39,9 @@
 // node serves.
 func TestEveryMetricIsDocumented(t *testing.T) {
 	n := newTestNode(t)
-	n.metrics.Identified("tenant", "")
-	n.metrics.Finished("r", 200, "", time.Second)
-	n.metrics.Ended(peering.Answered, "", time.Millisecond, time.Second)
+	n.metrics.TenantChecked("tenant", "")
+	n.metrics.RequestFinished("r", 200, "", time.Second)
+	n.metrics.CallFinished(peering.Answered, "", time.Millisecond, time.Second)
 	n.metrics.countRefusedHeartbeat(registry.RefusedSlots)
 	n.metrics.BudgetCounted("s", forward.FirstSent, "")
 	n.storeCalls.CallEnded(purposeRecords, "list", "done")
@@ -64,8 +64,8 @@
 
 func TestCallsAreCountedByOutcome(t *testing.T) {
 	n := newTestNode(t)
-	n.metrics.Ended(peering.Refused, peering.QueueTimeout, 180*time.Millisecond, 0)
-	n.metrics.Ended(peering.Answered, "", time.Millisecond, 30*time.Millisecond)
+	n.metrics.CallFinished(peering.Refused, peering.QueueTimeout, 180*time.Millisecond, 0)
+	n.metrics.CallFinished(peering.Answered, "", time.Millisecond, 30*time.Millisecond)
 	text := scrape(n)
 	for _, line := range []string{
 		`lugspur_calls_total{outcome="refused",reason="waited"} 1`,
@@ -104,7 +104,7 @@
 func TestRouteLabelsAreBounded(t *testing.T) {
 	n := newTestNode(t)
 	for i := range 3 * maxRouteLabels {
-		n.metrics.Finished(strings.Repeat("r", i+1), 200, "", time.Second)
+		n.metrics.RequestFinished(strings.Repeat("r", i+1), 200, "", time.Second)
 	}
 	assert.Equal(t, strings.Count(scrape(n), "lugspur_requests_total{"), maxRouteLabels+1)
 }
@@ -117,10 +117,10 @@
 	n := newTestNode(t)
 	for i := range 8 {
 		route := "route-" + strconv.Itoa(i)
-		n.metrics.Finished(route, 200, "", time.Second)
-		n.metrics.Finished(route, 503, "overloaded", time.Second)
+		n.metrics.RequestFinished(route, 200, "", time.Second)
+		n.metrics.RequestFinished(route, 503, "overloaded", time.Second)
 	}
-	n.metrics.Ended(peering.Answered, "", time.Millisecond, time.Second)
+	n.metrics.CallFinished(peering.Answered, "", time.Millisecond, time.Second)
 	for _, service := range []string{"a", "b", "c", "d"} {
 		n.metrics.BudgetCounted(service, forward.FirstSent, "")
 		n.metrics.BudgetCounted(service, forward.RetrySent, peering.TargetFull)
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -202,9 +202,9 @@
 			Window:       n.settings.Retries.window(),
 			MaxDelay:     maxRetryDelay,
 		},
-		WaitShare:      n.settings.Queue.ObjectiveShare,
-		InnerWaitShare: n.settings.Queue.InnerObjectiveShare,
-		ParentOf:       platform.ParentRequestID,
+		WaitShare:       n.settings.Queue.ObjectiveShare,
+		NestedWaitShare: n.settings.Queue.InnerObjectiveShare,
+		ParentOf:        platform.ParentRequestID,
 	}, forward.Dependencies{
 		Routes:     n.routes,
 		Directory:  n.directory,
--- a/lab/linear/check.go
+++ b/lab/linear/check.go
@@ -12,12 +12,12 @@
 
 // Result is the result of a check.
 type Result struct {
-	// Faults describes contradictions between responses, and reads that went back
+	// Violations describes contradictions between responses, and reads that went back
 	// to an older version.
-	Faults []string
-	// Order reports whether a linearization of the writes exists;
+	Violations []string
+	// Linearizability reports whether a linearization of the writes exists;
 	// porcupine.Unknown means that the search timed out.
-	Order porcupine.CheckResult
+	Linearizability porcupine.CheckResult
 
 	linearization porcupine.LinearizationInfo
 }
@@ -26,14 +26,14 @@
 func Check(history History) Result {
 	reconciled := reconcile(history)
 	monotonic := checkMonotonic(history, reconciled)
-	result := Result{Faults: append(reconciled.violations, monotonic...)}
-	result.Order, result.linearization = porcupine.CheckOperationsVerbose(model(), modelOperations(history, reconciled), CheckTimeout)
+	result := Result{Violations: append(reconciled.violations, monotonic...)}
+	result.Linearizability, result.linearization = porcupine.CheckOperationsVerbose(model(), modelOperations(history, reconciled), CheckTimeout)
 	return result
 }
 
 // OK reports whether the history satisfies all guarantees. A search that timed
 // out is inconclusive and is not OK.
-func (r Result) OK() bool { return len(r.Faults) == 0 && r.Order == porcupine.Ok }
+func (r Result) OK() bool { return len(r.Violations) == 0 && r.Linearizability == porcupine.Ok }
 
 // Visualize writes an HTML file that shows the operations and the partial
 // linearizations that were found.
--- a/lab/linear/check_test.go
+++ b/lab/linear/check_test.go
@@ -150,7 +150,7 @@
 	for name, history := range validHistories {
 		t.Run(name, func(t *testing.T) {
 			checked := Check(history)
-			assert.Assert(t, checked.OK(), "order %s, faults %q", checked.Order, checked.Faults)
+			assert.Assert(t, checked.OK(), "order %s, faults %q", checked.Linearizability, checked.Violations)
 		})
 	}
 }
@@ -269,11 +269,11 @@
 			checked := Check(invalid.history)
 			assert.Assert(t, !checked.OK())
 			if invalid.violation == "order" {
-				assert.Equal(t, checked.Order, porcupine.Illegal)
-				assert.Equal(t, len(checked.Faults), 0, "%q", checked.Faults)
+				assert.Equal(t, checked.Linearizability, porcupine.Illegal)
+				assert.Equal(t, len(checked.Violations), 0, "%q", checked.Violations)
 				return
 			}
-			assert.Assert(t, strings.Contains(strings.Join(checked.Faults, "\n"), invalid.violation), "%q", checked.Faults)
+			assert.Assert(t, strings.Contains(strings.Join(checked.Violations, "\n"), invalid.violation), "%q", checked.Violations)
 		})
 	}
 }
--- a/lab/linear/client.go
+++ b/lab/linear/client.go
@@ -36,9 +36,9 @@
 	run atomic.Int64
 }
 
-// Ended records that the node's process has exited. It must be called before
+// RecordExit records that the node's process has exited. It must be called before
 // the next process is started.
-func (n *Node) Ended() { n.run.Add(1) }
+func (n *Node) RecordExit() { n.run.Add(1) }
 
 // Client is a client of the administration API that records every operation
 // with its response. It must not be used by several goroutines at a time.
@@ -257,9 +257,9 @@
 func (c *Client) send(node *Node, request *http.Request) nodeResponse {
 	run := node.run.Load()
 	response := nodeResponse{Source: Source{Client: c.ID, Node: node.Name, Run: int(run)}}
-	response.Call = c.Recorder.Now()
+	response.Call = c.Recorder.Elapsed()
 	response.status, response.body, response.err = c.roundTrip(request)
-	response.Return = c.Recorder.Now()
+	response.Return = c.Recorder.Elapsed()
 	if node.run.Load() != run {
 		response.Run = unknownRun
 	}
--- a/lab/linear/client_test.go
+++ b/lab/linear/client_test.go
@@ -91,7 +91,7 @@
 	assert.NilError(t, err)
 	assert.Assert(t, answered)
 	assert.Equal(t, version, Version{Revision: 7, ChangeID: "x", Content: "true"})
-	node.Ended()
+	node.RecordExit()
 	_, _, err = client.ReadHistory(t.Context(), newStubNode(t, 200, `{"changes":[{"revision":8,"id":"y","deleted":true},{"revision":7,"id":"x"}]}`), object)
 	assert.NilError(t, err)
 	_, answered, err = client.Read(t.Context(), newStubNode(t, 404, `{}`), object)
@@ -108,7 +108,7 @@
 func TestReadDuringRestartHasUnknownRun(t *testing.T) {
 	node := &Node{Name: "a"}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		node.Ended()
+		node.RecordExit()
 		w.WriteHeader(http.StatusNotFound)
 	}))
 	t.Cleanup(server.Close)
--- a/lab/linear/history.go
+++ b/lab/linear/history.go
@@ -95,8 +95,8 @@
 // NewRecorder returns a recorder whose history starts now.
 func NewRecorder() *Recorder { return &Recorder{start: time.Now()} }
 
-// Now returns the time since the start of the history.
-func (r *Recorder) Now() time.Duration { return time.Since(r.start) }
+// Elapsed returns the time since the start of the history.
+func (r *Recorder) Elapsed() time.Duration { return time.Since(r.start) }
 
 // AddWrite records a write that has returned.
 func (r *Recorder) AddWrite(write Write) {
--- a/lab/linear/workload.go
+++ b/lab/linear/workload.go
@@ -164,9 +164,9 @@
 	return err
 }
 
-// Settle queries different nodes for the outcome of each unresolved write. Writes
+// ResolveUnknown queries different nodes for the outcome of each unresolved write. Writes
 // that no node can resolve stay unknown.
-func (w Workload) Settle(ctx context.Context, client *Client) error {
+func (w Workload) ResolveUnknown(ctx context.Context, client *Client) error {
 	for round := range resolveRounds {
 		for index, write := range w.Recorder.History().Unresolved() {
 			node := w.Nodes[(round+index)%len(w.Nodes)]
--- a/test/linearizability_test.go
+++ b/test/linearizability_test.go
@@ -60,7 +60,7 @@
 	reader := h.workload.NewClient(writers)
 	reader.HTTP.Timeout = readTimeout
 	h.converge(t, reader)
-	assert.NilError(t, h.workload.Settle(t.Context(), reader))
+	assert.NilError(t, h.workload.ResolveUnknown(t.Context(), reader))
 	h.check(t)
 }
 
@@ -148,7 +148,7 @@
 	t.Helper()
 	node := h.running.Nodes[index]
 	node.Kill()
-	h.workload.Nodes[index].Ended()
+	h.workload.Nodes[index].RecordExit()
 	h.pause(400)
 	assert.NilError(t, h.running.StartNode(node))
 }
@@ -175,7 +175,7 @@
 // revision is the same after the reads, their results are the current versions.
 func (h *linearizabilityTest) converged(t *testing.T, client *linear.Client) bool {
 	t.Helper()
-	since := h.workload.Recorder.Now()
+	since := h.workload.Recorder.Elapsed()
 	before := h.storeRevision(t)
 	if !h.completeUpTo(t, before) || !h.nodesAgree(t, client) || h.storeRevision(t) != before {
 		return false
@@ -234,7 +234,7 @@
 	assert.NilError(t, err)
 	t.Logf("seed %d: %d writes accepted, %d refused, %d unknown (%d unresolved); %d reads; %d answers dropped; order %s",
 		*linearizabilitySeed, outcomes[admin.OutcomeAccepted], outcomes[admin.OutcomeRefused], outcomes[admin.OutcomeUnknown],
-		len(recorded.Unresolved()), len(recorded.Reads), status.ResponsesDropped, checked.Order)
+		len(recorded.Unresolved()), len(recorded.Reads), status.ResponsesDropped, checked.Linearizability)
 	if !checked.OK() {
 		h.reportViolations(t, checked)
 	}
@@ -244,10 +244,10 @@
 
 func (h *linearizabilityTest) reportViolations(t *testing.T, checked linear.Result) {
 	t.Helper()
-	for _, fault := range checked.Faults {
+	for _, fault := range checked.Violations {
 		t.Error(fault)
 	}
 	file := filepath.Join(h.running.Config.Directory, "history.html")
 	assert.NilError(t, checked.Visualize(file))
-	t.Errorf("the history is not linearizable (order %s); see the drawing in %s", checked.Order, file)
+	t.Errorf("the history is not linearizable (order %s); see the drawing in %s", checked.Linearizability, file)
 }
