--- a/internal/ending/ending.go
+++ b/internal/ending/ending.go
@@ -1,5 +1,6 @@
 // Package ending decides which work may still start before the process shuts down. Work may
-// start only if it will finish by then, because running work is never cut off.
+// start only if it is safe to assume that it finishes by then, because running work is not
+// interrupted.
 package ending
 
 import (
@@ -8,10 +9,11 @@
 )
 
 const (
-	// safetyFactor multiplies the usual duration: calls rarely take more than five times as
-	// long as usual.
+	// safetyFactor is the ratio of the safe to the usual duration: calls rarely take more than
+	// five times as long as usual.
 	safetyFactor = 10
-	// minSafeDuration is the lower bound, a few times the longest duration of quick calls.
+	// minSafeDuration is the lower bound of safe durations: a few times the duration of the
+	// slowest quick calls.
 	minSafeDuration = 600 * time.Millisecond
 )
 
@@ -24,11 +26,11 @@
 type ShutdownTime struct{ at atomic.Pointer[time.Time] }
 
 // Set sets the shutdown time.
-func (m *ShutdownTime) Set(at time.Time) { m.at.Store(&at) }
+func (s *ShutdownTime) Set(at time.Time) { s.at.Store(&at) }
 
 // Allows reports whether work of the given duration that starts at the given time ends by the
 // shutdown time.
-func (m *ShutdownTime) Allows(duration time.Duration, start time.Time) bool {
-	at := m.at.Load()
+func (s *ShutdownTime) Allows(duration time.Duration, start time.Time) bool {
+	at := s.at.Load()
 	return at == nil || !start.Add(duration).After(*at)
 }
--- a/internal/ending/ending_test.go
+++ b/internal/ending/ending_test.go
@@ -18,7 +18,7 @@
 	assert.Assert(t, !shutdown.Allows(time.Second, now.Add(time.Millisecond)))
 }
 
-func TestSafeDurationIsAMultipleOfUsual(t *testing.T) {
+func TestSafeDurationIsMultipleOfTypicalDuration(t *testing.T) {
 	assert.Assert(t, ending.SafeDuration(0) > 0, "the usual duration is unknown")
 	assert.Assert(t, ending.SafeDuration(time.Second) >= 5*time.Second)
 }
