--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -1,9 +1,9 @@
-// Package pressure propagates overload upstream along call chains. It keeps the
-// shed thresholds that homes report on their replies by route. A route whose
-// requests make downstream calls is subject to the thresholds of those routes as
-// well; which calls its requests make is learned by observation. Thresholds thus
-// propagate upstream with the replies, and a request can be refused at the start
-// of its chain, before any work is spent on it.
+// Package pressure implements backpressure along call chains. It records, by route,
+// the load-shedding thresholds that homes, the nodes that serve targets, report on
+// their replies. A route whose requests make downstream calls is subject to the
+// thresholds of the called routes as well; which calls its requests make is learned
+// by observation. Thresholds thus propagate upstream with the replies, and a request
+// can be refused at the start of its chain, before any work is spent on it.
 package pressure
 
 import (
@@ -17,7 +17,7 @@
 const (
 	// reportExpiry is the time for which a home's report is valid.
 	reportExpiry = 1500 * time.Millisecond
-	// minReportInterval is the time for which a repeated unchanged report is ignored.
+	// minReportInterval is the time for which further unchanged reports are ignored.
 	minReportInterval = 200 * time.Millisecond
 	// maxRoutes limits the number of routes whose downstream calls are remembered.
 	maxRoutes = 1024
@@ -38,13 +38,12 @@
 	callReports      map[string]callReport
 }
 
-// CallStats describes the downstream calls of one route that a request of another
-// route makes.
+// CallStats describes the calls of one route that a request of another route makes.
 type CallStats struct {
 	// Count is the maximum number of calls observed for one request.
 	Count int
-	// RetryBudgetLow is set if this node's retry budget hardly suffices to retry that many
-	// calls.
+	// RetryBudgetLow reports whether this node's retry budget barely suffices to retry that
+	// many calls.
 	RetryBudgetLow bool
 }
 
@@ -55,7 +54,7 @@
 	at        time.Time
 }
 
-// Level is the pressure on a route, or on the downstream calls of its requests.
+// Level is the load-shedding state of a route, or of the downstream calls of its requests.
 type Level struct {
 	// Threshold is the lowest rank key at which requests must be refused; shed.None
 	// refuses nothing.
@@ -63,8 +62,8 @@
 	// Calls is the total number of downstream calls, direct and indirect, that one
 	// request causes.
 	Calls int
-	// RetryBudgetLow is set if the retry budgets would hardly suffice for these calls if the
-	// request were retried.
+	// RetryBudgetLow reports whether the retry budgets would barely suffice for these calls
+	// if the request were retried.
 	RetryBudgetLow bool
 }
 
@@ -86,7 +85,7 @@
 	}
 }
 
-// RecordCalls records that a request of the route makes calls of the other route, and how
+// RecordCalls records that a request of the route makes calls of the called route, and how
 // many it has made so far.
 func (l *Levels) RecordCalls(route, called string, observed CallStats) {
 	l.mutex.Lock()
@@ -105,7 +104,7 @@
 	}
 }
 
-// ExpectedCalls returns the number of calls of the other route that a request of the
+// ExpectedCalls returns the number of calls of the called route that a request of the
 // route makes, zero if unknown.
 func (l *Levels) ExpectedCalls(route, called string) int {
 	l.mutex.Lock()
@@ -140,8 +139,8 @@
 	}, now)
 }
 
-// Remove removes the thresholds that a home reported for any route, when it accepts
-// no more calls. Otherwise its last thresholds would still count as capacity.
+// Remove removes the thresholds that a home has reported for any route. It is called when
+// the home accepts no more calls, because its last reports would still count as capacity.
 func (l *Levels) Remove(home string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -176,7 +175,7 @@
 	return l.callReports[route].count
 }
 
-// RetryBudgetLow reports whether a home recently reported that the retry budgets hardly
+// RetryBudgetLow reports whether a home recently reported that the retry budgets barely
 // suffice for the downstream calls of a retried request of the route.
 func (l *Levels) RetryBudgetLow(route string) bool {
 	now := l.now()
@@ -194,8 +193,8 @@
 // refused; shed.None refuses nothing.
 func (l *Levels) Threshold(route string) uint16 { return l.thresholds.Threshold(route, l.now()) }
 
-// Downstream returns the pressure on the downstream calls of the route's requests: the
-// lowest threshold, the total number of calls, and whether the retry budget of any is low.
+// Downstream returns the level of the downstream calls of the route's requests: the lowest
+// threshold, the total number of calls, and whether the retry budget of any is low.
 func (l *Levels) Downstream(route string) Level {
 	now := l.now()
 	level := Level{Threshold: shed.None}
--- a/internal/pressure/pressure_test.go
+++ b/internal/pressure/pressure_test.go
@@ -81,8 +81,8 @@
 	assert.Equal(t, top.Downstream("unknown").Calls, 0)
 }
 
-// TestLowRetryBudgetPropagatesUpstream covers two homes of a route, one of which lacks
-// retry budget for the downstream calls of its requests.
+// TestLowRetryBudgetPropagatesUpstream covers two homes of a route, one of which reports
+// that its retry budget barely covers the downstream calls of its requests.
 func TestLowRetryBudgetPropagatesUpstream(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
@@ -90,12 +90,12 @@
 	middle.RecordCalls("card", "price", CallStats{Count: 4, RetryBudgetLow: true})
 	top.Report("card", "middle-1", middle.Downstream("card"), 10)
 	top.Report("card", "middle-2", Level{Threshold: shed.None}, 10)
-	assert.Assert(t, top.RetryBudgetLow("card"), "one home is enough")
+	assert.Assert(t, top.RetryBudgetLow("card"), "a report of one home suffices")
 	top.RecordCalls("view", "card", CallStats{Count: 1})
 	assert.Assert(t, top.Downstream("view").RetryBudgetLow)
 	now = now.Add(reportExpiry)
 	assert.Assert(t, !top.RetryBudgetLow("card"))
 	assert.Assert(t, !top.Downstream("view").RetryBudgetLow)
 	middle.RecordCalls("card", "price", CallStats{Count: 1})
-	assert.Assert(t, !middle.Downstream("card").RetryBudgetLow, "the most recent observation counts")
+	assert.Assert(t, !middle.Downstream("card").RetryBudgetLow, "the most recent observation applies")
 }
