--- a/internal/routetable/configuration.go
+++ b/internal/routetable/configuration.go
@@ -1,6 +1,6 @@
-// Package routetable holds the active routing configuration: which host and path
-// are routed to which service, how long a request may take and how often it may be
-// attempted. A Table is an immutable snapshot; a Holder publishes the newest.
+// Package routetable holds the active routing configuration: the service to which
+// the requests to a host and path are routed, how long a request may take, and how often
+// it may be attempted. A Table is an immutable snapshot; a Holder publishes the newest one.
 package routetable
 
 import (
@@ -13,7 +13,7 @@
 // Version orders configurations: a larger version is newer. Zero means no version.
 type Version uint64
 
-// Kind is whether requests of a route may be executed more than once.
+// Kind specifies whether requests of a route may be executed more than once.
 type Kind uint8
 
 // The kinds of routes.
@@ -24,7 +24,7 @@
 	Repeatable
 )
 
-// WeightedService is a service and its weight in the split of a route's requests.
+// WeightedService is a service with its weight in the traffic split of a route.
 type WeightedService struct {
 	Name   string
 	Weight int
@@ -79,8 +79,8 @@
 	// Priority orders tenants by importance; zero is the most important.
 	Priority int
 	// Rate is the number of requests per second that all nodes together may run for the
-	// tenant, and Burst the number that it may run at once in addition. A rate of zero
-	// means no limit.
+	// tenant, and Burst the number of additional requests that they may run at once. A rate
+	// of zero means no limit.
 	Rate, Burst float64
 }
 
--- a/internal/routetable/split.go
+++ b/internal/routetable/split.go
@@ -30,34 +30,34 @@
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	r := s.stateFor(route)
+	state := s.stateFor(route)
 	total, best := 0, 0
-	for i, service := range r.services {
-		r.currentWeights[i] += service.Weight
+	for i, service := range state.services {
+		state.currentWeights[i] += service.Weight
 		total += service.Weight
-		if r.currentWeights[i] > r.currentWeights[best] {
+		if state.currentWeights[i] > state.currentWeights[best] {
 			best = i
 		}
 	}
-	r.currentWeights[best] -= total
-	return r.services[best].Name
+	state.currentWeights[best] -= total
+	return state.services[best].Name
 }
 
 func (s *Splitter) stateFor(route *Route) *routeState {
-	r := s.states[route.Name]
-	if r != nil && sameServices(r.services, route.Services) {
-		return r
+	state := s.states[route.Name]
+	if state != nil && sameServices(state.services, route.Services) {
+		return state
 	}
 	if s.states == nil || len(s.states) >= maxRouteStates {
 		s.states = make(map[string]*routeState)
 	}
-	r = &routeState{services: route.Services, currentWeights: randomWeights(route)}
-	s.states[route.Name] = r
-	return r
+	state = &routeState{services: route.Services, currentWeights: randomWeights(route)}
+	s.states[route.Name] = state
+	return state
 }
 
-// randomWeights returns random initial weights with a sum of zero, which Choose
-// preserves.
+// randomWeights returns random initial weights whose sum is zero; Choose preserves
+// the sum.
 func randomWeights(route *Route) []int {
 	weights := make([]int, len(route.Services))
 	for i, service := range route.Services {
--- a/internal/routetable/table.go
+++ b/internal/routetable/table.go
@@ -15,7 +15,7 @@
 	services map[string]*Service
 	// routes maps each host to its routes, longest prefix first.
 	routes map[string][]*Route
-	// tenants maps names to tenants, and tenantsByKey digests of API keys.
+	// tenants is indexed by name, and tenantsByKey by the digests of the API keys.
 	tenants      map[string]*Tenant
 	tenantsByKey map[KeyDigest]*Tenant
 	// hasTenantLimits reports whether any tenant has a rate limit.
@@ -81,7 +81,7 @@
 // Revoked reports whether an API key belonged to a tenant in an earlier configuration and no longer does.
 func (t *Table) Revoked(key string) bool { return t.revoked[DigestKey(key)] }
 
-// maxRevoked bounds the number of revoked keys that are kept.
+// maxRevoked bounds the number of revoked keys that are remembered.
 const maxRevoked = 4096
 
 // recordRevoked records the keys of the previous table, including its revoked ones, that are not in this one.
