--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -38,7 +38,9 @@
 	peerKeepAlive time.Duration
 	// readDeadline is the read deadline, zero for none.
 	readDeadline time.Time
-	stopWatch    func() bool
+	// stopContextWatch unregisters the callback of closeOnDone. It returns false if the
+	// callback has already been started.
+	stopContextWatch func() bool
 }
 
 func newConnection(socket net.Conn) *connection {
@@ -79,10 +81,10 @@
 // closeOnDone closes the socket when the context ends.
 func (c *connection) closeOnDone(ctx context.Context) {
 	if ctx.Done() == nil {
-		c.stopWatch = func() bool { return true }
+		c.stopContextWatch = func() bool { return true }
 		return
 	}
-	c.stopWatch = context.AfterFunc(ctx, func() { _ = c.socket.Close() })
+	c.stopContextWatch = context.AfterFunc(ctx, func() { _ = c.socket.Close() })
 }
 
 // maxInterim bounds the interim responses (1xx) before a final response.
@@ -149,14 +151,14 @@
 	if err != nil {
 		return false
 	}
-	alive := false
+	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var probe [1]byte
-		_, _, failure := syscall.Recvfrom(int(fd), probe[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		alive = errors.Is(failure, syscall.EAGAIN)
+		_, _, errno := syscall.Recvfrom(int(fd), probe[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		open = errors.Is(errno, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && alive
+	return err == nil && open
 }
 
 // encodedCall is a call in the form that is written to a connection.
--- a/internal/transport/connection_test.go
+++ b/internal/transport/connection_test.go
@@ -16,13 +16,13 @@
 // calls by itself.
 func TestCallIsNotResentWhenReusedConnectionBreaks(t *testing.T) {
 	for name, modify := range map[string]func(*Call){
-		"GET":             func(*Call) {},
-		"HEAD":            func(c *Call) { c.Method = http.MethodHead },
-		"OPTIONS":         func(c *Call) { c.Method = http.MethodOptions },
-		"POST":            func(c *Call) { c.Method, c.Body = http.MethodPost, []byte("{}") },
-		"POST, empty":     func(c *Call) { c.Method = http.MethodPost },
-		"POST with a key": func(c *Call) { c.Method = http.MethodPost; c.Header.Set("Idempotency-Key", "k") },
-		"X key and body":  func(c *Call) { c.Method, c.Body = "POST", []byte("x"); c.Header.Set("X-Idempotency-Key", "k") },
+		"GET":                                  func(*Call) {},
+		"HEAD":                                 func(c *Call) { c.Method = http.MethodHead },
+		"OPTIONS":                              func(c *Call) { c.Method = http.MethodOptions },
+		"POST":                                 func(c *Call) { c.Method, c.Body = http.MethodPost, []byte("{}") },
+		"POST, empty":                          func(c *Call) { c.Method = http.MethodPost },
+		"POST with Idempotency-Key":            func(c *Call) { c.Method = http.MethodPost; c.Header.Set("Idempotency-Key", "k") },
+		"POST with X-Idempotency-Key and body": func(c *Call) { c.Method, c.Body = "POST", []byte("x"); c.Header.Set("X-Idempotency-Key", "k") },
 	} {
 		t.Run(name, func(t *testing.T) {
 			target := newRawTarget(t, func(w io.Writer, call receivedCall) bool {
@@ -39,10 +39,10 @@
 			call.RequestURI = "/breaks"
 			_, err = pool.Exchange(t.Context(), call)
 			assert.Assert(t, asFailure(t, err).Sent)
-			seen := target.received()
-			assert.Equal(t, len(seen), 2, "the target saw the call %d times", len(seen)-1)
-			assert.Equal(t, seen[1].connection, 0, "the connection was not reused, so the test proves nothing")
-			assert.Equal(t, seen[1].body, string(call.Body))
+			received := target.received()
+			assert.Equal(t, len(received), 2, "the target saw the call %d times", len(received)-1)
+			assert.Equal(t, received[1].connection, 0, "the connection was not reused, so the test does not cover its break")
+			assert.Equal(t, received[1].body, string(call.Body))
 		})
 	}
 }
@@ -58,8 +58,8 @@
 	assert.Equal(t, len(target.received()), 2)
 }
 
-// TestSurplusResponsesAreNotReturned checks that an unrequested response is not returned
-// for the next call.
+// TestSurplusResponsesAreNotReturned checks that a surplus response to one call is not
+// returned for the next call.
 func TestSurplusResponsesAreNotReturned(t *testing.T) {
 	target := newRawTarget(t, func(w io.Writer, call receivedCall) bool {
 		return respondWith(responseWithLength(call.body)+responseWithLength("stray"), true)(w, call)
@@ -77,7 +77,7 @@
 
 func TestConnectionsThatAreNotReused(t *testing.T) {
 	for name, raw := range map[string]string{
-		"the target will close it": "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
+		"closed by the target after the response": "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok",
 		"HTTP/1.0":                 "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok",
 		"bytes after the response": responseWithLength("ok") + "H",
 	} {
--- a/internal/transport/idle.go
+++ b/internal/transport/idle.go
@@ -46,13 +46,13 @@
 		return nil
 	}
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failure error
+		var optionErr error
 		err := raw.Control(func(fd uintptr) {
-			failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+			optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failure
+		return optionErr
 	}
 }
--- a/internal/transport/pool.go
+++ b/internal/transport/pool.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// Pool exchanges calls with one target. It is safe for concurrent use.
+// Pool is a pool of connections to one target. It is safe for concurrent use.
 type Pool struct {
 	config Config
 	dialer net.Dialer
-	// slots holds one token per exchange; nil means no bound. Connections are opened only
-	// when none is idle, so it also bounds the open connections.
+	// slots holds one token per exchange in progress; nil means no bound. Connections are
+	// opened only when none is idle, so it also bounds the number of open connections.
 	slots chan struct{}
 
 	mutex       sync.Mutex
@@ -54,7 +54,8 @@
 	}
 }
 
-// acquire returns the most recently used idle connection or a new one.
+// acquire returns the most recently used idle connection that can be reused, or a new one.
+// If forceNew is set, it closes that idle connection and always opens a new one.
 func (p *Pool) acquire(ctx context.Context, forceNew bool) (c *connection, reused bool, err error) {
 	if err := p.acquireSlot(ctx); err != nil {
 		return nil, false, err
@@ -125,7 +126,7 @@
 // detach removes an open connection from the pool. Closing the result resets the
 // connection, which drops undelivered bytes.
 func (p *Pool) detach(c *connection) io.Closer {
-	c.stopWatch()
+	c.stopContextWatch()
 	p.releaseSlot()
 	return &resetCloser{c.socket}
 }
@@ -147,7 +148,7 @@
 // release returns a connection to the pool after a complete exchange.
 func (p *Pool) release(c *connection, response *http.Response) {
 	c.peerKeepAlive = keepAliveTimeout(response.Header)
-	if response.Close || !c.stopWatch() || c.reader.Buffered() > 0 || !p.pushIdle(c) {
+	if response.Close || !c.stopContextWatch() || c.reader.Buffered() > 0 || !p.pushIdle(c) {
 		p.discard(c)
 		return
 	}
@@ -190,9 +191,9 @@
 	}
 }
 
-// discard closes the connection of an exchange that failed or can't be reused.
+// discard closes a connection that cannot be reused, for example after a failed exchange.
 func (p *Pool) discard(c *connection) {
-	c.stopWatch()
+	c.stopContextWatch()
 	_ = c.socket.Close()
 	p.releaseSlot()
 }
--- a/internal/transport/target_test.go
+++ b/internal/transport/target_test.go
@@ -12,14 +12,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// receivedCall is a call that a rawTarget received on the connection of that number.
+// receivedCall is a call that a rawTarget has received. Connections are numbered in the
+// order in which they were accepted.
 type receivedCall struct {
 	connection int
 	request    *http.Request
 	body       string
 }
 
-// rawTarget is a target that writes the raw bytes that a test specifies.
+// rawTarget is a target that writes exactly the bytes that a test specifies.
 type rawTarget struct {
 	listener     net.Listener
 	mutex        sync.Mutex
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -32,7 +32,7 @@
 	// MaxConnections bounds the open connections; zero means no bound.
 	MaxConnections int
 	// MaxIdle bounds the idle connections kept; zero means MaxConnections, or
-	// DefaultMaxIdle where that is zero as well.
+	// DefaultMaxIdle if that is zero as well.
 	MaxIdle int
 	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
@@ -125,9 +125,9 @@
 }
 
 // Close releases the connection of a response with a Remainder.
-func (a *Response) Close() {
-	if a.Remainder != nil {
-		_ = a.Remainder.Close()
+func (r *Response) Close() {
+	if r.Remainder != nil {
+		_ = r.Remainder.Close()
 	}
 }
 
@@ -172,7 +172,7 @@
 }
 
 // send writes the message to a connection. If a reused connection accepts no byte of
-// it, send tries another one.
+// it, send retries with another connection.
 func (p *Pool) send(ctx context.Context, message []byte, forceNew bool) (*connection, *Failure) {
 	for {
 		c, reused, err := p.acquire(ctx, forceNew)
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -24,15 +24,15 @@
 
 func TestCompleteResponses(t *testing.T) {
 	for name, c := range map[string]struct{ raw, body string }{
-		"length":          {responseWithLength("hello"), "hello"},
-		"empty":           {responseWithLength(""), ""},
-		"chunked":         {chunkedResponse("3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n"), "hello"},
-		"chunked, empty":  {chunkedResponse("0\r\n\r\n"), ""},
-		"with trailer":    {chunkedResponse("5\r\nhello\r\n0\r\nX-Sum: 1\r\n\r\n"), "hello"},
-		"no content":      {"HTTP/1.1 204 No Content\r\n\r\n", ""},
-		"after a 100":     {"HTTP/1.1 100 Continue\r\n\r\n" + responseWithLength("hello"), "hello"},
-		"exactly buffer":  {responseWithLength(strings.Repeat("x", 100)), strings.Repeat("x", 100)},
-		"exactly, chunks": {chunkedResponse("64\r\n" + strings.Repeat("x", 100) + "\r\n0\r\n\r\n"), strings.Repeat("x", 100)},
+		"length":                       {responseWithLength("hello"), "hello"},
+		"empty":                        {responseWithLength(""), ""},
+		"chunked":                      {chunkedResponse("3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n"), "hello"},
+		"chunked, empty":               {chunkedResponse("0\r\n\r\n"), ""},
+		"with trailer":                 {chunkedResponse("5\r\nhello\r\n0\r\nX-Sum: 1\r\n\r\n"), "hello"},
+		"no content":                   {"HTTP/1.1 204 No Content\r\n\r\n", ""},
+		"after 100 Continue":           {"HTTP/1.1 100 Continue\r\n\r\n" + responseWithLength("hello"), "hello"},
+		"length, exactly MaxBuffered":  {responseWithLength(strings.Repeat("x", 100)), strings.Repeat("x", 100)},
+		"chunked, exactly MaxBuffered": {chunkedResponse("64\r\n" + strings.Repeat("x", 100) + "\r\n0\r\n\r\n"), strings.Repeat("x", 100)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			target := newRawTarget(t, respondWith(c.raw, true))
@@ -55,19 +55,19 @@
 
 func TestIncompleteResponsesReturnFailure(t *testing.T) {
 	for name, raw := range map[string]string{
-		"length, empty":         "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
-		"length, truncated":     "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhell",
-		"truncated chunk":       chunkedResponse("5\r\nhel"),
-		"no final chunk":        chunkedResponse("5\r\nhello\r\n"),
-		"truncated final chunk": chunkedResponse("5\r\nhello\r\n0\r\n"),
-		"chunk size wrong":      chunkedResponse("5\r\nhelloooo\r\n0\r\n\r\n"),
-		"no length or chunks":   "HTTP/1.1 200 OK\r\n\r\nhello",
-		"close-delimited":       "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello",
-		"close-delimited, 1.0":  "HTTP/1.0 200 OK\r\n\r\nhello",
-		"two different lengths": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 4\r\n\r\nhello",
-		"truncated header":      "HTTP/1.1 200 OK\r\nContent-Le",
-		"nothing":               "",
-		"nonsense":              "hello\r\n\r\n",
+		"length, empty":                      "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n",
+		"length, truncated":                  "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhell",
+		"truncated chunk":                    chunkedResponse("5\r\nhel"),
+		"no final chunk":                     chunkedResponse("5\r\nhello\r\n"),
+		"truncated final chunk":              chunkedResponse("5\r\nhello\r\n0\r\n"),
+		"chunk longer than its size":         chunkedResponse("5\r\nhelloooo\r\n0\r\n\r\n"),
+		"no length or chunks":                "HTTP/1.1 200 OK\r\n\r\nhello",
+		"close-delimited":                    "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhello",
+		"close-delimited, 1.0":               "HTTP/1.0 200 OK\r\n\r\nhello",
+		"conflicting Content-Length headers": "HTTP/1.1 200 OK\r\nContent-Length: 5\r\nContent-Length: 4\r\n\r\nhello",
+		"truncated header":                   "HTTP/1.1 200 OK\r\nContent-Le",
+		"nothing":                            "",
+		"nonsense":                           "hello\r\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			target := newRawTarget(t, respondWith(raw, false))
