--- a/internal/peering/client.go
+++ b/internal/peering/client.go
@@ -19,9 +19,9 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// ClientConfig bounds the exchanges with peers.
+// ClientConfig configures a Client.
 type ClientConfig struct {
-	// MaxBuffered is the largest message, in bytes.
+	// MaxBuffered is the maximum size of a reply, in bytes.
 	MaxBuffered int64
 	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
@@ -31,19 +31,19 @@
 	// KeepAlive is the idle time after which TCP keep-alive probes are sent, and the
 	// interval between them.
 	KeepAlive time.Duration
-	// IdleTimeout is how long idle connections are kept.
+	// IdleTimeout is how long an idle connection is kept.
 	IdleTimeout time.Duration
-	// MaxIdle bounds the idle connections to each peer.
+	// MaxIdle bounds the number of idle connections to each peer.
 	MaxIdle int
 	// Address is the address at which peers reach this node.
 	Address string
-	// Codec must be the same on all nodes.
+	// Codec encodes calls and decodes replies. It must be the same on all nodes.
 	Codec *Codec
-	// OnInterim is called for each interim response of the node at the address, which
+	// OnInterim is called for each interim response (1xx) of the node at the address, which
 	// shows that the node is alive; it may be nil.
 	OnInterim func(address string)
-	// OnResume is called before a call is resumed because its connection went silent.
-	// after is the time since the call was first sent. It may be nil.
+	// OnResume is called before a call is resumed because its connection went silent; it
+	// may be nil. The duration is the time since the call was first sent.
 	OnResume func(call *Call, address string, after time.Duration)
 }
 
@@ -79,8 +79,8 @@
 func (e *Error) Unwrap() error { return e.cause }
 
 // Call forwards the call to the home at the address. Ending the context cancels the
-// call. If the connection goes silent, the call is resumed over a new one. The error
-// is an *Error.
+// call. If the connection goes silent, that is, carries neither the reply nor an interim
+// response in time, the call is resumed over a new one. The error is an *Error.
 func (c *Client) Call(ctx context.Context, address string, call *Call) (*Reply, error) {
 	sentAt := clock.Now()
 	call.From = c.config.Address
@@ -103,7 +103,7 @@
 
 // callWithResumption sends the call and resumes it over a new connection each time the
 // connection goes silent. The silence timeout doubles with each resumption, because a
-// frozen home is silent as well. If the home's process is not known there is no silence
+// stalled home is silent as well. If the home's process is unknown, there is no silence
 // timeout: a resumption could reach a later process, which has no record of whether an
 // earlier one ran the call.
 func (c *Client) callWithResumption(ctx context.Context, address string, call *Call) (*transport.Response, error) {
@@ -147,7 +147,7 @@
 	return err
 }
 
-// Query requests the entries that the node's replicas lack from the peer.
+// Query requests from the peer the entries that this node's replicas lack.
 func (c *Client) Query(ctx context.Context, address string, query *replica.Query) (*replica.Answer, error) {
 	response, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: queryPath, Body: encode(query)})
 	if err != nil {
@@ -160,9 +160,9 @@
 	return &answer, nil
 }
 
-// RequestPermits requests permits of a tenant's limit from the peer.
-func (c *Client) RequestPermits(ctx context.Context, address string, ask *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
-	response, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: permitPath, Body: encode(ask)})
+// RequestPermits requests permits under a tenant's limit from the peer.
+func (c *Client) RequestPermits(ctx context.Context, address string, request *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
+	response, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: permitPath, Body: encode(request)})
 	if err != nil {
 		return nil, err
 	}
@@ -179,7 +179,7 @@
 	return err
 }
 
-// SendDeparture notifies the peer of a target that leaves.
+// SendDeparture sends the peer a notice of a target that leaves.
 func (c *Client) SendDeparture(ctx context.Context, address string, departure registry.Departure) error {
 	_, err := c.exchange(ctx, address, &transport.Call{Method: http.MethodPost, Host: peerHost, RequestURI: departurePath, Body: encode(departure)})
 	return err
@@ -218,7 +218,7 @@
 	return response, nil
 }
 
-// CloseIdle closes the idle connections to a peer, for example after it was silent.
+// CloseIdle closes the idle connections to a peer, for example after one was silent.
 func (c *Client) CloseIdle(address string) {
 	c.mutex.Lock()
 	pool := c.pools[address]
--- a/internal/peering/datagram.go
+++ b/internal/peering/datagram.go
@@ -17,13 +17,13 @@
 )
 
 // After calls, permit requests are the most frequent messages between nodes. They are
-// small, and losing one does no harm, so they are sent as datagrams to holders that
-// support it. Over HTTP they took an eighth of the CPU time of nodes whose tenants send
-// more than their limits.
+// small, and losing one does no harm, so they are sent as datagrams to holders, the nodes
+// that issue permits, if those support it. Over HTTP they took an eighth of the CPU time
+// of nodes whose tenants send more than their limits.
 
 const (
-	// grantTimeout is how long to wait for a grant. Grants take 1 to 2 ms; a lost datagram
-	// delays its request by this time.
+	// grantTimeout is how long Request waits for a grant. Grants take 1 to 2 ms; a lost
+	// datagram delays its request by this time.
 	grantTimeout = 30 * time.Millisecond
 	// maxDatagramBytes bounds a datagram. It fits into one packet and has room for a
 	// tenant's name of any realistic length.
@@ -38,7 +38,7 @@
 	datagramGrant   byte = 2
 )
 
-// errGrantTimeout means that the request or its grant was lost, or that the holder did
+// errGrantTimeout means that the request or its grant was lost, or that the holder does
 // not respond.
 var errGrantTimeout = errors.New("no grant received in time")
 
@@ -68,10 +68,10 @@
 }
 
 // Run handles datagrams until the socket is closed.
-func (d *PermitSocket) Run() {
+func (s *PermitSocket) Run() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
-		length, from, err := d.socket.ReadFromUDPAddrPort(buffer)
+		length, from, err := s.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
@@ -79,27 +79,27 @@
 			// An unreadable datagram is treated as lost.
 			continue
 		}
-		d.handle(buffer[:length], from)
+		s.handle(buffer[:length], from)
 	}
 }
 
 // Close closes the socket.
-func (d *PermitSocket) Close() error { return d.socket.Close() }
+func (s *PermitSocket) Close() error { return s.socket.Close() }
 
-func (d *PermitSocket) handle(datagram []byte, from netip.AddrPort) {
+func (s *PermitSocket) handle(datagram []byte, from netip.AddrPort) {
 	id, content := binary.BigEndian.Uint32(datagram[1:]), datagram[datagramHeaderBytes:]
 	switch datagram[0] {
 	case datagramRequest:
-		var ask ratelimit.PermitRequest
-		if cbor.Unmarshal(content, &ask) != nil || !ask.Valid() {
+		var request ratelimit.PermitRequest
+		if cbor.Unmarshal(content, &request) != nil || !request.Valid() {
 			return
 		}
 		// A grant that cannot be sent is treated as lost.
-		_, _ = d.socket.WriteToUDPAddrPort(encodeDatagram(datagramGrant, id, d.permits.Issue(&ask)), from)
+		_, _ = s.socket.WriteToUDPAddrPort(encodeDatagram(datagramGrant, id, s.permits.Issue(&request)), from)
 	case datagramGrant:
 		var grant ratelimit.Grant
 		if cbor.Unmarshal(content, &grant) == nil {
-			d.deliver(id, &grant)
+			s.deliver(id, &grant)
 		}
 	}
 }
@@ -108,25 +108,25 @@
 	return append(binary.BigEndian.AppendUint32([]byte{kind}, id), encode(message)...)
 }
 
-func (d *PermitSocket) deliver(id uint32, grant *ratelimit.Grant) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	if grants := d.pending[id]; grants != nil {
+func (s *PermitSocket) deliver(id uint32, grant *ratelimit.Grant) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if grants := s.pending[id]; grants != nil {
 		grants <- grant
-		delete(d.pending, id)
+		delete(s.pending, id)
 	}
 }
 
 // Request requests permits from the node at the address. If the grant does not arrive in
 // time, Request returns an error, and permits that were issued are lost.
-func (d *PermitSocket) Request(ctx context.Context, address string, ask *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
+func (s *PermitSocket) Request(ctx context.Context, address string, request *ratelimit.PermitRequest) (*ratelimit.Grant, error) {
 	holder, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return nil, fmt.Errorf("request permits from %s: %w", address, err)
 	}
-	id, grants := d.addPending()
-	defer d.removePending(id)
-	if _, err := d.socket.WriteToUDPAddrPort(encodeDatagram(datagramRequest, id, ask), holder); err != nil {
+	id, grants := s.addPending()
+	defer s.removePending(id)
+	if _, err := s.socket.WriteToUDPAddrPort(encodeDatagram(datagramRequest, id, request), holder); err != nil {
 		return nil, fmt.Errorf("request permits from %s: %w", address, err)
 	}
 	timer := time.NewTimer(grantTimeout)
@@ -142,17 +142,17 @@
 }
 
 // addPending returns the ID of a new request and the channel that receives its grant.
-func (d *PermitSocket) addPending() (uint32, <-chan *ratelimit.Grant) {
+func (s *PermitSocket) addPending() (uint32, <-chan *ratelimit.Grant) {
 	grants := make(chan *ratelimit.Grant, 1)
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	d.lastID++
-	d.pending[d.lastID] = grants
-	return d.lastID, grants
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.lastID++
+	s.pending[s.lastID] = grants
+	return s.lastID, grants
 }
 
-func (d *PermitSocket) removePending(id uint32) {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	delete(d.pending, id)
+func (s *PermitSocket) removePending(id uint32) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	delete(s.pending, id)
 }
--- a/internal/peering/datagram_test.go
+++ b/internal/peering/datagram_test.go
@@ -18,29 +18,29 @@
 	requests []ratelimit.PermitRequest
 }
 
-func (i *recordingIssuer) Issue(ask *ratelimit.PermitRequest) *ratelimit.Grant {
+func (i *recordingIssuer) Issue(request *ratelimit.PermitRequest) *ratelimit.Grant {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.requests = append(i.requests, *ask)
-	return &ratelimit.Grant{Held: true, Issued: ask.Needed, Validity: time.Second}
+	i.requests = append(i.requests, *request)
+	return &ratelimit.Grant{Held: true, Issued: request.Needed, Validity: time.Second}
 }
 
-func listenDatagrams(t testing.TB, permits PermitIssuer) *PermitSocket {
+func listenPermitSocket(t testing.TB, permits PermitIssuer) *PermitSocket {
 	t.Helper()
-	d, err := ListenPermitSocket("127.0.0.1:0", permits)
+	socket, err := ListenPermitSocket("127.0.0.1:0", permits)
 	assert.NilError(t, err)
-	go d.Run()
-	t.Cleanup(func() { _ = d.Close() })
-	return d
+	go socket.Run()
+	t.Cleanup(func() { _ = socket.Close() })
+	return socket
 }
 
-func addressOf(d *PermitSocket) string { return d.socket.LocalAddr().String() }
+func addressOf(s *PermitSocket) string { return s.socket.LocalAddr().String() }
 
 // TestGrantsMatchConcurrentRequests checks that each of many concurrent requests to one
 // holder receives its own grant.
 func TestGrantsMatchConcurrentRequests(t *testing.T) {
 	permits := &recordingIssuer{}
-	holder, node := listenDatagrams(t, permits), listenDatagrams(t, nil)
+	holder, node := listenPermitSocket(t, permits), listenPermitSocket(t, nil)
 	var requests sync.WaitGroup
 	for needed := range 200 {
 		requests.Go(func() {
@@ -59,16 +59,16 @@
 }
 
 // pendingRequests returns the number of requests that wait for their grants.
-func pendingRequests(d *PermitSocket) int {
-	d.mutex.Lock()
-	defer d.mutex.Unlock()
-	return len(d.pending)
+func pendingRequests(s *PermitSocket) int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return len(s.pending)
 }
 
 // TestLostDatagramReturnsError sends requests to a socket that never responds, with a
 // canceled context and to an invalid address.
 func TestLostDatagramReturnsError(t *testing.T) {
-	node := listenDatagrams(t, nil)
+	node := listenPermitSocket(t, nil)
 	silent, err := net.ListenPacket("udp4", "127.0.0.1:0")
 	assert.NilError(t, err)
 	defer func() { _ = silent.Close() }()
@@ -83,10 +83,10 @@
 	assert.Equal(t, pendingRequests(node), 0)
 }
 
-// TestMalformedDatagramsAreDropped checks that malformed datagrams do not keep the holder
-// from answering the next request.
+// TestMalformedDatagramsAreDropped checks that the holder answers the next request after
+// malformed datagrams.
 func TestMalformedDatagramsAreDropped(t *testing.T) {
-	holder, node := listenDatagrams(t, &recordingIssuer{}), listenDatagrams(t, nil)
+	holder, node := listenPermitSocket(t, &recordingIssuer{}), listenPermitSocket(t, nil)
 	sender, err := net.Dial("udp4", addressOf(holder))
 	assert.NilError(t, err)
 	defer func() { _ = sender.Close() }()
@@ -104,7 +104,7 @@
 // took 22 us and 51 allocations of 3.8 KB, as a datagram 11.5 us and 19 allocations of
 // 0.6 KB.
 func BenchmarkPermitRequest(b *testing.B) {
-	holder, node := listenDatagrams(b, &noopIssuer{}), listenDatagrams(b, nil)
+	holder, node := listenPermitSocket(b, &noopIssuer{}), listenPermitSocket(b, nil)
 	b.ReportAllocs()
 	for b.Loop() {
 		_, err := node.Request(b.Context(), addressOf(holder), &ratelimit.PermitRequest{Share: 1, Tenant: "tenant", Needed: 1})
@@ -115,6 +115,6 @@
 // noopIssuer issues all needed permits and records nothing.
 type noopIssuer struct{}
 
-func (*noopIssuer) Issue(ask *ratelimit.PermitRequest) *ratelimit.Grant {
-	return &ratelimit.Grant{Held: true, Issued: ask.Needed}
+func (*noopIssuer) Issue(request *ratelimit.PermitRequest) *ratelimit.Grant {
+	return &ratelimit.Grant{Held: true, Issued: request.Needed}
 }
--- a/internal/peering/exchanges.go
+++ b/internal/peering/exchanges.go
@@ -12,7 +12,7 @@
 	attempt         int
 }
 
-// exchange is an attempt that this node is running or has run.
+// exchange is the state of an attempt that this node is running or has run.
 type exchange struct {
 	key exchangeKey
 	// done is closed when the run has ended. reply is then the encoded reply, nil if it
@@ -35,13 +35,13 @@
 	// exchangeRetention is how long an exchange is remembered if a further message for it
 	// may arrive that must not run: the first message of a resumed call, which a network
 	// partition may delay, or a resumption of a call that must not run twice, which may
-	// arrive until the caller's deadline. It is longer than requests last; by then
+	// arrive until the caller's deadline. It exceeds the duration of requests; after that,
 	// callers have reset their connections, which drops delayed messages.
 	exchangeRetention = 15 * time.Second
 	// purgeInterval is the minimum time between scans for expired exchanges.
 	purgeInterval = 250 * time.Millisecond
-	// maxRetainedBytes bounds the total size of retained replies. Replies beyond it are
-	// not retained, so that a resuming caller is only informed that the call may have run.
+	// maxRetainedBytes bounds the total size of retained replies. Replies beyond it are not
+	// retained; a caller that resumes such a call only learns that the call may have run.
 	maxRetainedBytes = 4 << 20
 )
 
@@ -64,7 +64,7 @@
 // an existing exchange only if it is a resumption, or if a resumption arrived before
 // this first message. A matching key alone is not enough, because callers may reuse
 // request IDs.
-func (t *exchangeTable) open(call *Call, cancel context.CancelFunc) (e *exchange, runs bool) {
+func (t *exchangeTable) open(call *Call, cancel context.CancelFunc) (e *exchange, mustRun bool) {
 	key := exchangeKey{from: call.From, requestID: call.RequestID, attempt: call.OfferIndex}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/peering/interim.go
+++ b/internal/peering/interim.go
@@ -10,12 +10,12 @@
 const (
 	// interimInterval is the time between interim responses (1xx) to a running call.
 	// Shorter calls, including most calls deep in a chain, cause none. Each interim
-	// response wakes two nodes; an interval of 200 ms caused 1.9 interim responses per
+	// response wakes up two nodes; an interval of 200 ms caused 1.9 interim responses per
 	// request of four chained calls.
 	interimInterval = 300 * time.Millisecond
 	// silenceTimeout is how long a caller waits for a final or an interim response before
-	// it resumes the call over a new connection. It allows for two interim responses
-	// delayed by scheduling. A resumption costs a connection but no second run.
+	// it resumes the call over a new connection. It tolerates two interim responses that
+	// are delayed by scheduling. A resumption costs a connection but no second run.
 	silenceTimeout = 700 * time.Millisecond
 )
 
--- a/internal/peering/message.go
+++ b/internal/peering/message.go
@@ -1,7 +1,7 @@
 // Package peering implements the protocol between nodes. A node forwards a call
-// to the home, the node that serves the target, and the home replies with
-// the outcome. Messages are CBOR bodies of HTTP/1.1 exchanges. A connection carries
-// one exchange at a time, and closing it cancels the call.
+// to the home, the node that serves the target, and the home replies with the
+// outcome. Messages are CBOR-encoded bodies of HTTP/1.1 requests and responses. A
+// connection carries one exchange at a time, and closing it cancels the call.
 package peering
 
 import (
@@ -17,15 +17,15 @@
 	"github.com/lugspur/lugspur/internal/replica"
 )
 
-// Paths of the exchanges: the message version and the message type. They are
-// short because each request carries one.
+// Paths of the exchanges. Each consists of the protocol version and the message type, and
+// is short because every request carries one.
 const (
 	callPath  = "/3/c"
 	pingPath  = "/3/p"
 	queryPath = "/3/r"
 	// noticePath receives notices of requests that crash targets.
 	noticePath = "/3/q"
-	// permitPath receives requests for permits of tenants' limits.
+	// permitPath receives requests for permits under tenants' limits.
 	permitPath = "/3/t"
 	// departurePath receives notices of targets that leave.
 	departurePath = "/3/d"
@@ -42,12 +42,12 @@
 	Header    http.Header
 	Body      []byte
 	// Remaining is the time left until the deadline. It is relative, so that the nodes'
-	// clocks need not agree.
+	// clocks need not be synchronized.
 	Remaining time.Duration
 	// Caller is the service on whose machine the request originated.
 	Caller string
 	Route  string
-	// Rank is the priority of the request that began the call chain; a lower rank is
+	// Rank is the priority of the request that started the call chain; a lower rank is
 	// more important.
 	Rank uint16
 	// MaxWait is how long the call may be queued at the home; zero selects the
@@ -63,13 +63,13 @@
 	// PriorCalls is the number of calls of the same kind that the calling request made before
 	// this one.
 	PriorCalls int
-	// OfferIndex numbers the attempts of the request's entry node to have a home run it,
-	// starting at zero.
+	// OfferIndex is the index, starting at zero, of this attempt among those of the
+	// request's entry node to have a home run it.
 	OfferIndex int
 	// Crashes is the number of consecutive targets that crashed while running the
 	// request, as known to its entry node.
 	Crashes int
-	// Process identifies the home's process; zero if unknown to the caller.
+	// Process identifies the home's process; zero if the caller does not know it.
 	Process uint32
 	// Resumed reports whether the same attempt was already sent to Process over a
 	// connection that went silent. That process replies with the result of the run in
@@ -112,10 +112,10 @@
 
 // PermitIssuer issues permits under tenants' limits.
 type PermitIssuer interface {
-	Issue(ask *ratelimit.PermitRequest) *ratelimit.Grant
+	Issue(request *ratelimit.PermitRequest) *ratelimit.Grant
 }
 
-// Outcome is the result class of a call.
+// Outcome is the class of a call's result.
 type Outcome uint8
 
 // Outcomes of a call.
@@ -143,7 +143,7 @@
 	InFlight int
 	Queued   int
 	Limit    int
-	// Latency is the typical duration of the route's calls at the target; zero if
+	// Latency is the typical duration of the route's calls at the target; zero if it is
 	// unknown.
 	Latency time.Duration
 	// Threshold is the lowest rank of the route's calls that entry nodes should shed on
@@ -154,7 +154,7 @@
 	// Stopping reports whether the home is shutting down, so that callers prefer others.
 	Stopping bool
 	// ErrorPercent is the percentage of responses that report a failure of the target itself.
-	// Responses of requests that had a failed call of their own do not count.
+	// Responses to requests that made a failed call themselves do not count.
 	ErrorPercent int
 	// CallsPerRequest is the number of calls, direct and indirect, that one request of the route
 	// causes.
@@ -178,8 +178,8 @@
 	// Crashes is the number of consecutive targets that crashed while running the
 	// request, including this one.
 	Crashes int
-	// TargetError reports whether the response reports a failure of the target that no
-	// failed call of the request preceded.
+	// TargetError reports whether the response reports a failure of the target itself: no
+	// call that the request made had failed before.
 	TargetError bool
 	// Digests state up to which store revision the home's replicas are complete.
 	Digests []replica.Digest
@@ -198,20 +198,20 @@
 	Stopping Reason = "stopping"
 	// QueueFull: the queue for the target was full.
 	QueueFull Reason = "queue-full"
-	// Evicted: a more important call took the place in the queue.
+	// Evicted: a more important call replaced the call in the queue.
 	Evicted Reason = "evicted"
 	// Late: the call could not finish before its deadline.
 	Late Reason = "late"
-	// QueueTimeout: the call waited for a slot, or for its turn to run alone, for as long as it
-	// may.
+	// QueueTimeout: the call waited its maximum time for a slot, or for a lock under which it
+	// may run alone.
 	QueueTimeout Reason = "waited"
 	// TargetFull: the target itself refused the call.
 	TargetFull Reason = "target-full"
 	// TargetFailed: the target reported a failure of its own. It is not used in replies,
 	// only for requests that are retried after such a response.
 	TargetFailed Reason = "target-failed"
-	// ParentRetried: the calling request is a retry, so that its calls repeat earlier
-	// ones. It is not used in replies.
+	// ParentRetried: the calling request is a retry, so its calls repeat earlier ones. It is
+	// not used in replies.
 	ParentRetried Reason = "parent-repeated"
 	// Misdirected: another target responded at the address.
 	Misdirected Reason = "misdirected"
@@ -250,7 +250,7 @@
 func encode(message any) []byte {
 	content, err := cbor.Marshal(message)
 	if err != nil {
-		// Messages hold only strings, numbers and bytes, which always encode.
+		// Messages consist of strings, numbers and bytes, which always encode.
 		panic(err)
 	}
 	return content
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -18,7 +18,7 @@
 	"github.com/lugspur/lugspur/internal/store/memory"
 )
 
-// echoHome echoes the call's body; for /wait it waits until the call is canceled.
+// echoHome echoes the call's body; a call of /wait blocks until it is canceled.
 type echoHome struct{ canceled chan struct{} }
 
 func (h *echoHome) Run(ctx context.Context, call *Call) *Reply {
@@ -55,19 +55,19 @@
 	return &fakeAntiEntropy{revision: revision, calls: make(chan []replica.Digest, 8), replies: make(chan []replica.Digest, 8)}
 }
 
-func (s *fakeAntiEntropy) Digests() []replica.Digest { return digestsAt(s.revision) }
+func (f *fakeAntiEntropy) Digests() []replica.Digest { return digestsAt(f.revision) }
 
-func (s *fakeAntiEntropy) HandleCallDigests(peer string, digests []replica.Digest) {
-	s.peer = peer
-	s.calls <- digests
+func (f *fakeAntiEntropy) HandleCallDigests(peer string, digests []replica.Digest) {
+	f.peer = peer
+	f.calls <- digests
 }
 
-func (s *fakeAntiEntropy) HandleReplyDigests(peer string, digests []replica.Digest, sentAt time.Time) {
-	s.peer, s.sentAt = peer, sentAt
-	s.replies <- digests
+func (f *fakeAntiEntropy) HandleReplyDigests(peer string, digests []replica.Digest, sentAt time.Time) {
+	f.peer, f.sentAt = peer, sentAt
+	f.replies <- digests
 }
 
-func (s *fakeAntiEntropy) AnswerQuery(query *replica.Query) *replica.Answer {
+func (f *fakeAntiEntropy) AnswerQuery(query *replica.Query) *replica.Answer {
 	items := []replica.Item{{Key: "k", Value: []byte("document"), Revision: 4, Lease: store.LeaseID{Number: 6}}, {Key: "gone", Revision: 5, Deleted: true}}
 	return &replica.Answer{Deltas: []replica.Delta{{Digest: query.Digests[0], Full: true, Items: items}}}
 }
@@ -92,14 +92,14 @@
 	return p
 }
 
-func start(t *testing.T) (*Client, *echoHome, string) {
+func startClientAndHome(t *testing.T) (*Client, *echoHome, string) {
 	t.Helper()
 	p := startPeer(t)
 	return p.client, p.home, p.address
 }
 
 func TestCallRoundTrip(t *testing.T) {
-	client, _, address := start(t)
+	client, _, address := startClientAndHome(t)
 	body := bytes.Repeat([]byte{0, 1, 0xff}, 1000)
 	reply, err := client.Call(t.Context(), address, &Call{Service: "s", RequestID: "a", Method: "POST", URI: "/x", Body: body, Remaining: time.Second})
 	assert.NilError(t, err)
@@ -108,7 +108,7 @@
 }
 
 func TestCancellationReachesHome(t *testing.T) {
-	client, home, address := start(t)
+	client, home, address := startClientAndHome(t)
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	_, err := client.Call(ctx, address, &Call{URI: "/wait"})
@@ -123,13 +123,13 @@
 }
 
 func TestOversizedMessageIsRejected(t *testing.T) {
-	client, _, address := start(t)
+	client, _, address := startClientAndHome(t)
 	_, err := client.Call(t.Context(), address, &Call{Body: make([]byte, testMaxBytes+1)})
 	assert.ErrorContains(t, err, "400")
 }
 
 func TestUnreachablePeerReportsNotSent(t *testing.T) {
-	client, _, _ := start(t)
+	client, _, _ := startClientAndHome(t)
 	_, err := client.Call(t.Context(), "127.0.0.1:1", &Call{})
 	var failure *Error
 	assert.Assert(t, errors.As(err, &failure))
@@ -160,12 +160,12 @@
 	assert.Assert(t, errors.As(err, &failure))
 }
 
-// filledCopy returns a replica that a keeper has filled from the store.
+// filledCopy returns a replica that a syncer has filled from the store.
 func filledCopy(t *testing.T, source store.Store) *replica.Copy {
 	t.Helper()
 	filled := replica.NewCopy(time.Second, func([]store.Entry, string) {}, time.Now)
-	keeper := &replica.Syncer{Copy: filled, Store: source, Prefix: "k", Position: func() (int, bool) { return 0, true }, Now: time.Now}
-	go keeper.Run(t.Context())
+	syncer := &replica.Syncer{Copy: filled, Store: source, Prefix: "k", Position: func() (int, bool) { return 0, true }, Now: time.Now}
+	go syncer.Run(t.Context())
 	waitFor(t, "the replica is filled", filled.Initialized)
 	return filled
 }
@@ -180,8 +180,8 @@
 	}, poll.WithDelay(5*time.Millisecond), poll.WithTimeout(20*time.Second))
 }
 
-// TestReplyDigestTriggersQuery checks that a node fetches a document when the
-// digests on a reply show that the peer's replica is ahead of its own.
+// TestReplyDigestTriggersQuery checks that a node fetches a document when the digests on a
+// reply show that the peer's replica is ahead of its own.
 func TestReplyDigestTriggersQuery(t *testing.T) {
 	source := memory.New(time.Now)
 	_, err := source.CompareAndSwap(t.Context(), "k", 0, []byte("document"), store.NoLease)
--- a/internal/peering/resume_test.go
+++ b/internal/peering/resume_test.go
@@ -18,8 +18,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// blackholeProxy forwards connections until blackhole is called. From then on the open
-// connections stay open but drop all bytes, while new connections work.
+// blackholeProxy forwards connections. After a call of blackhole, the open connections
+// stay open but drop all bytes, while new connections work.
 type blackholeProxy struct {
 	listener net.Listener
 	upstream string
@@ -108,6 +108,7 @@
 	return &Reply{Outcome: Answered, Status: http.StatusOK, Header: http.Header{}, Body: []byte(call.RequestID)}
 }
 
+// resumeFixture is a client that reaches a slowHome through a blackholeProxy.
 type resumeFixture struct {
 	home   *slowHome
 	proxy  *blackholeProxy
@@ -136,13 +137,12 @@
 	return f.client.Call(ctx, f.proxy.listener.Addr().String(), &Call{Service: "s", RequestID: id, Method: "POST", URI: "/x", Remaining: 5 * time.Second, Process: process})
 }
 
-// TestResumedCallRunsOnce guards against connections
-// that stay open but carry no data, while new ones work. When half of the connections
-// between nodes went silent, calls waiting on them, and the next call on each idle one,
-// received nothing for a second or until their deadline: a sixth of the requests of two
-// seconds failed, and 488 requests that had reached no target got 502 or 504. Nodes
-// detected silence only by unacknowledged bytes (TCP_USER_TIMEOUT) and could not
-// determine whether the call had run.
+// TestResumedCallRunsOnce guards against failed calls on connections that stay open but
+// carry no data, while new ones work. When half of the connections between nodes went
+// silent, calls waiting on them, and the next call on each idle one, received nothing for
+// a second or until their deadline: a sixth of the requests of two seconds failed, and 488
+// requests that had reached no target got 502 or 504. Nodes detected silence only by
+// unacknowledged bytes (TCP_USER_TIMEOUT) and could not determine whether the call had run.
 func TestResumedCallRunsOnce(t *testing.T) {
 	t.Run("while it runs", func(t *testing.T) {
 		f := newResumeFixture(t, 300*time.Millisecond)
@@ -168,8 +168,8 @@
 	})
 }
 
-// TestLongCallRunsOnce checks that a call that outlasts the silence timeout runs once:
-// interim responses arrive meanwhile, and if one is late, the call is resumed.
+// TestLongCallRunsOnce checks that a call that takes longer than the silence timeout runs
+// once: interim responses arrive meanwhile, and if one is late, the call is resumed.
 func TestLongCallRunsOnce(t *testing.T) {
 	f := newResumeFixture(t, 3*silenceTimeout)
 	reply, err := f.call(t.Context(), "a", testProcess)
@@ -197,7 +197,8 @@
 }
 
 // TestRestartedHomeDoesNotRunResumedCall covers a home that restarts between the first
-// message and its resumption: the earlier process may have run the call.
+// message and its resumption. It must not run the call, because the earlier process may
+// have run it.
 func TestRestartedHomeDoesNotRunResumedCall(t *testing.T) {
 	f := newResumeFixture(t, time.Minute)
 	go func() {
@@ -225,8 +226,8 @@
 	}
 }
 
-// TestDelayedFirstMessageDoesNotRun covers a network partition that delays
-// the first message until long after the resumption got its reply.
+// TestDelayedFirstMessageDoesNotRun covers a network partition that delays the first
+// message until long after the resumption got its reply.
 func TestDelayedFirstMessageDoesNotRun(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newExchangeTable(func() time.Time { return now })
@@ -241,8 +242,8 @@
 	assert.Assert(t, runs, "another attempt of the request must run")
 }
 
-// TestLateResumptionDoesNotRerunCall covers a resumption that arrives long
-// after the run has ended and its reply was dropped.
+// TestLateResumptionDoesNotRerunCall covers a resumption that arrives long after the run
+// has ended and its reply was dropped.
 func TestLateResumptionDoesNotRerunCall(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := newExchangeTable(func() time.Time { return now })
@@ -289,11 +290,11 @@
 	assert.Equal(t, len(table.exchanges), 1)
 }
 
-// TestCancellationAlwaysStopsResumedCall guards against a race that left the run
-// going after its caller had disconnected; on a busy machine it failed one in 24 runs of
-// TestCancellationStopsResumedCall. The end of the context could wake the
-// waiting exchange before the AfterFunc that cancels the run had started, and the
-// exchange's return then removed the AfterFunc.
+// TestCancellationAlwaysStopsResumedCall guards against a race after which a run continued
+// although its caller had disconnected; on a busy machine it failed one in 24 runs of
+// TestCancellationStopsResumedCall. The end of the context could wake the waiting exchange
+// before the AfterFunc that cancels the run had started, and the exchange's return then
+// removed the AfterFunc.
 func TestCancellationAlwaysStopsResumedCall(t *testing.T) {
 	for range 3000 {
 		home := &slowHome{duration: time.Minute, started: make(chan struct{}, 1)}
@@ -305,14 +306,14 @@
 		}()
 		<-home.started
 		ctx, cancel := context.WithCancel(context.Background())
-		left := make(chan struct{})
+		disconnected := make(chan struct{})
 		go func() {
-			defer close(left)
+			defer close(disconnected)
 			s.runOrResume(ctx, &Call{From: "a", RequestID: "x", Process: testProcess, Resumed: true})
 		}()
 		runtime.Gosched()
 		cancel()
-		<-left
+		<-disconnected
 		select {
 		case <-ended:
 		case <-time.After(5 * time.Second):
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -22,7 +22,7 @@
 	Run(ctx context.Context, call *Call) *Reply
 }
 
-// Services configures what a node serves to its peers.
+// Services configures the Handler of a node's exchanges with its peers.
 type Services struct {
 	Home        Home
 	AntiEntropy AntiEntropy
@@ -44,8 +44,8 @@
 }
 
 // Handler returns the HTTP handler for exchanges with peers.
-func Handler(services Services) http.Handler {
-	s := &server{Services: services, exchanges: newExchangeTable(clock.Now)}
+func Handler(config Services) http.Handler {
+	s := &server{Services: config, exchanges: newExchangeTable(clock.Now)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pingPath, func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("POST "+callPath, s.serveCall)
@@ -90,13 +90,13 @@
 		return s.encode(&Reply{Outcome: Failed, Reason: ExchangeBroken}), true
 	}
 	runCtx, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	exchange, runs := s.exchanges.open(call, cancel)
-	if !runs {
+	exchange, mustRun := s.exchanges.open(call, cancel)
+	if !mustRun {
 		cancel()
 	}
 	// The call is canceled when any of its waiting callers disconnects.
 	defer context.AfterFunc(ctx, exchange.cancel)()
-	if runs {
+	if mustRun {
 		defer cancel()
 		reply = s.encode(s.Home.Run(runCtx, call))
 		s.exchanges.finish(exchange, reply)
@@ -105,7 +105,7 @@
 	select {
 	case <-exchange.done:
 	case <-ctx.Done():
-		// The deferred stop may remove the AfterFunc above before it runs.
+		// The deferred stop function may remove the AfterFunc above before it has run.
 		exchange.cancel()
 		return nil, false
 	}
@@ -170,12 +170,12 @@
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	var ask ratelimit.PermitRequest
-	if err := cbor.Unmarshal(content, &ask); err != nil || !ask.Valid() {
+	var request ratelimit.PermitRequest
+	if err := cbor.Unmarshal(content, &request); err != nil || !request.Valid() {
 		w.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	writeResponse(w, encode(s.Permits.Issue(&ask)))
+	writeResponse(w, encode(s.Permits.Issue(&request)))
 }
 
 func readBody(r *http.Request, maxBytes int64) ([]byte, error) {
--- a/internal/peering/wire.go
+++ b/internal/peering/wire.go
@@ -13,7 +13,7 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// Most messages between nodes are small calls, where the envelope would outweigh the
+// Most messages between nodes are small calls, whose envelope would be larger than their
 // content. The encoding is therefore compact: times in whole milliseconds, request IDs
 // as the bytes of their hexadecimal digits, addresses in binary, and the names of
 // common headers as one-byte codes from a table that all nodes share.
@@ -67,27 +67,27 @@
 	Crashes    int      `cbor:"21,keyasint,omitempty"`
 	// ResumedProcess is the process that a resumed call was first sent to; zero if the
 	// call is not resumed.
-	ResumedProcess uint32       `cbor:"19,keyasint,omitempty"`
-	From           wireAddress  `cbor:"15,keyasint,omitempty"`
-	Digests        []wireDigest `cbor:"16,keyasint,omitempty"`
-	Epochs         []uint32     `cbor:"23,keyasint,omitempty"`
-	Newest         []uint64     `cbor:"22,keyasint,omitempty"`
+	ResumedProcess   uint32       `cbor:"19,keyasint,omitempty"`
+	From             wireAddress  `cbor:"15,keyasint,omitempty"`
+	Digests          []wireDigest `cbor:"16,keyasint,omitempty"`
+	Epochs           []uint32     `cbor:"23,keyasint,omitempty"`
+	DocumentVersions []uint64     `cbor:"22,keyasint,omitempty"`
 }
 
 // wireReply is the encoded form of a Reply. Times are in milliseconds.
 type wireReply struct {
-	Outcome     Outcome      `cbor:"1,keyasint"`
-	Reason      Reason       `cbor:"2,keyasint,omitempty"`
-	Status      int          `cbor:"3,keyasint,omitempty"`
-	Header      []string     `cbor:"4,keyasint,omitempty"`
-	Body        []byte       `cbor:"5,keyasint,omitempty"`
-	RetryAfter  int64        `cbor:"6,keyasint,omitempty"`
-	TargetError bool         `cbor:"8,keyasint,omitempty"`
-	Load        wireLoad     `cbor:"7,keyasint"`
-	Digests     []wireDigest `cbor:"9,keyasint,omitempty"`
-	Epochs      []uint32     `cbor:"12,keyasint,omitempty"`
-	Newest      []uint64     `cbor:"11,keyasint,omitempty"`
-	Crashes     int          `cbor:"10,keyasint,omitempty"`
+	Outcome          Outcome      `cbor:"1,keyasint"`
+	Reason           Reason       `cbor:"2,keyasint,omitempty"`
+	Status           int          `cbor:"3,keyasint,omitempty"`
+	Header           []string     `cbor:"4,keyasint,omitempty"`
+	Body             []byte       `cbor:"5,keyasint,omitempty"`
+	RetryAfter       int64        `cbor:"6,keyasint,omitempty"`
+	TargetError      bool         `cbor:"8,keyasint,omitempty"`
+	Load             wireLoad     `cbor:"7,keyasint"`
+	Digests          []wireDigest `cbor:"9,keyasint,omitempty"`
+	Epochs           []uint32     `cbor:"12,keyasint,omitempty"`
+	DocumentVersions []uint64     `cbor:"11,keyasint,omitempty"`
+	Crashes          int          `cbor:"10,keyasint,omitempty"`
 }
 
 // wireLoad is the encoded form of a Load. The latency is in units of latencyUnit.
@@ -96,8 +96,8 @@
 	Queued   int   `cbor:"2,keyasint,omitempty"`
 	Limit    int   `cbor:"3,keyasint,omitempty"`
 	Latency  int64 `cbor:"4,keyasint,omitempty"`
-	// ShedOffset is shed.None minus the threshold, so that it is omitted if nothing is
-	// shed.
+	// ShedOffset is shed.None minus the threshold, so that it is zero and omitted if
+	// nothing is shed.
 	ShedOffset      uint16 `cbor:"5,keyasint,omitempty"`
 	FailurePercent  int    `cbor:"6,keyasint,omitempty"`
 	Stopping        bool   `cbor:"8,keyasint,omitempty"`
@@ -114,7 +114,7 @@
 		Service: call.Service, RequestID: wireID(call.RequestID), Method: encodeMethod(call.Method), URI: call.URI, Host: call.Host,
 		Header: c.encodeHeader(call.Header), Body: call.Body, Remaining: call.Remaining.Milliseconds(), Caller: call.Caller, Route: call.Route,
 		Rank: call.Rank, MaxWait: call.MaxWait.Milliseconds(), Nested: call.Nested, Retried: call.Retried, PriorCalls: call.PriorCalls,
-		Attempt: call.OfferIndex, AtMostOnce: call.AtMostOnce, Crashes: call.Crashes, ResumedProcess: resumedProcessOf(call), From: wireAddress(call.From), Digests: encodeDigests(call.Digests), Epochs: encodeEpochs(call.Digests), Newest: encodeNewest(call.Digests),
+		Attempt: call.OfferIndex, AtMostOnce: call.AtMostOnce, Crashes: call.Crashes, ResumedProcess: resumedProcessOf(call), From: wireAddress(call.From), Digests: encodeDigests(call.Digests), Epochs: encodeEpochs(call.Digests), DocumentVersions: encodeDocumentVersions(call.Digests),
 	})
 }
 
@@ -137,7 +137,7 @@
 	return &Call{
 		Service: w.Service, RequestID: string(w.RequestID), Method: decodeMethod(w.Method), URI: w.URI, Host: w.Host, Header: header, Body: w.Body,
 		Remaining: milliseconds(w.Remaining), Caller: w.Caller, Route: w.Route, Rank: w.Rank, MaxWait: milliseconds(w.MaxWait), Nested: w.Nested,
-		Retried: w.Retried, PriorCalls: w.PriorCalls, OfferIndex: w.Attempt, AtMostOnce: w.AtMostOnce, Crashes: w.Crashes, Process: w.ResumedProcess, Resumed: w.ResumedProcess != 0, From: string(w.From), Digests: decodeDigests(w.Digests, w.Epochs, w.Newest),
+		Retried: w.Retried, PriorCalls: w.PriorCalls, OfferIndex: w.Attempt, AtMostOnce: w.AtMostOnce, Crashes: w.Crashes, Process: w.ResumedProcess, Resumed: w.ResumedProcess != 0, From: string(w.From), Digests: decodeDigests(w.Digests, w.Epochs, w.DocumentVersions),
 	}, nil
 }
 
@@ -145,7 +145,7 @@
 	load := &reply.Load
 	return encode(&wireReply{
 		Outcome: reply.Outcome, Reason: reply.Reason, Status: reply.Status, Header: c.encodeHeader(reply.Header), Body: reply.Body,
-		RetryAfter: reply.RetryAfter.Milliseconds(), Crashes: reply.Crashes, TargetError: reply.TargetError, Digests: encodeDigests(reply.Digests), Epochs: encodeEpochs(reply.Digests), Newest: encodeNewest(reply.Digests),
+		RetryAfter: reply.RetryAfter.Milliseconds(), Crashes: reply.Crashes, TargetError: reply.TargetError, Digests: encodeDigests(reply.Digests), Epochs: encodeEpochs(reply.Digests), DocumentVersions: encodeDocumentVersions(reply.Digests),
 		Load: wireLoad{
 			InFlight: load.InFlight, Queued: load.Queued, Limit: load.Limit, Latency: int64(load.Latency / latencyUnit),
 			ShedOffset: shed.None - min(load.Threshold, shed.None), FailurePercent: load.FailurePercent, Stopping: load.Stopping, ErrorPercent: load.ErrorPercent,
@@ -166,7 +166,7 @@
 	load := &w.Load
 	return &Reply{
 		Outcome: w.Outcome, Reason: w.Reason, Status: w.Status, Header: header, Body: w.Body, RetryAfter: milliseconds(w.RetryAfter),
-		Crashes: w.Crashes, TargetError: w.TargetError, Digests: decodeDigests(w.Digests, w.Epochs, w.Newest),
+		Crashes: w.Crashes, TargetError: w.TargetError, Digests: decodeDigests(w.Digests, w.Epochs, w.DocumentVersions),
 		Load: Load{
 			InFlight: load.InFlight, Queued: load.Queued, Limit: load.Limit, Latency: time.Duration(load.Latency) * latencyUnit,
 			Threshold: shed.None - min(load.ShedOffset, shed.None), FailurePercent: load.FailurePercent, Stopping: load.Stopping, ErrorPercent: load.ErrorPercent,
--- a/internal/peering/wire_digest.go
+++ b/internal/peering/wire_digest.go
@@ -28,17 +28,17 @@
 	return encoded
 }
 
-// encodeNewest returns the versions of the newest documents, by digest. It returns nil,
-// the usual case, if no digest has one.
-func encodeNewest(digests []replica.Digest) []uint64 {
-	var newest []uint64
+// encodeDocumentVersions returns the versions of the newest documents in the order of the
+// digests. It returns nil, the usual case, if no digest has one.
+func encodeDocumentVersions(digests []replica.Digest) []uint64 {
+	var versions []uint64
 	for i, digest := range digests {
 		if digest.DocumentVersion != 0 {
-			newest = append(newest, make([]uint64, i+1-len(newest))...)
-			newest[i] = digest.DocumentVersion
+			versions = append(versions, make([]uint64, i+1-len(versions))...)
+			versions[i] = digest.DocumentVersion
 		}
 	}
-	return newest
+	return versions
 }
 
 // encodeEpochs returns the epochs of the digests: nil if all are epoch zero, a single
@@ -67,12 +67,12 @@
 	return store.NewRevision(store.Epoch(epochs[min(i, len(epochs)-1)]), digest.Through)
 }
 
-func decodeDigests(encoded []wireDigest, epochs []uint32, newest []uint64) []replica.Digest {
+func decodeDigests(encoded []wireDigest, epochs []uint32, versions []uint64) []replica.Digest {
 	digests := make([]replica.Digest, len(encoded))
 	for i, digest := range encoded {
 		digests[i] = replica.Digest{Revision: digestRevision(digest, epochs, i), Age: decodeAge(digest.Age), Verified: decodeAge(digest.Verified)}
-		if i < len(newest) {
-			digests[i].DocumentVersion = newest[i]
+		if i < len(versions) {
+			digests[i].DocumentVersion = versions[i]
 		}
 	}
 	return digests
