--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -32,7 +32,8 @@
 	now        func() time.Time
 	version    atomic.Uint64
 
-	mutex            sync.Mutex
+	mutex sync.Mutex
+	// calls maps each route to the routes that its requests call.
 	calls            map[string]map[string]CallStats
 	thresholdReports map[reportKey]thresholdReport
 	callReports      map[string]callReport
--- a/internal/transport/connection.go
+++ b/internal/transport/connection.go
@@ -66,7 +66,7 @@
 }
 
 // read reads from the socket. If the process was stalled when the read deadline passed,
-// it reads again: data may have arrived meanwhile, so the target was not silent.
+// it reads again: data may have arrived during the stall, so that the target was not silent.
 func (c *connection) read(buffer []byte) (int, error) {
 	n, err := c.socket.Read(buffer)
 	if n > 0 || c.readDeadline.IsZero() || !errors.Is(err, os.ErrDeadlineExceeded) || !clock.IsStall(time.Since(c.readDeadline)) {
@@ -141,8 +141,8 @@
 	return c.socket.SetReadDeadline(deadline)
 }
 
-// isOpen reports whether an idle connection can be reused: it must not have received
-// anything, neither an end of file nor unexpected bytes.
+// isOpen reports whether an idle connection can be reused: nothing may have been received
+// on it, neither an end of file nor unexpected bytes.
 func (c *connection) isOpen() bool {
 	if c.reader.Buffered() > 0 {
 		return false
@@ -169,6 +169,7 @@
 // maxPooledBytes is the capacity of the largest buffer that is returned to the pool.
 const maxPooledBytes = 64 << 10
 
+// free returns the buffer to the pool unless it has grown too large.
 func (e *encodedCall) free() {
 	if e.Cap() <= maxPooledBytes {
 		e.Reset()
@@ -179,8 +180,8 @@
 // framingHeaders are the headers that the transport sets itself.
 var framingHeaders = map[string]bool{"Host": true, "Content-Length": true, "Transfer-Encoding": true, "Connection": true}
 
-// encode encodes the call as an HTTP/1.1 request. The method, the URI and the header
-// were parsed by net/http or created by this program, so none contains a line break;
+// encode encodes the call as an HTTP/1.1 request. The method, the URI and the header were
+// parsed by net/http or created by this program, so none of them contains a line break;
 // WriteSubset replaces line breaks in header values anyway.
 func encode(host string, call *Call) *encodedCall {
 	if call.Host != "" {
--- a/internal/transport/idle.go
+++ b/internal/transport/idle.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// keepAliveMargin is how long before the target's idle timeout a connection is no longer
-// used, so that the target does not close it while a call is being sent.
+// keepAliveMargin is subtracted from the target's idle timeout, so that the target does
+// not close a reused connection while a call is being sent.
 const keepAliveMargin = 500 * time.Millisecond
 
 // keepAliveProbes is the number of unanswered TCP keep-alive probes that end a
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -5,7 +5,7 @@
 // written at most once, and a failure reports whether any of it may have reached the
 // target, so that retrying is always the caller's decision.
 //
-// Headers and responses are encoded and parsed by net/http. Its Transport is not used,
+// net/http encodes the headers of calls and parses responses. Its Transport is not used,
 // because it retries calls by itself and passes each exchange through two more goroutines
 // (docs/decisions/0003-transport.md).
 package transport
@@ -117,7 +117,7 @@
 	Header http.Header
 	Body   []byte
 	// NoBody reports whether the response has no body regardless of its Content-Length,
-	// as a response to HEAD.
+	// such as a response to HEAD.
 	NoBody bool
 	// Remainder reads the bytes after Body if the response is larger than the buffer. It
 	// returns io.EOF only after a complete response. It must be closed.
@@ -131,7 +131,7 @@
 	}
 }
 
-// Failure is the error of an exchange without a complete response.
+// Failure is the error of an exchange that ended without a complete response.
 type Failure struct {
 	// Sent reports whether the target may have received any part of the call.
 	Sent bool
