--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -75,7 +75,7 @@
 	retryBudgetLowAt time.Time
 }
 
-// New returns Levels without any reports, which refuse nothing.
+// New returns an instance without reports, which refuses nothing.
 func New(now func() time.Time) *Levels {
 	return &Levels{
 		thresholds:       shed.NewTable(shed.TableConfig{Expiry: reportExpiry}),
