--- a/internal/transport/idle.go
+++ b/internal/transport/idle.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// keepAliveMargin is how long before the target's idle timeout a connection is no longer
-// used, so that the target does not close it while a call is being sent.
+// keepAliveMargin is subtracted from the target's idle timeout, so that the target does
+// not close a reused connection while a call is being sent.
 const keepAliveMargin = 500 * time.Millisecond
 
 // keepAliveProbes is the number of unanswered TCP keep-alive probes that end a
@@ -46,13 +46,13 @@
 		return nil
 	}
 	return func(_, _ string, raw syscall.RawConn) error {
-		var failure error
+		var optionErr error
 		err := raw.Control(func(fd uintptr) {
-			failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
+			optionErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failure
+		return optionErr
 	}
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -5,7 +5,7 @@
 // written at most once, and a failure reports whether any of it may have reached the
 // target, so that retrying is always the caller's decision.
 //
-// Headers and responses are encoded and parsed by net/http. Its Transport is not used,
+// net/http encodes the headers of calls and parses responses. Its Transport is not used,
 // because it retries calls by itself and passes each exchange through two more goroutines
 // (docs/decisions/0003-transport.md).
 package transport
@@ -32,7 +32,7 @@
 	// MaxConnections bounds the open connections; zero means no bound.
 	MaxConnections int
 	// MaxIdle bounds the idle connections kept; zero means MaxConnections, or
-	// DefaultMaxIdle where that is zero as well.
+	// DefaultMaxIdle if that is zero as well.
 	MaxIdle int
 	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
@@ -117,7 +117,7 @@
 	Header http.Header
 	Body   []byte
 	// NoBody reports whether the response has no body regardless of its Content-Length,
-	// as a response to HEAD.
+	// such as a response to HEAD.
 	NoBody bool
 	// Remainder reads the bytes after Body if the response is larger than the buffer. It
 	// returns io.EOF only after a complete response. It must be closed.
@@ -125,13 +125,13 @@
 }
 
 // Close releases the connection of a response with a Remainder.
-func (a *Response) Close() {
-	if a.Remainder != nil {
-		_ = a.Remainder.Close()
+func (r *Response) Close() {
+	if r.Remainder != nil {
+		_ = r.Remainder.Close()
 	}
 }
 
-// Failure is the error of an exchange without a complete response.
+// Failure is the error of an exchange that ended without a complete response.
 type Failure struct {
 	// Sent reports whether the target may have received any part of the call.
 	Sent bool
@@ -172,7 +172,7 @@
 }
 
 // send writes the message to a connection. If a reused connection accepts no byte of
-// it, send tries another one.
+// it, send retries with another connection.
 func (p *Pool) send(ctx context.Context, message []byte, forceNew bool) (*connection, *Failure) {
 	for {
 		c, reused, err := p.acquire(ctx, forceNew)
