--- a/internal/routing/doc.go
+++ b/internal/routing/doc.go
@@ -4,8 +4,8 @@
 // zone. Within the chosen zone it draws two targets at random, weighted by
 // capacity, and picks the one with the lower load (Mitzenmacher, "The Power of Two
 // Choices in Randomized Load Balancing", 2001). This avoids overloaded targets
-// without the herding caused by sending all calls to the target with the lowest
-// load in stale reports.
+// without the herding that occurs if all callers send to the target with the lowest
+// load according to stale reports.
 //
 // # Capacity and load
 //
@@ -19,10 +19,10 @@
 //
 // A zone's load is the capacity-weighted average of its targets' loads, each capped
 // at 1. Up to SpillThreshold all calls stay in the caller's zone. Above it, a share
-// of the calls spills over to all zones, weighted by their spare capacity. The share
-// rises linearly from 0 at the threshold to 1 at full load. Because spare capacity
-// accounts for the load of the other zones' own callers, spilled calls use only
-// capacity that is left, and spilling stops when there is none.
+// of the calls spills over: it is distributed over all zones, weighted by their spare
+// capacity. The share rises linearly from 0 at the threshold to 1 at full load.
+// Because spare capacity accounts for the load of the other zones' own callers,
+// spilled calls use only unused capacity, and spilling stops when there is none.
 //
 // Draining targets are never picked.
 package routing
--- a/internal/routing/view.go
+++ b/internal/routing/evaluator.go
@@ -5,27 +5,27 @@
 	"time"
 )
 
-// view provides the loads and capacities of targets as of one time, without the
-// excluded targets, for one call to Pick.
-type view struct {
+// evaluator computes the loads and capacities of targets for one call to Pick: at
+// a fixed time and without the excluded targets.
+type evaluator struct {
 	config  *Config
 	exclude []string
 	now     time.Time
 }
 
-func (v view) eligible(t *target) bool {
-	return len(v.exclude) == 0 || !slices.Contains(v.exclude, t.candidate.Name)
+func (e evaluator) eligible(t *target) bool {
+	return len(e.exclude) == 0 || !slices.Contains(e.exclude, t.candidate.Name)
 }
 
-// localZone returns the zone of the given name and its load, or nil if none of its
+// localZone returns the zone with the given name and its load, or nil if none of its
 // targets is eligible.
-func (v view) localZone(table *Table, name string) (*zone, float64) {
+func (e evaluator) localZone(table *Table, name string) (*zone, float64) {
 	index, known := table.zoneIndex[name]
 	if !known {
 		return nil, 0
 	}
 	local := &table.zones[index]
-	capacity, spare := v.zoneCapacity(local)
+	capacity, spare := e.zoneCapacity(local)
 	if capacity <= 0 {
 		return nil, 0
 	}
@@ -34,44 +34,44 @@
 
 // zoneCapacity returns the total and the spare capacity of a zone's eligible
 // targets.
-func (v view) zoneCapacity(z *zone) (capacity, spare float64) {
+func (e evaluator) zoneCapacity(z *zone) (capacity, spare float64) {
 	for i := range z.targets {
 		t := &z.targets[i]
-		if !v.eligible(t) {
+		if !e.eligible(t) {
 			continue
 		}
-		targetCapacity := v.capacity(t)
+		targetCapacity := e.capacity(t)
 		capacity += targetCapacity
-		spare += targetCapacity * max(1-v.load(t, targetCapacity), 0)
+		spare += targetCapacity * max(1-e.load(t, targetCapacity), 0)
 	}
 	return capacity, spare
 }
 
 // capacity returns the target's current capacity in concurrent calls, reduced during
 // warm-up.
-func (v view) capacity(t *target) float64 {
+func (e evaluator) capacity(t *target) float64 {
 	start := t.candidate.WarmupStart
 	if start.IsZero() {
 		return t.capacity
 	}
-	progress := float64(v.now.Sub(start)) / float64(v.config.Warmup)
+	progress := float64(e.now.Sub(start)) / float64(e.config.Warmup)
 	return t.capacity * min(max(warmupFloor+(1-warmupFloor)*progress, warmupFloor), 1)
 }
 
 // loadOf returns the current load of a target; 1 is full load.
-func (v view) loadOf(t *target) float64 { return v.load(t, v.capacity(t)) }
+func (e evaluator) loadOf(t *target) float64 { return e.load(t, e.capacity(t)) }
 
 // load returns the load of a target with the given capacity; 1 is full load.
-func (v view) load(t *target, capacity float64) float64 {
-	return max(float64(t.state.outstanding.Load())/capacity, v.reportedLoad(t))
+func (e evaluator) load(t *target, capacity float64) float64 {
+	return max(float64(t.state.outstanding.Load())/capacity, e.reportedLoad(t))
 }
 
 // reportedLoad returns the last reported load, reduced by its age.
-func (v view) reportedLoad(t *target) float64 {
+func (e evaluator) reportedLoad(t *target) float64 {
 	last := t.state.report.Load()
 	if last == nil {
 		return 0
 	}
-	remaining := 1 - float64(v.now.Sub(last.time))/float64(v.config.ReportDecay)
+	remaining := 1 - float64(e.now.Sub(last.time))/float64(e.config.ReportDecay)
 	return last.load * min(max(remaining, 0), 1)
 }
--- a/internal/routing/picker.go
+++ b/internal/routing/picker.go
@@ -31,8 +31,8 @@
 	Seed uint64
 }
 
-// Picker picks targets of one service. It is safe for concurrent use. Pick does not
-// allocate.
+// Picker balances calls over the targets of one service. It is safe for concurrent
+// use. Pick does not allocate memory.
 type Picker struct {
 	config Config
 	now    func() time.Time
@@ -65,27 +65,27 @@
 	return p
 }
 
-// Update replaces the candidates. Targets that remain keep their outstanding calls
-// and reported loads. If candidates have the same name, the first is used.
+// Update replaces the candidates. Targets that remain keep their count of outstanding
+// calls and their reported load. If candidates have the same name, the first is used.
 func (p *Picker) Update(candidates []Candidate) {
 	p.updateMutex.Lock()
 	defer p.updateMutex.Unlock()
 	p.table.Store(newTable(candidates, p.table.Load()))
 }
 
-// Table returns the current snapshot.
+// Table returns the current snapshot of the candidates.
 func (p *Picker) Table() *Table { return p.table.Load() }
 
-// Pick returns the target for a call from the given zone. It returns false if all
-// targets are draining or excluded.
+// Pick returns the target for a call that entered in the given zone. It returns false
+// if all targets are draining or excluded.
 func (p *Picker) Pick(zoneName string, exclude []string, now time.Time) (Candidate, bool) {
 	table := p.table.Load()
-	view := view{config: &p.config, exclude: exclude, now: now}
-	chosen, found := p.chooseZone(table, zoneName, view)
+	e := evaluator{config: &p.config, exclude: exclude, now: now}
+	chosen, found := p.chooseZone(table, zoneName, e)
 	if !found {
 		return Candidate{}, false
 	}
-	return p.chooseTarget(chosen, view), true
+	return p.chooseTarget(chosen, e), true
 }
 
 // Begin adds an outstanding call to the target.
@@ -115,9 +115,9 @@
 	return int(s.outstanding.Load())
 }
 
-// Report records the load that the target's home node reported in a response: calls
-// in flight and queued divided by the limit. 1 is full load; a higher load means that
-// calls are queued.
+// Report records the load that the target's home node reported in a response: the
+// number of calls in flight and queued, divided by the concurrency limit. 1 is full
+// load; a higher load means that calls are queued.
 func (p *Picker) Report(targetName string, load float64) {
 	if math.IsNaN(load) || load < 0 {
 		return
@@ -130,10 +130,10 @@
 // chooseTarget draws two targets of a zone and returns the less loaded one, or the
 // first if both loads are equal, so that idle targets share calls by capacity. The
 // zone must have an eligible target.
-func (p *Picker) chooseTarget(chosen *zone, view view) Candidate {
-	first := p.drawTarget(chosen, nil, view)
-	second := p.drawTarget(chosen, first, view)
-	if second != nil && view.loadOf(second) < view.loadOf(first) {
+func (p *Picker) chooseTarget(chosen *zone, e evaluator) Candidate {
+	first := p.drawTarget(chosen, nil, e)
+	second := p.drawTarget(chosen, first, e)
+	if second != nil && e.loadOf(second) < e.loadOf(first) {
 		return second.candidate
 	}
 	return first.candidate
@@ -141,11 +141,11 @@
 
 // drawTarget draws an eligible target other than skip at random, weighted by
 // capacity. It returns nil if there is none.
-func (p *Picker) drawTarget(chosen *zone, skip *target, view view) *target {
+func (p *Picker) drawTarget(chosen *zone, skip *target, e evaluator) *target {
 	total := 0.0
 	for i := range chosen.targets {
-		if t := &chosen.targets[i]; t != skip && view.eligible(t) {
-			total += view.capacity(t)
+		if t := &chosen.targets[i]; t != skip && e.eligible(t) {
+			total += e.capacity(t)
 		}
 	}
 	if total <= 0 {
@@ -155,11 +155,11 @@
 	var last *target
 	for i := range chosen.targets {
 		t := &chosen.targets[i]
-		if t == skip || !view.eligible(t) {
+		if t == skip || !e.eligible(t) {
 			continue
 		}
 		last = t
-		point -= view.capacity(t)
+		point -= e.capacity(t)
 		if point < 0 {
 			break
 		}
--- a/internal/routing/picker_test.go
+++ b/internal/routing/picker_test.go
@@ -12,10 +12,10 @@
 	"github.com/lugspur/lugspur/internal/routing"
 )
 
-var epoch = time.Unix(1000, 0)
+var testTime = time.Unix(1000, 0)
 
 func newPicker(candidates ...routing.Candidate) *routing.Picker {
-	p := routing.NewPicker(routing.Config{Seed: 7}, func() time.Time { return epoch })
+	p := routing.NewPicker(routing.Config{Seed: 7}, func() time.Time { return testTime })
 	p.Update(candidates)
 	return p
 }
@@ -42,9 +42,9 @@
 	draining := candidate("draining", "a", 100)
 	draining.Draining = true
 	p := newPicker(draining, candidate("near", "a", 2), candidate("far", "b", 2))
-	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"near": pickCount})
-	assert.DeepEqual(t, countPicks(p, epoch, "near"), map[string]int{"far": pickCount})
-	assert.DeepEqual(t, countPicks(p, epoch, "near", "far"), map[string]int{})
+	assert.DeepEqual(t, countPicks(p, testTime), map[string]int{"near": pickCount})
+	assert.DeepEqual(t, countPicks(p, testTime, "near"), map[string]int{"far": pickCount})
+	assert.DeepEqual(t, countPicks(p, testTime, "near", "far"), map[string]int{})
 }
 
 func TestPicksLessLoadedOfTwo(t *testing.T) {
@@ -52,18 +52,18 @@
 	for range 5 {
 		p.Begin("busy")
 	}
-	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"idle": pickCount})
+	assert.DeepEqual(t, countPicks(p, testTime), map[string]int{"idle": pickCount})
 	for range 7 {
 		p.Done("busy")
 	}
 	assert.Equal(t, p.Outstanding("busy"), 0)
-	assert.Assert(t, countPicks(p, epoch)["busy"] > pickCount/3)
+	assert.Assert(t, countPicks(p, testTime)["busy"] > pickCount/3)
 }
 
 func TestBalancesBySlots(t *testing.T) {
 	p := newPicker(candidate("small", "a", 6), candidate("middle", "a", 12), candidate("large", "a", 24))
 	for range 30 {
-		c, found := p.Pick("a", nil, epoch)
+		c, found := p.Pick("a", nil, testTime)
 		assert.Assert(t, found)
 		p.Begin(c.Name)
 	}
@@ -78,24 +78,24 @@
 	for range 8 {
 		p.Begin("near")
 	}
-	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"near": pickCount})
+	assert.DeepEqual(t, countPicks(p, testTime), map[string]int{"near": pickCount})
 	p.Begin("near")
-	spilling := countPicks(p, epoch)
+	spilling := countPicks(p, testTime)
 	assert.Assert(t, spilling["near"] > pickCount*45/100 && spilling["near"] < pickCount*57/100, "%v", spilling)
 	p.Begin("near")
-	full := countPicks(p, epoch)
+	full := countPicks(p, testTime)
 	assert.Equal(t, full["near"], 0)
 	assert.Assert(t, full["c"] > 2*full["b"], "%v", full)
 	p.Report("b", 1)
 	p.Report("c", 3)
-	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"near": pickCount})
+	assert.DeepEqual(t, countPicks(p, testTime), map[string]int{"near": pickCount})
 }
 
 func TestDrawsZoneByCapacityWithoutSpare(t *testing.T) {
 	p := newPicker(candidate("b", "b", 10), candidate("c", "c", 30))
 	p.Report("b", 2)
 	p.Report("c", 2)
-	counts := countPicks(p, epoch)
+	counts := countPicks(p, testTime)
 	assert.Assert(t, counts["c"] > 2*counts["b"] && counts["b"] > 0, "%v", counts)
 }
 
@@ -103,13 +103,13 @@
 	p := newPicker(candidate("reported", "a", 10), candidate("other", "a", 10))
 	p.Report("reported", 0.5)
 	p.Report("unknown", 0.5)
-	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"other": pickCount})
-	assert.Assert(t, countPicks(p, epoch.Add(routing.DefaultReportDecay))["reported"] > pickCount/3)
+	assert.DeepEqual(t, countPicks(p, testTime), map[string]int{"other": pickCount})
+	assert.Assert(t, countPicks(p, testTime.Add(routing.DefaultReportDecay))["reported"] > pickCount/3)
 }
 
 func TestWarmupRampsCapacity(t *testing.T) {
 	cold := candidate("cold", "a", 10)
-	cold.WarmupStart = epoch
+	cold.WarmupStart = testTime
 	warm := candidate("warm", "a", 10)
 	tests := []struct {
 		age       time.Duration
@@ -123,7 +123,7 @@
 	for _, test := range tests {
 		t.Run(test.age.String(), func(t *testing.T) {
 			p := newPicker(cold, warm)
-			now := epoch.Add(test.age)
+			now := testTime.Add(test.age)
 			// Keep eight calls outstanding and record their targets.
 			const calls = 1000
 			picked := make([]string, 0, calls)
@@ -154,21 +154,21 @@
 	p.Update([]routing.Candidate{candidate("stays", "a", 20)})
 	assert.Equal(t, p.Table().Len(), 1)
 	assert.Equal(t, p.Outstanding("stays"), 1)
-	assert.DeepEqual(t, countPicks(p, epoch), map[string]int{"stays": pickCount})
+	assert.DeepEqual(t, countPicks(p, testTime), map[string]int{"stays": pickCount})
 	p.Update([]routing.Candidate{candidate("stays", "a", 20), candidate("goes", "a", 10)})
 	assert.Equal(t, p.Outstanding("goes"), 1)
 	p.Done("goes")
 	p.Update(nil)
 	assert.Equal(t, p.Outstanding("goes"), 0)
-	_, found := p.Pick("a", nil, epoch)
+	_, found := p.Pick("a", nil, testTime)
 	assert.Assert(t, !found)
 }
 
 func TestPicksAreDeterministicForSeed(t *testing.T) {
 	firstPicker, secondPicker := newPicker(serviceCandidates()...), newPicker(serviceCandidates()...)
 	for range 200 {
-		first, _ := firstPicker.Pick("zone-1", nil, epoch)
-		second, _ := secondPicker.Pick("zone-1", nil, epoch)
+		first, _ := firstPicker.Pick("zone-1", nil, testTime)
+		second, _ := secondPicker.Pick("zone-1", nil, testTime)
 		assert.Equal(t, first.Name, second.Name)
 		firstPicker.Begin(first.Name)
 		secondPicker.Begin(second.Name)
@@ -198,7 +198,7 @@
 			p.Report(name, rapid.Float64Range(0, 3).Draw(r, "load"))
 		}
 		for range 50 {
-			picked, found := p.Pick("a", exclude, epoch)
+			picked, found := p.Pick("a", exclude, testTime)
 			if found != available {
 				r.Fatalf("found is %t, but a target is available: %t", found, available)
 			}
@@ -216,7 +216,7 @@
 	for range 4 {
 		group.Go(func() {
 			for i := range 500 {
-				c, _ := p.Pick("zone-0", nil, epoch)
+				c, _ := p.Pick("zone-0", nil, testTime)
 				p.Begin(c.Name)
 				p.Report(c.Name, 0.5)
 				if i%50 == 0 {
@@ -232,8 +232,8 @@
 	}
 }
 
-// serviceCandidates returns a service of the size that the system is designed for: 36
-// targets in 5 zones.
+// serviceCandidates returns the candidates of a service of the size that the system
+// is designed for: 36 targets in 5 zones.
 func serviceCandidates() []routing.Candidate {
 	var candidates []routing.Candidate
 	for i := range 36 {
@@ -248,7 +248,7 @@
 	for range 200 {
 		p.Begin("target-5")
 	}
-	allocations := testing.AllocsPerRun(1000, func() { p.Pick("zone-0", exclude, epoch) })
+	allocations := testing.AllocsPerRun(1000, func() { p.Pick("zone-0", exclude, testTime) })
 	assert.Equal(t, allocations, 0.0)
 }
 
@@ -256,7 +256,7 @@
 	p := newPicker(serviceCandidates()...)
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Pick("zone-0", nil, epoch)
+		p.Pick("zone-0", nil, testTime)
 	}
 }
 
@@ -269,6 +269,6 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		p.Pick("zone-0", nil, epoch)
+		p.Pick("zone-0", nil, testTime)
 	}
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -45,17 +45,18 @@
 type target struct {
 	candidate Candidate
 	state     *state
-	// capacity is the capacity when warm, slots × weight.
+	// capacity is the capacity after warm-up: slots × weight.
 	capacity float64
 }
 
-// state is the mutable state of a target, shared by successive tables.
+// state is the mutable state of a target, which successive tables share.
 type state struct {
 	outstanding atomic.Int64
 	// report is the last load report of the target's home node.
 	report atomic.Pointer[report]
 }
 
+// report is a load report of a target's home node.
 type report struct {
 	load float64
 	time time.Time
