--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -10,8 +10,8 @@
 	"github.com/lugspur/lugspur/internal/rendezvous"
 )
 
-// HomesPerTarget is the number of nodes per target: its home, and the fallback that
-// takes over if the home does not respond.
+// HomesPerTarget is the number of candidate nodes per target: its home, and the
+// fallback that takes over if the home does not respond.
 const HomesPerTarget = 2
 
 // Table is an immutable assignment of targets to nodes.
@@ -30,7 +30,7 @@
 	for name, target := range view.Targets {
 		nodes, found := eligible[target.Zone]
 		if !found {
-			nodes = rendezvous.Prepare(eligibleFor(target.Zone, live))
+			nodes = rendezvous.Prepare(eligibleHomes(target.Zone, live))
 			eligible[target.Zone] = nodes
 		}
 		for _, home := range nodes.TopN(name, HomesPerTarget) {
@@ -40,8 +40,9 @@
 	return table
 }
 
-// eligibleFor returns the names of the nodes that can be homes of a zone's targets.
-func eligibleFor(zone string, live []membership.Member) []string {
+// eligibleHomes returns the names of the nodes that can be the homes of the targets
+// in a zone.
+func eligibleHomes(zone string, live []membership.Member) []string {
 	var inZone, all []string
 	for _, member := range live {
 		all = append(all, member.Name)
@@ -59,7 +60,7 @@
 // modify the slice.
 func (t *Table) Homes(target string) []membership.Member { return t.homes[target] }
 
-// Owns reports whether the node is the home of the target.
+// Owns reports whether the node is the home of the target, not its fallback.
 func (t *Table) Owns(node, target string) bool {
 	homes := t.homes[target]
 	return len(homes) > 0 && homes[0].Name == node
