--- a/internal/catalog/catalog.go
+++ b/internal/catalog/catalog.go
@@ -12,26 +12,27 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// Target is a target with the state that the call path needs.
+// Target is a target of the configuration with its drain state.
 type Target struct {
 	Name string
 	resource.Target
-	// Draining targets get no new calls.
+	// Draining reports whether a drain applies to the target. It then gets no new
+	// calls.
 	Draining bool
 	// Revision is the revision of the target's object.
 	Revision store.Revision
-	// JoinedAt is the revision at which a drain of the target was last deleted, or
-	// zero. If it changes, a new warm-up starts.
-	JoinedAt store.Revision
+	// DrainDeletedAt is the revision at which a drain of the target was last deleted,
+	// or zero if none was. If it changes, the target starts a new warm-up.
+	DrainDeletedAt store.Revision
 }
 
 // Service is a service with its compiled policy and its targets.
 type Service struct {
 	Name string
 	Spec resource.Service
-	// Policy is the compiled policy, or the default one if the service has none.
+	// Policy is the compiled policy, or the default policy if the service has none.
 	Policy *policy.Program
-	// Targets are the service's targets sorted by name, including draining ones.
+	// Targets are the service's targets, sorted by name and including draining ones.
 	Targets []*Target
 	// Dependencies lists the names of the service's direct and indirect dependencies,
 	// without the service itself.
@@ -68,20 +69,22 @@
 	Get(id resource.ID) (resource.Versioned, bool)
 }
 
-// DrainSource provides drains besides those of drain objects: emergency drains and those of
-// the machine list. A target drains if any of the sources has a drain for it.
+// DrainSource provides drains that are not stored as drain objects: emergency drains
+// and those of the machine list. A target is draining if either a drain object or a
+// DrainSource has a drain for it.
 type DrainSource interface {
 	// Drained reports whether a drain with the name is in effect.
 	Drained(drainName string) bool
 }
 
-// Build returns the view of the objects. It reuses compiled policies of the previous
-// view. It returns an error for each policy that doesn't compile; the service then
-// keeps its previous policy, or gets the default one if it has none.
-func Build(source Source, marks DrainSource, previous *View) (*View, []error) {
+// Build returns the view of the objects. It reuses the compiled policies of the
+// previous view that have not changed. It returns an error for each policy that does
+// not compile; the service then keeps its previous policy, or gets the default policy
+// if it has none.
+func Build(source Source, drains DrainSource, previous *View) (*View, []error) {
 	view := Empty()
 	errs := view.addServices(source, previous)
-	view.addTargets(source, marks)
+	view.addTargets(source, drains)
 	for _, service := range view.Services {
 		service.Dependencies = view.dependenciesOf(service.Name)
 	}
@@ -112,7 +115,7 @@
 		s.Policy = defaultPolicy
 		return nil
 	}
-	program, err := policy.Compile(SourceOf(*object.Policy))
+	program, err := policy.Compile(policySourceOf(*object.Policy))
 	if err != nil {
 		s.Policy = defaultPolicy
 		if previous != nil {
@@ -125,8 +128,8 @@
 	return nil
 }
 
-// SourceOf converts a policy object to the input of the policy compiler.
-func SourceOf(object resource.Policy) policy.Source {
+// policySourceOf converts a policy object to the input of the policy compiler.
+func policySourceOf(object resource.Policy) policy.Source {
 	return policy.Source{Admit: object.Admit, Rank: object.Rank, Retry: object.Retry, Refuse: object.Refuse}
 }
 
@@ -140,10 +143,10 @@
 	return program
 }
 
-func (v *View) addTargets(source Source, marks DrainSource) {
+func (v *View) addTargets(source Source, drains DrainSource) {
 	for _, object := range source.List(resource.KindTarget) {
 		target := &Target{Name: object.ID.Name, Target: *object.Target, Revision: object.Revision}
-		target.setDrain(source, marks)
+		target.applyDrains(source, drains)
 		v.Targets[target.Name] = target
 		if service, ok := v.Services[target.Service]; ok {
 			service.Targets = append(service.Targets, target)
@@ -154,13 +157,14 @@
 	}
 }
 
-func (t *Target) setDrain(source Source, marks DrainSource) {
+// applyDrains sets the drain state of the target.
+func (t *Target) applyDrains(source Source, drains DrainSource) {
 	for _, name := range t.DrainNames() {
 		object, found := source.Get(resource.ID{Kind: resource.KindDrain, Name: name})
 		if found && object.Deleted {
-			t.JoinedAt = max(t.JoinedAt, object.Revision)
+			t.DrainDeletedAt = max(t.DrainDeletedAt, object.Revision)
 		}
-		if found && !object.Deleted || marks.Drained(name) {
+		if found && !object.Deleted || drains.Drained(name) {
 			t.Draining = true
 		}
 	}
@@ -175,11 +179,11 @@
 	return names
 }
 
-// dependenciesOf returns the services that the service calls directly or indirectly,
-// as declared, without itself. Cycles are allowed.
+// dependenciesOf returns the services that the service calls directly or indirectly
+// according to the declared calls, without itself. Cycles are allowed.
 func (v *View) dependenciesOf(name string) []string {
 	seen := map[string]bool{name: true}
-	var required []string
+	var dependencies []string
 	pending := []string{name}
 	for len(pending) > 0 {
 		service := v.Services[pending[0]]
@@ -187,14 +191,14 @@
 		if service == nil {
 			continue
 		}
-		for _, next := range service.Spec.Calls {
-			if seen[next] {
+		for _, dependency := range service.Spec.Calls {
+			if seen[dependency] {
 				continue
 			}
-			seen[next] = true
-			required = append(required, next)
-			pending = append(pending, next)
+			seen[dependency] = true
+			dependencies = append(dependencies, dependency)
+			pending = append(pending, dependency)
 		}
 	}
-	return required
+	return dependencies
 }
--- a/internal/catalog/catalog_test.go
+++ b/internal/catalog/catalog_test.go
@@ -65,7 +65,7 @@
 	return view
 }
 
-func admits(t *testing.T, service *Service, method string) bool {
+func policyAdmits(t *testing.T, service *Service, method string) bool {
 	t.Helper()
 	admitted, err := service.Policy.Admit(policy.Call{Method: method}, policy.Load{})
 	assert.NilError(t, err)
@@ -77,15 +77,15 @@
 	source.service("a")
 	source.policy(3, "a", `call.method == "GET"`)
 	first := build(t, source, Empty())
-	assert.Assert(t, admits(t, first.Services["a"], "GET") && !admits(t, first.Services["a"], "POST"))
+	assert.Assert(t, policyAdmits(t, first.Services["a"], "GET") && !policyAdmits(t, first.Services["a"], "POST"))
 	second := build(t, source, first)
 	assert.Assert(t, first.Services["a"].Policy == second.Services["a"].Policy)
 	source.policy(4, "a", `call.method == "POST"`)
 	third := build(t, source, second)
-	assert.Assert(t, admits(t, third.Services["a"], "POST") && !admits(t, third.Services["a"], "GET"))
+	assert.Assert(t, policyAdmits(t, third.Services["a"], "POST") && !policyAdmits(t, third.Services["a"], "GET"))
 	source.put(5, resource.Envelope{ID: resource.ID{Kind: resource.KindPolicy, Name: "a"}, Deleted: true})
 	fourth := build(t, source, third)
-	assert.Assert(t, admits(t, fourth.Services["a"], "GET") && admits(t, fourth.Services["a"], "POST"))
+	assert.Assert(t, policyAdmits(t, fourth.Services["a"], "GET") && policyAdmits(t, fourth.Services["a"], "POST"))
 }
 
 func TestInvalidPolicyKeepsPreviousPolicy(t *testing.T) {
@@ -99,10 +99,10 @@
 		view, errs = Build(source, drainNames(nil), view)
 		assert.Equal(t, len(errs), 1)
 		assert.ErrorContains(t, errs[0], "service a at revision 4")
-		assert.Assert(t, !admits(t, view.Services["a"], "POST"), "the previous policy was lost")
+		assert.Assert(t, !policyAdmits(t, view.Services["a"], "POST"), "the previous policy was lost")
 	}
 	source.policy(5, "a", `call.method == "POST"`)
-	assert.Assert(t, admits(t, build(t, source, view).Services["a"], "POST"))
+	assert.Assert(t, policyAdmits(t, build(t, source, view).Services["a"], "POST"))
 }
 
 func TestInvalidPolicyOfNewServiceUsesDefault(t *testing.T) {
@@ -111,23 +111,23 @@
 	source.policy(4, "a", `(`)
 	view, errs := Build(source, drainNames(nil), Empty())
 	assert.Equal(t, len(errs), 1)
-	assert.Assert(t, admits(t, view.Services["a"], "GET"))
+	assert.Assert(t, policyAdmits(t, view.Services["a"], "GET"))
 }
 
 func TestDrainSources(t *testing.T) {
 	for name, c := range map[string]struct {
 		drain    string
-		marks    drainNames
+		drains   drainNames
 		expected bool
 	}{
-		"none":                {"", nil, false},
-		"target by operator":  {"target.a-1", nil, true},
-		"machine by operator": {"machine.m-1", nil, true},
-		"target by mark":      {"", drainNames{"target.a-1"}, true},
-		"machine by mark":     {"", drainNames{"machine.m-1"}, true},
-		"other target":        {"target.a-2", drainNames{"target.a-11"}, false},
-		"machine of a target": {"machine.a-1", nil, false},
-		"operator and mark":   {"target.a-1", drainNames{"machine.m-1"}, true},
+		"none":                      {"", nil, false},
+		"target by operator":        {"target.a-1", nil, true},
+		"machine by operator":       {"machine.m-1", nil, true},
+		"target by drain source":    {"", drainNames{"target.a-1"}, true},
+		"machine by drain source":   {"", drainNames{"machine.m-1"}, true},
+		"other target":              {"target.a-2", drainNames{"target.a-11"}, false},
+		"machine of a target":       {"machine.a-1", nil, false},
+		"operator and drain source": {"target.a-1", drainNames{"machine.m-1"}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			source := objects{}
@@ -136,22 +136,22 @@
 			if c.drain != "" {
 				source.drain(9, c.drain, false)
 			}
-			view, _ := Build(source, c.marks, Empty())
+			view, _ := Build(source, c.drains, Empty())
 			assert.Equal(t, view.Targets["a-1"].Draining, c.expected)
 			assert.Assert(t, view.Services["a"].Targets[0] == view.Targets["a-1"])
 		})
 	}
 }
 
-func TestJoinedAtIsLastDeletedDrain(t *testing.T) {
+func TestDrainDeletedAtIsRevisionOfLastDeletedDrain(t *testing.T) {
 	source := objects{}
 	source.service("a")
 	source.target("a-1", "a", "m-1")
-	assert.Equal(t, build(t, source, Empty()).Targets["a-1"].JoinedAt, store.Revision(0))
+	assert.Equal(t, build(t, source, Empty()).Targets["a-1"].DrainDeletedAt, store.Revision(0))
 	source.drain(8, "target.a-1", true)
 	source.drain(7, "machine.m-1", true)
 	target := build(t, source, Empty()).Targets["a-1"]
-	assert.Equal(t, target.JoinedAt, store.Revision(8))
+	assert.Equal(t, target.DrainDeletedAt, store.Revision(8))
 	assert.Assert(t, !target.Draining)
 }
 
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -46,8 +46,8 @@
 
 // warmupStart is the start of a target's current warm-up.
 type warmupStart struct {
-	joinedAt store.Revision
-	at       time.Time
+	drainDeletedAt store.Revision
+	startedAt      time.Time
 }
 
 // RouterConfig configures a Router.
@@ -163,15 +163,15 @@
 // configuration after a node's start are considered warm.
 func (r *Router) warmupStartOf(target *catalog.Target, initial bool) time.Time {
 	existing, found := r.warmupStarts[target.Name]
-	if found && existing.joinedAt == target.JoinedAt {
-		return existing.at
+	if found && existing.drainDeletedAt == target.DrainDeletedAt {
+		return existing.startedAt
 	}
-	started := warmupStart{joinedAt: target.JoinedAt}
+	start := warmupStart{drainDeletedAt: target.DrainDeletedAt}
 	if !initial && r.warmup {
-		started.at = r.now()
+		start.startedAt = r.now()
 	}
-	r.warmupStarts[target.Name] = started
-	return started.at
+	r.warmupStarts[target.Name] = start
+	return start.startedAt
 }
 
 func (r *Router) removeWarmupStarts(view *catalog.View) {
