--- a/internal/gateway/admission.go
+++ b/internal/gateway/admission.go
@@ -10,35 +10,35 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-// admit checks the call against the service's policy and the shed threshold, and
-// sets its rank.
+// admit sets the rank of the call and checks it against the service's policy and the
+// shed threshold.
 func (g *Gateway) admit(c *call, r *http.Request, requestURI string) *problem.Problem {
-	c.policy = g.policyCall(c, r, requestURI)
-	shedBy := ""
-	c.shedThreshold, shedBy = g.shedThreshold(c)
+	c.policyInput = g.newPolicyInput(c, r, requestURI)
+	sheddingService := ""
+	c.shedThreshold, sheddingService = g.shedThreshold(c)
 	load := g.policyLoad(c)
-	admitted, err := c.service.Policy.Admit(c.policy, load)
+	admitted, err := c.service.Policy.Admit(c.policyInput, load)
 	g.logPolicyError(c, err)
 	if !admitted {
-		return g.problem(problem.NotAdmitted, "policy", "the service's policy does not admit the call")
+		return g.newProblem(problem.NotAdmitted, "policy", "the service's policy does not admit the call")
 	}
 	g.logPolicyError(c, g.setRank(c))
 	if g.settings.ShedLevels && c.context.Rank.Key() >= c.shedThreshold {
-		failure := g.problem(problem.Overloaded, "shed", "calls of this rank are being shed by "+shedBy)
+		failure := g.newProblem(problem.Overloaded, "shed", "calls of this rank are being shed by "+sheddingService)
 		return g.setRetryAfter(c, load, failure)
 	}
 	return nil
 }
 
-// policyLoad returns the load of the call's service for its policy.
+// policyLoad returns the load of the call's service as input for its policy.
 func (g *Gateway) policyLoad(c *call) policy.Load {
 	load := g.router.Load(c.service.Name)
 	load.ShedLevel = shedLevelName(c.shedThreshold)
 	return load
 }
 
-// logPolicyError logs an error of a policy's evaluation, if any. External callers
-// can cause such errors, so they are logged at debug level only.
+// logPolicyError logs an error in the evaluation of a policy, if any. It logs at debug
+// level only, because external callers can cause such errors.
 func (g *Gateway) logPolicyError(c *call, err error) {
 	if err != nil {
 		g.log.WithError(err).WithField("step", "policy").WithField("service", c.service.Name).Debug("policy evaluation failed")
@@ -46,21 +46,22 @@
 }
 
 func (g *Gateway) setRank(c *call) error {
-	if c.orphan {
+	if c.withoutContext {
 		return nil
 	}
-	level, err := c.service.Policy.Rank(c.policy)
+	level, err := c.service.Policy.Rank(c.policyInput)
 	c.context.Rank.Level = level
-	if g.settings.PriorityOff {
+	if g.settings.DisablePriority {
 		c.context.Rank = criticality.Rank{Level: criticality.SheddablePlus}
 	}
 	return err
 }
 
-func (g *Gateway) policyCall(c *call, r *http.Request, requestURI string) policy.Call {
+// newPolicyInput returns the attributes of the call as input for the service's policy.
+func (g *Gateway) newPolicyInput(c *call, r *http.Request, requestURI string) policy.Call {
 	path, _, _ := strings.Cut(requestURI, "?")
 	incoming := ""
-	if c.listener == Mesh && !c.orphan {
+	if c.listener == Mesh && !c.withoutContext {
 		incoming = c.context.Rank.Level.String()
 	}
 	return policy.Call{
@@ -78,8 +79,8 @@
 	}
 }
 
-// shedLevelName returns the name of the most important level of which calls are
-// shed, or an empty string if none are.
+// shedLevelName returns the name of the most important criticality level of which calls
+// are shed, or an empty string if no calls are shed.
 func shedLevelName(threshold uint16) string {
 	if threshold >= criticality.RankCount {
 		return ""
@@ -87,10 +88,11 @@
 	return criticality.RankOf(threshold).Level.String()
 }
 
-// setRetryAfter sets the problem's Retry-After from the service's policy.
+// setRetryAfter sets the problem's Retry-After to the time that the service's policy
+// returns.
 func (g *Gateway) setRetryAfter(c *call, load policy.Load, failure *problem.Problem) *problem.Problem {
 	outcome := policy.Outcome{Status: failure.Status, Executed: string(failure.Executed), Reason: string(failure.Reason)}
-	seconds, err := c.service.Policy.RefuseSeconds(c.policy, load, outcome)
+	seconds, err := c.service.Policy.RefuseSeconds(c.policyInput, load, outcome)
 	g.logPolicyError(c, err)
 	return failure.WithRetryAfter(time.Duration(seconds) * time.Second)
 }
--- a/internal/gateway/body.go
+++ b/internal/gateway/body.go
@@ -14,18 +14,18 @@
 	return r.Body != nil && r.Body != http.NoBody && r.ContentLength != 0
 }
 
-// setBodyDeadline sets the deadline for reading the request body. It stays in effect
-// if the body is not fully read, so that the server does not wait for the rest.
+// setBodyDeadline sets the deadline for reading the request body. The deadline stays in
+// effect if the body is not fully read, so that the server does not wait for the rest.
 func (g *Gateway) setBodyDeadline(w http.ResponseWriter, r *http.Request) {
 	if expectsBody(r) {
-		// If the connection doesn't support deadlines, the server's own timeouts apply.
+		// If the connection does not support deadlines, the server's own timeouts apply.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(g.settings.ReadBodyTimeout))
 	}
 }
 
 const (
-	// maxDiscardBytes is the size of the largest body of a refused call that is read
-	// so that the connection can be reused.
+	// maxDiscardBytes is the maximum size of the body of a refused call that is read so
+	// that the connection can be reused.
 	maxDiscardBytes = 64 << 10
 	// discardTimeout is the timeout for reading such a body, which has usually
 	// arrived together with the header.
@@ -51,8 +51,8 @@
 	w.Header().Set("Connection", "close")
 }
 
-// readBody reads the whole body, within its limits of size and time. The caller
-// must have called setBodyDeadline.
+// readBody reads the whole body within the limits of size and time. The caller must
+// have called setBodyDeadline before.
 func (g *Gateway) readBody(w http.ResponseWriter, r *http.Request) ([]byte, *problem.Problem) {
 	if !expectsBody(r) {
 		return nil, nil
@@ -66,12 +66,12 @@
 	case errors.As(err, &tooLarge):
 		return nil, g.bodyTooLarge()
 	case err != nil:
-		return nil, g.problem(problem.BadRequest, "receive", "the body could not be read whole in time").WithCause(err)
+		return nil, g.newProblem(problem.BadRequest, "receive", "the body could not be read whole in time").WithCause(err)
 	}
 	_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 	return body, nil
 }
 
 func (g *Gateway) bodyTooLarge() *problem.Problem {
-	return g.problem(problem.BodyTooLarge, "receive", "allowed are "+strconv.FormatInt(g.settings.MaxBodyBytes, 10)+" bytes")
+	return g.newProblem(problem.BodyTooLarge, "receive", "allowed are "+strconv.FormatInt(g.settings.MaxBodyBytes, 10)+" bytes")
 }
--- a/internal/gateway/claim.go
+++ b/internal/gateway/claim.go
@@ -7,29 +7,29 @@
 	"github.com/lugspur/lugspur/internal/problem"
 )
 
-// Claims ensures that a call with an idempotency key runs at most once in the
-// cluster.
+// Claims grants claims for idempotency keys, so that a call with a key runs at most
+// once in the cluster.
 type Claims interface {
-	// Claim claims the key within its scope. It returns a problem if the claim is
-	// denied and the call may not run.
+	// Claim claims the key within its scope. If it returns a problem, the claim was not
+	// granted and the call must not run.
 	Claim(ctx context.Context, scope, key string) (Claim, *problem.Problem)
 }
 
 // Claim is a granted claim.
 type Claim interface {
-	// Release releases the claim. It is called only if it is certain that the call
+	// Release releases the claim. It must be called only if it is certain that the call
 	// did not run and never will.
 	Release()
 }
 
-// maxKeyLength is the maximum length of an idempotency key in bytes.
-const maxKeyLength = 256
+// maxIdempotencyKeyBytes is the maximum length of an idempotency key in bytes.
+const maxIdempotencyKeyBytes = 256
 
-// runClaimed runs a call that must run at most once. It keeps the claim unless it
-// is certain that the call did not run.
-func (g *Gateway) runClaimed(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
-	if len(c.idempotencyKey) > maxKeyLength {
-		return nil, g.problem(problem.BadRequest, "claim", "the idempotency key is longer than 256 bytes")
+// runWithClaim claims the call's idempotency key and runs the call. It releases the
+// claim only if it is certain that the call did not run.
+func (g *Gateway) runWithClaim(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
+	if len(c.idempotencyKey) > maxIdempotencyKeyBytes {
+		return nil, g.newProblem(problem.BadRequest, "claim", "the idempotency key is longer than 256 bytes")
 	}
 	scope := c.service.Name + "\x00" + c.context.Caller
 	claim, failure := g.claims.Claim(ctx, scope, c.idempotencyKey)
--- a/internal/gateway/concurrency_test.go
+++ b/internal/gateway/concurrency_test.go
@@ -8,8 +8,8 @@
 	"github.com/lugspur/lugspur/internal/criticality"
 )
 
-// A node at the concurrency limit of less important calls must still accept more
-// important ones and the nested calls of requests in progress.
+// A node that has reached the concurrency limit for less important calls must still
+// accept more important calls and the nested calls of requests in progress.
 func TestConcurrencyIsReservedByPriority(t *testing.T) {
 	g := &Gateway{settings: Settings{MaxConcurrent: 100}}
 	previous := int64(0)
--- a/internal/gateway/fake_target_test.go
+++ b/internal/gateway/fake_target_test.go
@@ -11,12 +11,13 @@
 	"testing"
 )
 
-// fakeTarget is a target that records the headers and URIs of its calls.
+// fakeTarget is a target that records the headers and request URIs of the calls that
+// it receives.
 type fakeTarget struct {
-	address string
-	mutex   sync.Mutex
-	headers []http.Header
-	paths   []string
+	address     string
+	mutex       sync.Mutex
+	headers     []http.Header
+	requestURIs []string
 }
 
 func newFakeTarget(t *testing.T, handler http.HandlerFunc) *fakeTarget {
@@ -25,7 +26,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		target.mutex.Lock()
 		target.headers = append(target.headers, r.Header.Clone())
-		target.paths = append(target.paths, r.RequestURI)
+		target.requestURIs = append(target.requestURIs, r.RequestURI)
 		target.mutex.Unlock()
 		handler(w, r)
 	}))
@@ -40,18 +41,18 @@
 	return slices.Clone(f.headers)
 }
 
-func (f *fakeTarget) uris() []string {
+func (f *fakeTarget) receivedURIs() []string {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return slices.Clone(f.paths)
+	return slices.Clone(f.requestURIs)
 }
 
 func respondWith(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(status); _, _ = io.WriteString(w, body) }
 }
 
-// handlerSequence returns a handler that uses one of the handlers per call, in
-// order, and the last one for all further calls.
+// handlerSequence returns a handler that uses the handlers in order, one per call, and
+// the last one for all further calls.
 func handlerSequence(handlers ...http.HandlerFunc) http.HandlerFunc {
 	var count atomic.Int64
 	return func(w http.ResponseWriter, r *http.Request) {
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -28,8 +28,8 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// configuration contains the objects of a test's nodes. It implements catalog.Source
-// and, without any drains, catalog.Marks.
+// configuration contains the configuration objects of the nodes in a test. It implements
+// catalog.Source and, without any drains, catalog.DrainSource.
 type configuration map[resource.ID]resource.Versioned
 
 func (c configuration) List(kind resource.Kind) []resource.Versioned {
@@ -47,7 +47,7 @@
 	return object, found
 }
 
-// Drained implements catalog.Marks.
+// Drained implements catalog.DrainSource.
 func (c configuration) Drained(string) bool { return false }
 
 func (c configuration) add(e resource.Envelope) configuration {
@@ -69,7 +69,7 @@
 	}})
 }
 
-// countingObserver counts the events of an Observer.
+// countingObserver is an Observer that counts the outcomes.
 type countingObserver struct {
 	answered, refused, retried atomic.Int64
 }
@@ -80,7 +80,7 @@
 }
 func (o *countingObserver) Retried(string) { o.retried.Add(1) }
 
-// unlimitedRatio is a Ratio that allows all retries.
+// unlimitedRatio is a RetryRatio that allows all retries.
 type unlimitedRatio struct{}
 
 func (unlimitedRatio) RecordSuccess() {}
@@ -99,18 +99,19 @@
 
 func (c *fakeClaims) Release() { c.released.Add(1) }
 
-// fixture is a node without membership and configuration replication.
+// fixture is a gateway with its listeners. It has no membership and no configuration
+// replication.
 type fixture struct {
 	*Gateway
 	edge, mesh, peer string
-	observed         *countingObserver
+	observer         *countingObserver
 	claims           *fakeClaims
 	shed             *shed.Table
 }
 
 func newFixture(t *testing.T, name string, modify func(*Settings)) *fixture {
 	t.Helper()
-	f := &fixture{observed: &countingObserver{}, claims: &fakeClaims{}, shed: shed.NewTable(shed.TableConfig{})}
+	f := &fixture{observer: &countingObserver{}, claims: &fakeClaims{}, shed: shed.NewTable(shed.TableConfig{})}
 	peerMux := http.NewServeMux()
 	// The gateway is created below because it needs the address of this listener.
 	f.peer = f.listen(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -137,7 +138,7 @@
 		Grants:   grant.NewClient(peer, ledger, http.DefaultClient),
 		Ratio:    unlimitedRatio{},
 		Claims:   f.claims,
-		Observer: f.observed,
+		Observer: f.observer,
 		Log:      logrus.NewEntry(log),
 		Now:      time.Now,
 	})
@@ -151,7 +152,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// configure sets the node's configuration and cluster members and makes it ready.
+// configure sets the configuration and the cluster members of the node and makes it
+// ready. The node itself need not be among the members.
 func (f *fixture) configure(t *testing.T, objects configuration, members ...*fixture) *fixture {
 	t.Helper()
 	view, errs := catalog.Build(objects, objects, catalog.Empty())
@@ -165,12 +167,14 @@
 	return f
 }
 
-// singleNode returns a cluster of one node with a service "a" and its targets.
+// singleNode returns a cluster of one node with a service "a" that has the targets.
 func singleNode(t *testing.T, spec resource.Service, policy resource.Policy, targets ...*fakeTarget) *fixture {
 	t.Helper()
 	return newFixture(t, "n-1", nil).configure(t, singleService(spec, policy, targets...))
 }
 
+// singleService returns a configuration of a service "a" with its policy and with
+// targets named a-1, a-2 and so on.
 func singleService(spec resource.Service, policy resource.Policy, targets ...*fakeTarget) configuration {
 	objects := configuration{}.service("a", spec).policy("a", policy)
 	for i, target := range targets {
@@ -179,7 +183,8 @@
 	return objects
 }
 
-// callResult is a response as the caller received it.
+// callResult is the response that the caller received. The error is that of reading
+// the body.
 type callResult struct {
 	status int
 	header http.Header
@@ -197,7 +202,7 @@
 	return func(r *http.Request) { assert.NilError(t, c.SetHeader(r.Header)) }
 }
 
-func do(t *testing.T, method, address, path, body string, options ...option) callResult {
+func sendRequest(t *testing.T, method, address, path, body string, options ...option) callResult {
 	t.Helper()
 	var content io.Reader
 	if body != "" {
--- a/internal/gateway/forward_test.go
+++ b/internal/gateway/forward_test.go
@@ -18,7 +18,7 @@
 	for _, nodes := range []int{1, 2} {
 		started, canceled := make(chan struct{}), make(chan struct{})
 		target := newFakeTarget(t, func(_ http.ResponseWriter, r *http.Request) { close(started); <-r.Context().Done(); close(canceled) })
-		f := cluster(t, nodes, singleService(resource.Service{}, fiveRetries, target))
+		f := newCluster(t, nodes, singleService(resource.Service{}, fiveRetries, target))
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
 			request, _ := http.NewRequestWithContext(ctx, "GET", "http://"+f.edge+"/a/x", nil)
@@ -36,8 +36,9 @@
 	}
 }
 
-// cluster returns a node that is not the home of target a-1 if nodes is 2.
-func cluster(t *testing.T, nodes int, objects configuration) *fixture {
+// newCluster returns a node of a cluster with one or two nodes. In a cluster with two
+// nodes it is the one that is not the home of target a-1.
+func newCluster(t *testing.T, nodes int, objects configuration) *fixture {
 	first := newFixture(t, "n-1", nil)
 	if nodes == 1 {
 		return first.configure(t, objects)
@@ -52,11 +53,11 @@
 }
 
 func TestForwardedCalls(t *testing.T) {
-	relayed := string(problem.New(problem.Overloaded, problem.ExecutedNo, "home", "b-1", "").Document())
-	relayProblem := func(w http.ResponseWriter, _ *http.Request) {
+	forwardedProblem := string(problem.New(problem.Overloaded, problem.ExecutedNo, "home", "b-1", "").Document())
+	respondWithProblem := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", problem.ContentType)
 		w.WriteHeader(http.StatusServiceUnavailable)
-		_, _ = io.WriteString(w, relayed)
+		_, _ = io.WriteString(w, forwardedProblem)
 	}
 	spec := resource.Service{RefusalHeader: "Target-Shed"}
 	for name, c := range map[string]struct {
@@ -68,14 +69,14 @@
 		"refused":            {shedCall, 503, problem.ExecutedNo},
 		"reset":              {abortConnection, 502, problem.ExecutedUnknown},
 		"truncated response": {truncateResponse, 502, problem.ExecutedUnknown},
-		"forwarded problem":  {relayProblem, 503, problem.ExecutedUnknown},
+		"forwarded problem":  {respondWithProblem, 503, problem.ExecutedUnknown},
 	} {
 		t.Run(name, func(t *testing.T) {
 			target := newFakeTarget(t, c.handler)
-			f := cluster(t, 2, singleService(spec, resource.Policy{Retry: "0"}, target))
-			got := do(t, "POST", f.edge, "/a/x?q=%2F", "body", header("X-Own", "1"))
+			f := newCluster(t, 2, singleService(spec, resource.Policy{Retry: "0"}, target))
+			got := sendRequest(t, "POST", f.edge, "/a/x?q=%2F", "body", header("X-Own", "1"))
 			assert.Equal(t, got.status, c.status, got.body)
-			assert.DeepEqual(t, target.uris(), []string{"/x?q=%2F"})
+			assert.DeepEqual(t, target.receivedURIs(), []string{"/x?q=%2F"})
 			assert.Equal(t, target.calls()[0].Get("X-Own"), "1")
 			if c.executed == "" {
 				assert.Equal(t, got.body, "tea")
@@ -98,7 +99,7 @@
 		first, second = second, first
 	}
 	second.configure(t, configuration{}, first)
-	do(t, "POST", first.edge, "/a/x", "body").assertProblem(t, 503, problem.NoTarget, problem.ExecutedNo)
+	sendRequest(t, "POST", first.edge, "/a/x", "body").assertProblem(t, 503, problem.NoTarget, problem.ExecutedNo)
 	assert.Equal(t, len(target.calls()), 0)
 }
 
@@ -113,9 +114,9 @@
 	}
 	f.configure(t, objects, unreachableNode)
 	now := time.Now()
-	f.router.now = func() time.Time { return now } // the home stays marked as unreachable
+	f.router.now = func() time.Time { return now } // unreachablePeriod never ends
 	for range 20 {
-		do(t, "POST", f.edge, "/a/x", "body").assertEqual(t, 200, "ok")
+		sendRequest(t, "POST", f.edge, "/a/x", "body").assertEqual(t, 200, "ok")
 	}
-	assert.Equal(t, f.observed.retried.Load(), int64(1), "a home was tried again after it had been unreachable")
+	assert.Equal(t, f.observer.retried.Load(), int64(1), "a home was tried again after it had been unreachable")
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -1,7 +1,8 @@
 // Package gateway serves calls. It creates or reads the call's context, applies
-// the service's policy and shed level, claims calls that must run at most once,
-// sends the call to the home node of a target, retries it where that is allowed,
-// and returns either a complete response or a problem document.
+// the service's policy and shed threshold, claims the idempotency key of a call that
+// must run at most once, sends the call to the home node of a target, retries it
+// where that is allowed, and returns either a complete response or a problem
+// document.
 package gateway
 
 import (
@@ -51,23 +52,28 @@
 	// MaxRetries is the maximum number of retries of one request across its
 	// whole call chain, unless the service sets its own.
 	MaxRetries int
-	// ShedLevels enables refusing calls that a home node would shed anyway.
+	// ShedLevels enables the refusal of calls that a home node would shed anyway.
 	ShedLevels bool
-	// PriorityOff gives all calls the same rank, for experiments.
-	PriorityOff bool
+	// DisablePriority gives all calls the same rank, except mesh calls without a
+	// context. It is meant for experiments.
+	DisablePriority bool
 }
 
-// Budgets holds the retry budgets of the requests whose ingress node this is.
-type Budgets interface {
-	// Open creates a budget for the request that lasts until Close or expiry. It
-	// returns false if the table is full; the request then gets no retry.
+// RetryBudgets holds the retry budgets of the requests that entered the cluster at
+// this node.
+type RetryBudgets interface {
+	// Open creates a budget for the request that lasts until Close is called or it
+	// expires. It returns false if there are too many budgets; the request then gets
+	// no retry.
 	Open(request callcontext.RequestID, retries int, expiry time.Time) bool
 	// Close removes the request's budget; later retries are denied.
 	Close(request callcontext.RequestID)
 }
 
-// Grants requests retries from the ingress node of a request.
-type Grants interface {
+// RetryGrants requests retries from the ingress node of a request.
+type RetryGrants interface {
+	// RequestRetry reports whether the ingress node grants one retry, which it
+	// charges to the request's retry budget.
 	RequestRetry(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error)
 }
 
@@ -81,9 +87,9 @@
 
 // Observer receives the outcomes of calls, for metrics.
 type Observer interface {
-	// Answered records a call that got a target's response.
+	// Answered records a call that received a response from a target.
 	Answered(listener Listener, service string, status int, duration time.Duration)
-	// Refused records a refused or failed call.
+	// Refused records a call that was refused or failed.
 	Refused(listener Listener, service string, failure *problem.Problem, duration time.Duration)
 	// Retried records a retry.
 	Retried(service string)
@@ -91,19 +97,19 @@
 
 // Gateway serves calls. It is safe for concurrent use.
 type Gateway struct {
-	settings Settings
-	router   *Router
-	homes    *home.Manager
-	peers    *home.Client
-	shed     *shed.Table
-	budgets  Budgets
-	grants   Grants
-	ratio    RetryRatio
-	claims   Claims
-	resends  *resend.Table
-	observer Observer
-	log      *logrus.Entry
-	now      func() time.Time
+	settings     Settings
+	router       *Router
+	homes        *home.Manager
+	peers        *home.Client
+	shed         *shed.Table
+	RetryBudgets RetryBudgets
+	RetryGrants  RetryGrants
+	RetryRatio   RetryRatio
+	claims       Claims
+	resends      *resend.Table
+	observer     Observer
+	log          *logrus.Entry
+	now          func() time.Time
 
 	ready    atomic.Bool
 	closing  atomic.Bool
@@ -119,8 +125,8 @@
 	Homes    *home.Manager
 	Peers    *home.Client
 	Shed     *shed.Table
-	Budgets  Budgets
-	Grants   Grants
+	Budgets  RetryBudgets
+	Grants   RetryGrants
 	Ratio    RetryRatio
 	Claims   Claims
 	Observer Observer
@@ -128,22 +134,22 @@
 	Now      func() time.Time
 }
 
-// New returns a gateway that refuses calls until SetReady(true).
-func New(settings Settings, parts Dependencies) *Gateway {
+// New returns a gateway that refuses calls until SetReady(true) is called.
+func New(settings Settings, dependencies Dependencies) *Gateway {
 	return &Gateway{
-		settings: settings,
-		router:   parts.Router,
-		homes:    parts.Homes,
-		peers:    parts.Peers,
-		shed:     parts.Shed,
-		budgets:  parts.Budgets,
-		grants:   parts.Grants,
-		ratio:    parts.Ratio,
-		claims:   parts.Claims,
-		resends:  resend.NewTable(parts.Now),
-		observer: parts.Observer,
-		log:      parts.Log,
-		now:      parts.Now,
+		settings:     settings,
+		router:       dependencies.Router,
+		homes:        dependencies.Homes,
+		peers:        dependencies.Peers,
+		shed:         dependencies.Shed,
+		RetryBudgets: dependencies.Budgets,
+		RetryGrants:  dependencies.Grants,
+		RetryRatio:   dependencies.Ratio,
+		claims:       dependencies.Claims,
+		resends:      resend.NewTable(dependencies.Now),
+		observer:     dependencies.Observer,
+		log:          dependencies.Log,
+		now:          dependencies.Now,
 	}
 }
 
@@ -153,8 +159,8 @@
 // Ready reports whether the node has a complete view of the configuration.
 func (g *Gateway) Ready() bool { return g.ready.Load() }
 
-// SetClosing adds "Connection: close" to all further responses, in preparation
-// of a planned shutdown.
+// SetClosing adds "Connection: close" to all further responses, to prepare a planned
+// shutdown.
 func (g *Gateway) SetClosing() { g.closing.Store(true) }
 
 // InFlight returns the number of calls in progress.
@@ -171,8 +177,9 @@
 }
 
 // Handler returns the handler for the calls of one listener. The first segment
-// of the path names the service; the rest is passed to the target. It uses no
-// ServeMux, which would redirect unclean paths instead of passing them on.
+// of the path names the service; the rest is passed to the target. The handler uses
+// no http.ServeMux, which would redirect paths that are not clean instead of passing
+// them on.
 func (g *Gateway) Handler(listener Listener) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		g.serve(w, r, listener)
@@ -205,14 +212,14 @@
 	call, failure := g.receive(w, r, incomingCall{listener: listener, service: service, requestURI: requestURI, started: started, inFlight: inFlight})
 	if failure != nil {
 		discardBody(w, r)
-		g.refuse(w, listener, service, call, failure, started)
+		g.respondWithProblem(w, listener, service, call, failure, started)
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), call.context.Deadline)
 	defer cancel()
 	reply, failure := g.run(ctx, call)
 	if failure != nil {
-		g.refuse(w, listener, service, call, failure, started)
+		g.respondWithProblem(w, listener, service, call, failure, started)
 		return
 	}
 	defer reply.Close()
@@ -221,8 +228,9 @@
 	reply.WriteTo(w, call.context.Deadline)
 }
 
-// refuse responds with the problem.
-func (g *Gateway) refuse(w http.ResponseWriter, listener Listener, service string, call *call, failure *problem.Problem, started time.Time) {
+// respondWithProblem responds with the problem document of a call that was refused or
+// failed. The call is nil if its service is unknown or the node is not ready.
+func (g *Gateway) respondWithProblem(w http.ResponseWriter, listener Listener, service string, call *call, failure *problem.Problem, started time.Time) {
 	if call != nil {
 		failure.RequestID = call.context.RequestID.String()
 		w.Header().Set(callcontext.RequestIDHeader, failure.RequestID)
@@ -248,16 +256,16 @@
 	now := g.now()
 	service = call.service.Name
 	threshold = g.shed.Threshold(service, now)
-	for _, required := range call.service.Dependencies {
-		if next := g.shed.Threshold(required, now); next < threshold {
-			threshold, service = next, required
+	for _, dependency := range call.service.Dependencies {
+		if dependencyThreshold := g.shed.Threshold(dependency, now); dependencyThreshold < threshold {
+			threshold, service = dependencyThreshold, dependency
 		}
 	}
 	return threshold, service
 }
 
-// cohortPeriod is how long callers keep their cohort, which orders them within a
-// criticality level.
+// cohortPeriod is how long a caller stays in the same cohort. The cohort determines
+// the caller's rank within a criticality level.
 const cohortPeriod = time.Hour
 
 func cohortOf(caller string, now time.Time) uint8 {
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// loadReportMaxAge is the age after which a home's load report is dropped.
+	// loadReportMaxAge is the age above which a home's load report is discarded.
 	loadReportMaxAge = 2 * time.Second
 	// loadRefreshInterval is the minimum interval between two aggregations of a
 	// service's load.
 	loadRefreshInterval = 50 * time.Millisecond
 )
 
-// serviceLoad holds the last load reports of the homes of one service's targets,
-// for the service's policy. It is safe for concurrent use.
+// serviceLoad aggregates the last load reports of the homes of a service's targets. The
+// aggregate is input for the service's policy. It is safe for concurrent use.
 type serviceLoad struct {
-	mutex    sync.Mutex
-	targets  map[string]targetLoad
-	sum      policy.Load
-	summedAt time.Time
+	mutex        sync.Mutex
+	targets      map[string]targetLoad
+	aggregated   policy.Load
+	aggregatedAt time.Time
 }
 
 type targetLoad struct {
@@ -39,24 +39,25 @@
 	s.targets[target] = targetLoad{Load: load, reportedAt: now}
 }
 
-// aggregate returns the service's load without its shed level: the sums of the calls
-// in flight and of the limits, and the longest queueing delay.
+// aggregate returns the service's load without its shed level: the sum of the calls in
+// flight, the sum of the limits, and the longest queueing delay. The result is up to
+// loadRefreshInterval old.
 func (s *serviceLoad) aggregate(now time.Time) policy.Load {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if now.Sub(s.summedAt) < loadRefreshInterval {
-		return s.sum
+	if now.Sub(s.aggregatedAt) < loadRefreshInterval {
+		return s.aggregated
 	}
-	s.summedAt = now
-	s.sum = policy.Load{}
+	s.aggregatedAt = now
+	s.aggregated = policy.Load{}
 	for name, target := range s.targets {
 		if now.Sub(target.reportedAt) > loadReportMaxAge {
 			delete(s.targets, name)
 			continue
 		}
-		s.sum.InFlight += target.InFlight
-		s.sum.Limit += target.Limit
-		s.sum.QueueMs = max(s.sum.QueueMs, float64(target.QueueDelay)/float64(time.Millisecond))
+		s.aggregated.InFlight += target.InFlight
+		s.aggregated.Limit += target.Limit
+		s.aggregated.QueueMs = max(s.aggregated.QueueMs, float64(target.QueueDelay)/float64(time.Millisecond))
 	}
-	return s.sum
+	return s.aggregated
 }
--- a/internal/gateway/peer.go
+++ b/internal/gateway/peer.go
@@ -11,9 +11,9 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// PeerHandler serves calls that other nodes forward to this node as the home of
-// their target, and passes all other requests of the peer listener to next.
-// Forwarded calls bypass next's ServeMux, which would redirect unclean paths.
+// PeerHandler serves calls that other nodes forward to this node as the home of their
+// target, and passes all other requests of the peer listener to next. Forwarded calls
+// bypass next, because its http.ServeMux would redirect paths that are not clean.
 func (g *Gateway) PeerHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if forwarded, ok := strings.CutPrefix(r.URL.EscapedPath(), home.PathPrefix); ok {
@@ -30,7 +30,7 @@
 	callContext, err := callcontext.FromHeader(r.Header)
 	if err != nil {
 		discardBody(w, r)
-		home.WriteProblem(w, home.Load{}, g.problem(problem.BadContext, "home", err.Error()).WithCause(err))
+		home.WriteProblem(w, home.Load{}, g.newProblem(problem.BadContext, "home", err.Error()).WithCause(err))
 		return
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), callContext.Deadline)
@@ -44,11 +44,11 @@
 }
 
 func (g *Gateway) runForwarded(ctx context.Context, w http.ResponseWriter, r *http.Request, callContext callcontext.Context, name string) (*home.Reply, *problem.Problem) {
-	routes := g.router.current.Load()
-	target := routes.view.Targets[name]
-	if target == nil || routes.view.Services[target.Service] == nil {
+	snapshot := g.router.current.Load()
+	target := snapshot.view.Targets[name]
+	if target == nil || snapshot.view.Services[target.Service] == nil {
 		discardBody(w, r)
-		return nil, g.problem(problem.NoTarget, "home", "the home does not know the target").WithRetryAfter(defaultRetryAfter)
+		return nil, g.newProblem(problem.NoTarget, "home", "the home does not know the target").WithRetryAfter(defaultRetryAfter)
 	}
 	body, failure := g.readBody(w, r)
 	if failure != nil {
@@ -62,6 +62,6 @@
 		Header:     r.Header,
 		Body:       body,
 	}}
-	owner := routes.placement.Owns(g.settings.Node, name)
-	return g.homes.Run(ctx, routes.view.Services[target.Service], target, owner, forwarded)
+	owner := snapshot.placement.Owns(g.settings.Node, name)
+	return g.homes.Run(ctx, snapshot.view.Services[target.Service], target, owner, forwarded)
 }
--- a/internal/gateway/receive.go
+++ b/internal/gateway/receive.go
@@ -16,23 +16,29 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// call is the state of a call in the gateway.
+// call is a call that the gateway processes.
 type call struct {
-	listener       Listener
-	service        *catalog.Service
-	context        callcontext.Context
-	policy         policy.Call
-	message        transport.Call
+	listener Listener
+	service  *catalog.Service
+	context  callcontext.Context
+	// policyInput describes the call to the service's policy.
+	policyInput policy.Call
+	// request is sent to the target.
+	request        transport.Call
 	idempotencyKey string
-	orphan         bool
-	shedThreshold  uint16
+	// withoutContext reports that a mesh call arrived without a context, so that the
+	// request that it belongs to and its ingress node are unknown.
+	withoutContext bool
+	// shedThreshold is the rank key from which on the service or one of its
+	// dependencies sheds calls.
+	shedThreshold uint16
 }
 
 // defaultRetryAfter is the Retry-After of refusals for which the service's policy
 // is not evaluated.
 const defaultRetryAfter = time.Second
 
-// incomingCall describes a call before its headers and body are read.
+// incomingCall describes a call whose context and body have not been read yet.
 type incomingCall struct {
 	listener   Listener
 	service    string
@@ -42,15 +48,15 @@
 	inFlight int64
 }
 
-// receive reads, admits and returns a call. On failure the returned call is nil if
-// its service is unknown or the node is not ready.
+// receive reads and admits a call. If it fails because the service is unknown or the
+// node is not ready, the returned call is nil.
 func (g *Gateway) receive(w http.ResponseWriter, r *http.Request, incoming incomingCall) (*call, *problem.Problem) {
 	if !g.ready.Load() {
-		return nil, g.problem(problem.NotReady, "receive", "the node has no configuration yet").WithRetryAfter(defaultRetryAfter)
+		return nil, g.newProblem(problem.NotReady, "receive", "the node has no configuration yet").WithRetryAfter(defaultRetryAfter)
 	}
 	service := g.router.View().Services[incoming.service]
 	if service == nil {
-		return nil, g.problem(problem.UnknownService, "receive", "no such service")
+		return nil, g.newProblem(problem.UnknownService, "receive", "no such service")
 	}
 	c := &call{listener: incoming.listener, service: service}
 	if failure := g.readContext(c, r, incoming.started); failure != nil {
@@ -60,16 +66,16 @@
 		return c, failure
 	}
 	if incoming.inFlight > g.concurrencyLimit(c) {
-		failure := g.problem(problem.Overloaded, "receive", "too many calls in the node")
+		failure := g.newProblem(problem.Overloaded, "receive", "too many calls in the node")
 		return c, g.setRetryAfter(c, g.policyLoad(c), failure)
 	}
 	body, failure := g.readBody(w, r)
 	if failure != nil {
 		return c, failure
 	}
-	c.message = transport.Call{Method: r.Method, RequestURI: incoming.requestURI, Header: r.Header, Body: body}
-	home.StripHopHeaders(c.message.Header)
-	c.message.Header.Set(callcontext.RequestIDHeader, c.context.RequestID.String())
+	c.request = transport.Call{Method: r.Method, RequestURI: incoming.requestURI, Header: r.Header, Body: body}
+	home.StripHopHeaders(c.request.Header)
+	c.request.Header.Set(callcontext.RequestIDHeader, c.context.RequestID.String())
 	return c, nil
 }
 
@@ -83,8 +89,8 @@
 	meshConcurrencyFactor = 2
 )
 
-// concurrencyLimit returns the number of calls in the node above which the call is
-// refused.
+// concurrencyLimit returns the maximum number of concurrent calls in the node, including
+// this one, with which the call is accepted.
 func (g *Gateway) concurrencyLimit(c *call) int64 {
 	allowed := g.settings.MaxConcurrent * int64(100-reservedPercent*int(c.context.Rank.Level)) / 100
 	if c.listener == Mesh {
@@ -93,13 +99,15 @@
 	return max(allowed, 1)
 }
 
-func (g *Gateway) problem(reason problem.Reason, step, detail string) *problem.Problem {
+// newProblem returns a problem of this node for a call that was not executed.
+func (g *Gateway) newProblem(reason problem.Reason, step, detail string) *problem.Problem {
 	return problem.New(reason, problem.ExecutedNo, step, g.settings.Node, detail)
 }
 
-// readContext creates the context of an edge call, dropping one that the caller
-// sent, or reads the context of a mesh call. A mesh call without context is an
-// orphan: it gets the lowest rank and is never retried.
+// readContext sets the call's context. For a call from the edge listener, it creates a
+// new context and discards one that the caller sent. For a call from the mesh listener,
+// it reads the context from the headers. A mesh call without a context gets a new one
+// with the lowest rank and is never retried.
 func (g *Gateway) readContext(c *call, r *http.Request, started time.Time) *problem.Problem {
 	timeout, failure := g.timeoutOf(c.service, r.Header)
 	if failure != nil {
@@ -115,12 +123,12 @@
 	context, err := callcontext.FromHeader(r.Header)
 	switch {
 	case errors.Is(err, callcontext.ErrAbsent):
-		c.orphan = true
+		c.withoutContext = true
 		c.context = g.newContext(r, started, deadline)
 		c.context.Rank = criticality.Lowest
 		return nil
 	case err != nil:
-		return g.problem(problem.BadContext, "context", err.Error()).WithCause(err)
+		return g.newProblem(problem.BadContext, "context", err.Error()).WithCause(err)
 	}
 	if deadline.Before(context.Deadline) {
 		context.Deadline = deadline
@@ -128,10 +136,10 @@
 	context.Hops++
 	c.context = context
 	if context.Hops > callcontext.MaxHops {
-		return g.problem(problem.TooManyHops, "context", "the request went through too many nodes")
+		return g.newProblem(problem.TooManyHops, "context", "the request went through too many nodes")
 	}
 	if !context.Deadline.After(started) {
-		return g.problem(problem.DeadlineExceeded, "context", "the deadline has passed")
+		return g.newProblem(problem.DeadlineExceeded, "context", "the deadline has passed")
 	}
 	return nil
 }
@@ -147,8 +155,8 @@
 	}
 }
 
-// timeoutOf returns the timeout of the call: the one that the caller requests, else
-// that of the service, else the node's default, but at most the node's maximum.
+// timeoutOf returns the timeout of a call: the one that the caller requests, else the
+// service's, else the node's default. It is limited to the node's maximum.
 func (g *Gateway) timeoutOf(service *catalog.Service, header http.Header) (time.Duration, *problem.Problem) {
 	timeout := g.settings.DefaultTimeout
 	if service.Spec.TimeoutMillis > 0 {
@@ -157,15 +165,15 @@
 	if value := header.Get(callcontext.TimeoutHeader); value != "" {
 		millis, err := strconv.ParseInt(value, 10, 32)
 		if err != nil || millis < 1 {
-			return 0, g.problem(problem.BadRequest, "receive", callcontext.TimeoutHeader+" must be a number of milliseconds above 0")
+			return 0, g.newProblem(problem.BadRequest, "receive", callcontext.TimeoutHeader+" must be a number of milliseconds above 0")
 		}
 		timeout = time.Duration(millis) * time.Millisecond
 	}
 	return min(timeout, g.settings.MaxTimeout), nil
 }
 
-// ingress returns the peer address of the node that grants the request's retries.
-// It returns false for orphans.
+// ingress returns the peer address of the node that grants the request's retries. It
+// returns false if the call arrived without a context.
 func (c *call) ingress() (netip.AddrPort, bool) {
-	return c.context.Ingress, !c.orphan && c.context.Ingress.IsValid()
+	return c.context.Ingress, !c.withoutContext && c.context.Ingress.IsValid()
 }
--- a/internal/gateway/receive_test.go
+++ b/internal/gateway/receive_test.go
@@ -27,7 +27,7 @@
 	forged.Deadline = time.Now().Add(time.Hour)
 	value, err := forged.Encode()
 	assert.NilError(t, err)
-	do(t, "GET", f.edge, "/a/x", "", header(callcontext.BaggageHeader, "own=1,lugspur="+value), header(callcontext.CallerHeader, "grower-2"),
+	sendRequest(t, "GET", f.edge, "/a/x", "", header(callcontext.BaggageHeader, "own=1,lugspur="+value), header(callcontext.CallerHeader, "grower-2"),
 		header(callcontext.RequestIDHeader, forged.RequestID.String())).assertEqual(t, 200, "ok")
 	got := contextOf(t, target.calls()[0])
 	assert.Assert(t, got.RequestID != forged.RequestID)
@@ -44,7 +44,7 @@
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
 	sent := newTestContext("127.0.0.1:1")
-	do(t, "GET", f.mesh, "/a/x", "", withContext(t, sent), header(callcontext.CallerHeader, "other")).assertEqual(t, 200, "ok")
+	sendRequest(t, "GET", f.mesh, "/a/x", "", withContext(t, sent), header(callcontext.CallerHeader, "other")).assertEqual(t, 200, "ok")
 	got := contextOf(t, target.calls()[0])
 	assert.Assert(t, got.Deadline.Equal(sent.Deadline))
 	got.Deadline = sent.Deadline
@@ -60,16 +60,16 @@
 	tooManyHops, expired := newTestContext("127.0.0.1:1"), newTestContext("127.0.0.1:1")
 	tooManyHops.Hops = callcontext.MaxHops
 	expired.Deadline = time.Now().Add(-time.Second)
-	do(t, "GET", f.mesh, "/a/x", "", header(callcontext.BaggageHeader, "lugspur=nonsense")).assertProblem(t, 400, problem.BadContext, problem.ExecutedNo)
-	do(t, "GET", f.mesh, "/a/x", "", withContext(t, tooManyHops)).assertProblem(t, 508, problem.TooManyHops, problem.ExecutedNo)
-	do(t, "GET", f.mesh, "/a/x", "", withContext(t, expired)).assertProblem(t, 504, problem.DeadlineExceeded, problem.ExecutedNo)
+	sendRequest(t, "GET", f.mesh, "/a/x", "", header(callcontext.BaggageHeader, "lugspur=nonsense")).assertProblem(t, 400, problem.BadContext, problem.ExecutedNo)
+	sendRequest(t, "GET", f.mesh, "/a/x", "", withContext(t, tooManyHops)).assertProblem(t, 508, problem.TooManyHops, problem.ExecutedNo)
+	sendRequest(t, "GET", f.mesh, "/a/x", "", withContext(t, expired)).assertProblem(t, 504, problem.DeadlineExceeded, problem.ExecutedNo)
 	assert.Equal(t, len(target.calls()), 0)
 }
 
-func TestOrphansGetTheLowestRankAndNoRetry(t *testing.T) {
+func TestMeshCallsWithoutContextGetLowestRankAndNoRetry(t *testing.T) {
 	target := newFakeTarget(t, abortConnection)
 	f := singleNode(t, resource.Service{}, resource.Policy{Rank: `"critical-plus"`, Retry: "3"}, target)
-	do(t, "GET", f.mesh, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
+	sendRequest(t, "GET", f.mesh, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
 	assert.Equal(t, len(target.calls()), 1)
 	assert.Equal(t, contextOf(t, target.calls()[0]).Rank, criticality.Lowest)
 }
@@ -95,7 +95,7 @@
 		"key too long":     {"/a/x", "", header(callcontext.IdempotencyKeyHeader, strings.Repeat("k", 257)), 400, problem.BadRequest},
 	} {
 		t.Run(name, func(t *testing.T) {
-			document := do(t, "POST", f.edge, c.path, c.body, c.option).assertProblem(t, c.status, c.reason, problem.ExecutedNo)
+			document := sendRequest(t, "POST", f.edge, c.path, c.body, c.option).assertProblem(t, c.status, c.reason, problem.ExecutedNo)
 			assert.Equal(t, document.RetryAfterSeconds, 0, "a retry can't succeed, so there must be no Retry-After")
 		})
 	}
@@ -105,21 +105,21 @@
 
 func TestNotReadyNodeRefusesCalls(t *testing.T) {
 	f := newFixture(t, "n-1", nil)
-	document := do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 503, problem.NotReady, problem.ExecutedNo)
+	document := sendRequest(t, "GET", f.edge, "/a/x", "").assertProblem(t, 503, problem.NotReady, problem.ExecutedNo)
 	assert.Assert(t, document.RetryAfterSeconds > 0)
 }
 
 func TestConcurrencyLimit(t *testing.T) {
 	target := newFakeTarget(t, blockUntilCanceled)
 	f := newFixture(t, "n-1", func(s *Settings) { s.MaxConcurrent = 1 }).configure(t, singleService(resource.Service{}, resource.Policy{}, target))
-	go func() { _ = f.call(f.edge) }()
+	go func() { _ = f.getWithTimeout(f.edge) }()
 	eventually(t, "the call to reach the target", func() bool { return len(target.calls()) == 1 })
-	document := do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 503, problem.Overloaded, problem.ExecutedNo)
+	document := sendRequest(t, "GET", f.edge, "/a/x", "").assertProblem(t, 503, problem.Overloaded, problem.ExecutedNo)
 	assert.Assert(t, document.RetryAfterSeconds > 0)
 }
 
-// call makes a call with a timeout of 300 ms.
-func (f *fixture) call(address string) error {
+// getWithTimeout makes a getWithTimeout with a timeout of 300 ms.
+func (f *fixture) getWithTimeout(address string) error {
 	request, err := http.NewRequest("GET", "http://"+address+"/a/x", nil)
 	if err != nil {
 		return err
@@ -141,11 +141,11 @@
 		Service: "deep", Target: "deep-1", Origin: "n-2", Weight: 8, Version: 1,
 		Threshold: criticality.Rank{Level: criticality.Sheddable}.Key(),
 	}, time.Now())
-	refused := do(t, "GET", f.edge, "/a/x", "")
+	refused := sendRequest(t, "GET", f.edge, "/a/x", "")
 	refused.assertProblem(t, 503, problem.Overloaded, problem.ExecutedNo)
 	assert.Equal(t, refused.header.Get("Retry-After"), "7")
 	assert.Equal(t, len(target.calls()), 0)
-	do(t, "GET", f.edge, "/a/x", "", header(callcontext.CallerHeader, "vip")).assertEqual(t, 200, "ok")
+	sendRequest(t, "GET", f.edge, "/a/x", "", header(callcontext.CallerHeader, "vip")).assertEqual(t, 200, "ok")
 }
 
 func TestDeadlinePropagation(t *testing.T) {
@@ -156,7 +156,7 @@
 		if requested != "" {
 			options = append(options, header(callcontext.TimeoutHeader, requested))
 		}
-		do(t, "GET", f.edge, "/a/x", "", options...).assertEqual(t, 200, "ok")
+		sendRequest(t, "GET", f.edge, "/a/x", "", options...).assertEqual(t, 200, "ok")
 		calls := target.calls()
 		millis, err := strconv.Atoi(calls[len(calls)-1].Get(callcontext.TimeoutHeader))
 		assert.NilError(t, err)
@@ -166,7 +166,8 @@
 	}
 }
 
-// sendPartial writes the text to a new connection and keeps it open.
+// sendPartial writes the text, which may be an incomplete request, to a new connection
+// and keeps it open.
 func sendPartial(t *testing.T, address, text string) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", address)
@@ -178,14 +179,14 @@
 	return connection
 }
 
-// A caller that never finishes its body must get a response, and its connection must
-// be closed, whatever the reason of the refusal is.
+// A caller that never completes its request body must get a response, and its
+// connection must be closed, whatever the reason for the refusal.
 func TestSlowBodiesTimeOut(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	f := singleNode(t, resource.Service{}, resource.Policy{Admit: `call.caller != "banned"`}, target)
 	for name, c := range map[string]struct {
-		address, path, more string
-		status              int
+		address, path, headers string
+		status                 int
 	}{
 		"admitted":         {f.edge, "/a/x", "Content-Length: 100", 400},
 		"chunked":          {f.edge, "/a/x", "Transfer-Encoding: chunked", 400},
@@ -197,7 +198,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			connection := sendPartial(t, c.address, fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\n%s\r\n\r\n", c.path, c.more))
+			connection := sendPartial(t, c.address, fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\n%s\r\n\r\n", c.path, c.headers))
 			reader := bufio.NewReader(connection)
 			response, err := http.ReadResponse(reader, nil)
 			assert.NilError(t, err, "no response")
@@ -210,8 +211,8 @@
 	}
 }
 
-// Whatever the path looks like, the caller must get the target's response or a
-// problem document.
+// Every path must yield either the target's response or a problem document, never a
+// redirect.
 func TestUnusualPaths(t *testing.T) {
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
@@ -237,7 +238,7 @@
 			body, err := io.ReadAll(response.Body)
 			assert.NilError(t, err)
 			if response.StatusCode == 200 {
-				assert.DeepEqual(t, target.uris()[before:], []string{targetURI})
+				assert.DeepEqual(t, target.receivedURIs()[before:], []string{targetURI})
 				return
 			}
 			if strings.HasSuffix(path, "%") { // net/http itself responds to invalid URLs
--- a/internal/gateway/resend_test.go
+++ b/internal/gateway/resend_test.go
@@ -10,18 +10,18 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// A failed call that the target itself sends again is charged to the request's
-// retry budget, and is refused once the budget is exhausted.
+// If a target itself sends a failed call again, this must be charged to the request's
+// retry budget, and refused once the budget is exhausted.
 func TestResendsAreChargedToRetryBudget(t *testing.T) {
 	target := newFakeTarget(t, respondWith(500, "failed"))
 	f := singleNode(t, resource.Service{}, resource.Policy{Retry: "0"}, target)
 	sent := newTestContext(f.peer)
-	f.budgets.Open(sent.RequestID, 2, time.Now().Add(time.Minute))
+	f.RetryBudgets.Open(sent.RequestID, 2, time.Now().Add(time.Minute))
 	for range 3 {
-		do(t, "POST", f.mesh, "/a/x", "body", withContext(t, sent)).assertEqual(t, 500, "failed")
+		sendRequest(t, "POST", f.mesh, "/a/x", "body", withContext(t, sent)).assertEqual(t, 500, "failed")
 	}
-	got := do(t, "POST", f.mesh, "/a/x", "body", withContext(t, sent))
+	got := sendRequest(t, "POST", f.mesh, "/a/x", "body", withContext(t, sent))
 	got.assertProblem(t, 503, problem.RetriesSpent, problem.ExecutedNo)
 	assert.Equal(t, len(target.calls()), 3)
-	do(t, "POST", f.mesh, "/a/x", "another body", withContext(t, sent)).assertEqual(t, 500, "failed")
+	sendRequest(t, "POST", f.mesh, "/a/x", "another body", withContext(t, sent)).assertEqual(t, 500, "failed")
 }
--- a/internal/gateway/answer_test.go
+++ b/internal/gateway/response_test.go
@@ -22,16 +22,16 @@
 		panic(http.ErrAbortHandler)
 	}
 	for _, nodes := range []int{1, 2} {
-		f := cluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, complete)))
-		do(t, "GET", f.edge, "/a/x", "").assertEqual(t, 200, body)
-		f = cluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, truncated)))
-		assert.Assert(t, do(t, "GET", f.edge, "/a/x", "").err != nil, "a truncated response was received as complete")
+		f := newCluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, complete)))
+		sendRequest(t, "GET", f.edge, "/a/x", "").assertEqual(t, 200, body)
+		f = newCluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, truncated)))
+		assert.Assert(t, sendRequest(t, "GET", f.edge, "/a/x", "").err != nil, "a truncated response was received as complete")
 		eventually(t, "the permit to be released", func() bool { return f.homes.InFlight() == 0 })
 	}
 }
 
-// A caller that does not read its response must not hold a target's slot past its
-// deadline.
+// A caller that does not read its response must not occupy a target's slot after the
+// call's deadline.
 func TestSlowReaderReleasesSlotAtDeadline(t *testing.T) {
 	endless := func(w http.ResponseWriter, _ *http.Request) {
 		for chunk := make([]byte, 1<<20); ; {
@@ -41,7 +41,7 @@
 		}
 	}
 	for _, nodes := range []int{1, 2} {
-		f := cluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, endless)))
+		f := newCluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, endless)))
 		connection := sendPartial(t, f.edge, "GET /a/x HTTP/1.1\r\nHost: h\r\nLugspur-Timeout-Ms: 300\r\n\r\n")
 		response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 		assert.NilError(t, err)
@@ -50,8 +50,9 @@
 	}
 }
 
-// Calls whose small responses fill the connection's buffers, because the caller does
-// not read them, must end at their deadline.
+// If a caller pipelines calls without reading the responses, the responses fill the
+// connection's buffers and the next write blocks. The blocked call must end at its
+// deadline.
 func TestUnreadSmallResponsesTimeOut(t *testing.T) {
 	const calls = 4000
 	target := newFakeTarget(t, respondWith(200, strings.Repeat("x", 9000)))
@@ -92,24 +93,24 @@
 
 func TestHeadAndNoContentResponses(t *testing.T) {
 	for _, nodes := range []int{1, 2} {
-		f := cluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, func(w http.ResponseWriter, r *http.Request) {
+		f := newCluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodHead {
 				w.Header().Set("Content-Length", "12345")
 				return
 			}
 			w.WriteHeader(http.StatusNoContent)
 		})))
-		got := do(t, "HEAD", f.edge, "/a/x", "")
+		got := sendRequest(t, "HEAD", f.edge, "/a/x", "")
 		got.assertEqual(t, 200, "")
 		assert.Equal(t, got.header.Get("Content-Length"), "12345")
-		do(t, "GET", f.edge, "/a/x", "").assertEqual(t, 204, "")
+		sendRequest(t, "GET", f.edge, "/a/x", "").assertEqual(t, 204, "")
 	}
 }
 
 func TestResponsesHaveRequestID(t *testing.T) {
 	target := newFakeTarget(t, func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(callcontext.RequestIDHeader, "forged") })
 	f := singleNode(t, resource.Service{}, resource.Policy{}, target)
-	got := do(t, "GET", f.edge, "/a/x", "")
+	got := sendRequest(t, "GET", f.edge, "/a/x", "")
 	assert.Equal(t, got.header.Get(callcontext.RequestIDHeader), contextOf(t, target.calls()[0]).RequestID.String())
 }
 
--- a/internal/gateway/route.go
+++ b/internal/gateway/route.go
@@ -14,17 +14,20 @@
 // Route is the destination of one attempt of a call.
 type Route struct {
 	Target *catalog.Target
-	// Peer is the peer address of the home node, empty if this node is the home.
+	// Peer is the peer address of the home node that admits the call, or empty if that
+	// is this node.
 	Peer string
-	// Home is the name of the target's home node.
+	// Home is the name of the home node that admits the call.
 	Home string
-	// Owner reports whether Home is the target's primary home, not a fallback.
+	// Owner reports whether Home owns the target: it is the primary home, not a
+	// fallback.
 	Owner  bool
 	picker *routing.Picker
 	load   *serviceLoad
 }
 
-// Load returns the load that the homes of the service's targets last reported.
+// Load returns the aggregate of the loads that the homes of the service's targets last
+// reported.
 func (r *Router) Load(service string) policy.Load {
 	load := r.current.Load().loads[service]
 	if load == nil {
@@ -33,11 +36,11 @@
 	return load.aggregate(r.now())
 }
 
-// Pick returns a route to a target that is not excluded. The caller must pass the
-// route to Done.
+// Pick returns a route to a target that is not excluded. The caller must call Done
+// with the route.
 func (r *Router) Pick(service string, exclude []string) (Route, bool) {
-	routes := r.current.Load()
-	picker := routes.pickers[service]
+	snapshot := r.current.Load()
+	picker := snapshot.pickers[service]
 	if picker == nil {
 		return Route{}, false
 	}
@@ -45,25 +48,25 @@
 	if !found {
 		return Route{}, false
 	}
-	target := routes.view.Targets[candidate.Name]
+	target := snapshot.view.Targets[candidate.Name]
 	if target == nil {
 		return Route{}, false
 	}
 	picker.Begin(candidate.Name)
-	route := r.routeTo(routes, target)
+	route := r.routeTo(snapshot, target)
 	route.picker = picker
-	route.load = routes.loads[service]
+	route.load = snapshot.loads[service]
 	return route, true
 }
 
-// routeTo selects the home node: the first candidate that is reachable and not
-// suspected to have failed, else the first that is reachable. If there is none,
-// this node admits the target's calls itself.
-func (r *Router) routeTo(routes *routes, target *catalog.Target) Route {
+// routeTo selects the home node that admits a call to the target: the first candidate
+// that is reachable and not suspected to have failed, else the first that is
+// reachable. If no candidate is reachable, this node admits the call itself.
+func (r *Router) routeTo(snapshot *routerSnapshot, target *catalog.Target) Route {
 	if !r.useHomes {
 		return Route{Target: target, Home: r.node, Owner: true}
 	}
-	homes := routes.placement.Homes(target.Name)
+	homes := snapshot.placement.Homes(target.Name)
 	for _, reachable := range []func(membership.Member) bool{r.isResponsive, r.isReachable} {
 		for i, member := range homes {
 			if member.Name == r.node {
@@ -83,12 +86,14 @@
 	return member.State != membership.Suspect && r.isReachable(member)
 }
 
-// isReachable reports whether no connection to the node failed recently.
+// isReachable reports whether no connection to the node has failed within
+// unreachablePeriod.
 func (r *Router) isReachable(member membership.Member) bool {
 	return !r.isUnreachable(member.PeerAddress)
 }
 
-// Done ends a route and records the load that the home reported, if any.
+// Done ends the attempt that uses the route and records the load that the home
+// reported, if any.
 func (r *Router) Done(route Route, load home.Load) {
 	route.picker.Done(route.Target.Name)
 	if load.Limit == 0 {
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -15,8 +15,8 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// unreachablePeriod is how long a home node is skipped after a failed connection,
-// in favor of the next candidate.
+// unreachablePeriod is how long the router uses the next candidate instead of a home
+// node to which a connection failed.
 const unreachablePeriod = time.Second
 
 // Router selects the targets of calls and their home nodes. It is safe for
@@ -28,15 +28,21 @@
 	warmup   bool
 	now      func() time.Time
 	shed     *shed.Table
-	current  atomic.Pointer[routes]
-
-	mutex            sync.Mutex
-	warmupStarts     map[string]warmupStart
+	current  atomic.Pointer[routerSnapshot]
+
+	// updateMutex serializes updates and guards warmupStarts, which is keyed by the
+	// names of targets.
+	updateMutex  sync.Mutex
+	warmupStarts map[string]warmupStart
+	// unreachableUntil maps the peer address of a node to the end of its
+	// unreachablePeriod.
 	unreachableUntil sync.Map
 }
 
-// routes is an immutable snapshot of the router's state.
-type routes struct {
+// routerSnapshot is an immutable snapshot of the configuration and the placement. Its
+// maps are keyed by the names of services, and byHash by the hashes of the names of
+// targets.
+type routerSnapshot struct {
 	view      *catalog.View
 	placement *placement.Table
 	pickers   map[string]*routing.Picker
@@ -54,17 +60,18 @@
 type RouterConfig struct {
 	// Node and Zone are the names of the node and its zone.
 	Node, Zone string
-	// Homes routes all calls to a target through its home node. Without it, every
-	// node admits calls to all targets independently.
+	// Homes enables routing all calls to a target through its home node. If it is
+	// disabled, every node admits calls to all targets independently.
 	Homes bool
-	// Warmup ramps up the traffic to targets that join.
+	// Warmup enables a gradual increase of the calls to a target that is new or whose
+	// drain was deleted.
 	Warmup bool
 	// Shed holds the shed thresholds of the services.
 	Shed *shed.Table
 	Now  func() time.Time
 }
 
-// NewRouter returns a router without services.
+// NewRouter returns a router with an empty configuration.
 func NewRouter(config RouterConfig) *Router {
 	r := &Router{
 		node:         config.Node,
@@ -76,22 +83,22 @@
 		warmupStarts: map[string]warmupStart{},
 	}
 	empty := catalog.Empty()
-	r.current.Store(&routes{view: empty, placement: placement.Build(empty, nil), pickers: map[string]*routing.Picker{}})
+	r.current.Store(&routerSnapshot{view: empty, placement: placement.Build(empty, nil), pickers: map[string]*routing.Picker{}})
 	return r
 }
 
-// View returns the configuration in effect.
+// View returns the configuration view in effect.
 func (r *Router) View() *catalog.View { return r.current.Load().view }
 
 // Placement returns the current placement of targets on home nodes.
 func (r *Router) Placement() *placement.Table { return r.current.Load().placement }
 
-// Update installs a view of the configuration and the live members.
+// Update replaces the view of the configuration and the live members.
 func (r *Router) Update(view *catalog.View, live []membership.Member) {
-	r.mutex.Lock()
-	defer r.mutex.Unlock()
+	r.updateMutex.Lock()
+	defer r.updateMutex.Unlock()
 	previous := r.current.Load()
-	next := &routes{
+	next := &routerSnapshot{
 		view:      view,
 		placement: placement.Build(view, live),
 		pickers:   make(map[string]*routing.Picker, len(view.Services)),
@@ -104,14 +111,14 @@
 	for name, service := range view.Services {
 		next.pickers[name] = r.pickerFor(previous, next.placement, service)
 		next.loads[name] = loadFor(previous, name)
-		r.shed.SetWeight(name, liveSlots(service))
+		r.shed.SetWeight(name, nonDrainingSlots(service))
 	}
 	r.removeShedEntries(previous.view, view)
 	r.removeWarmupStarts(view)
 	r.current.Store(next)
 }
 
-func loadFor(previous *routes, service string) *serviceLoad {
+func loadFor(previous *routerSnapshot, service string) *serviceLoad {
 	if load := previous.loads[service]; load != nil {
 		return load
 	}
@@ -119,12 +126,12 @@
 }
 
 // suspectWeight is the weight of a target whose home nodes are all suspected to
-// have failed. It is low because calls to a failed home time out only at their
-// deadline.
+// have failed. It is low because a call to a failed home fails only when its deadline
+// expires.
 const suspectWeight = 0.02
 
-// weightOf returns the factor by which the capacity of a target with these home
-// nodes counts when targets are picked.
+// weightOf returns the factor that the picker applies to the capacity of a target with
+// these home nodes.
 func (r *Router) weightOf(homes []membership.Member) float64 {
 	for _, member := range homes {
 		if member.Name == r.node || member.State != membership.Suspect {
@@ -137,10 +144,10 @@
 	return suspectWeight
 }
 
-func (r *Router) pickerFor(previous *routes, homes *placement.Table, service *catalog.Service) *routing.Picker {
+func (r *Router) pickerFor(previous *routerSnapshot, homes *placement.Table, service *catalog.Service) *routing.Picker {
 	picker := previous.pickers[service.Name]
 	if picker == nil {
-		picker = routing.NewPicker(routing.Config{Warmup: warmupOf(service)}, r.now)
+		picker = routing.NewPicker(routing.Config{Warmup: longestWarmup(service)}, r.now)
 	}
 	initial := len(previous.view.Targets) == 0
 	candidates := make([]routing.Candidate, 0, len(service.Targets))
@@ -159,8 +166,9 @@
 	return picker
 }
 
-// warmupStartOf returns when the target's warm-up started. Targets in the first
-// configuration after a node's start are considered warm.
+// warmupStartOf returns when the target's warm-up started, or the zero time if the
+// target is warm. Targets in the first configuration after the node's start are
+// considered warm.
 func (r *Router) warmupStartOf(target *catalog.Target, initial bool) time.Time {
 	existing, found := r.warmupStarts[target.Name]
 	if found && existing.drainDeletedAt == target.DrainDeletedAt {
@@ -196,7 +204,8 @@
 	}
 }
 
-func warmupOf(service *catalog.Service) time.Duration {
+// longestWarmup returns the longest warm-up time of the service's targets.
+func longestWarmup(service *catalog.Service) time.Duration {
 	var longest int
 	for _, target := range service.Targets {
 		longest = max(longest, target.WarmupSeconds)
@@ -204,7 +213,7 @@
 	return time.Duration(longest) * time.Second
 }
 
-func liveSlots(service *catalog.Service) float64 {
+func nonDrainingSlots(service *catalog.Service) float64 {
 	slots := 0
 	for _, target := range service.Targets {
 		if !target.Draining {
--- a/internal/gateway/router_test.go
+++ b/internal/gateway/router_test.go
@@ -16,9 +16,9 @@
 	return membership.Member{Name: name, Zone: zone, PeerAddress: name + ":1", State: state}
 }
 
-// A zone that stopped responding must be avoided as soon as its nodes are suspected,
-// long before they are declared dead: calls to it would time out only at their
-// deadline.
+// A zone that stopped responding must be avoided as soon as its nodes are suspected to
+// have failed, long before they are declared dead, because calls to it would fail only
+// when their deadline expires.
 func TestTargetsWithSuspectedHomesAreAvoided(t *testing.T) {
 	service := &catalog.Service{Name: "s"}
 	view := &catalog.View{Services: map[string]*catalog.Service{"s": service}, Targets: map[string]*catalog.Target{}}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -14,18 +14,18 @@
 	"github.com/lugspur/lugspur/internal/transport"
 )
 
-// budgetGrace is how long after its request's deadline a retry budget expires if
-// it is not closed.
-const budgetGrace = time.Second
+// retryBudgetGrace is the time between the deadline of a request and the expiry of its
+// retry budget, which applies if the budget is not closed.
+const retryBudgetGrace = time.Second
 
 // run executes the call, with retries where allowed, and returns the response.
 func (g *Gateway) run(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
 	if c.listener == Edge {
-		g.budgets.Open(c.context.RequestID, g.maxRetries(c), c.context.Deadline.Add(budgetGrace))
-		defer g.budgets.Close(c.context.RequestID)
+		g.RetryBudgets.Open(c.context.RequestID, g.maxRetries(c), c.context.Deadline.Add(retryBudgetGrace))
+		defer g.RetryBudgets.Close(c.context.RequestID)
 		return g.execute(ctx, c)
 	}
-	if c.orphan {
+	if c.withoutContext {
 		return g.execute(ctx, c)
 	}
 	return g.runNested(ctx, c)
@@ -36,15 +36,16 @@
 	if c.idempotencyKey == "" {
 		return g.runWithRetries(ctx, c)
 	}
-	return g.runClaimed(ctx, c)
+	return g.runWithClaim(ctx, c)
 }
 
-// runNested runs a call that a target made. If the target sends a call again that
-// failed before, that is a retry of the request and needs a grant.
+// runNested runs a call that a target made while it processed another call. If the
+// target sends a call again that failed before, this counts as a retry of the request
+// and requires a grant.
 func (g *Gateway) runNested(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
-	fingerprint := resend.FingerprintOf(c.service.Name, c.message.Method, c.message.RequestURI, c.message.Body)
-	if g.resends.IsResend(c.context, fingerprint) && !g.requestGrant(ctx, c) {
-		return nil, g.problem(problem.RetriesSpent, "resend", "the request has no retry left for a call that was sent again").
+	fingerprint := resend.FingerprintOf(c.service.Name, c.request.Method, c.request.RequestURI, c.request.Body)
+	if g.resends.IsResend(c.context, fingerprint) && !g.requestRetryGrant(ctx, c) {
+		return nil, g.newProblem(problem.RetriesSpent, "resend", "the request has no retry left for a call that was sent again").
 			WithRetryAfter(defaultRetryAfter)
 	}
 	reply, failure := g.execute(ctx, c)
@@ -61,19 +62,19 @@
 	return g.settings.MaxRetries
 }
 
-// runWithRetries sends the call until it succeeds or may not be retried.
+// runWithRetries attempts the call until it succeeds or no retry is allowed.
 func (g *Gateway) runWithRetries(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
 	var tried []string
-	mayHaveRun := false
+	mayHaveExecuted := false
 	for attempt := 1; ; attempt++ {
 		reply, failure, target := g.attempt(ctx, c, tried)
-		if failure == nil && !retryableStatus(reply.Status) {
-			g.ratio.RecordSuccess()
+		if failure == nil && !isRetryableStatus(reply.Status) {
+			g.RetryRatio.RecordSuccess()
 			return reply, nil
 		}
-		mayHaveRun = mayHaveRun || failure == nil || failure.Executed != problem.ExecutedNo
+		mayHaveExecuted = mayHaveExecuted || failure == nil || failure.Executed != problem.ExecutedNo
 		if !g.mayRetry(ctx, c, reply, failure, attempt) {
-			return reply, g.finalProblem(c, failure, mayHaveRun)
+			return reply, g.finalProblem(c, failure, mayHaveExecuted)
 		}
 		if failure == nil {
 			reply.Close()
@@ -85,11 +86,11 @@
 
 // finalProblem returns the problem to report after the last attempt. It must not
 // state that the call was not executed if an earlier attempt may have executed it.
-func (g *Gateway) finalProblem(c *call, failure *problem.Problem, mayHaveRun bool) *problem.Problem {
+func (g *Gateway) finalProblem(c *call, failure *problem.Problem, mayHaveExecuted bool) *problem.Problem {
 	if failure == nil {
 		return nil
 	}
-	if mayHaveRun {
+	if mayHaveExecuted {
 		failure.Executed = problem.ExecutedUnknown
 	}
 	if failure.Reason == problem.Overloaded {
@@ -98,7 +99,7 @@
 	return failure
 }
 
-// attempt sends the call to one target, preferably one that was not tried yet. It
+// attempt sends the call to one target, preferably one that was not tried yet, and
 // also returns the target's name.
 func (g *Gateway) attempt(ctx context.Context, c *call, tried []string) (*home.Reply, *problem.Problem, string) {
 	route, found := g.router.Pick(c.service.Name, tried)
@@ -106,7 +107,7 @@
 		route, found = g.router.Pick(c.service.Name, nil)
 	}
 	if !found {
-		return nil, g.problem(problem.NoTarget, "routing", "the service has no target that takes calls").
+		return nil, g.newProblem(problem.NoTarget, "routing", "the service has no target that takes calls").
 			WithRetryAfter(defaultRetryAfter), ""
 	}
 	reply, failure := g.send(ctx, c, route)
@@ -122,11 +123,12 @@
 	attemptContext := c.context
 	attemptContext.Span = callcontext.NewSpanID()
 	forwarded := &home.Call{Context: attemptContext, Call: transport.Call{
-		Method:     c.message.Method,
-		RequestURI: c.message.RequestURI,
-		// Each attempt overwrites the context and timeout headers of the last one.
-		Header: c.message.Header,
-		Body:   c.message.Body,
+		Method:     c.request.Method,
+		RequestURI: c.request.RequestURI,
+		// All attempts share the headers. Each one overwrites the context and timeout
+		// headers of the previous attempt.
+		Header: c.request.Header,
+		Body:   c.request.Body,
 	}}
 	if route.Peer == "" {
 		return g.runLocally(ctx, c, route, forwarded)
@@ -140,7 +142,7 @@
 
 func (g *Gateway) runLocally(ctx context.Context, c *call, route Route, forwarded *home.Call) (*home.Reply, *problem.Problem) {
 	if err := forwarded.Context.SetHeader(forwarded.Header); err != nil {
-		return nil, g.problem(problem.Internal, "context", err.Error()).WithCause(err)
+		return nil, g.newProblem(problem.Internal, "context", err.Error()).WithCause(err)
 	}
 	reply, failure := g.homes.Run(ctx, c.service, route.Target, route.Owner, forwarded)
 	if failure != nil {
@@ -149,51 +151,52 @@
 	return reply, failure
 }
 
-// retryableStatus reports whether a response has a status after which another
-// target may succeed.
-func retryableStatus(status int) bool {
+// isRetryableStatus reports whether another target may succeed after a response with
+// the status.
+func isRetryableStatus(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// mayRetry reports whether the call is retried. It checks the call itself, the
-// service's policy, the node's retry ratio and finally the request's retry budget,
-// which is charged only if all other checks have passed.
+// mayRetry reports whether the call may be retried. It checks the outcome of the
+// attempt, the service's policy, the node's retry ratio and finally the request's retry
+// budget, which is charged only if all other checks have passed.
 func (g *Gateway) mayRetry(ctx context.Context, c *call, reply *home.Reply, failure *problem.Problem, attempt int) bool {
 	if ctx.Err() != nil || !isRetryable(c, reply, failure) {
 		return false
 	}
-	allowed, err := c.service.Policy.Retry(c.policy, outcomeOf(reply, failure, attempt))
-	if err != nil || attempt > allowed {
+	allowedRetries, err := c.service.Policy.Retry(c.policyInput, outcomeOf(reply, failure, attempt))
+	if err != nil || attempt > allowedRetries {
 		return false
 	}
-	if !g.withinRatio(c, failure) {
+	if !g.retryRatioAllows(c, failure) {
 		return false
 	}
-	return g.requestGrant(ctx, c)
+	return g.requestRetryGrant(ctx, c)
 }
 
-// withinRatio reports whether the node's retry ratio allows a retry. Two kinds of
-// retries are exempt from it: those after failures unrelated to load, and those of
-// critical-plus calls after a refusal, because such a call must not be shed by one
-// target while another accepts less important ones.
-func (g *Gateway) withinRatio(c *call, failure *problem.Problem) bool {
-	if unreachable(failure) {
+// retryRatioAllows reports whether the node's retry ratio allows a retry. Two kinds of
+// retries are exempt from the ratio: those after failures that are unrelated to load,
+// and those of critical-plus calls after a refusal, because such a call must not be
+// shed by one target while another target accepts less important calls.
+func (g *Gateway) retryRatioAllows(c *call, failure *problem.Problem) bool {
+	if isUnreachableFailure(failure) {
 		return true
 	}
-	notRun := failure != nil && failure.Executed == problem.ExecutedNo
-	if notRun && c.context.Rank.Level == criticality.CriticalPlus {
+	notExecuted := failure != nil && failure.Executed == problem.ExecutedNo
+	if notExecuted && c.context.Rank.Level == criticality.CriticalPlus {
 		return true
 	}
-	return g.ratio.Allow()
+	return g.RetryRatio.Allow()
 }
 
-// requestGrant requests one retry from the request's ingress node.
-func (g *Gateway) requestGrant(ctx context.Context, c *call) bool {
+// requestRetryGrant requests one retry from the request's ingress node and reports
+// whether it was granted. It denies the retry if the ingress node is unknown.
+func (g *Gateway) requestRetryGrant(ctx context.Context, c *call) bool {
 	ingress, known := c.ingress()
 	if !known {
 		return false
 	}
-	granted, err := g.grants.RequestRetry(ctx, ingress, c.context.RequestID)
+	granted, err := g.RetryGrants.RequestRetry(ctx, ingress, c.context.RequestID)
 	if err != nil {
 		g.log.WithError(err).WithField("step", "grant").WithField("peer", ingress.String()).
 			WithField("request_id", c.context.RequestID.String()).Debug("retry grant request failed")
@@ -204,19 +207,19 @@
 // isRetryable reports whether a retry of the call may succeed and is safe.
 func isRetryable(c *call, reply *home.Reply, failure *problem.Problem) bool {
 	if failure == nil {
-		return c.policy.Repeatable && reply.Header.Get("Retry-After") == ""
+		return c.policyInput.Repeatable && reply.Header.Get("Retry-After") == ""
 	}
 	switch failure.Reason {
 	case problem.Overloaded, problem.NoTarget, problem.TargetFailed, problem.IncompleteAnswer, problem.Draining:
 	default:
 		return false
 	}
-	return failure.Executed == problem.ExecutedNo || c.policy.Repeatable
+	return failure.Executed == problem.ExecutedNo || c.policyInput.Repeatable
 }
 
-// unreachable reports whether the call did not reach a target that accepts calls,
-// for a reason other than overload.
-func unreachable(failure *problem.Problem) bool {
+// isUnreachableFailure reports whether the call failed before it was executed for a
+// reason other than overload, such as an unreachable target.
+func isUnreachableFailure(failure *problem.Problem) bool {
 	return failure != nil && failure.Executed == problem.ExecutedNo && failure.Reason != problem.Overloaded
 }
 
--- a/internal/gateway/run_test.go
+++ b/internal/gateway/run_test.go
@@ -51,11 +51,11 @@
 			handler := handlerSequence(c.first, respondWith(200, "ok"))
 			first, second := newFakeTarget(t, handler), newFakeTarget(t, handler)
 			f := singleNode(t, spec, fiveRetries, first, second)
-			got := do(t, c.method, f.edge, "/a/x", "body", c.option)
+			got := sendRequest(t, c.method, f.edge, "/a/x", "body", c.option)
 			assert.Equal(t, got.status, c.status, got.body)
 			if !c.retried {
 				assert.Equal(t, len(first.calls())+len(second.calls()), 1)
-				assert.Equal(t, f.observed.retried.Load(), int64(0))
+				assert.Equal(t, f.observer.retried.Load(), int64(0))
 				return
 			}
 			assert.Equal(t, len(first.calls()), 1, "the other target was not chosen")
@@ -69,22 +69,22 @@
 	target := newFakeTarget(t, respondWith(200, "ok"))
 	f := singleNode(t, resource.Service{}, fiveRetries, unreachableTarget(t), target)
 	for range 20 {
-		do(t, "POST", f.edge, "/a/x", "body").assertEqual(t, 200, "ok")
+		sendRequest(t, "POST", f.edge, "/a/x", "body").assertEqual(t, 200, "ok")
 	}
 	assert.Equal(t, len(target.calls()), 20)
-	assert.Assert(t, f.observed.retried.Load() > 0, "the unreachable target was never picked")
+	assert.Assert(t, f.observer.retried.Load() > 0, "the unreachable target was never picked")
 }
 
 func TestPolicyLimitsRetries(t *testing.T) {
 	for retries, wantCalls := range map[string]int{"0": 1, "1": 2, `call.repeatable ? 2 : 0`: 3, `outcome.executed == "no" ? 5 : 0`: 1} {
 		target := newFakeTarget(t, abortConnection)
 		f := singleNode(t, resource.Service{}, resource.Policy{Retry: retries}, target)
-		do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
+		sendRequest(t, "GET", f.edge, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
 		assert.Equal(t, len(target.calls()), wantCalls, retries)
 	}
 }
 
-// exhaustedRatio is a Ratio that allows no retry.
+// exhaustedRatio is a RetryRatio that allows no retry.
 type exhaustedRatio struct{}
 
 func (exhaustedRatio) RecordSuccess() {}
@@ -93,16 +93,16 @@
 func TestExhaustedRetryRatio(t *testing.T) {
 	target := newFakeTarget(t, abortConnection)
 	f := singleNode(t, resource.Service{}, fiveRetries, target)
-	f.ratio = exhaustedRatio{}
-	do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
+	f.RetryRatio = exhaustedRatio{}
+	sendRequest(t, "GET", f.edge, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
 	assert.Equal(t, len(target.calls()), 1)
 	f = singleNode(t, resource.Service{}, fiveRetries, unreachableTarget(t))
-	f.ratio = exhaustedRatio{}
-	do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedNo)
-	assert.Assert(t, f.observed.retried.Load() > 0, "retries of calls that reached no target were charged to the ratio")
+	f.RetryRatio = exhaustedRatio{}
+	sendRequest(t, "GET", f.edge, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedNo)
+	assert.Assert(t, f.observer.retried.Load() > 0, "retries of calls that reached no target were charged to the ratio")
 }
 
-// The limit of retries applies to a request's whole call chain, not to each hop.
+// The retry limit of a request applies to its whole call chain, not to each hop.
 func TestRetryLimitAppliesToCallChain(t *testing.T) {
 	for _, maxRetries := range []int{0, 1, 2, 4} {
 		leaf := newFakeTarget(t, abortConnection)
@@ -120,8 +120,8 @@
 			service("leaf", resource.Service{}).policy("leaf", fiveRetries).target("leaf-1", "leaf", leaf.address)
 		ingress.configure(t, objects)
 		other.configure(t, objects)
-		assert.Equal(t, do(t, "GET", ingress.edge, "/a/x", "").status, 502)
-		retries := ingress.observed.retried.Load() + other.observed.retried.Load()
+		assert.Equal(t, sendRequest(t, "GET", ingress.edge, "/a/x", "").status, 502)
+		retries := ingress.observer.retried.Load() + other.observer.retried.Load()
 		assert.Equal(t, retries, int64(maxRetries))
 		assert.Equal(t, len(leaf.calls()), 1+maxRetries)
 	}
@@ -139,7 +139,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := singleNode(t, spec, resource.Policy{Retry: "2", Refuse: "11"}, newFakeTarget(t, handlerSequence(c.handlers...)))
-			got := do(t, "GET", f.edge, "/a/x", "")
+			got := sendRequest(t, "GET", f.edge, "/a/x", "")
 			got.assertProblem(t, 503, problem.Overloaded, c.executed)
 			assert.Equal(t, got.header.Get("Retry-After"), "11")
 		})
@@ -148,7 +148,7 @@
 
 func TestNoTarget(t *testing.T) {
 	f := singleNode(t, resource.Service{}, resource.Policy{})
-	document := do(t, "GET", f.edge, "/a/x", "").assertProblem(t, 503, problem.NoTarget, problem.ExecutedNo)
+	document := sendRequest(t, "GET", f.edge, "/a/x", "").assertProblem(t, 503, problem.NoTarget, problem.ExecutedNo)
 	assert.Assert(t, document.RetryAfterSeconds > 0)
 }
 
@@ -156,7 +156,7 @@
 	canceled := make(chan struct{})
 	target := newFakeTarget(t, func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done(); close(canceled) })
 	f := singleNode(t, resource.Service{}, fiveRetries, target)
-	do(t, "GET", f.edge, "/a/x", "", header(callcontext.TimeoutHeader, "100")).assertProblem(t, 504, problem.DeadlineExceeded, problem.ExecutedUnknown)
+	sendRequest(t, "GET", f.edge, "/a/x", "", header(callcontext.TimeoutHeader, "100")).assertProblem(t, 504, problem.DeadlineExceeded, problem.ExecutedUnknown)
 	<-canceled
 	assert.Equal(t, len(target.calls()), 1)
 }
@@ -182,7 +182,7 @@
 			if c.key != "" {
 				options = append(options, header(callcontext.IdempotencyKeyHeader, c.key))
 			}
-			assert.Equal(t, do(t, "POST", f.edge, "/a/x", "body", options...).status, c.status)
+			assert.Equal(t, sendRequest(t, "POST", f.edge, "/a/x", "body", options...).status, c.status)
 			assert.Equal(t, f.claims.claimed.Load(), c.claimed)
 			assert.Equal(t, f.claims.released.Load(), c.released)
 			if c.status == 409 {
--- a/internal/node/provision.go
+++ b/internal/node/provision.go
@@ -170,7 +170,7 @@
 		MaxTimeout:      limits.MaxTimeout.Duration(),
 		MaxRetries:      n.settings.Retries.MaxPerRequest,
 		ShedLevels:      n.settings.Features.ShedLevels,
-		PriorityOff:     !n.settings.Features.PriorityQueue,
+		DisablePriority: !n.settings.Features.PriorityQueue,
 	}, gateway.Dependencies{
 		Router:   n.router,
 		Homes:    n.homes,
