--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -22,11 +22,11 @@
 const rosterSettleDelay = 2 * time.Second
 
 // rosterCheckInterval is the interval at which a node checks whether the roster
-// needs a change. A failed replica is replaced within a few intervals.
+// must change. A failed replica is replaced within a few intervals.
 const rosterCheckInterval = 500 * time.Millisecond
 
-// claimRetryAfter is the minimum retry delay sent to a caller whose claim could
-// not be decided.
+// claimRetryAfter is the minimum Retry-After of a call whose claim could not be
+// decided.
 const claimRetryAfter = time.Second
 
 // claims connects the gateway to the claim replicas.
@@ -35,15 +35,16 @@
 	members *membership.Membership
 	client  *http.Client
 	log     *logrus.Entry
-	// newerRosterPeers holds the address of a peer that has a newer roster.
+	// newerRosterPeers buffers the address of a peer that has advertised a newer
+	// roster.
 	newerRosterPeers chan string
 	service          *claim.Service
 	claimer          *claim.Claimer
 	manager          *claim.Manager
 }
 
-// bootIDOf converts the boot ID of a member to the form that claim replicas use.
-// The membership generates 64 random bits at each start.
+// bootIDOf converts the boot ID of a member, which consists of 64 random bits that
+// the membership generates at each start, to the form that claim replicas use.
 func bootIDOf(member membership.Member) claim.BootID {
 	var id claim.BootID
 	binary.BigEndian.PutUint64(id[:], member.BootID)
@@ -80,7 +81,7 @@
 	}
 }
 
-// claimMembership adapts the membership to package claim.
+// claimMembership adapts the membership to the interface of package claim.
 type claimMembership struct{ members *membership.Membership }
 
 // Members returns all known nodes, including those that are not alive.
@@ -104,13 +105,13 @@
 	mux.HandleFunc("GET "+rosterPath, c.serveRoster)
 }
 
-// run maintains the roster until the context is cancelled.
+// run keeps the roster up to date until the context is cancelled.
 func (c *claims) run(ctx context.Context) {
-	var fetcher sync.WaitGroup
-	fetcher.Go(func() { c.fetchNewerRosters(ctx) })
+	var background sync.WaitGroup
+	background.Go(func() { c.fetchNewerRosters(ctx) })
 	c.manager.Run(ctx)
 	c.claimer.Close()
-	fetcher.Wait()
+	background.Wait()
 }
 
 // epoch returns the epoch of the node's roster, or zero if it has none.
@@ -119,7 +120,7 @@
 	return roster.Epoch
 }
 
-// Claim acquires the claim for an idempotency key, which allows the call to run.
+// Claim implements gateway.Claims.
 func (c *claims) Claim(ctx context.Context, scope, key string) (gateway.Claim, *problem.Problem) {
 	decision, err := c.claimer.Claim(ctx, scope, key, claim.NewAttemptID())
 	switch {
--- a/internal/node/provision.go
+++ b/internal/node/components.go
@@ -24,23 +24,24 @@
 	"github.com/lugspur/lugspur/internal/store/memory"
 )
 
-func (n *Node) provisionComponents() error {
+// createComponents creates the components in the order of their dependencies.
+func (n *Node) createComponents() error {
 	n.peerClient = newPeerClient()
 	if err := n.openStore(); err != nil {
 		return err
 	}
-	if err := n.provisionMembership(); err != nil {
+	if err := n.createMembership(); err != nil {
 		return err
 	}
-	n.provisionConfiguration()
-	if err := n.provisionCalls(); err != nil {
+	n.createConfigurationSync()
+	if err := n.createGateway(); err != nil {
 		return err
 	}
-	n.provisionMetrics()
+	n.registerMetrics()
 	return nil
 }
 
-// newPeerClient returns the HTTP client for requests between nodes other than
+// newPeerClient returns the HTTP client for all requests between nodes except
 // forwarded calls.
 func newPeerClient() *http.Client {
 	const (
@@ -58,8 +59,8 @@
 	}}
 }
 
-// watchIdleTimeout is how long a store watch may be idle before it is considered
-// broken. It is part of the time that a change takes to reach a zone that is
+// watchIdleTimeout is how long a watch of the store may be idle before it is considered
+// broken. It adds to the time that a configuration change takes to reach a zone that is
 // partitioned from the others.
 const watchIdleTimeout = 4 * time.Second
 
@@ -83,7 +84,7 @@
 	return nil
 }
 
-func (n *Node) provisionMembership() error {
+func (n *Node) createMembership() error {
 	self := membership.Member{
 		Name:        n.settings.Name,
 		Zone:        n.settings.Zone,
@@ -117,9 +118,9 @@
 	return fallback
 }
 
-func (n *Node) provisionConfiguration() {
+func (n *Node) createConfigurationSync() {
 	n.replica = configuration.NewReplica(time.Now)
-	n.spreader = configuration.NewSyncer(configuration.Options{
+	n.syncer = configuration.NewSyncer(configuration.Options{
 		Self:       configuration.Member{Name: n.settings.Name, Zone: n.settings.Zone, PeerAddress: n.members.Self().PeerAddress, Live: true},
 		Store:      n.store,
 		Membership: gossip.Members{Membership: n.members},
@@ -128,14 +129,16 @@
 		Log:        n.log,
 		Now:        time.Now,
 	}, n.replica)
-	n.replica.Subscribe(n.configurationChanged)
+	n.replica.Subscribe(n.handleConfigurationChange)
 	if n.settings.MachineList.Address != "" {
 		n.machines = machines.NewFollower(n.settings.MachineList.Address, n.settings.MachineList.Poll.Duration(),
 			n.peerClient, n.log, n.requestRebuild)
 	}
 }
 
-func (n *Node) provisionCalls() error {
+// createGateway creates the gateway, the components on its call path and the HTTP
+// servers.
+func (n *Node) createGateway() error {
 	peer, err := netip.ParseAddrPort(n.members.Self().PeerAddress)
 	if err != nil {
 		return oops.In("node").With("step", "peer address").Wrapf(err, "peer address %s", n.members.Self().PeerAddress)
@@ -188,8 +191,9 @@
 	return nil
 }
 
-// queueConfig returns the limits of the queues in front of targets. A length of
-// zero in the settings disables queueing.
+// queueConfig returns the configuration of the queues in front of targets. A length
+// of zero in the settings disables queueing; in scheduler.Config zero selects the
+// default length.
 func queueConfig(node settings.Node) scheduler.Config {
 	const noQueue = -1
 	length := node.Queue.MaxLength
@@ -203,7 +207,7 @@
 	}
 }
 
-// fixedRatio is a retry ratio that allows all retries or none.
+// fixedRatio is a gateway.RetryRatio that allows either all retries or none.
 type fixedRatio bool
 
 func (fixedRatio) RecordSuccess() {}
@@ -222,7 +226,7 @@
 // registerHandlers registers the HTTP handlers of the four listeners.
 func (n *Node) registerHandlers(ledger grant.Ledger) {
 	peerMux := http.NewServeMux()
-	n.spreader.Register(peerMux)
+	n.syncer.Register(peerMux)
 	grant.Register(peerMux, ledger)
 	n.claims.register(peerMux)
 	peerMux.Handle(membership.ExchangePath, n.members.Handler())
@@ -231,10 +235,10 @@
 	admin.NewServer(admin.Options{
 		NodeName:  n.settings.Name,
 		Token:     n.settings.Admin.Token,
-		Writer:    configuration.NewWriter(n.store, n.replica, n.spreader.Announce, time.Now),
+		Writer:    configuration.NewWriter(n.store, n.replica, n.syncer.Announce, time.Now),
 		Replica:   n.replica,
 		Status:    n,
-		Emergency: emergencyDrains{n.spreader},
+		Emergency: emergencyDrains{n.syncer},
 		Log:       n.log,
 	}).Register(adminMux)
 	adminMux.Handle("GET /metrics", n.metrics.Handler())
@@ -248,7 +252,7 @@
 	})
 }
 
-func (n *Node) provisionMetrics() {
+func (n *Node) registerMetrics() {
 	n.metrics.RegisterHomes(n.homes.Loads)
 	n.metrics.RegisterGauge("calls_in_flight", "Calls in the node.", func() float64 { return float64(n.gateway.InFlight()) })
 	n.metrics.RegisterGauge("configuration_floor", "Revision up to which the node's configuration is complete.",
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -32,7 +32,7 @@
 
 func (n *Node) updateGossipPayload() {
 	payload, err := gossip.Payload{
-		Digest:     n.spreader.Digest(),
+		Digest:     n.syncer.Digest(),
 		Version:    uint64(time.Now().UnixMilli()),
 		Levels:     n.shedLevels(),
 		ClaimEpoch: n.claims.epoch(),
@@ -45,9 +45,11 @@
 	}
 }
 
-// shedLevelTracker records when each target last had a shed level, so that the
-// end of shedding is announced until the entries of other nodes have expired.
+// shedLevelTracker determines for which targets a shed level is announced. After a
+// target has stopped shedding, this is announced until the entries in the tables of
+// other nodes have expired.
 type shedLevelTracker struct {
+	// lastShed is when each target last shed calls.
 	lastShed map[string]time.Time
 }
 
@@ -55,9 +57,9 @@
 	return shedLevelTracker{lastShed: map[string]time.Time{}}
 }
 
-// mustAnnounce reports whether the target's threshold belongs in the gossip
-// payload now.
-func (t shedLevelTracker) mustAnnounce(target string, threshold uint16, now time.Time) bool {
+// shouldAnnounce reports whether the gossip payload must include the target's
+// threshold.
+func (t shedLevelTracker) shouldAnnounce(target string, threshold uint16, now time.Time) bool {
 	if threshold < shed.None {
 		t.lastShed[target] = now
 		return true
@@ -71,14 +73,14 @@
 }
 
 // shedLevels returns the strictest shed levels of the targets whose home is this
-// node, including those that stopped shedding recently. It also updates the
-// node's own table, because calls that the node itself refuses produce no
-// answer that would carry the level.
+// node, including targets that stopped shedding recently. It also updates the
+// node's own table, because a call that the gateway refuses reaches no home whose
+// response would report the level.
 func (n *Node) shedLevels() []gossip.Level {
 	now := time.Now()
 	var levels []gossip.Level
 	for name, load := range n.homes.Loads() {
-		if !n.shedTracker.mustAnnounce(name, load.Threshold, now) {
+		if !n.shedTracker.shouldAnnounce(name, load.Threshold, now) {
 			continue
 		}
 		level := gossip.Level{Target: gateway.TargetHash(name), Threshold: load.Threshold}
@@ -96,24 +98,25 @@
 		return
 	}
 	n.peerFloors.set(from.Name, received.Digest.Floor)
-	n.markIfCaughtUp(received.Digest.Floor)
-	n.spreader.HandleDigest(gossip.ConfigurationMember(from), received.Digest)
+	n.resumeIfCaughtUp(received.Digest.Floor)
+	n.syncer.HandleDigest(gossip.ConfigurationMember(from), received.Digest)
 	n.claims.handleRosterEpoch(received.ClaimEpoch, from.PeerAddress)
 	for _, level := range received.Levels {
 		n.updateShedLevel(from.Name, received.Version, level)
 	}
 }
 
-// markIfCaughtUp lets the node act as a home again after a pause, once its view
-// includes the configuration revision that another node has advertised since.
-func (n *Node) markIfCaughtUp(floor store.Revision) {
+// resumeIfCaughtUp lets the node act as a home again after the process was paused,
+// once its view includes the configuration revision that another node has
+// advertised since the pause.
+func (n *Node) resumeIfCaughtUp(floor store.Revision) {
 	if n.viewFloor.Load() >= int64(floor) {
 		n.liveness.MarkCaughtUp(time.Now())
 	}
 }
 
-// updateShedLevel records the shed level that origin, the home of the target,
-// advertises.
+// updateShedLevel records the shed level that origin, the target's home, has
+// advertised.
 func (n *Node) updateShedLevel(origin string, version uint64, level gossip.Level) {
 	target := n.router.TargetByHash(level.Target)
 	if target == nil {
@@ -129,13 +132,15 @@
 	}, time.Now())
 }
 
-// floorTable stores the configuration floor of each other node.
+// floorTable stores the configuration floor of each other node: the revision up to
+// which the node's configuration is complete.
 type floorTable struct {
 	mutex  sync.Mutex
 	floors map[string]store.Revision
 }
 
-// maxFloors bounds the table; nodes beyond it are not recorded.
+// maxFloors is the maximum number of nodes in a floorTable. Further nodes are not
+// recorded.
 const maxFloors = 8192
 
 func newFloorTable() *floorTable { return &floorTable{floors: map[string]store.Revision{}} }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node assembles a node: it creates the components from the settings,
-// runs them, and shuts them down in an order that interrupts no call.
+// Package node assembles a node: it creates the components from the settings, runs
+// them, and shuts them down in an order that does not interrupt calls.
 package node
 
 import (
@@ -38,7 +38,7 @@
 
 	members     *membership.Membership
 	replica     *configuration.Replica
-	spreader    *configuration.Syncer
+	syncer      *configuration.Syncer
 	machines    *machines.Follower
 	router      *gateway.Router
 	homes       *home.Manager
@@ -50,28 +50,31 @@
 	peerFloors  *floorTable
 	shedTracker shedLevelTracker
 	liveness    *liveness.Monitor
-	view        *catalog.View
-	lastInputs  viewInputs
+	// view and lastInputs belong to the rebuild loop: the current view and the inputs
+	// that it was built from.
+	view       *catalog.View
+	lastInputs viewInputs
 	// viewFloor is the revision up to which the view contains every change.
 	viewFloor       atomic.Int64
 	rebuildRequests chan struct{}
 	stopping        atomic.Bool
-	loggedFaults    sync.Map
+	// loggedPolicyErrors is the set of policy errors that were logged, so that each is
+	// logged only once.
+	loggedPolicyErrors sync.Map
 }
 
 // Run runs a node until the context is cancelled and then shuts it down
-// gracefully: calls in flight have settings.Drain.Timeout to complete.
+// gracefully: calls in flight have the time node.Drain.Timeout to complete.
 func Run(ctx context.Context, node settings.Node, log *logrus.Entry) error {
-	n, err := provision(node, log)
+	n, err := newNode(node, log)
 	if err != nil {
 		return err
 	}
 	return n.run(ctx)
 }
 
-// provision opens the listeners and creates the components without starting
-// them.
-func provision(node settings.Node, log *logrus.Entry) (*Node, error) {
+// newNode opens the listeners and creates the components without starting them.
+func newNode(node settings.Node, log *logrus.Entry) (*Node, error) {
 	n := &Node{
 		settings:        node,
 		log:             log.WithField("node", node.Name).WithField("zone", node.Zone),
@@ -86,7 +89,7 @@
 	if err := n.sockets.open(node.Listen); err != nil {
 		return nil, err
 	}
-	if err := n.provisionComponents(); err != nil {
+	if err := n.createComponents(); err != nil {
 		n.sockets.close()
 		return nil, err
 	}
@@ -104,7 +107,7 @@
 	}
 	start(func(ctx context.Context) { _ = n.members.Run(ctx) })
 	start(n.liveness.Run)
-	start(n.spreader.Run)
+	start(n.syncer.Run)
 	start(n.homes.Maintain)
 	start(n.runRebuildLoop)
 	start(n.runGossipLoop)
@@ -112,14 +115,14 @@
 	if n.machines != nil {
 		start(n.machines.Run)
 	}
-	failed := n.sockets.start()
+	serveErrors := n.sockets.start()
 	n.log.WithField("step", "start").WithField("listen", n.settings.Listen).Info("node started")
 
 	var err error
 	select {
 	case <-ctx.Done():
 		err = n.stop()
-	case err = <-failed:
+	case err = <-serveErrors:
 		err = fmt.Errorf("serve: %w", err)
 	}
 	cancel()
@@ -130,8 +133,8 @@
 	return err
 }
 
-// handlePause runs after the process was suspended. Other nodes may have become
-// the homes of its targets in the meantime, so it discards its home state.
+// handlePause is called after the process was suspended. Other nodes may have become
+// the homes of this node's targets in the meantime, so it discards the home state.
 func (n *Node) handlePause(pause time.Duration) {
 	n.log.WithField("step", "membership").WithField("pause_ms", pause.Milliseconds()).Warn("process was paused; discarding home state")
 	n.homes.Reset()
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -95,9 +95,9 @@
 
 func TestNewRetryRatio(t *testing.T) {
 	for name, c := range map[string]struct {
-		percent     int
-		enabled     bool
-		least, most int
+		percent                int
+		enabled                bool
+		minAllowed, maxAllowed int
 	}{
 		"off":             {10, false, 1000, 1000},
 		"none":            {0, true, 0, 0},
@@ -113,7 +113,7 @@
 					allowed++
 				}
 			}
-			assert.Assert(t, allowed >= c.least && allowed <= c.most, "%d were allowed", allowed)
+			assert.Assert(t, allowed >= c.minAllowed && allowed <= c.maxAllowed, "%d were allowed", allowed)
 		})
 	}
 }
--- a/internal/node/profiling.go
+++ b/internal/node/profiling.go
@@ -7,7 +7,8 @@
 )
 
 // registerProfiling adds the pprof handlers to the administration listener. They
-// require the token of its write operations and are disabled without one.
+// require the token for write operations. If no token is configured, they refuse
+// all requests.
 func registerProfiling(mux *http.ServeMux, token string) {
 	requireToken := func(serve http.HandlerFunc) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -13,20 +13,19 @@
 	"github.com/lugspur/lugspur/internal/pause"
 )
 
-// rosterPath serves the node's current roster of claim replicas, so that a node
-// that starts during a store outage can fetch it from a peer.
+// rosterPath is the path at which a node serves its roster of claim replicas, so that
+// a node that starts during a store outage can fetch the roster from a peer.
 const rosterPath = "/peer/claim/roster"
 
 const (
-	// rosterFetchTimeout bounds one request for a roster.
+	// rosterFetchTimeout is the timeout of a request for a roster.
 	rosterFetchTimeout = time.Second
-	// handoverTimeout bounds the time that a stopping claim replica waits to be
-	// replaced in the roster.
+	// handoverTimeout is the maximum time that a claim replica that shuts down waits
+	// to be replaced in the roster.
 	handoverTimeout = 15 * time.Second
-	// handoverPollInterval is the interval at which the roster is checked during
-	// the wait.
+	// handoverPollInterval is the interval at which that replica checks the roster.
 	handoverPollInterval = 100 * time.Millisecond
-	// maxRosterBytes bounds an encoded roster, in bytes.
+	// maxRosterBytes is the maximum size of an encoded roster.
 	maxRosterBytes = claim.MaximumMessageBytes
 )
 
@@ -53,15 +52,15 @@
 	select {
 	case c.newerRosterPeers <- peer:
 	default:
-		// A fetch is pending already. Gossip repeats the epoch, so a later
-		// payload schedules the next one.
+		// A fetch is pending already. Gossip repeats the epoch, so a later payload
+		// schedules a fetch if this roster is still newer.
 	}
 }
 
 // fetchNewerRosters fetches rosters from the peers that advertise a newer epoch,
-// until the context is cancelled. Claim replicas also report newer rosters to
-// coordinators, but not if the replicas that have the newer roster no longer
-// vote.
+// until the context is cancelled. Coordinators also receive newer rosters from the
+// claim replicas that vote, but not if the replicas that have the newer roster no
+// longer vote.
 func (c *claims) fetchNewerRosters(ctx context.Context) {
 	for {
 		select {
@@ -113,8 +112,8 @@
 	}
 }
 
-// handoverPending reports whether this node is a claim replica and a live node
-// exists that is not one and can replace it.
+// handoverPending reports whether this node is a claim replica and can be replaced,
+// because a live node exists that is not a claim replica.
 func (c *claims) handoverPending() bool {
 	roster, found := c.service.Roster()
 	if !found {
--- a/internal/node/sockets.go
+++ b/internal/node/sockets.go
@@ -20,8 +20,8 @@
 // idleTimeout is how long an idle client connection is kept open.
 const idleTimeout = 90 * time.Second
 
-// writeGrace is the time for a caller to read an answer that is sent right at
-// the call's deadline.
+// writeGrace is the time that a caller has to read a response that is sent right
+// at the call's deadline.
 const writeGrace = 10 * time.Second
 
 // listener is one of the node's HTTP listeners.
@@ -31,7 +31,7 @@
 	server *http.Server
 }
 
-// sockets are the node's listeners and its gossip socket.
+// sockets holds the node's listeners and its gossip socket.
 type sockets struct {
 	edge, mesh, peer, admin listener
 	gossip                  *membership.UDPTransport
@@ -43,9 +43,9 @@
 	edge, mesh, peer, admin http.Handler
 }
 
-func (s *sockets) all() []*listener { return []*listener{&s.edge, &s.mesh, &s.peer, &s.admin} }
+func (s *sockets) listeners() []*listener { return []*listener{&s.edge, &s.mesh, &s.peer, &s.admin} }
 
-// open opens all sockets. On an error none is left open.
+// open opens all sockets, or none if it returns an error.
 func (s *sockets) open(listen settings.Listen) error {
 	s.edge.name, s.mesh.name, s.peer.name, s.admin.name = "edge", "mesh", "peer", "admin"
 	for i, address := range []string{listen.Edge, listen.Mesh, listen.Peer, listen.Admin} {
@@ -54,7 +54,7 @@
 			s.close()
 			return oops.In("node").With("step", "listen").With("peer", address).Wrapf(err, "listen on %s", address)
 		}
-		s.all()[i].socket = socket
+		s.listeners()[i].socket = socket
 	}
 	gossip, err := membership.ListenUDP(listen.Peer)
 	if err != nil {
@@ -70,43 +70,43 @@
 	errorLog := log.WithField("step", "serve").WriterLevel(logrus.DebugLevel)
 	s.errorLog = errorLog
 	for i, handler := range []http.Handler{handlers.edge, handlers.mesh, handlers.peer, handlers.admin} {
-		s.all()[i].server = &http.Server{
+		s.listeners()[i].server = &http.Server{
 			Handler:           handler,
 			ReadHeaderTimeout: limits.ReadHeaderTimeout.Duration(),
 			MaxHeaderBytes:    limits.MaxHeaderBytes,
 			IdleTimeout:       idleTimeout,
-			// A call ends within the maximum timeout after its body was read. This
-			// also leaves enough time for profiles on the administration listener.
+			// A call ends within the maximum timeout after its body was read. The sum
+			// is also long enough for profiles from the administration listener.
 			WriteTimeout: limits.ReadBodyTimeout.Duration() + limits.MaxTimeout.Duration() + writeGrace,
 			ErrorLog:     stdlog.New(errorLog, "", 0),
 		}
 	}
-	// The other listeners have no ReadTimeout, because the gateway sets a read
-	// deadline for the body of each call.
+	// Only the administration listener has a ReadTimeout. On the others, the gateway
+	// sets a read deadline for the body of each call.
 	s.admin.server.ReadTimeout = limits.ReadHeaderTimeout.Duration() + limits.ReadBodyTimeout.Duration()
 }
 
-// start serves all listeners and returns a channel that receives the error of
-// a listener that fails.
+// start serves all listeners in the background and returns a channel that receives
+// the error of each listener that fails.
 func (s *sockets) start() <-chan error {
-	listeners := s.all()
-	failed := make(chan error, len(listeners))
+	listeners := s.listeners()
+	serveErrors := make(chan error, len(listeners))
 	for _, l := range listeners {
 		go func() {
 			if err := l.server.Serve(l.socket); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-				failed <- oops.In("node").With("step", "serve").With("peer", l.name).Wrapf(err, "%s listener", l.name)
+				serveErrors <- oops.In("node").With("step", "serve").With("peer", l.name).Wrapf(err, "%s listener", l.name)
 			}
 		}()
 	}
-	return failed
+	return serveErrors
 }
 
-// stopAccepting refuses new connections. Open connections and those already in
-// the accept queue are still served.
+// stopAccepting makes the listener refuse new connections. Open connections and
+// those already in the accept queue are still served.
 func (l *listener) stopAccepting() { l.socket.StopAccepting() }
 
-// shutdown stops the listener and waits for its calls. Calls that are still
-// running when the context ends are aborted.
+// shutdown stops the listener and waits for its calls to complete. Calls that are
+// still running when the context is done are aborted.
 func (l *listener) shutdown(ctx context.Context) error {
 	err := l.server.Shutdown(ctx)
 	if err != nil && !errors.Is(err, net.ErrClosed) {
@@ -118,7 +118,7 @@
 
 // close closes all sockets that are still open.
 func (s *sockets) close() {
-	for _, l := range s.all() {
+	for _, l := range s.listeners() {
 		if l.server != nil {
 			_ = l.server.Close()
 		}
--- a/internal/node/status.go
+++ b/internal/node/status.go
@@ -27,7 +27,7 @@
 	return admin.Readiness{Ready: len(reasons) == 0, Reasons: reasons}
 }
 
-// Status returns the state of the node, its view of the cluster and its load.
+// Status returns the state of the node, including its load and its view of the cluster.
 func (n *Node) Status() admin.Status {
 	view := n.router.View()
 	return admin.Status{
@@ -57,7 +57,7 @@
 }
 
 func (n *Node) storeStatus() admin.StoreStatus {
-	status := n.spreader.Status()
+	status := n.syncer.Status()
 	sinceContact := time.Since(n.startedAt)
 	if !status.StoreContact.IsZero() {
 		sinceContact = time.Since(status.StoreContact)
@@ -123,7 +123,7 @@
 			DrainSources: n.drainSources(target),
 		}
 		if load.Limit > 0 {
-			status.ShedLevel = shedLevel(load.Threshold)
+			status.ShedLevel = shedLevelName(load.Threshold)
 		}
 		targets = append(targets, status)
 	}
@@ -136,7 +136,7 @@
 		if object, found := n.replica.Get(resource.ID{Kind: resource.KindDrain, Name: name}); found && !object.Deleted {
 			sources = append(sources, "operator")
 		}
-		if n.spreader.EmergencyDrains().Drained(name) {
+		if n.syncer.EmergencyDrains().Drained(name) {
 			sources = append(sources, "emergency")
 		}
 		if n.machines != nil && n.machines.Drained(name) {
@@ -152,14 +152,14 @@
 		services = append(services, admin.ServiceStatus{
 			Name:      name,
 			Targets:   len(service.Targets),
-			ShedLevel: shedLevel(n.shedTable.Threshold(name, time.Now())),
+			ShedLevel: shedLevelName(n.shedTable.Threshold(name, time.Now())),
 		})
 	}
 	slices.SortFunc(services, func(a, b admin.ServiceStatus) int { return strings.Compare(a.Name, b.Name) })
 	return services
 }
 
-func shedLevel(threshold uint16) string {
+func shedLevelName(threshold uint16) string {
 	if threshold >= criticality.RankCount {
 		return ""
 	}
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -15,36 +15,36 @@
 
 // emergencyDrains lets the administration API drain targets and machines when
 // the store is unavailable.
-type emergencyDrains struct{ spreader *configuration.Syncer }
+type emergencyDrains struct{ syncer *configuration.Syncer }
 
-// EmergencyDrain drains the target or machine that the name of the drain denotes.
+// EmergencyDrain drains the target or machine to which the name of the drain refers.
 func (e emergencyDrains) EmergencyDrain(name string) error {
-	if !e.spreader.AddEmergencyDrain(name) {
+	if !e.syncer.AddEmergencyDrain(name) {
 		return errTooManyDrains
 	}
 	return nil
 }
 
-// EmergencyDrained reports whether an emergency drain of that name is active.
+// EmergencyDrained reports whether an emergency drain with the name is active.
 func (e emergencyDrains) EmergencyDrained(name string) bool {
-	return e.spreader.EmergencyDrains().Drained(name)
+	return e.syncer.EmergencyDrains().Drained(name)
 }
 
-// nonStoreDrains are the drains that are not stored as objects: emergency drains
-// and those of the machine list. A source can add drains but not remove those of
-// another.
-type nonStoreDrains struct{ node *Node }
+// externalDrains are the drains that are not stored as configuration objects:
+// emergency drains and those of the machine list. A source can add drains, but it
+// cannot remove those of another source.
+type externalDrains struct{ node *Node }
 
-// Drained reports whether any source has a drain of that name.
-func (d nonStoreDrains) Drained(name string) bool {
-	if d.node.spreader.EmergencyDrains().Drained(name) {
+// Drained reports whether any source has a drain with the name.
+func (d externalDrains) Drained(name string) bool {
+	if d.node.syncer.EmergencyDrains().Drained(name) {
 		return true
 	}
 	return d.node.machines != nil && d.node.machines.Drained(name)
 }
 
-// configurationChanged is the subscriber to changes of the replica.
-func (n *Node) configurationChanged([]resource.Versioned) {
+// handleConfigurationChange is called for each change of the replica.
+func (n *Node) handleConfigurationChange([]resource.Versioned) {
 	n.requestRebuild()
 }
 
@@ -57,12 +57,12 @@
 	}
 }
 
-// rebuildInterval is the interval of rebuilds without a notified change. They
-// are needed because emergency drains expire.
+// rebuildInterval is the interval of the periodic rebuilds. They are needed because
+// emergency drains expire without a change notification.
 const rebuildInterval = time.Second
 
-// minRebuildInterval is the minimum time between two rebuilds. It bounds the CPU
-// time spent on rebuilds when many nodes fail at once.
+// minRebuildInterval is the minimum time between two rebuilds. It limits the CPU
+// time that rebuilds use when many nodes fail at once.
 const minRebuildInterval = 50 * time.Millisecond
 
 func (n *Node) runRebuildLoop(ctx context.Context) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// viewInputs is a fixed-size summary of the state that a view is built from.
-// Equal inputs yield equal views.
+// viewInputs is a fixed-size digest of the state that a view is built from. Views
+// that are built from equal inputs are equal.
 type viewInputs struct {
 	objects    uint64
 	tombstones uint64
@@ -103,8 +103,8 @@
 		tombstones: digest.Tombstones,
 		members:    n.members.Digest(),
 		liveCount:  len(live),
-		suspects:   suspectHash(live),
-		drains:     n.spreader.EmergencyDrains().Sum(),
+		suspects:   hashSuspects(live),
+		drains:     n.syncer.EmergencyDrains().Sum(),
 	}
 	if n.machines != nil {
 		inputs.machines = n.machines.Generation()
@@ -112,11 +112,11 @@
 	return inputs
 }
 
-// suspectHash returns an order-independent hash of the names of suspected
-// members.
-func suspectHash(live []membership.Member) uint64 {
+// hashSuspects returns an order-independent hash of the names of the members that
+// are suspected to have failed.
+func hashSuspects(members []membership.Member) uint64 {
 	var sum uint64
-	for _, member := range live {
+	for _, member := range members {
 		if member.State == membership.Suspect {
 			sum ^= xxhash.Sum64String(member.Name)
 		}
@@ -125,9 +125,10 @@
 }
 
 func (n *Node) rebuildView() {
-	// Readiness is read before the build and published after it, so that no call
-	// is routed by a view that is older than the complete configuration.
-	ready := n.spreader.Ready()
+	// The readiness is read before the view is built and published afterwards, so that
+	// no call is routed according to a view that is older than the complete
+	// configuration.
+	ready := n.syncer.Ready()
 	defer n.gateway.SetReady(ready)
 	floor := n.replica.Floor()
 	defer n.viewFloor.Store(int64(floor))
@@ -137,10 +138,10 @@
 		return
 	}
 	n.lastInputs = inputs
-	view, faults := catalog.Build(n.replica, nonStoreDrains{n}, n.view)
-	for _, fault := range faults {
-		if _, logged := n.loggedFaults.LoadOrStore(fault.Error(), true); !logged {
-			n.log.WithField("step", "configuration").WithError(fault).Error("policy does not compile; the service keeps its previous or the default policy")
+	view, policyErrors := catalog.Build(n.replica, externalDrains{n}, n.view)
+	for _, policyError := range policyErrors {
+		if _, logged := n.loggedPolicyErrors.LoadOrStore(policyError.Error(), true); !logged {
+			n.log.WithField("step", "configuration").WithError(policyError).Error("policy does not compile; the service keeps its previous or the default policy")
 		}
 	}
 	n.view = view
