--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -130,17 +130,17 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f.Gateway = New(settings, Dependencies{
-		Router:   NewRouter(RouterConfig{Node: name, Zone: "z", Homes: true, Shed: f.shed, Now: time.Now}),
-		Homes:    home.NewManager(home.Settings{MaxBuffered: 10_000}, time.Now),
-		Peers:    home.NewClient(10_000),
-		Shed:     f.shed,
-		Budgets:  ledger,
-		Grants:   grant.NewClient(peer, ledger, http.DefaultClient),
-		Ratio:    unlimitedRatio{},
-		Claims:   f.claims,
-		Observer: f.observer,
-		Log:      logrus.NewEntry(log),
-		Now:      time.Now,
+		Router:       NewRouter(RouterConfig{Node: name, Zone: "z", Homes: true, Shed: f.shed, Now: time.Now}),
+		Homes:        home.NewManager(home.Settings{MaxBuffered: 10_000}, time.Now),
+		HomeClient:   home.NewClient(10_000),
+		Shed:         f.shed,
+		RetryBudgets: ledger,
+		RetryGrants:  grant.NewClient(peer, ledger, http.DefaultClient),
+		RetryRatio:   unlimitedRatio{},
+		Claims:       f.claims,
+		Observer:     f.observer,
+		Log:          logrus.NewEntry(log),
+		Now:          time.Now,
 	})
 	f.edge, f.mesh = f.listen(t, f.Handler(Edge)), f.listen(t, f.Handler(Mesh))
 	return f
@@ -152,8 +152,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// configure sets the configuration and the cluster members of the node and makes it
-// ready. The node itself need not be among the members.
+// configure sets the configuration of the node and the other members of its cluster,
+// and makes it ready.
 func (f *fixture) configure(t *testing.T, objects configuration, members ...*fixture) *fixture {
 	t.Helper()
 	view, errs := catalog.Build(objects, objects, catalog.Empty())
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -100,11 +100,11 @@
 	settings     Settings
 	router       *Router
 	homes        *home.Manager
-	peers        *home.Client
+	homeClient   *home.Client
 	shed         *shed.Table
-	RetryBudgets RetryBudgets
-	RetryGrants  RetryGrants
-	RetryRatio   RetryRatio
+	retryBudgets RetryBudgets
+	retryGrants  RetryGrants
+	retryRatio   RetryRatio
 	claims       Claims
 	resends      *resend.Table
 	observer     Observer
@@ -121,17 +121,17 @@
 
 // Dependencies are the dependencies of a gateway.
 type Dependencies struct {
-	Router   *Router
-	Homes    *home.Manager
-	Peers    *home.Client
-	Shed     *shed.Table
-	Budgets  RetryBudgets
-	Grants   RetryGrants
-	Ratio    RetryRatio
-	Claims   Claims
-	Observer Observer
-	Log      *logrus.Entry
-	Now      func() time.Time
+	Router       *Router
+	Homes        *home.Manager
+	HomeClient   *home.Client
+	Shed         *shed.Table
+	RetryBudgets RetryBudgets
+	RetryGrants  RetryGrants
+	RetryRatio   RetryRatio
+	Claims       Claims
+	Observer     Observer
+	Log          *logrus.Entry
+	Now          func() time.Time
 }
 
 // New returns a gateway that refuses calls until SetReady(true) is called.
@@ -140,11 +140,11 @@
 		settings:     settings,
 		router:       dependencies.Router,
 		homes:        dependencies.Homes,
-		peers:        dependencies.Peers,
+		homeClient:   dependencies.HomeClient,
 		shed:         dependencies.Shed,
-		RetryBudgets: dependencies.Budgets,
-		RetryGrants:  dependencies.Grants,
-		RetryRatio:   dependencies.Ratio,
+		retryBudgets: dependencies.RetryBudgets,
+		retryGrants:  dependencies.RetryGrants,
+		retryRatio:   dependencies.RetryRatio,
 		claims:       dependencies.Claims,
 		resends:      resend.NewTable(dependencies.Now),
 		observer:     dependencies.Observer,
--- a/internal/gateway/ratio_test.go
+++ b/internal/gateway/ratio_test.go
@@ -19,7 +19,7 @@
 // a command to open a vent, that one target refused must still be retried at another
 // target, which may be accepting less important calls.
 func TestCriticalPlusCallsAreExemptFromRetryRatio(t *testing.T) {
-	g := &Gateway{RetryRatio: noRetryRatio{}}
+	g := &Gateway{retryRatio: noRetryRatio{}}
 	refused := problem.New(problem.Overloaded, problem.ExecutedNo, "home", "a-1", "")
 	mayHaveExecuted := problem.New(problem.TargetFailed, problem.ExecutedUnknown, "transport", "a-1", "")
 	notReached := problem.New(problem.NoTarget, problem.ExecutedNo, "forward", "node", "")
--- a/internal/gateway/receive_test.go
+++ b/internal/gateway/receive_test.go
@@ -118,7 +118,7 @@
 	assert.Assert(t, document.RetryAfterSeconds > 0)
 }
 
-// getWithTimeout makes a getWithTimeout with a timeout of 300 ms.
+// getWithTimeout sends a call with a timeout of 300 ms.
 func (f *fixture) getWithTimeout(address string) error {
 	request, err := http.NewRequest("GET", "http://"+address+"/a/x", nil)
 	if err != nil {
--- a/internal/gateway/resend_test.go
+++ b/internal/gateway/resend_test.go
@@ -16,7 +16,7 @@
 	target := newFakeTarget(t, respondWith(500, "failed"))
 	f := singleNode(t, resource.Service{}, resource.Policy{Retry: "0"}, target)
 	sent := newTestContext(f.peer)
-	f.RetryBudgets.Open(sent.RequestID, 2, time.Now().Add(time.Minute))
+	f.retryBudgets.Open(sent.RequestID, 2, time.Now().Add(time.Minute))
 	for range 3 {
 		sendRequest(t, "POST", f.mesh, "/a/x", "body", withContext(t, sent)).assertEqual(t, 500, "failed")
 	}
--- a/internal/gateway/router.go
+++ b/internal/gateway/router.go
@@ -39,15 +39,14 @@
 	unreachableUntil sync.Map
 }
 
-// routerSnapshot is an immutable snapshot of the configuration and the placement. Its
-// maps are keyed by the names of services, and byHash by the hashes of the names of
-// targets.
+// routerSnapshot is an immutable snapshot of the configuration and the placement. The
+// maps pickers and loads are keyed by the names of services.
 type routerSnapshot struct {
-	view      *catalog.View
-	placement *placement.Table
-	pickers   map[string]*routing.Picker
-	loads     map[string]*serviceLoad
-	byHash    map[uint32]*catalog.Target
+	view          *catalog.View
+	placement     *placement.Table
+	pickers       map[string]*routing.Picker
+	loads         map[string]*serviceLoad
+	targetsByHash map[uint32]*catalog.Target
 }
 
 // warmupStart is the start of a target's current warm-up.
@@ -99,14 +98,14 @@
 	defer r.updateMutex.Unlock()
 	previous := r.current.Load()
 	next := &routerSnapshot{
-		view:      view,
-		placement: placement.Build(view, live),
-		pickers:   make(map[string]*routing.Picker, len(view.Services)),
-		loads:     make(map[string]*serviceLoad, len(view.Services)),
-		byHash:    make(map[uint32]*catalog.Target, len(view.Targets)),
+		view:          view,
+		placement:     placement.Build(view, live),
+		pickers:       make(map[string]*routing.Picker, len(view.Services)),
+		loads:         make(map[string]*serviceLoad, len(view.Services)),
+		targetsByHash: make(map[uint32]*catalog.Target, len(view.Targets)),
 	}
 	for name, target := range view.Targets {
-		next.byHash[TargetHash(name)] = target
+		next.targetsByHash[TargetHash(name)] = target
 	}
 	for name, service := range view.Services {
 		next.pickers[name] = r.pickerFor(previous, next.placement, service)
@@ -190,6 +189,8 @@
 	}
 }
 
+// removeShedEntries removes the shed thresholds of targets that were deleted, started
+// draining or changed their service, and the weights of deleted services.
 func (r *Router) removeShedEntries(previous, next *catalog.View) {
 	for name, target := range previous.Targets {
 		current := next.Targets[name]
@@ -227,4 +228,6 @@
 func TargetHash(name string) uint32 { return uint32(xxhash.Sum64String(name)) }
 
 // TargetByHash returns the target whose name has the hash, or nil if there is none.
-func (r *Router) TargetByHash(hash uint32) *catalog.Target { return r.current.Load().byHash[hash] }
+func (r *Router) TargetByHash(hash uint32) *catalog.Target {
+	return r.current.Load().targetsByHash[hash]
+}
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -21,8 +21,8 @@
 // run executes the call, with retries where allowed, and returns the response.
 func (g *Gateway) run(ctx context.Context, c *call) (*home.Reply, *problem.Problem) {
 	if c.listener == Edge {
-		g.RetryBudgets.Open(c.context.RequestID, g.maxRetries(c), c.context.Deadline.Add(retryBudgetGrace))
-		defer g.RetryBudgets.Close(c.context.RequestID)
+		g.retryBudgets.Open(c.context.RequestID, g.maxRetries(c), c.context.Deadline.Add(retryBudgetGrace))
+		defer g.retryBudgets.Close(c.context.RequestID)
 		return g.execute(ctx, c)
 	}
 	if c.withoutContext {
@@ -69,7 +69,7 @@
 	for attempt := 1; ; attempt++ {
 		reply, failure, target := g.attempt(ctx, c, tried)
 		if failure == nil && !isRetryableStatus(reply.Status) {
-			g.RetryRatio.RecordSuccess()
+			g.retryRatio.RecordSuccess()
 			return reply, nil
 		}
 		mayHaveExecuted = mayHaveExecuted || failure == nil || failure.Executed != problem.ExecutedNo
@@ -119,6 +119,9 @@
 	return reply, failure, route.Target.Name
 }
 
+// send sends one attempt of the call to the home node of the route's target, which may
+// be this node. If the home cannot be reached, the router skips it for
+// unreachablePeriod.
 func (g *Gateway) send(ctx context.Context, c *call, route Route) (*home.Reply, *problem.Problem) {
 	attemptContext := c.context
 	attemptContext.Span = callcontext.NewSpanID()
@@ -133,7 +136,7 @@
 	if route.Peer == "" {
 		return g.runLocally(ctx, c, route, forwarded)
 	}
-	reply, failure := g.peers.Run(ctx, route.Peer, route.Target.Name, forwarded)
+	reply, failure := g.homeClient.Run(ctx, route.Peer, route.Target.Name, forwarded)
 	if failure != nil && failure.Reason == problem.NoTarget && failure.Peer == route.Peer {
 		g.router.MarkUnreachable(route.Peer)
 	}
@@ -186,7 +189,7 @@
 	if notExecuted && c.context.Rank.Level == criticality.CriticalPlus {
 		return true
 	}
-	return g.RetryRatio.Allow()
+	return g.retryRatio.Allow()
 }
 
 // requestRetryGrant requests one retry from the request's ingress node and reports
@@ -196,7 +199,7 @@
 	if !known {
 		return false
 	}
-	granted, err := g.RetryGrants.RequestRetry(ctx, ingress, c.context.RequestID)
+	granted, err := g.retryGrants.RequestRetry(ctx, ingress, c.context.RequestID)
 	if err != nil {
 		g.log.WithError(err).WithField("step", "grant").WithField("peer", ingress.String()).
 			WithField("request_id", c.context.RequestID.String()).Debug("retry grant request failed")
--- a/internal/gateway/run_test.go
+++ b/internal/gateway/run_test.go
@@ -93,11 +93,11 @@
 func TestExhaustedRetryRatio(t *testing.T) {
 	target := newFakeTarget(t, abortConnection)
 	f := singleNode(t, resource.Service{}, fiveRetries, target)
-	f.RetryRatio = exhaustedRatio{}
+	f.retryRatio = exhaustedRatio{}
 	sendRequest(t, "GET", f.edge, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedUnknown)
 	assert.Equal(t, len(target.calls()), 1)
 	f = singleNode(t, resource.Service{}, fiveRetries, unreachableTarget(t))
-	f.RetryRatio = exhaustedRatio{}
+	f.retryRatio = exhaustedRatio{}
 	sendRequest(t, "GET", f.edge, "/a/x", "").assertProblem(t, 502, problem.TargetFailed, problem.ExecutedNo)
 	assert.Assert(t, f.observer.retried.Load() > 0, "retries of calls that reached no target were charged to the ratio")
 }
--- a/internal/node/components.go
+++ b/internal/node/components.go
@@ -159,7 +159,7 @@
 		MayServe:    n.liveness.MayAct,
 		FixedLimit:  !n.settings.Features.AdaptiveLimit,
 	}, time.Now)
-	n.peers = home.NewClient(limits.MaxAnswerBufferBytes)
+	n.homeClient = home.NewClient(limits.MaxAnswerBufferBytes)
 	ledger := retrybudget.NewLedger(0, time.Now)
 	n.claims = n.newClaims()
 	n.gateway = gateway.New(gateway.Settings{
@@ -175,17 +175,17 @@
 		ShedLevels:      n.settings.Features.ShedLevels,
 		DisablePriority: !n.settings.Features.PriorityQueue,
 	}, gateway.Dependencies{
-		Router:   n.router,
-		Homes:    n.homes,
-		Peers:    n.peers,
-		Shed:     n.shedTable,
-		Budgets:  ledger,
-		Grants:   grant.NewClient(peer, ledger, n.peerClient),
-		Ratio:    n.newRetryRatio(),
-		Claims:   n.claims,
-		Observer: n.metrics,
-		Log:      n.log,
-		Now:      time.Now,
+		Router:       n.router,
+		Homes:        n.homes,
+		HomeClient:   n.homeClient,
+		Shed:         n.shedTable,
+		RetryBudgets: ledger,
+		RetryGrants:  grant.NewClient(peer, ledger, n.peerClient),
+		RetryRatio:   n.newRetryRatio(),
+		Claims:       n.claims,
+		Observer:     n.metrics,
+		Log:          n.log,
+		Now:          time.Now,
 	})
 	n.registerHandlers(ledger)
 	return nil
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,7 +42,7 @@
 	machines    *machines.Follower
 	router      *gateway.Router
 	homes       *home.Manager
-	peers       *home.Client
+	homeClient  *home.Client
 	shedTable   *shed.Table
 	gateway     *gateway.Gateway
 	claims      *claims
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -146,7 +146,7 @@
 	}
 	n.view = view
 	n.router.Update(view, live)
-	n.peers.Retain(peerAddresses(live))
+	n.homeClient.Retain(peerAddresses(live))
 }
 
 func peerAddresses(members []membership.Member) map[string]bool {
