--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -45,9 +45,9 @@
 	}
 }
 
-// shedLevelTracker determines for which targets a shed level is announced. After a
-// target has stopped shedding, this is announced until the entries in the tables of
-// other nodes have expired.
+// shedLevelTracker determines which targets the gossip payload includes: those that
+// shed calls, and those that stopped, until the entries in the tables of other nodes
+// have expired.
 type shedLevelTracker struct {
 	// lastShed is when each target last shed calls.
 	lastShed map[string]time.Time
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -17,7 +17,7 @@
 	// before its connections are closed. A call that arrives on a connection while it
 	// is being closed would be lost.
 	edgeQuietPeriod = time.Second
-	// edgeQuietTimeout bounds the wait for edgeQuietPeriod.
+	// edgeQuietTimeout is the maximum wait for an edgeQuietPeriod.
 	edgeQuietTimeout = 10 * time.Second
 	// idlePeriod is how long no call must have been in flight before the mesh
 	// listener is shut down. Call chains in flight on other nodes may still send
