--- a/internal/grant/grant.go
+++ b/internal/grant/grant.go
@@ -1,7 +1,8 @@
 // Package grant distributes a request's retry budget. The ingress node of a
 // request holds the budget. Every node on the call chain requests a grant from
 // it before it retries a call. A grant that is lost in transit counts as spent,
-// so that the budget is never exceeded, whatever the network does.
+// so that lost and duplicate messages never lead to more retries than the budget
+// allows.
 package grant
 
 import (
@@ -23,14 +24,15 @@
 // Path is the path of grant requests on the peer listener.
 const Path = "/peer/grant"
 
-// maxMessageBytes is the maximum size of a request or response.
+// maxMessageBytes is the maximum size of the body of a grant request or response.
 const maxMessageBytes = 256
 
 // requestTimeout is the timeout of a grant request. A retry that is delayed
 // longer than this is no longer useful.
 const requestTimeout = 100 * time.Millisecond
 
-// Token identifies a grant, so that a duplicate message spends only one retry.
+// Token identifies a grant request, so that a duplicate message spends only one
+// retry.
 type Token [8]byte
 
 // NewToken returns a random token.
@@ -64,10 +66,10 @@
 
 // parse returns the request ID and the token. ok is false if one of them has
 // the wrong length.
-func (q rawRequest) parse() (request callcontext.RequestID, token Token, ok bool) {
-	ok = len(q.Request) == len(request) && len(q.Token) == len(token)
-	copy(request[:], q.Request)
-	copy(token[:], q.Token)
+func (r rawRequest) parse() (request callcontext.RequestID, token Token, ok bool) {
+	ok = len(r.Request) == len(request) && len(r.Token) == len(token)
+	copy(request[:], r.Request)
+	copy(token[:], r.Token)
 	return request, token, ok
 }
 
@@ -80,13 +82,13 @@
 // Register adds the handler for grant requests to the peer listener's mux.
 func Register(mux *http.ServeMux, ledger Ledger) {
 	mux.HandleFunc("POST "+Path, func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
+		requestBody, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxMessageBytes))
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
 		var raw rawRequest
-		if err := cbor.Unmarshal(body, &raw); err != nil {
+		if err := cbor.Unmarshal(requestBody, &raw); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
@@ -95,30 +97,30 @@
 			http.Error(w, "malformed grant request", http.StatusBadRequest)
 			return
 		}
-		answer, err := cbor.Marshal(grantResponse{Granted: ledger.Grant(request, token)})
+		responseBody, err := cbor.Marshal(grantResponse{Granted: ledger.Grant(request, token)})
 		if err != nil {
 			http.Error(w, err.Error(), http.StatusInternalServerError)
 			return
 		}
-		_, _ = w.Write(answer)
+		_, _ = w.Write(responseBody)
 	})
 }
 
 // Client requests grants from ingress nodes. It is safe for concurrent use.
 type Client struct {
-	self   netip.AddrPort
-	ledger Ledger
-	http   *http.Client
+	self       netip.AddrPort
+	ledger     Ledger
+	httpClient *http.Client
 }
 
-// NewClient returns a client for the node with the peer address self, whose own
-// requests are granted by the ledger directly.
+// NewClient returns a client for the node with the peer address self. For
+// requests that entered at this node, the client calls the ledger directly.
 func NewClient(self netip.AddrPort, ledger Ledger, client *http.Client) *Client {
-	return &Client{self: self, ledger: ledger, http: client}
+	return &Client{self: self, ledger: ledger, httpClient: client}
 }
 
 // RequestRetry requests one retry from the request's ingress node. If it returns an
-// error, no valid answer was received: the retry is not granted, but may have
+// error, no valid response was received: the retry is not granted, but may have
 // been spent.
 func (c *Client) RequestRetry(ctx context.Context, ingress netip.AddrPort, request callcontext.RequestID) (bool, error) {
 	token := NewToken()
@@ -136,15 +138,15 @@
 func (c *Client) send(ctx context.Context, ingress netip.AddrPort, message grantRequest) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	body, err := cbor.Marshal(message)
+	requestBody, err := cbor.Marshal(message)
 	if err != nil {
 		return false, err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ingress.String()+Path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+ingress.String()+Path, bytes.NewReader(requestBody))
 	if err != nil {
 		return false, err
 	}
-	response, err := c.http.Do(request)
+	response, err := c.httpClient.Do(request)
 	if err != nil {
 		return false, err
 	}
@@ -152,13 +154,13 @@
 	if response.StatusCode != http.StatusOK {
 		return false, fmt.Errorf("status %d", response.StatusCode)
 	}
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, maxMessageBytes))
 	if err != nil {
 		return false, err
 	}
-	var answer grantResponse
-	if err := cbor.Unmarshal(content, &answer); err != nil {
+	var decoded grantResponse
+	if err := cbor.Unmarshal(responseBody, &decoded); err != nil {
 		return false, err
 	}
-	return answer.Granted, nil
+	return decoded.Granted, nil
 }
--- a/internal/grant/grant_test.go
+++ b/internal/grant/grant_test.go
@@ -16,37 +16,37 @@
 	"github.com/lugspur/lugspur/internal/callcontext"
 )
 
-// budget is a Ledger with one budget for all requests. It spends one retry per
+// testLedger is a Ledger with one budget for all requests. It spends one retry per
 // token.
-type budget struct {
+type testLedger struct {
 	mutex  sync.Mutex
 	left   int
 	tokens map[Token]bool
 }
 
-func newBudget(left int) *budget { return &budget{left: left, tokens: map[Token]bool{}} }
+func newTestLedger(left int) *testLedger { return &testLedger{left: left, tokens: map[Token]bool{}} }
 
-func (b *budget) Grant(_ callcontext.RequestID, token Token) bool {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if b.tokens[token] {
+func (l *testLedger) Grant(_ callcontext.RequestID, token Token) bool {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if l.tokens[token] {
 		return true
 	}
-	if b.left == 0 {
+	if l.left == 0 {
 		return false
 	}
-	b.left--
-	b.tokens[token] = true
+	l.left--
+	l.tokens[token] = true
 	return true
 }
 
-func (b *budget) remaining() int {
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	return b.left
+func (l *testLedger) remaining() int {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	return l.left
 }
 
-// serve starts a server for the ledger. wrap may corrupt its answers.
+// serve starts a server for the ledger. wrap may corrupt its responses.
 func serve(t *testing.T, ledger Ledger, wrap func(http.Handler) http.Handler) netip.AddrPort {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -60,21 +60,21 @@
 
 var selfAddress = netip.MustParseAddrPort("127.0.0.1:1")
 
-func TestRequestFromIngress(t *testing.T) {
-	ledger, own := newBudget(2), newBudget(5)
+func TestRequestRetryFromIngress(t *testing.T) {
+	ledger, ownLedger := newTestLedger(2), newTestLedger(5)
 	ingress := serve(t, ledger, unmodified)
-	client := NewClient(selfAddress, own, http.DefaultClient)
+	client := NewClient(selfAddress, ownLedger, http.DefaultClient)
 	for _, want := range []bool{true, true, false} {
 		granted, err := client.RequestRetry(t.Context(), ingress, callcontext.NewRequestID())
 		assert.NilError(t, err)
 		assert.Equal(t, granted, want)
 	}
-	assert.Equal(t, own.remaining(), 5, "the node's own budget was used")
+	assert.Equal(t, ownLedger.remaining(), 5, "retries were spent from the node's own budget")
 }
 
-func TestRequestFromOwnLedger(t *testing.T) {
-	own := newBudget(1)
-	client := NewClient(selfAddress, own, &http.Client{Transport: noNetwork{t}})
+func TestRequestRetryFromOwnLedger(t *testing.T) {
+	ownLedger := newTestLedger(1)
+	client := NewClient(selfAddress, ownLedger, &http.Client{Transport: noNetwork{t}})
 	for _, want := range []bool{true, false} {
 		granted, err := client.RequestRetry(t.Context(), selfAddress, callcontext.NewRequestID())
 		assert.NilError(t, err)
@@ -89,8 +89,8 @@
 	return nil, http.ErrServerClosed
 }
 
-func TestNoGrantWithoutValidAnswer(t *testing.T) {
-	corruptAnswers := func(corrupt func(http.ResponseWriter, *httptest.ResponseRecorder, *http.Request)) func(http.Handler) http.Handler {
+func TestNoGrantWithoutValidResponse(t *testing.T) {
+	corruptResponses := func(corrupt func(http.ResponseWriter, *httptest.ResponseRecorder, *http.Request)) func(http.Handler) http.Handler {
 		return func(next http.Handler) http.Handler {
 			return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				recorder := httptest.NewRecorder()
@@ -116,19 +116,19 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ledger := newBudget(1)
-			ingress := serve(t, ledger, corruptAnswers(corrupt))
-			client := NewClient(selfAddress, newBudget(1), &http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
+			ledger := newTestLedger(1)
+			ingress := serve(t, ledger, corruptResponses(corrupt))
+			client := NewClient(selfAddress, newTestLedger(1), &http.Client{Transport: &http.Transport{DisableKeepAlives: true}})
 			granted, err := client.RequestRetry(t.Context(), ingress, callcontext.NewRequestID())
 			assert.Assert(t, err != nil && !granted)
 			assert.ErrorContains(t, err, ingress.String())
-			assert.Equal(t, ledger.remaining(), 0, "a lost grant was not spent")
+			assert.Equal(t, ledger.remaining(), 0, "the lost grant was not counted as spent")
 		})
 	}
 }
 
 func TestUnreachableIngress(t *testing.T) {
-	granted, err := NewClient(selfAddress, newBudget(1), http.DefaultClient).
+	granted, err := NewClient(selfAddress, newTestLedger(1), http.DefaultClient).
 		RequestRetry(t.Context(), netip.MustParseAddrPort("127.0.0.1:9"), callcontext.NewRequestID())
 	assert.Assert(t, err != nil && !granted)
 }
@@ -136,7 +136,7 @@
 func TestCanceledContextEndsRequest(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	granted, err := NewClient(selfAddress, newBudget(1), http.DefaultClient).RequestRetry(ctx, serve(t, newBudget(1), unmodified), callcontext.NewRequestID())
+	granted, err := NewClient(selfAddress, newTestLedger(1), http.DefaultClient).RequestRetry(ctx, serve(t, newTestLedger(1), unmodified), callcontext.NewRequestID())
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.Assert(t, !granted)
 }
@@ -164,7 +164,7 @@
 		"short token":   shortToken,
 	} {
 		t.Run(name, func(t *testing.T) {
-			ledger := newBudget(1)
+			ledger := newTestLedger(1)
 			assert.Equal(t, post(ledger, body).Code, http.StatusBadRequest)
 			assert.Equal(t, ledger.remaining(), 1, "a malformed message spent a retry")
 		})
@@ -174,7 +174,7 @@
 func TestRepeatedMessageSpendsOneRetry(t *testing.T) {
 	message, err := cbor.Marshal(grantRequest{Request: callcontext.NewRequestID(), Token: NewToken()})
 	assert.NilError(t, err)
-	ledger := newBudget(2)
+	ledger := newTestLedger(2)
 	first, second := post(ledger, message), post(ledger, message)
 	assert.DeepEqual(t, first.Body.Bytes(), second.Body.Bytes())
 	assert.Equal(t, ledger.remaining(), 1)
@@ -186,12 +186,12 @@
 	f.Add(valid)
 	f.Add([]byte{0x82, 0x40, 0x40})
 	f.Fuzz(func(t *testing.T, body []byte) {
-		recorder := post(newBudget(1), body)
+		recorder := post(newTestLedger(1), body)
 		if recorder.Code == http.StatusBadRequest {
 			return
 		}
-		var answer grantResponse
+		var response grantResponse
 		assert.Equal(t, recorder.Code, http.StatusOK)
-		assert.NilError(t, cbor.Unmarshal(recorder.Body.Bytes(), &answer))
+		assert.NilError(t, cbor.Unmarshal(recorder.Body.Bytes(), &response))
 	})
 }
