--- a/internal/home/home.go
+++ b/internal/home/home.go
@@ -39,15 +39,16 @@
 	Context callcontext.Context
 }
 
-// Reply is a target's answer. Of a large answer only the first part is buffered.
+// Reply is a target's response. Only the first part of a large response is
+// buffered.
 type Reply struct {
 	*transport.Response
-	// Load is the home's load when the answer was received.
+	// Load is the target's load when the home received the response.
 	Load Load
 }
 
-// Load is the load of a target that its home reports to the nodes that forward
-// calls to it.
+// Load is a target's load as its home reports it to the nodes that forward calls
+// to the target.
 type Load struct {
 	InFlight   int
 	Limit      int
@@ -64,7 +65,7 @@
 type Settings struct {
 	// Queue configures the queue of each target.
 	Queue scheduler.Config
-	// MaxBuffered is the size in bytes up to which an answer is fully buffered.
+	// MaxBuffered is the size in bytes up to which a response is fully buffered.
 	MaxBuffered int64
 	// MayServe reports whether this node may act as a home now. It is called
 	// right before a call is sent. Nil means always.
@@ -101,8 +102,9 @@
 }
 
 // Run sends the call to the target as soon as the target's limit allows it.
-// service must be the target's service. If the call fails, the problem reports
-// whether the target may have run it.
+// service must be the target's service; owner reports whether this node is the
+// target's owner according to its own view of the membership. If the call fails,
+// the problem reports whether the target may have run it.
 func (m *Manager) Run(ctx context.Context, service *catalog.Service, target *catalog.Target, owner bool, call *Call) (*Reply, *problem.Problem) {
 	if target.Draining {
 		return nil, problem.New(problem.Draining, problem.ExecutedNo, Step, target.Name, "the target is leaving").
@@ -132,6 +134,7 @@
 
 func (m *Manager) mayServe() bool { return m.settings.MayServe == nil || m.settings.MayServe() }
 
+// refusalProblem returns the problem for a call that the scheduler did not admit.
 func refusalProblem(target *catalog.Target, err error) *problem.Problem {
 	var refusal *scheduler.Refusal
 	if !errors.As(err, &refusal) {
@@ -147,50 +150,50 @@
 
 func (s *targetState) exchange(ctx context.Context, service *catalog.Service, permit *scheduler.Permit, call *Call, now func() time.Time) (*Reply, *problem.Problem) {
 	setTimeout(call.Header, call.Context.Deadline.Sub(now()))
-	answer, err := s.pool.Exchange(ctx, &call.Call)
+	response, err := s.pool.Exchange(ctx, &call.Call)
 	if err != nil {
 		failure := exchangeProblem(ctx, s.target, err)
-		permit.Release(limit.Sample{Outcome: outcomeOf(failure)})
+		permit.Release(limit.Sample{Outcome: failureOutcome(failure)})
 		return nil, failure
 	}
-	s.reportLoadHint(service, answer.Header)
-	if refusal := targetRefusal(service, s.target, answer); refusal != nil {
-		answer.Close()
+	s.reportLoadHint(service, response.Header)
+	if refusal := targetRefusal(service, s.target, response); refusal != nil {
+		response.Close()
 		permit.Release(limit.Sample{Outcome: limit.Overload})
 		return nil, refusal
 	}
-	StripHopHeaders(answer.Header)
-	markProblemUnknown(s.target, answer)
-	if answer.Remainder != nil {
-		answer.Remainder = &permitReleaser{ReadCloser: answer.Remainder, release: permit.Release}
+	StripHopHeaders(response.Header)
+	markProblemUnknown(s.target, response)
+	if response.Remainder != nil {
+		response.Remainder = &permitReleaser{ReadCloser: response.Remainder, release: permit.Release}
 	} else {
 		permit.Release(limit.Sample{Outcome: limit.Success})
 	}
-	return &Reply{Response: answer, Load: s.load(now())}, nil
+	return &Reply{Response: response, Load: s.load(now())}, nil
 }
 
 // markProblemUnknown sets executed to unknown in a problem document that a target
 // passed on from a downstream service. A document that is too large to be parsed
 // is replaced.
-func markProblemUnknown(target *catalog.Target, answer *transport.Response) {
-	if !isProblemType(answer.Header.Get("Content-Type")) {
+func markProblemUnknown(target *catalog.Target, response *transport.Response) {
+	if !isProblemType(response.Header.Get("Content-Type")) {
 		return
 	}
-	if answer.Remainder != nil {
+	if response.Remainder != nil {
 		replacement := problem.New(problem.TargetFailed, problem.ExecutedUnknown, Step, target.Name, "the target's problem document is too large")
-		replacement.Status = answer.Status
-		answer.Close()
-		answer.Remainder = nil
-		answer.Body = replacement.Document()
+		replacement.Status = response.Status
+		response.Close()
+		response.Remainder = nil
+		response.Body = replacement.Document()
 		return
 	}
-	if corrected, changed := problem.MarkExecutionUnknown(answer.Body); changed {
-		answer.Body = corrected
+	if corrected, changed := problem.MarkExecutionUnknown(response.Body); changed {
+		response.Body = corrected
 	}
 }
 
 // isProblemType reports whether the media type is that of problem documents. The
-// prefix comparison avoids parsing the media type of most answers.
+// prefix comparison avoids parsing the media type of most responses.
 func isProblemType(contentType string) bool {
 	contentType = strings.TrimSpace(contentType)
 	length := len(problem.ContentType)
@@ -202,8 +205,8 @@
 }
 
 // setTimeout sets the header that gives the target the remaining time.
-func setTimeout(header http.Header, left time.Duration) {
-	header.Set(callcontext.TimeoutHeader, strconv.FormatInt(max(left.Milliseconds(), 1), 10))
+func setTimeout(header http.Header, remaining time.Duration) {
+	header.Set(callcontext.TimeoutHeader, strconv.FormatInt(max(remaining.Milliseconds(), 1), 10))
 }
 
 // reportLoadHint passes the load that the target reports to the limiter. Reported
@@ -218,19 +221,19 @@
 	}
 }
 
-// targetRefusal returns a problem if the answer is a target's refusal of a call
+// targetRefusal returns a problem if the response is a target's refusal of a call
 // that it has not run. Refusals are marked by the header that is configured for
 // the service.
-func targetRefusal(service *catalog.Service, target *catalog.Target, answer *transport.Response) *problem.Problem {
+func targetRefusal(service *catalog.Service, target *catalog.Target, response *transport.Response) *problem.Problem {
 	name := service.Spec.RefusalHeader
-	if name == "" || answer.Header.Get(name) == "" {
+	if name == "" || response.Header.Get(name) == "" {
 		return nil
 	}
-	if answer.Status != http.StatusServiceUnavailable && answer.Status != http.StatusTooManyRequests {
+	if response.Status != http.StatusServiceUnavailable && response.Status != http.StatusTooManyRequests {
 		return nil
 	}
 	refusal := problem.New(problem.Overloaded, problem.ExecutedNo, Step, target.Name, "refused by the target")
-	seconds, err := strconv.Atoi(answer.Header.Get("Retry-After"))
+	seconds, err := strconv.Atoi(response.Header.Get("Retry-After"))
 	if err != nil || seconds < 1 {
 		seconds = 1
 	}
@@ -260,14 +263,14 @@
 		WithRetryAfter(time.Second).WithCause(err)
 }
 
-func outcomeOf(failure *problem.Problem) limit.Outcome {
+func failureOutcome(failure *problem.Problem) limit.Outcome {
 	if failure.Reason == problem.DeadlineExceeded {
 		return limit.Timeout
 	}
 	return limit.Failure
 }
 
-// permitReleaser releases the permit when the remainder of a large answer is
+// permitReleaser releases the permit when the remainder of a large response is
 // closed.
 type permitReleaser struct {
 	io.ReadCloser
@@ -275,7 +278,7 @@
 	once    sync.Once
 }
 
-// Close closes the answer and releases the permit.
+// Close closes the response and releases the permit.
 func (r *permitReleaser) Close() error {
 	r.once.Do(func() { r.release(limit.Sample{Outcome: limit.Success}) })
 	return r.ReadCloser.Close()
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -32,15 +32,15 @@
 // newTarget serves a target and counts the calls that it receives.
 func newTarget(t *testing.T, slots int, handler http.HandlerFunc) (*catalog.Target, *atomic.Int64) {
 	t.Helper()
-	count := &atomic.Int64{}
+	received := &atomic.Int64{}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		count.Add(1)
+		received.Add(1)
 		handler(w, r)
 	}))
 	t.Cleanup(server.Close)
 	return &catalog.Target{Name: "a-1", Target: resource.Target{
 		Service: "a", Address: strings.TrimPrefix(server.URL, "http://"), Slots: slots, Connections: slots,
-	}}, count
+	}}, received
 }
 
 func respondWith(status int, body string) http.HandlerFunc {
@@ -78,7 +78,7 @@
 	assert.Equal(t, failure.Executed, executed, "%v", failure)
 }
 
-func TestTargetAnswer(t *testing.T) {
+func TestTargetResponse(t *testing.T) {
 	target, _ := newTarget(t, 4, func(w http.ResponseWriter, r *http.Request) {
 		assert.Check(t, r.Header.Get(callcontext.TimeoutHeader) != "")
 		w.Header().Set("X-Own", "1")
@@ -107,7 +107,7 @@
 	assert.Equal(t, count.Load(), int64(0))
 }
 
-func TestRefusalByTheTarget(t *testing.T) {
+func TestTargetRefusal(t *testing.T) {
 	refusing := &catalog.Service{Name: "a", Spec: resource.Service{RefusalHeader: "Target-Shed"}}
 	for name, c := range map[string]struct {
 		service    *catalog.Service
@@ -175,8 +175,8 @@
 	}
 }
 
-func TestFailuresOfTheTarget(t *testing.T) {
-	cut := func(w http.ResponseWriter, _ *http.Request) {
+func TestTargetFailures(t *testing.T) {
+	truncate := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = io.WriteString(w, "part")
 		_ = http.NewResponseController(w).Flush()
@@ -187,7 +187,7 @@
 		reason   problem.Reason
 		executed problem.Executed
 	}{
-		"cut":      {cut, problem.IncompleteAnswer, problem.ExecutedUnknown},
+		"cut":      {truncate, problem.IncompleteAnswer, problem.ExecutedUnknown},
 		"reset":    {func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, problem.TargetFailed, problem.ExecutedUnknown},
 		"too late": {func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, problem.DeadlineExceeded, problem.ExecutedUnknown},
 	} {
--- a/internal/home/peer.go
+++ b/internal/home/peer.go
@@ -23,17 +23,17 @@
 const (
 	// PathPrefix starts the path of forwarded calls.
 	PathPrefix = "/peer/call/"
-	// LoadHeader carries the home's load in every answer from a home. An answer
-	// without it was not sent by a home.
+	// LoadHeader carries the target's load in every response of a home. A
+	// response without it was not sent by a home.
 	LoadHeader = "Lugspur-Home-Load"
-	// ResultHeader distinguishes a target's answer from a problem of the home.
+	// ResultHeader distinguishes a target's response from a problem of the home.
 	ResultHeader = "Lugspur-Home-Result"
 	// ProblemHeader carries the home's problem document in base64, because an
-	// answer to HEAD has no body.
+	// response to HEAD has no body.
 	ProblemHeader = "Lugspur-Home-Problem"
 
-	resultAnswer  = "answer"
-	resultProblem = "problem"
+	resultTargetResponse = "answer"
+	resultProblem        = "problem"
 )
 
 // String returns the value of LoadHeader: calls in flight, limit, calls queued,
@@ -68,16 +68,17 @@
 	}, nil
 }
 
-// WriteReply answers a forwarded call with the target's answer. If the answer is
-// truncated, the connection is aborted so that the forwarding node detects it.
+// WriteReply responds to a forwarded call with the target's response. If that
+// response is truncated, the connection is aborted so that the forwarding node
+// detects it.
 func WriteReply(w http.ResponseWriter, reply *Reply, deadline time.Time) {
 	defer reply.Close()
-	w.Header().Set(ResultHeader, resultAnswer)
+	w.Header().Set(ResultHeader, resultTargetResponse)
 	w.Header().Set(LoadHeader, reply.Load.String())
 	reply.WriteTo(w, deadline)
 }
 
-// WriteProblem answers a forwarded call with a problem of the home.
+// WriteProblem responds to a forwarded call with a problem of the home.
 func WriteProblem(w http.ResponseWriter, load Load, failure *problem.Problem) {
 	w.Header().Set(ResultHeader, resultProblem)
 	w.Header().Set(LoadHeader, load.String())
@@ -104,7 +105,7 @@
 	pools map[string]*transport.Pool
 }
 
-// NewClient returns a client that fully buffers answers of up to maxBuffered
+// NewClient returns a client that fully buffers responses of up to maxBuffered
 // bytes.
 func NewClient(maxBuffered int64) *Client {
 	return &Client{maxBuffered: maxBuffered, pools: map[string]*transport.Pool{}}
@@ -148,30 +149,30 @@
 	}
 	forwarded := call.Call
 	forwarded.RequestURI = PathPrefix + target + call.RequestURI
-	answer, err := c.pool(peer).Exchange(ctx, &forwarded)
+	response, err := c.pool(peer).Exchange(ctx, &forwarded)
 	if err != nil {
 		return nil, forwardingProblem(ctx, peer, err)
 	}
-	load, err := parseLoad(answer.Header.Get(LoadHeader))
+	load, err := parseLoad(response.Header.Get(LoadHeader))
 	if err != nil {
-		answer.Close()
+		response.Close()
 		return nil, problem.New(problem.TargetFailed, problem.ExecutedUnknown, "forward", peer, err.Error()).
 			WithRetryAfter(time.Second)
 	}
-	return parseReply(peer, load, answer)
+	return parseReply(peer, load, response)
 }
 
-func parseReply(peer string, load Load, answer *transport.Response) (*Reply, *problem.Problem) {
-	result := answer.Header.Get(ResultHeader)
-	document := answer.Header.Get(ProblemHeader)
+func parseReply(peer string, load Load, response *transport.Response) (*Reply, *problem.Problem) {
+	result := response.Header.Get(ResultHeader)
+	document := response.Header.Get(ProblemHeader)
 	for _, name := range []string{ResultHeader, LoadHeader, ProblemHeader} {
-		answer.Header.Del(name)
+		response.Header.Del(name)
 	}
-	reply := &Reply{Response: answer, Load: load}
-	if result == resultAnswer {
+	reply := &Reply{Response: response, Load: load}
+	if result == resultTargetResponse {
 		return reply, nil
 	}
-	defer answer.Close()
+	defer response.Close()
 	failure, err := parseProblem(document)
 	if err != nil {
 		failure = problem.New(problem.TargetFailed, problem.ExecutedUnknown, "forward", peer, err.Error())
@@ -205,12 +206,12 @@
 		WithRetryAfter(time.Second).WithCause(err)
 }
 
-// serverBufferBytes is the size up to which net/http buffers an answer, so that
+// serverBufferBytes is the size up to which net/http buffers a response, so that
 // writing it doesn't wait for the client to read.
 const serverBufferBytes = 2 << 10
 
-// WriteTo writes the answer. The connection is aborted if the remainder of a
-// large answer is truncated or can't be written before the deadline.
+// WriteTo writes the response. The connection is aborted if the remainder of a
+// large response is truncated or can't be written before the deadline.
 func (r *Reply) WriteTo(w http.ResponseWriter, deadline time.Time) {
 	header := w.Header()
 	for name, values := range r.Header {
@@ -221,9 +222,9 @@
 	}
 	if r.Remainder != nil || len(r.Body) > serverBufferBytes {
 		// If setting the deadline fails, the server's own write timeout applies.
-		control := http.NewResponseController(w)
-		_ = control.SetWriteDeadline(deadline)
-		defer func() { _ = control.SetWriteDeadline(time.Time{}) }()
+		controller := http.NewResponseController(w)
+		_ = controller.SetWriteDeadline(deadline)
+		defer func() { _ = controller.SetWriteDeadline(time.Time{}) }()
 	}
 	w.WriteHeader(r.Status)
 	_, err := w.Write(r.Body)
@@ -246,12 +247,12 @@
 			header.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range strippedHeaders {
 		header.Del(name)
 	}
 }
 
-var hopHeaders = []string{
+var strippedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	problem.ExecutedHeader, LoadHeader, ResultHeader, ProblemHeader, callcontext.TimeoutHeader,
--- a/internal/home/peer_test.go
+++ b/internal/home/peer_test.go
@@ -66,7 +66,7 @@
 	assert.Equal(t, reply.Header.Get(LoadHeader)+reply.Header.Get(ResultHeader), "")
 }
 
-func TestProblemsOfTheHome(t *testing.T) {
+func TestHomeProblems(t *testing.T) {
 	refusal := problem.New(problem.Overloaded, problem.ExecutedNo, Step, "a-1", "queue-full").WithRetryAfter(3 * time.Second)
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodHead} {
 		t.Run(method, func(t *testing.T) {
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestAnswersNotFromAHome(t *testing.T) {
+func TestResponsesNotSentByHome(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
 		"not a home":     respondWith(200, "hello"),
 		"not found":      http.NotFound,
@@ -125,7 +125,7 @@
 	<-canceled
 }
 
-func TestTruncatedLargeForwardedAnswer(t *testing.T) {
+func TestTruncatedLargeForwardedResponse(t *testing.T) {
 	target, _ := newTarget(t, 1, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100000")
 		_, _ = io.WriteString(w, strings.Repeat("x", 5*maxBuffered))
@@ -140,7 +140,7 @@
 	assert.Assert(t, failure == nil, "%v", failure)
 	_, err := io.Copy(io.Discard, reply.Remainder)
 	reply.Close()
-	assert.Assert(t, err != nil, "the truncated answer was read without an error")
+	assert.Assert(t, err != nil, "the truncated response was read without an error")
 	eventually(t, "permit released", func() bool { return m.InFlight() == 0 })
 }
 
@@ -158,7 +158,7 @@
 
 func TestStripHopHeaders(t *testing.T) {
 	header := http.Header{"Connection": {"X-One, keep-alive"}, "X-One": {"1"}, "X-Two": {"2"}, "Te": {"trailers"}}
-	for _, name := range hopHeaders {
+	for _, name := range strippedHeaders {
 		header.Set(name, header.Get(name)+"x")
 	}
 	header["Connection"] = []string{"X-One, keep-alive"}
--- a/internal/home/targetstate.go
+++ b/internal/home/targetstate.go
@@ -89,14 +89,14 @@
 
 // withTarget returns the state for a new version of the target's object.
 func (s *targetState) withTarget(target *catalog.Target, owner bool) *targetState {
-	next := *s
-	next.target = target
-	next.owner = owner
+	updated := *s
+	updated.target = target
+	updated.owner = owner
 	if ceiling := ceilingOf(target, owner); ceiling != s.limiter.Ceiling() {
 		s.limiter.SetCeiling(ceiling)
 		s.scheduler.Wake()
 	}
-	return &next
+	return &updated
 }
 
 // shouldShed reports whether a call of the rank is refused without queueing:
--- a/internal/home/targetstate_test.go
+++ b/internal/home/targetstate_test.go
@@ -20,7 +20,7 @@
 	"github.com/lugspur/lugspur/internal/scheduler"
 )
 
-func TestPermitReleasedAfterTruncatedLargeAnswer(t *testing.T) {
+func TestPermitReleasedAfterTruncatedLargeResponse(t *testing.T) {
 	target, _ := newTarget(t, 1, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100000")
 		_, _ = io.WriteString(w, strings.Repeat("x", 5*maxBuffered))
@@ -30,7 +30,7 @@
 	for range 3 {
 		reply, failure := m.Run(t.Context(), service, target, true, newCall())
 		assert.Assert(t, failure == nil, "%v", failure)
-		assert.Equal(t, m.InFlight(), 1, "the permit of an incomplete answer was released")
+		assert.Equal(t, m.InFlight(), 1, "the permit of an incomplete response was released")
 		func() {
 			defer func() {
 				assert.Equal(t, recover(), http.ErrAbortHandler, "the connection to the caller is not aborted")
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestReportedLoadCanOnlyLowerTheLimit(t *testing.T) {
+func TestReportedLoadOnlyLowersLimit(t *testing.T) {
 	reporting := &catalog.Service{Name: "a", Spec: resource.Service{LoadHeader: "Target-Load"}}
 	for reported, lowered := range map[string]bool{"": false, "0": false, "0.1": false, "-3": false, "much": false, "NaN": false, "+Inf": false, "100": true} {
 		t.Run(reported, func(t *testing.T) {
@@ -77,7 +77,7 @@
 	}
 }
 
-// newBlockingTarget serves a target that answers once the returned channel is
+// newBlockingTarget serves a target that responds once the returned channel is
 // closed.
 func newBlockingTarget(t *testing.T, slots int) (*catalog.Target, *atomic.Int64, chan struct{}) {
 	release := make(chan struct{})
@@ -95,7 +95,7 @@
 	failure *problem.Problem
 }
 
-func start(m *Manager, target *catalog.Target, call *Call) <-chan result {
+func startCall(m *Manager, target *catalog.Target, call *Call) <-chan result {
 	results := make(chan result, 1)
 	go func() {
 		reply, failure := m.Run(context.Background(), service, target, true, call)
@@ -107,28 +107,28 @@
 func TestResetRefusesQueuedCallsOnly(t *testing.T) {
 	target, count, release := newBlockingTarget(t, 1)
 	m := newManager(Settings{Queue: scheduler.Config{MaxWait: 10 * time.Second}})
-	running := start(m, target, newCall())
+	running := startCall(m, target, newCall())
 	eventually(t, "call at the target", func() bool { return count.Load() == 1 })
-	waiting := start(m, target, newCall())
+	queued := startCall(m, target, newCall())
 	eventually(t, "call in the queue", func() bool { return m.LoadOf("a-1").Queued == 1 })
 	m.Reset()
-	assertProblem(t, (<-waiting).failure, problem.NoTarget, problem.ExecutedNo)
+	assertProblem(t, (<-queued).failure, problem.NoTarget, problem.ExecutedNo)
 	assert.Equal(t, len(m.Loads()), 0)
 	close(release)
 	got := <-running
 	assert.Assert(t, got.failure == nil, "a call in flight failed: %v", got.failure)
 }
 
-func TestMoreImportantCallsGoFirst(t *testing.T) {
+func TestMoreCriticalCallReplacesQueuedCall(t *testing.T) {
 	target, count, release := newBlockingTarget(t, 1)
 	m := newManager(Settings{Queue: scheduler.Config{MaxQueue: 1, MaxWait: 10 * time.Second}})
-	first := start(m, target, newCall())
+	first := startCall(m, target, newCall())
 	eventually(t, "call at the target", func() bool { return count.Load() == 1 })
 	low, high := newCall(), newCall()
 	low.Context.Rank, high.Context.Rank = criticality.Lowest, criticality.Rank{}
-	lowResult := start(m, target, low)
+	lowResult := startCall(m, target, low)
 	eventually(t, "call in the queue", func() bool { return m.LoadOf("a-1").Queued == 1 })
-	highResult := start(m, target, high)
+	highResult := startCall(m, target, high)
 	evicted := (<-lowResult).failure
 	assertProblem(t, evicted, problem.Overloaded, problem.ExecutedNo)
 	assert.Assert(t, evicted.RetryAfterSeconds > 0)
@@ -141,7 +141,7 @@
 	target, count, release := newBlockingTarget(t, 1)
 	defer close(release)
 	m := newManager(Settings{Queue: scheduler.Config{MaxWait: 10 * time.Second}})
-	_ = start(m, target, newCall())
+	_ = startCall(m, target, newCall())
 	eventually(t, "call at the target", func() bool { return count.Load() == 1 })
 	ctx, cancel := context.WithCancel(t.Context())
 	results := make(chan result, 1)
