--- a/internal/claim/bootstrap.go
+++ b/internal/claim/bootstrap.go
@@ -27,7 +27,7 @@
 	if now.Sub(m.started) < m.config.SettleTime {
 		return nil
 	}
-	members := m.planGenesis(now)
+	members := m.genesisMembers(now)
 	if members == nil {
 		return nil
 	}
@@ -38,17 +38,17 @@
 	return m.writeRoster(ctx, 0, genesis, ChangeGenesis)
 }
 
-// planGenesis returns the members of the first roster, or nil while there are
+// genesisMembers returns the members of the first roster, or nil while there are
 // too few nodes. After genesisGracePeriod it accepts a smaller roster of at
 // least minimumGenesisSize, which is better than none.
-func (m *Manager) planGenesis(now time.Time) []Member {
+func (m *Manager) genesisMembers(now time.Time) []Member {
 	view := View{Self: m.self, Nodes: m.config.Members.Members()}
 	members := PlanGenesis(view, m.config.Size)
 	if members != nil || now.Sub(m.started) < m.config.SettleTime+genesisGracePeriod {
 		return members
 	}
 	alive := len(view.aliveMembers())
-	size := min(alive-1+alive%2, m.config.Size)
+	size := min(alive-1+alive%2, m.config.Size) // largest odd size with enough nodes
 	if size < minimumGenesisSize {
 		return nil
 	}
@@ -56,7 +56,7 @@
 }
 
 // rank returns the node's position among the live nodes in a pseudorandom order
-// that depends on the epoch.
+// that depends on the epoch. It is at most maximumRank.
 func (m *Manager) rank(epoch uint64) int {
 	type rankedNode struct {
 		name string
@@ -71,13 +71,14 @@
 	slices.SortFunc(ranked, func(a, b rankedNode) int {
 		return cmp.Or(cmp.Compare(a.hash, b.hash), cmp.Compare(a.name, b.name))
 	})
-	rank := slices.IndexFunc(ranked, func(p rankedNode) bool { return p.name == m.self.Name })
+	rank := slices.IndexFunc(ranked, func(n rankedNode) bool { return n.name == m.self.Name })
 	if rank < 0 {
 		return maximumRank
 	}
 	return min(rank, maximumRank)
 }
 
+// rankHash returns the value by which rank orders the nodes.
 func rankHash(name string, epoch uint64) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(strconv.FormatUint(epoch, 10)))
@@ -88,7 +89,7 @@
 // copyClaims fetches pages from all voters concurrently while the node is
 // joining. A source that failed is retried in the next reconciliation.
 func (m *Manager) copyClaims(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	for range maximumPageRounds {
 		requests := m.config.Service.pageRequests()
--- a/internal/claim/claimer.go
+++ b/internal/claim/claimer.go
@@ -20,8 +20,8 @@
 	DefaultMaximumClaims = 1024
 
 	// maximumRestarts limits how often one claim restarts with a newer roster.
-	maximumRestarts = 2
-	releaseTries    = 2
+	maximumRestarts     = 2
+	maximumReleaseTries = 2
 
 	// maximumSplitRetries limits how often a claim is retried after a split
 	// vote.
@@ -79,10 +79,9 @@
 
 	baseContext context.Context
 	cancel      context.CancelFunc
-	mutex       sync.Mutex // guards closed against running.Add
+	mutex       sync.Mutex // protects closed; once it is set, no goroutine is added
 	closed      bool
-	// running counts the goroutines.
-	running sync.WaitGroup
+	goroutines  sync.WaitGroup
 }
 
 // NewClaimer returns a claimer. The caller must call Close.
@@ -109,17 +108,18 @@
 	c.closed = true
 	c.mutex.Unlock()
 	c.cancel()
-	c.running.Wait()
+	c.goroutines.Wait()
 }
 
-// start runs a function in a goroutine unless the claimer is closed.
+// start runs a function in a goroutine and returns true, or returns false if the
+// claimer is closed.
 func (c *Claimer) start(run func()) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.closed {
 		return false
 	}
-	c.running.Go(run)
+	c.goroutines.Go(run)
 	return true
 }
 
@@ -183,8 +183,8 @@
 	return decision, decision.Outcome == Held && granted > 0, collector.cause()
 }
 
-// splitBackoff returns a random delay that grows with each round, so that one
-// of the competing attempts is sent before the others.
+// splitBackoff returns a random delay that grows with each round, so that the
+// competing attempts are sent at different times and one can get a majority.
 func splitBackoff(round int) time.Duration {
 	return time.Duration(round) * (minimumSplitBackoff + rand.N(splitBackoffJitter))
 }
@@ -206,7 +206,7 @@
 		c.service.handleRelease(req)
 		return
 	}
-	for range releaseTries {
+	for range maximumReleaseTries {
 		ctx, cancel := context.WithTimeout(c.baseContext, c.timeout)
 		_, err := exchange[Response](ctx, c.client, voter.Address, PathRelease, req)
 		cancel()
--- a/internal/claim/client.go
+++ b/internal/claim/client.go
@@ -9,15 +9,15 @@
 	"github.com/samber/oops"
 )
 
-// exchange sends a message to a peer and returns the decoded answer.
-func exchange[A, Q message](ctx context.Context, client *http.Client, peer, path string, outgoing Q) (A, error) {
-	var zero A
+// exchange sends a message to a peer and returns the decoded response.
+func exchange[Resp, Req message](ctx context.Context, client *http.Client, peer, path string, outgoing Req) (Resp, error) {
+	var zero Resp
 	errorBuilder := oops.In("claim").With("step", path).With("peer", peer)
-	body, err := encode(outgoing)
+	requestBody, err := encode(outgoing)
 	if err != nil {
 		return zero, err
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+peer+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+peer+path, bytes.NewReader(requestBody))
 	if err != nil {
 		return zero, errorBuilder.Wrap(err)
 	}
@@ -27,12 +27,12 @@
 		return zero, errorBuilder.Wrap(err)
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(response.Body, MaximumMessageBytes+1))
+	responseBody, err := io.ReadAll(io.LimitReader(response.Body, MaximumMessageBytes+1))
 	if err != nil {
 		return zero, errorBuilder.Wrap(err)
 	}
 	if response.StatusCode != http.StatusOK {
 		return zero, errorBuilder.Errorf("peer returned status %d", response.StatusCode)
 	}
-	return decode[A](answer)
+	return decode[Resp](responseBody)
 }
--- a/internal/claim/cluster_roster_test.go
+++ b/internal/claim/cluster_roster_test.go
@@ -2,47 +2,47 @@
 
 // propose plans a change based on the roster in the store. commit writes it
 // later, when the stored roster may have changed.
-func (c *cluster) propose(m *machine, v View) {
-	if !c.storeUp || m.partitioned {
+func (c *simCluster) propose(node *simNode, v View) {
+	if !c.storeUp || node.partitioned {
 		return
 	}
-	c.adopt(m, *c.roster)
-	v.ReadyEpoch, _ = m.replica.Ready()
+	c.adopt(node, *c.roster)
+	v.ReadyEpoch, _ = node.replica.Ready()
 	if next, change := Plan(*c.roster, v); change != ChangeNone {
-		m.proposal = &next
+		node.proposal = &next
 	}
 }
 
-func (c *cluster) commit(m *machine) {
-	if m.proposal == nil || !c.storeUp || m.partitioned {
+func (c *simCluster) commit(node *simNode) {
+	if node.proposal == nil || !c.storeUp || node.partitioned {
 		return
 	}
-	if m.proposal.Epoch == c.roster.Epoch+1 {
-		if c.roster.joiningSeatOf(c.self(m)) != nil && m.proposal.seatOf(c.self(m)) != nil {
+	if node.proposal.Epoch == c.roster.Epoch+1 {
+		if c.roster.joiningSeatOf(c.self(node)) != nil && node.proposal.seatOf(c.self(node)) != nil {
 			c.activations++
 		}
-		c.roster = m.proposal
-		c.adopt(m, *c.roster)
+		c.roster = node.proposal
+		c.adopt(node, *c.roster)
 	}
-	m.proposal = nil
+	node.proposal = nil
 }
 
-func (c *cluster) sendPageRequests(i int) {
-	for _, req := range c.machines[i].replica.PageRequests() {
+func (c *simCluster) sendPageRequests(i int) {
+	for _, req := range c.nodes[i].replica.PageRequests() {
 		c.send(i, c.indexOf(req.Member.Address), req.Request)
 	}
 }
 
-func (c *cluster) adopt(m *machine, r Roster) {
-	if !m.replica.Adopt(r, c.clock(m)) {
+func (c *simCluster) adopt(node *simNode, r Roster) {
+	if !node.replica.Adopt(r, c.clock(node)) {
 		return
 	}
-	if c.brokenRule == breachNoWait {
-		m.replica.founderSince = m.replica.founderSince.Add(-2 * simRetention)
+	if c.mutation == mutationSkipWait {
+		node.replica.founderSince = node.replica.founderSince.Add(-2 * simRetention)
 	}
-	if c.brokenRule == breachNoCopy && m.replica.copying != nil {
-		for _, s := range m.replica.copying.sources {
-			m.replica.ReceivePage(Page{From: s.member.Identity, Epoch: r.Epoch, Last: true}, c.clock(m))
+	if c.mutation == mutationSkipCopy && node.replica.copying != nil {
+		for _, s := range node.replica.copying.sources {
+			node.replica.ReceivePage(Page{From: s.member.Identity, Epoch: r.Epoch, Last: true}, c.clock(node))
 		}
 	}
 }
--- a/internal/claim/cluster_test.go
+++ b/internal/claim/cluster_test.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// breach selects the rule of the algorithm that a simulated cluster violates.
-type breach int
+// mutation selects the rule of the algorithm that a simulated cluster violates,
+// so that tests can check that the simulation detects the violation.
+type mutation int
 
 const (
-	breachNone breach = iota
-	breachFreshVotes
-	breachEpochIgnored
-	breachNoCopy
-	breachNoWait
-	breachFalseLostReport
-	breachReleaseRunning
-	breachLateGrants
-	breachUnverifiedIdentity
-	breachEvictsWhenFull
+	mutationNone mutation = iota
+	mutationVoteAfterRestart
+	mutationIgnoreEpoch
+	mutationSkipCopy
+	mutationSkipWait
+	mutationFalseLostReport
+	mutationReleaseRunning
+	mutationCountLateGrants
+	mutationIgnoreIdentity
+	mutationEvictWhenFull
 )
 
 const (
@@ -48,131 +49,131 @@
 	attempt     *simAttempt
 }
 
-type machine struct {
+type simNode struct {
 	name        string
 	boot        BootID
 	rate        float64 // clock rate
 	paused      bool
-	partitioned bool // reaches only other partitioned machines and not the store
+	partitioned bool // reaches only other partitioned nodes and not the store
 	replica     *Replica
 	calls       []*simCall
 	proposal    *Roster
 }
 
-// cluster is a simulated cluster with simulated time and network. choose returns
-// a number below its argument and makes every nondeterministic decision.
-type cluster struct {
-	choose     func(n int) int
-	brokenRule breach
-	profile    faultProfile
-	start      time.Time
-	now        time.Time
-	machines   []*machine
-	roster     *Roster // in the store
-	storeUp    bool
-	network    []packet
-	keys       []simKey
-	attempts   []*simAttempt
-	serial     uint64
-	violation  string
-	granted    int
+// simCluster is a cluster with simulated time and network. choose returns a number
+// below its argument and makes every nondeterministic decision.
+type simCluster struct {
+	choose    func(n int) int
+	mutation  mutation
+	profile   faultProfile
+	start     time.Time
+	now       time.Time
+	nodes     []*simNode
+	roster    *Roster // in the store
+	storeUp   bool
+	network   []packet
+	keys      []simKey
+	attempts  []*simAttempt
+	serial    uint64
+	violation string
+	granted   int
 	// activations counts replicas that joined.
 	activations int
 }
 
-func newCluster(machines, seats int, rule breach, profile faultProfile, choose func(int) int) *cluster {
+func newSimCluster(nodes, seats int, mutation mutation, profile faultProfile, choose func(int) int) *simCluster {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	c := &cluster{choose: choose, brokenRule: rule, profile: profile, start: start, now: start, storeUp: true}
-	for i := range machines {
-		m := &machine{name: fmt.Sprintf("n%d", i), rate: 1 + 0.01*float64(i%3-1)}
-		c.machines = append(c.machines, m)
-		c.boot(m)
+	c := &simCluster{choose: choose, mutation: mutation, profile: profile, start: start, now: start, storeUp: true}
+	for i := range nodes {
+		node := &simNode{name: fmt.Sprintf("n%d", i), rate: 1 + 0.01*float64(i%3-1)}
+		c.nodes = append(c.nodes, node)
+		c.boot(node)
 	}
-	genesis, err := NewGenesis(simRetention, PlanGenesis(c.view(c.machines[0]), seats))
+	genesis, err := NewGenesis(simRetention, PlanGenesis(c.view(c.nodes[0]), seats))
 	if err != nil {
 		panic(err)
 	}
 	c.roster = &genesis
-	for _, m := range c.machines {
-		m.replica.Adopt(genesis, c.clock(m))
+	for _, node := range c.nodes {
+		node.replica.Adopt(genesis, c.clock(node))
 	}
 	return c
 }
 
-func (c *cluster) uniqueID() (id [16]byte) {
+func (c *simCluster) uniqueID() (id [16]byte) {
 	c.serial++
 	copy(id[:], fmt.Sprintf("%016d", c.serial))
 	return id
 }
 
-func (c *cluster) clock(m *machine) time.Time {
-	return c.start.Add(time.Duration(float64(c.now.Sub(c.start)) * m.rate))
+func (c *simCluster) clock(node *simNode) time.Time {
+	return c.start.Add(time.Duration(float64(c.now.Sub(c.start)) * node.rate))
 }
 
-func (c *cluster) self(m *machine) Identity { return Identity{Name: m.name, Boot: m.boot} }
+func (c *simCluster) self(node *simNode) Identity { return Identity{Name: node.name, Boot: node.boot} }
 
-func (c *cluster) boot(m *machine) {
+func (c *simCluster) boot(node *simNode) {
 	var roster *Roster
-	if c.brokenRule == breachFreshVotes && m.replica != nil {
-		roster = m.replica.roster
+	if c.mutation == mutationVoteAfterRestart && node.replica != nil {
+		roster = node.replica.roster
 	} else {
-		m.boot = c.uniqueID()
+		node.boot = c.uniqueID()
 	}
-	m.replica = NewReplica(c.self(m), c.profile.capacity)
-	m.calls, m.proposal, m.paused = nil, nil, false
+	node.replica = NewReplica(c.self(node), c.profile.capacity)
+	node.calls, node.proposal, node.paused = nil, nil, false
 	if roster != nil {
-		m.replica.Adopt(*roster, c.clock(m))
-		m.replica.copied = true
+		node.replica.Adopt(*roster, c.clock(node))
+		node.replica.copied = true
 	}
 }
 
-func (c *cluster) view(m *machine) View {
-	v := View{Self: c.self(m)}
-	if m.replica != nil {
-		v.ReadyEpoch, _ = m.replica.Ready()
+func (c *simCluster) view(node *simNode) View {
+	v := View{Self: c.self(node)}
+	if node.replica != nil {
+		v.ReadyEpoch, _ = node.replica.Ready()
 	}
-	for i, other := range c.machines {
+	for i, other := range c.nodes {
 		v.Nodes = append(v.Nodes, Node{Name: other.name, BootID: other.boot, Zone: fmt.Sprintf("z%d", i%3), PeerAddress: other.name, Alive: true})
 	}
 	return v
 }
 
-func (c *cluster) indexOf(address string) int {
-	for i, m := range c.machines {
-		if m.name == address {
+func (c *simCluster) indexOf(address string) int {
+	for i, node := range c.nodes {
+		if node.name == address {
 			return i
 		}
 	}
 	panic("unknown address " + address)
 }
 
-func (c *cluster) send(from, to int, body any) {
+func (c *simCluster) send(from, to int, body any) {
 	c.network = append(c.network, packet{to: to, from: from, body: body})
 }
 
-// call sends a call with the key to a machine. The caller must respect the key's
+// call sends a call with the key to a node. The caller must respect the key's
 // lifetime.
-func (c *cluster) call(i int, key simKey) *simAttempt {
-	m := c.machines[i]
-	roster, ok := m.replica.Roster()
+func (c *simCluster) call(i int, key simKey) *simAttempt {
+	node := c.nodes[i]
+	roster, ok := node.replica.Roster()
 	if !ok {
 		return nil
 	}
 	attempt := &simAttempt{id: c.uniqueID(), key: key.hash}
-	call := &simCall{coordinator: NewCoordinator(roster, key.hash, attempt.id, c.clock(m)), attempt: attempt}
-	m.calls = append(m.calls, call)
+	call := &simCall{coordinator: NewCoordinator(roster, key.hash, attempt.id, c.clock(node)), attempt: attempt}
+	node.calls = append(node.calls, call)
 	c.attempts = append(c.attempts, attempt)
 	c.sendRequests(i, call)
 	return attempt
 }
 
-func (c *cluster) sendRequests(i int, call *simCall) {
+func (c *simCluster) sendRequests(i int, call *simCall) {
 	for _, voter := range call.coordinator.Voters() {
 		c.send(i, c.indexOf(voter.Address), call.coordinator.Request(voter.Identity))
 	}
 }
 
-func (c *cluster) release(i int, call *simCall) {
+func (c *simCluster) release(i int, call *simCall) {
 	for _, voter := range call.coordinator.Voters() {
 		c.send(i, c.indexOf(voter.Address), ReleaseRequest{To: voter.Identity, Key: call.attempt.key, Attempt: call.attempt.id})
 	}
@@ -180,7 +181,7 @@
 
 // recordOutcome records a call's outcome, checks the invariants and releases the
 // claim of an attempt that will never run.
-func (c *cluster) recordOutcome(i int, call *simCall, outcome Outcome) {
+func (c *simCluster) recordOutcome(i int, call *simCall, outcome Outcome) {
 	a := call.attempt
 	if outcome == Pending || a.cancelled {
 		return
@@ -198,7 +199,7 @@
 		return
 	}
 	c.granted++
-	if c.brokenRule == breachReleaseRunning {
+	if c.mutation == mutationReleaseRunning {
 		c.release(i, call)
 	}
 	for _, other := range c.attempts {
@@ -208,54 +209,54 @@
 	}
 }
 
-func (c *cluster) deliver(p packet) {
-	m := c.machines[p.to]
-	now := c.clock(m)
+func (c *simCluster) deliver(p packet) {
+	node := c.nodes[p.to]
+	now := c.clock(node)
 	switch body := p.body.(type) {
 	case Request:
-		c.send(p.to, p.from, c.handle(m, body, now))
+		c.send(p.to, p.from, c.handle(node, body, now))
 	case Response:
-		c.respond(p, m, body, now)
+		c.respond(p, node, body, now)
 	case ReleaseRequest:
-		m.replica.Release(body, now)
+		node.replica.Release(body, now)
 	case PageRequest:
-		c.send(p.to, p.from, m.replica.Page(body, now))
+		c.send(p.to, p.from, node.replica.Page(body, now))
 	case Page:
-		m.replica.ReceivePage(body, now)
+		node.replica.ReceivePage(body, now)
 	}
 }
 
-func (c *cluster) handle(m *machine, req Request, now time.Time) Response {
+func (c *simCluster) handle(node *simNode, req Request, now time.Time) Response {
 	original := req
-	if adopted, ok := m.replica.Roster(); ok && c.brokenRule == breachEpochIgnored {
+	if adopted, ok := node.replica.Roster(); ok && c.mutation == mutationIgnoreEpoch {
 		req.Epoch = adopted.Epoch
 	}
-	if c.brokenRule == breachUnverifiedIdentity {
-		if req.To != c.self(m) && m.replica.roster != nil {
-			answer := m.replica.grant(req.Key, req.Attempt, now)
+	if c.mutation == mutationIgnoreIdentity {
+		if req.To != c.self(node) && node.replica.roster != nil {
+			answer := node.replica.grant(req.Key, req.Attempt, now)
 			return Response{From: original.To, Epoch: original.Epoch, Key: req.Key, Attempt: req.Attempt, Answer: answer}
 		}
 	}
-	response := m.replica.Handle(req, now)
-	if c.brokenRule == breachEvictsWhenFull && response.Answer == AnswerFull {
-		m.replica.claims = newTable(c.profile.capacity)
-		response = m.replica.Handle(req, now)
+	response := node.replica.Handle(req, now)
+	if c.mutation == mutationEvictWhenFull && response.Answer == AnswerFull {
+		node.replica.claims = newTable(c.profile.capacity)
+		response = node.replica.Handle(req, now)
 	}
 	response.Epoch = original.Epoch
 	return response
 }
 
-func (c *cluster) respond(p packet, m *machine, response Response, now time.Time) {
-	for _, call := range m.calls {
+func (c *simCluster) respond(p packet, node *simNode, response Response, now time.Time) {
+	for _, call := range node.calls {
 		if call.attempt.id != response.Attempt {
 			continue
 		}
-		if c.brokenRule == breachLateGrants {
+		if c.mutation == mutationCountLateGrants {
 			call.coordinator.received = now
 		}
 		switch {
 		case response.Answer == AnswerStale && response.Roster != nil && call.coordinator.Restart(*response.Roster):
-			c.adopt(m, *response.Roster)
+			c.adopt(node, *response.Roster)
 			c.sendRequests(p.to, call)
 		case response.Answer == AnswerBehind && response.Epoch == call.coordinator.Epoch() && call.attempt.outcome == Pending:
 			request := call.coordinator.Request(response.From)
--- a/internal/claim/manager.go
+++ b/internal/claim/manager.go
@@ -29,12 +29,20 @@
 	// than configured.
 	minimumGenesisSize = 3
 
-	storeTimeout      = 5 * time.Second
-	maximumBackoff    = 30 * time.Second
-	joinTimeout       = 30 * time.Second
-	refreshInterval   = 30 * time.Second
-	maximumRank       = 30
-	refreshRanks      = 3
+	// operationTimeout applies to a store operation and to the copying of claims
+	// in one reconciliation.
+	operationTimeout = 5 * time.Second
+	maximumBackoff   = 30 * time.Second
+	// joinTimeout is the time after which a joining replica counts as not alive.
+	joinTimeout = 30 * time.Second
+	// refreshInterval is the time between two periodic reads of the roster.
+	refreshInterval = 30 * time.Second
+	// maximumRank limits how long a node waits for the nodes before it.
+	maximumRank = 30
+	// refreshRanks is the number of nodes that read the roster periodically.
+	refreshRanks = 3
+	// maximumPageRounds is the maximum number of pages that are fetched from each
+	// source in one reconciliation.
 	maximumPageRounds = 128
 )
 
@@ -133,6 +141,8 @@
 	m.config.Logger.WithError(err).Warn("roster reconciliation failed")
 }
 
+// backoff doubles the interval for each failure, up to the larger of
+// maximumBackoff and the interval.
 func backoff(interval time.Duration, failures int) time.Duration {
 	wait := interval
 	for range min(failures, 16) {
@@ -212,7 +222,7 @@
 
 // readRoster reads the roster from the store and adopts it.
 func (m *Manager) readRoster(ctx context.Context) (Roster, store.Revision, error) {
-	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	errorBuilder := oops.In("claim").With("step", "read roster")
 	entry, err := m.config.Store.Get(ctx, RosterKey)
@@ -236,7 +246,7 @@
 // outcome is unknown, nothing is adopted; the next reconciliation reads the
 // roster again.
 func (m *Manager) writeRoster(ctx context.Context, expected store.Revision, next Roster, change Change) error {
-	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	body, err := EncodeRoster(next)
 	if err != nil {
--- a/internal/claim/message_test.go
+++ b/internal/claim/message_test.go
@@ -28,7 +28,7 @@
 	assert.DeepEqual(t, read, roster)
 }
 
-func TestFullPageFitsAMessage(t *testing.T) {
+func TestFullPageFitsInMessage(t *testing.T) {
 	page := Page{Claims: make([]CopiedClaim, maximumPageClaims)}
 	for i := range page.Claims {
 		page.Claims[i] = CopiedClaim{Key: KeyHash(NewBootID()), Attempt: NewAttemptID(), Contested: true}
@@ -40,7 +40,7 @@
 	assert.DeepEqual(t, read, page)
 }
 
-func TestHashKeyKeepsScopesApart(t *testing.T) {
+func TestHashKeySeparatesScopes(t *testing.T) {
 	assert.Assert(t, HashKey("ab", "c") != HashKey("a", "bc"))
 	assert.Equal(t, HashKey("ab", "c"), HashKey("ab", "c"))
 }
--- a/internal/claim/nodes_test.go
+++ b/internal/claim/nodes_test.go
@@ -18,14 +18,14 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// fakeStore stores one key. If down is set, it is unavailable. If loseAnswers is
-// set, a write takes effect but its answer is lost.
+// fakeStore stores one key. If down is set, it is unavailable. If loseResponses
+// is set, a write takes effect but its response is lost.
 type fakeStore struct {
 	store.Store
-	mutex       sync.Mutex
-	entry       store.Entry
-	down        atomic.Bool
-	loseAnswers atomic.Bool
+	mutex         sync.Mutex
+	entry         store.Entry
+	down          atomic.Bool
+	loseResponses atomic.Bool
 }
 
 func (f *fakeStore) Get(context.Context, string) (store.Entry, error) {
@@ -50,7 +50,7 @@
 		return 0, store.ErrConflict
 	}
 	f.entry = store.Entry{Key: key, Value: value, Revision: expected + 1}
-	if f.loseAnswers.Load() {
+	if f.loseResponses.Load() {
 		return 0, store.ErrUnknownOutcome
 	}
 	return f.entry.Revision, nil
@@ -59,7 +59,7 @@
 const testRetention = 10 * time.Minute
 
 type testNode struct {
-	node    Node
+	info    Node
 	service *Service
 	claimer *Claimer
 	manager *Manager
@@ -75,94 +75,94 @@
 	nodes    []*testNode
 }
 
-func (n *testCluster) now() time.Time { return time.Now().Add(time.Duration(n.offset.Load())) }
+func (c *testCluster) now() time.Time { return time.Now().Add(time.Duration(c.offset.Load())) }
 
-func (n *testCluster) advance(d time.Duration) { n.offset.Add(int64(d)) }
+func (c *testCluster) advance(d time.Duration) { c.offset.Add(int64(d)) }
 
 // Members returns all nodes. Nodes whose server is closed aren't alive.
-func (n *testCluster) Members() []Node {
+func (c *testCluster) Members() []Node {
 	var nodes []Node
-	for _, node := range n.nodes {
-		nodes = append(nodes, node.node)
+	for _, node := range c.nodes {
+		nodes = append(nodes, node.info)
 	}
 	return nodes
 }
 
-func startNodes(t *testing.T, count, capacity int) *testCluster {
+func startTestCluster(t *testing.T, count, capacity int) *testCluster {
 	t.Helper()
-	n := &testCluster{t: t, store: &fakeStore{}, capacity: capacity, client: &http.Client{Transport: &http.Transport{}}}
+	c := &testCluster{t: t, store: &fakeStore{}, capacity: capacity, client: &http.Client{Transport: &http.Transport{}}}
 	for i := range count {
-		n.nodes = append(n.nodes, &testNode{node: Node{Name: fmt.Sprintf("node-%d", i), Zone: fmt.Sprintf("zone-%d", i%3)}})
-		n.boot(i)
+		c.nodes = append(c.nodes, &testNode{info: Node{Name: fmt.Sprintf("node-%d", i), Zone: fmt.Sprintf("zone-%d", i%3)}})
+		c.boot(i)
 	}
 	t.Cleanup(func() {
-		for i := range n.nodes {
-			n.kill(i)
+		for i := range c.nodes {
+			c.kill(i)
 		}
-		n.client.CloseIdleConnections()
+		c.client.CloseIdleConnections()
 		goleak.VerifyNone(t)
 	})
-	return n
+	return c
 }
 
 // boot starts a node with its configured name and without claims.
-func (n *testCluster) boot(i int) {
-	node := n.nodes[i]
-	node.node.BootID = NewBootID()
-	node.service = NewService(ServiceConfig{Self: node.node.member().Identity, Capacity: n.capacity, Now: n.now})
+func (c *testCluster) boot(i int) {
+	node := c.nodes[i]
+	node.info.BootID = NewBootID()
+	node.service = NewService(ServiceConfig{Self: node.info.member().Identity, Capacity: c.capacity, Now: c.now})
 	mux := http.NewServeMux()
 	node.service.Register(mux)
 	node.server = httptest.NewServer(mux)
-	node.node.PeerAddress = node.server.Listener.Addr().String()
-	node.node.Alive = true
-	node.claimer = NewClaimer(ClaimerConfig{Service: node.service, Client: n.client})
+	node.info.PeerAddress = node.server.Listener.Addr().String()
+	node.info.Alive = true
+	node.claimer = NewClaimer(ClaimerConfig{Service: node.service, Client: c.client})
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	node.manager = NewManager(ManagerConfig{
-		Service: node.service, Store: n.store, Members: n, Client: n.client, Logger: logger, Retention: testRetention,
+		Service: node.service, Store: c.store, Members: c, Client: c.client, Logger: logger, Retention: testRetention,
 	})
 }
 
-func (n *testCluster) kill(i int) {
-	node := n.nodes[i]
-	if node.node.Alive {
+func (c *testCluster) kill(i int) {
+	node := c.nodes[i]
+	if node.info.Alive {
 		node.claimer.Close()
 		node.server.CloseClientConnections()
 		node.server.Close()
-		node.node.Alive = false
+		node.info.Alive = false
 	}
 }
 
 // reconcileOnce runs one reconciliation on each live node.
-func (n *testCluster) reconcileOnce() {
-	for _, node := range n.nodes {
-		if node.node.Alive {
-			node.manager.reconcile(n.t.Context())
+func (c *testCluster) reconcileOnce() {
+	for _, node := range c.nodes {
+		if node.info.Alive {
+			node.manager.reconcile(c.t.Context())
 		}
 	}
 }
 
 // converge reconciles all live nodes often enough for all changes to be made.
-func (n *testCluster) converge() {
+func (c *testCluster) converge() {
 	for range 20 {
-		n.advance(2 * DefaultInterval)
-		n.reconcileOnce()
+		c.advance(2 * DefaultInterval)
+		c.reconcileOnce()
 	}
 }
 
-func (n *testCluster) claim(i int, key string) Outcome {
-	n.t.Helper()
-	decision, err := n.nodes[i].claimer.Claim(n.t.Context(), "service", key, NewAttemptID())
-	assert.Equal(n.t, err == nil, decision.Outcome == Granted)
+func (c *testCluster) claim(i int, key string) Outcome {
+	c.t.Helper()
+	decision, err := c.nodes[i].claimer.Claim(c.t.Context(), "service", key, NewAttemptID())
+	assert.Equal(c.t, err == nil, decision.Outcome == Granted)
 	return decision.Outcome
 }
 
 // seats returns the indexes of the nodes that hold a seat and of the others.
-func (n *testCluster) seats() (holders, others []int) {
-	roster, err := DecodeRoster(n.store.entry.Value)
-	assert.NilError(n.t, err)
-	for i, node := range n.nodes {
-		if roster.seatOf(node.node.member().Identity) != nil {
+func (c *testCluster) seats() (holders, others []int) {
+	roster, err := DecodeRoster(c.store.entry.Value)
+	assert.NilError(c.t, err)
+	for i, node := range c.nodes {
+		if roster.seatOf(node.info.member().Identity) != nil {
 			holders = append(holders, i)
 		} else {
 			others = append(others, i)
@@ -171,9 +171,9 @@
 	return holders, others
 }
 
-func (n *testCluster) eventually(description string, condition func() bool) {
-	n.t.Helper()
+func (c *testCluster) eventually(description string, condition func() bool) {
+	c.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(5 * time.Millisecond) {
-		assert.Assert(n.t, time.Now().Before(deadline), description)
+		assert.Assert(c.t, time.Now().Before(deadline), description)
 	}
 }
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -103,12 +103,13 @@
 // planReinstatement cancels the replacement of a holder that is alive if the
 // joining replica can't be activated.
 func planReinstatement(r Roster, v View) (Roster, bool) {
-	stuck := len(r.Voters()) < r.Majority()
+	// With too few voters, a joining replica can't copy the claims of a majority.
+	tooFewVoters := len(r.Voters()) < r.Majority()
 	for _, seat := range r.Seats {
 		if seat.Joining == nil || !v.isAlive(seat.Holder.Identity) {
 			continue
 		}
-		if !stuck && v.isAlive(seat.Joining.Identity) {
+		if !tooFewVoters && v.isAlive(seat.Joining.Identity) {
 			continue
 		}
 		if next, err := r.NextReinstate(seat.Holder.Identity); err == nil {
--- a/internal/claim/property_test.go
+++ b/internal/claim/property_test.go
@@ -20,8 +20,8 @@
 	network, call, caller, restart, pause, time, store, partition, plan, commit, gossip, copy int
 	// capacity is the maximum number of claims in a replica.
 	capacity int
-	// One in keyReuse calls has a new key.
-	keyReuse int
+	// One in callsPerKey calls has a new key.
+	callsPerKey int
 	// One in falseSuspicion liveness checks reports a live node as dead.
 	falseSuspicion int
 	// timeSteps are the possible advances of the clock.
@@ -30,58 +30,58 @@
 
 // faultProfiles combine different faults: all faults; few restarts and clock
 // steps, so that a key sees many roster changes; loss of a majority; partitions
-// that separate machines from the store for longer than the retention; replicas
+// that separate nodes from the store for longer than the retention; replicas
 // that often reach their capacity.
 var faultProfiles = []faultProfile{
 	{
 		network: 1200, call: 150, caller: 20, restart: 4, pause: 30, time: 30, store: 20,
-		partition: 10, plan: 80, commit: 80, gossip: 40, copy: 80, capacity: 20, keyReuse: 4, falseSuspicion: 6,
+		partition: 10, plan: 80, commit: 80, gossip: 40, copy: 80, capacity: 20, callsPerKey: 4, falseSuspicion: 6,
 		timeSteps: []time.Duration{time.Second, 3 * time.Second, ClaimWindow, simRetention / 2, simRetention},
 	},
 	{
 		network: 1000, call: 60, caller: 5, restart: 1, pause: 10, time: 5,
-		plan: 100, commit: 100, gossip: 30, copy: 100, capacity: 100, keyReuse: 30, falseSuspicion: 20,
+		plan: 100, commit: 100, gossip: 30, copy: 100, capacity: 100, callsPerKey: 30, falseSuspicion: 20,
 		timeSteps: []time.Duration{time.Second},
 	},
 	{
 		network: 1000, call: 80, caller: 10, restart: 20, pause: 10, time: 30,
-		plan: 140, commit: 140, gossip: 40, copy: 40, capacity: 100, keyReuse: 30, falseSuspicion: 4,
+		plan: 140, commit: 140, gossip: 40, copy: 40, capacity: 100, callsPerKey: 30, falseSuspicion: 4,
 		timeSteps: []time.Duration{time.Second, simRetention / 3},
 	},
 	{
 		network: 1000, call: 100, caller: 10, restart: 4, time: 6,
-		partition: 12, plan: 80, commit: 80, gossip: 10, copy: 60, capacity: 10, keyReuse: 12, falseSuspicion: 20,
+		partition: 12, plan: 80, commit: 80, gossip: 10, copy: 60, capacity: 10, callsPerKey: 12, falseSuspicion: 20,
 		timeSteps: []time.Duration{time.Second, simRetention + 3*time.Second},
 	},
 	{
 		network: 1000, call: 80, caller: 10, restart: 1, pause: 5, time: 10,
-		plan: 20, commit: 20, gossip: 10, copy: 40, capacity: 3, keyReuse: 3, falseSuspicion: 20,
+		plan: 20, commit: 20, gossip: 10, copy: 40, capacity: 3, callsPerKey: 3, falseSuspicion: 20,
 		timeSteps: []time.Duration{time.Second, simRetention / 3},
 	},
 }
 
 // step executes one simulated event.
-func (c *cluster) step() {
-	i := c.choose(len(c.machines))
-	m := c.machines[i]
-	x := c.profile
+func (c *simCluster) step() {
+	i := c.choose(len(c.nodes))
+	node := c.nodes[i]
+	weights := c.profile
 	actions := []struct {
 		weight      int
-		whilePaused bool // also when the machine is paused
+		whilePaused bool // also when the node is paused
 		run         func()
 	}{
-		{x.network, true, c.stepNetwork},
-		{x.call, false, func() { c.stepCall(i) }},
-		{x.caller, false, func() { c.stepCaller(i) }},
-		{x.restart, true, func() { c.boot(m) }},
-		{x.pause, true, func() { m.paused = !m.paused && c.choose(3) == 0 }},
-		{x.time, true, c.stepTime},
-		{x.store, true, func() { c.storeUp = !c.storeUp || c.choose(3) != 0 }},
-		{x.partition, true, c.stepPartition},
-		{x.plan, false, func() { c.propose(m, c.unreliableView(m)) }},
-		{x.commit, false, func() { c.commit(m) }},
-		{x.gossip, false, func() { c.stepGossip(m) }},
-		{x.copy, false, func() { c.sendPageRequests(i) }},
+		{weights.network, true, c.stepNetwork},
+		{weights.call, false, func() { c.stepCall(i) }},
+		{weights.caller, false, func() { c.stepCaller(i) }},
+		{weights.restart, true, func() { c.boot(node) }},
+		{weights.pause, true, func() { node.paused = !node.paused && c.choose(3) == 0 }},
+		{weights.time, true, c.stepTime},
+		{weights.store, true, func() { c.storeUp = !c.storeUp || c.choose(3) != 0 }},
+		{weights.partition, true, c.stepPartition},
+		{weights.plan, false, func() { c.propose(node, c.unreliableView(node)) }},
+		{weights.commit, false, func() { c.commit(node) }},
+		{weights.gossip, false, func() { c.stepGossip(node) }},
+		{weights.copy, false, func() { c.sendPageRequests(i) }},
 	}
 	total := 0
 	for _, a := range actions {
@@ -90,7 +90,7 @@
 	pick := c.choose(total)
 	for _, a := range actions {
 		if pick < a.weight {
-			if a.whilePaused || !m.paused {
+			if a.whilePaused || !node.paused {
 				a.run()
 			}
 			return
@@ -99,31 +99,31 @@
 	}
 }
 
-func (c *cluster) stepGossip(m *machine) {
-	other := c.machines[c.choose(len(c.machines))]
-	if adopted, ok := other.replica.Roster(); ok && m.partitioned == other.partitioned {
-		c.adopt(m, adopted)
+func (c *simCluster) stepGossip(node *simNode) {
+	other := c.nodes[c.choose(len(c.nodes))]
+	if adopted, ok := other.replica.Roster(); ok && node.partitioned == other.partitioned {
+		c.adopt(node, adopted)
 	}
 }
 
-// stepPartition separates some machines from the others and the store, or ends
+// stepPartition separates some nodes from the others and the store, or ends
 // the partition.
-func (c *cluster) stepPartition() {
+func (c *simCluster) stepPartition() {
 	cut := c.choose(3) == 0
-	for _, m := range c.machines {
-		m.partitioned = cut && c.choose(2) == 0
+	for _, node := range c.nodes {
+		node.partitioned = cut && c.choose(2) == 0
 	}
 }
 
 // stepNetwork delivers, drops or duplicates a random message in flight.
-func (c *cluster) stepNetwork() {
+func (c *simCluster) stepNetwork() {
 	if len(c.network) == 0 {
 		return
 	}
 	i := c.choose(len(c.network))
 	p := c.network[i]
 	roll := c.choose(20)
-	unreachable := c.machines[p.to].paused || c.machines[p.to].partitioned != c.machines[p.from].partitioned
+	unreachable := c.nodes[p.to].paused || c.nodes[p.to].partitioned != c.nodes[p.from].partitioned
 	if unreachable && roll > 1 {
 		return
 	}
@@ -136,9 +136,9 @@
 	}
 }
 
-func (c *cluster) stepCall(i int) {
+func (c *simCluster) stepCall(i int) {
 	roster := *c.roster
-	if len(c.keys) == 0 || c.choose(c.profile.keyReuse) == 0 {
+	if len(c.keys) == 0 || c.choose(c.profile.callsPerKey) == 0 {
 		c.keys = append(c.keys, simKey{hash: c.uniqueID(), first: c.now})
 	}
 	key := c.keys[len(c.keys)-1-c.choose(min(2, len(c.keys)))]
@@ -149,12 +149,12 @@
 
 // stepCaller gives up a pending claim, or cancels a call whose claim was granted
 // before it runs.
-func (c *cluster) stepCaller(i int) {
-	m := c.machines[i]
-	if len(m.calls) == 0 {
+func (c *simCluster) stepCaller(i int) {
+	node := c.nodes[i]
+	if len(node.calls) == 0 {
 		return
 	}
-	call := m.calls[c.choose(len(m.calls))]
+	call := node.calls[c.choose(len(node.calls))]
 	if call.attempt.outcome == Granted && !call.attempt.cancelled && c.choose(3) == 0 {
 		call.attempt.cancelled = true
 		c.release(i, call)
@@ -163,20 +163,20 @@
 	c.recordOutcome(i, call, call.coordinator.Abort())
 }
 
-func (c *cluster) stepTime() {
+func (c *simCluster) stepTime() {
 	c.now = c.now.Add(c.profile.timeSteps[c.choose(len(c.profile.timeSteps))])
 }
 
 // unreliableView returns a view that reports some live nodes as dead.
-func (c *cluster) unreliableView(m *machine) View {
-	v := c.view(m)
+func (c *simCluster) unreliableView(node *simNode) View {
+	v := c.view(node)
 	for i := range v.Nodes {
-		v.Nodes[i].Alive = c.choose(c.profile.falseSuspicion) != 0 && c.machines[i].partitioned == m.partitioned
+		v.Nodes[i].Alive = c.choose(c.profile.falseSuspicion) != 0 && c.nodes[i].partitioned == node.partitioned
 	}
 	return v
 }
 
-func (c *cluster) run(steps int) {
+func (c *simCluster) run(steps int) {
 	for range steps {
 		c.step()
 		if c.violation != "" {
@@ -186,27 +186,27 @@
 }
 
 // heal ends all faults and reports whether a claim of a new key is then granted.
-func (c *cluster) heal() bool {
+func (c *simCluster) heal() bool {
 	c.storeUp = true
-	for _, m := range c.machines {
-		m.paused, m.partitioned = false, false
+	for _, node := range c.nodes {
+		node.paused, node.partitioned = false, false
 	}
 	for range 60 {
 		c.now = c.now.Add(simRetention / 10)
-		for i, m := range c.machines {
-			c.propose(m, c.view(m))
-			c.commit(m)
+		for i, node := range c.nodes {
+			c.propose(node, c.view(node))
+			c.commit(node)
 			c.sendPageRequests(i)
 		}
 		c.drain()
 	}
 	before := c.granted
-	c.call(c.choose(len(c.machines)), simKey{hash: c.uniqueID(), first: c.now})
+	c.call(c.choose(len(c.nodes)), simKey{hash: c.uniqueID(), first: c.now})
 	c.drain()
 	return c.granted > before
 }
 
-func (c *cluster) drain() {
+func (c *simCluster) drain() {
 	for len(c.network) > 0 && c.violation == "" {
 		p := c.network[0]
 		c.network = c.network[1:]
@@ -226,7 +226,7 @@
 					draws++
 					return int(rankHash("choice", draws^rapid.Uint64().Draw(t, "choice")) % uint64(n))
 				}
-				c := newCluster(seats+2, seats, breachNone, faultProfiles[choose(len(faultProfiles))], choose)
+				c := newSimCluster(seats+2, seats, mutationNone, faultProfiles[choose(len(faultProfiles))], choose)
 				c.run(stepsPerRun)
 				assert.Equal(t, c.violation, "")
 				granted += c.granted
@@ -245,7 +245,7 @@
 	granted, generations, changes, activations := 0, 0, 0, 0
 	for seed := range *seededRuns {
 		seats := []int{1, 3, 5}[seed%3]
-		c := newCluster(seats+2, seats, breachNone, faultProfiles[seed/3%uint64(len(faultProfiles))], seeded(seed))
+		c := newSimCluster(seats+2, seats, mutationNone, faultProfiles[seed/3%uint64(len(faultProfiles))], seeded(seed))
 		c.run(2 * stepsPerRun)
 		assert.Equal(t, c.violation, "", "seed %d", seed)
 		granted += c.granted
@@ -262,26 +262,26 @@
 	assert.Assert(t, enough, "the runs have too few grants, activations or new generations")
 }
 
-func TestSimulationDetectsBrokenRules(t *testing.T) {
-	rules := map[string]breach{
-		"a restarted replica votes":               breachFreshVotes,
-		"a joining replica copies nothing":        breachNoCopy,
-		"a new generation doesn't wait":           breachNoWait,
-		"a granted attempt is released":           breachReleaseRunning,
-		"grants count after the window":           breachLateGrants,
-		"a replica ignores the request's boot ID": breachUnverifiedIdentity,
-		"a full replica evicts claims":            breachEvictsWhenFull,
+func TestSimulationDetectsMutations(t *testing.T) {
+	mutations := map[string]mutation{
+		"a restarted replica votes":               mutationVoteAfterRestart,
+		"a joining replica copies nothing":        mutationSkipCopy,
+		"a new generation doesn't wait":           mutationSkipWait,
+		"a granted attempt is released":           mutationReleaseRunning,
+		"grants count after the window":           mutationCountLateGrants,
+		"a replica ignores the request's boot ID": mutationIgnoreIdentity,
+		"a full replica evicts claims":            mutationEvictWhenFull,
 	}
-	for name, rule := range rules {
+	for name, mutation := range mutations {
 		t.Run(name, func(t *testing.T) {
-			assert.Assert(t, findsViolation(t, rule), "the simulation does not detect the broken rule")
+			assert.Assert(t, findsViolation(t, mutation), "the simulation does not detect the violation")
 		})
 	}
 }
 
-func findsViolation(t *testing.T, rule breach) bool {
+func findsViolation(t *testing.T, mutation mutation) bool {
 	for seed := range uint64(5000) {
-		c := newCluster(5, 3, rule, faultProfiles[seed%uint64(len(faultProfiles))], seeded(seed))
+		c := newSimCluster(5, 3, mutation, faultProfiles[seed%uint64(len(faultProfiles))], seeded(seed))
 		c.run(2 * stepsPerRun)
 		if c.violation != "" {
 			t.Logf("seed %d: %s", seed, c.violation)
@@ -292,7 +292,7 @@
 }
 
 func TestAllClaimsGrantedWithoutFaults(t *testing.T) {
-	c := newCluster(7, 5, breachNone, faultProfiles[1], seeded(1))
+	c := newSimCluster(7, 5, mutationNone, faultProfiles[1], seeded(1))
 	for i := range 50 {
 		c.call(i%7, simKey{hash: c.uniqueID(), first: c.now})
 		c.drain()
--- a/internal/claim/roster.go
+++ b/internal/claim/roster.go
@@ -25,13 +25,13 @@
 
 // Errors returned by Validate and by the roster's transitions.
 var (
-	ErrInvalidRoster   = errors.New("invalid roster")
-	ErrNoSeat          = errors.New("no such seat")
-	ErrAlreadySeated   = errors.New("replica already has a seat")
-	ErrTooFewVoters    = errors.New("change would leave too few voters for a majority")
-	ErrTooFewLost      = errors.New("seats marked as lost are not a majority")
-	ErrSameBoot        = errors.New("seat is held by the calling process")
-	ErrWrongMemberSize = errors.New("number of members differs from the number of seats")
+	ErrInvalidRoster    = errors.New("invalid roster")
+	ErrNoSeat           = errors.New("no such seat")
+	ErrAlreadySeated    = errors.New("replica already has a seat")
+	ErrTooFewVoters     = errors.New("change would leave too few voters for a majority")
+	ErrTooFewLost       = errors.New("seats marked as lost are not a majority")
+	ErrSameBoot         = errors.New("seat is held by the calling process")
+	ErrWrongMemberCount = errors.New("number of members differs from the number of seats")
 )
 
 // BootID identifies one run of a node's process. It is generated at random on
--- a/internal/claim/scenario_test.go
+++ b/internal/claim/scenario_test.go
@@ -8,7 +8,7 @@
 
 // deliverWhere delivers matching messages, including those sent in response,
 // until none in flight matches.
-func (c *cluster) deliverWhere(match func(packet) bool) {
+func (c *simCluster) deliverWhere(match func(packet) bool) {
 	for i := 0; i < len(c.network); i++ {
 		p := c.network[i]
 		if !match(p) {
@@ -33,23 +33,23 @@
 
 // replaceWhileClaiming delivers a claim request of the old epoch to a second
 // replica only after the first replica was replaced by one that copied claims.
-func replaceWhileClaiming(c *cluster) {
+func replaceWhileClaiming(c *simCluster) {
 	key := simKey{hash: c.uniqueID(), first: c.now}
 	c.call(0, key)
 	c.deliverWhere(func(p packet) bool { return p.to == 2 })
 	c.deliverWhere(func(p packet) bool { return p.from == 2 })
 	delayed := c.network
 	c.network = nil
-	c.propose(c.machines[1], markDead(c.view(c.machines[1]), "n2"))
-	c.commit(c.machines[1])
-	c.adopt(c.machines[0], *c.roster)
-	c.adopt(c.machines[3], *c.roster)
+	c.propose(c.nodes[1], markDead(c.view(c.nodes[1]), "n2"))
+	c.commit(c.nodes[1])
+	c.adopt(c.nodes[0], *c.roster)
+	c.adopt(c.nodes[3], *c.roster)
 	c.sendPageRequests(3)
 	c.drain()
-	c.propose(c.machines[3], markDead(c.view(c.machines[3]), "n2"))
-	c.commit(c.machines[3])
-	c.adopt(c.machines[0], *c.roster)
-	c.adopt(c.machines[1], *c.roster)
+	c.propose(c.nodes[3], markDead(c.view(c.nodes[3]), "n2"))
+	c.commit(c.nodes[3])
+	c.adopt(c.nodes[0], *c.roster)
+	c.adopt(c.nodes[1], *c.roster)
 	c.network = delayed
 	c.deliverWhere(func(p packet) bool { return p.to == 0 })
 	c.network = nil
@@ -57,25 +57,25 @@
 	c.deliverWhere(func(p packet) bool { return p.to != 2 && p.from != 2 })
 }
 
-// generationDuringPartition partitions two holders from the other machines, which
+// generationDuringPartition partitions two holders from the other nodes, which
 // try to create a new generation, and then sends a call with the same key to
 // both sides.
-func generationDuringPartition(c *cluster) {
-	c.machines[0].partitioned, c.machines[1].partitioned = true, true
-	others := c.machines[2:]
+func generationDuringPartition(c *simCluster) {
+	c.nodes[0].partitioned, c.nodes[1].partitioned = true, true
+	others := c.nodes[2:]
 	for range 6 {
-		for _, m := range others {
-			v := markDead(c.view(m), "n0", "n1")
-			if c.brokenRule == breachFalseLostReport {
-				v.Self = Identity{Name: c.machines[int(c.roster.Epoch)%2].name, Boot: c.uniqueID()}
+		for _, node := range others {
+			v := markDead(c.view(node), "n0", "n1")
+			if c.mutation == mutationFalseLostReport {
+				v.Self = Identity{Name: c.nodes[int(c.roster.Epoch)%2].name, Boot: c.uniqueID()}
 			}
-			c.propose(m, v)
-			c.commit(m)
+			c.propose(node, v)
+			c.commit(node)
 		}
 		c.now = c.now.Add(simRetention / 2)
 	}
 	key := simKey{hash: c.uniqueID(), first: c.now}
-	connected := func(p packet) bool { return c.machines[p.from].partitioned == c.machines[p.to].partitioned }
+	connected := func(p packet) bool { return c.nodes[p.from].partitioned == c.nodes[p.to].partitioned }
 	c.call(3, key)
 	c.deliverWhere(connected)
 	c.call(0, key)
@@ -84,23 +84,23 @@
 
 func TestScenarios(t *testing.T) {
 	tests := []struct {
-		name   string
-		run    func(*cluster)
-		broken breach
+		name     string
+		run      func(*simCluster)
+		mutation mutation
 	}{
-		{"replacement during a claim, epoch ignored", replaceWhileClaiming, breachEpochIgnored},
-		{"new generation during a partition, false report of a lost holder", generationDuringPartition, breachFalseLostReport},
+		{"replacement during a claim, epoch ignored", replaceWhileClaiming, mutationIgnoreEpoch},
+		{"new generation during a partition, false report of a lost holder", generationDuringPartition, mutationFalseLostReport},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			correct := newCluster(5, 3, breachNone, faultProfiles[1], seeded(1))
+			correct := newSimCluster(5, 3, mutationNone, faultProfiles[1], seeded(1))
 			test.run(correct)
 			assert.Equal(t, correct.violation, "")
 			assert.Equal(t, correct.granted, 1, "exactly one attempt is granted")
 
-			faulty := newCluster(5, 3, test.broken, faultProfiles[1], seeded(1))
+			faulty := newSimCluster(5, 3, test.mutation, faultProfiles[1], seeded(1))
 			test.run(faulty)
-			assert.Assert(t, faulty.violation != "", "the simulation does not detect the broken rule")
+			assert.Assert(t, faulty.violation != "", "the simulation does not detect the violation")
 		})
 	}
 }
--- a/internal/claim/service.go
+++ b/internal/claim/service.go
@@ -66,25 +66,25 @@
 }
 
 // messageHandler decodes a request, calls handle and encodes its result.
-func messageHandler[Q, A message](handle func(Q) A) http.HandlerFunc {
+func messageHandler[Req, Resp message](handle func(Req) Resp) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaximumMessageBytes))
+		requestBody, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaximumMessageBytes))
 		if err != nil {
 			http.Error(w, "message not read", http.StatusBadRequest)
 			return
 		}
-		request, err := decode[Q](body)
+		request, err := decode[Req](requestBody)
 		if err != nil {
 			http.Error(w, "message not understood", http.StatusBadRequest)
 			return
 		}
-		answer, err := encode(handle(request))
+		responseBody, err := encode(handle(request))
 		if err != nil {
 			http.Error(w, "answer not encoded", http.StatusInternalServerError)
 			return
 		}
 		w.Header().Set("Content-Type", contentType)
-		_, _ = w.Write(answer) // the client detects a lost answer
+		_, _ = w.Write(responseBody) // the client detects a lost response
 	}
 }
 
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -95,8 +95,8 @@
 
 // expire removes the records that are older than the retention.
 func (t *table) expire(now time.Time, retention time.Duration) {
-	age := t.sinceBase(now)
-	for t.len() > 0 && age-t.recordAt(t.first).inserted > retention {
+	offset := t.sinceBase(now)
+	for t.len() > 0 && offset-t.recordAt(t.first).inserted > retention {
 		t.unindex(t.first, t.recordAt(t.first).key)
 		t.first++
 		if t.first%chunkRecords == 0 {
--- a/internal/claim/transition.go
+++ b/internal/claim/transition.go
@@ -84,7 +84,7 @@
 		return Roster{}, ErrTooFewLost
 	}
 	if len(members) != len(r.Seats) {
-		return Roster{}, ErrWrongMemberSize
+		return Roster{}, ErrWrongMemberCount
 	}
 	n := r.nextEpoch()
 	n.FoundingEpoch = n.Epoch
--- a/internal/claim/votecollector.go
+++ b/internal/claim/votecollector.go
@@ -12,7 +12,7 @@
 type voteCollector struct {
 	claimer     *Claimer
 	coordinator *Coordinator
-	replies     chan reply
+	results     chan requestResult
 	requests    sync.WaitGroup
 	restarts    int
 	lastError   error
@@ -21,7 +21,8 @@
 	decided chan struct{}
 }
 
-type reply struct {
+// requestResult is a voter's response, or the error if the request failed.
+type requestResult struct {
 	voter    Member
 	epoch    uint64
 	response Response
@@ -32,8 +33,8 @@
 	return &voteCollector{
 		claimer:     c,
 		coordinator: coordinator,
-		// Capacity for all replies, so that no request goroutine ever blocks.
-		replies: make(chan reply, MaximumSeats*(1+maximumRestarts)),
+		// Capacity for all results, so that no request goroutine ever blocks.
+		results: make(chan requestResult, MaximumSeats*(1+maximumRestarts)),
 		decided: make(chan struct{}),
 	}
 }
@@ -46,8 +47,8 @@
 	v.outcome = v.coordinator.Decide(v.claimer.service.now())
 	for v.outcome == Pending {
 		select {
-		case r := <-v.replies:
-			v.outcome = v.handleReply(r)
+		case r := <-v.results:
+			v.outcome = v.handleResult(r)
 		case <-ctx.Done():
 			v.lastError = ctx.Err()
 			v.outcome = v.coordinator.Abort()
@@ -72,12 +73,12 @@
 	started := v.claimer.start(func() {
 		defer v.requests.Done()
 		response, err := v.claimer.sendRequest(voter, req, roster)
-		v.replies <- reply{voter: voter, epoch: req.Epoch, response: response, err: err}
+		v.results <- requestResult{voter: voter, epoch: req.Epoch, response: response, err: err}
 		v.releaseUnlessGranted(voter, req)
 	})
 	if !started {
 		v.requests.Done()
-		v.replies <- reply{voter: voter, epoch: req.Epoch, err: ErrClosed}
+		v.results <- requestResult{voter: voter, epoch: req.Epoch, err: ErrClosed}
 	}
 }
 
@@ -90,7 +91,7 @@
 	}
 }
 
-func (v *voteCollector) handleReply(r reply) Outcome {
+func (v *voteCollector) handleResult(r requestResult) Outcome {
 	now := v.claimer.service.now()
 	if r.err != nil {
 		v.lastError = r.err
@@ -117,13 +118,14 @@
 	return true
 }
 
-// drain waits for the remaining replies and releases after the outcome is
+// drain waits for the remaining requests and releases after the outcome is
 // known, then frees the claim's slot.
 func (v *voteCollector) drain() {
 	v.requests.Wait()
 	<-v.claimer.slots
 }
 
+// cause returns the reason why the claim was not granted, or nil if it was.
 func (v *voteCollector) cause() error {
 	switch {
 	case v.outcome == Granted:
