--- a/internal/claim/bench_test.go
+++ b/internal/claim/bench_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-func fill(replica *Replica, req Request, from, count uint64, now time.Time) {
+// claimKeys claims count keys with consecutive numbers, starting with from.
+func claimKeys(replica *Replica, req Request, from, count uint64, now time.Time) {
 	for i := range count {
 		binary.BigEndian.PutUint64(req.Key[:], from+i)
 		replica.Handle(req, now)
@@ -24,7 +25,7 @@
 	for b.Loop() {
 		// At this rate the table stays full, and one record expires per insert.
 		now = now.Add(roster.Retention / (DefaultCapacity - 1))
-		fill(replica, Request{To: self, Epoch: 1}, key, 1, now)
+		claimKeys(replica, Request{To: self, Epoch: 1}, key, 1, now)
 		key++
 	}
 }
@@ -37,7 +38,7 @@
 		before := heapInUse()
 		replica := NewReplica(self, DefaultCapacity)
 		replica.Adopt(roster, time.Now())
-		fill(replica, Request{To: self, Epoch: 1}, 0, DefaultCapacity, time.Now())
+		claimKeys(replica, Request{To: self, Epoch: 1}, 0, DefaultCapacity, time.Now())
 		b.ReportMetric((heapInUse()-before)/DefaultCapacity, "B/claim")
 		runtime.KeepAlive(replica)
 	}
--- a/internal/claim/cluster_test.go
+++ b/internal/claim/cluster_test.go
@@ -33,15 +33,15 @@
 }
 
 type simAttempt struct {
-	id        AttemptID
-	key       KeyHash
-	outcome   Outcome
-	cancelled bool
+	id       AttemptID
+	key      KeyHash
+	outcome  Outcome
+	canceled bool
 }
 
 type simKey struct {
-	hash  KeyHash
-	first time.Time
+	hash      KeyHash
+	firstUsed time.Time
 }
 
 type simCall struct {
@@ -183,7 +183,7 @@
 // claim of an attempt that will never run.
 func (c *simCluster) recordOutcome(i int, call *simCall, outcome Outcome) {
 	a := call.attempt
-	if outcome == Pending || a.cancelled {
+	if outcome == Pending || a.canceled {
 		return
 	}
 	if a.outcome != Pending && a.outcome != outcome {
@@ -203,7 +203,7 @@
 		c.release(i, call)
 	}
 	for _, other := range c.attempts {
-		if other != a && other.key == a.key && other.outcome == Granted && !other.cancelled {
+		if other != a && other.key == a.key && other.outcome == Granted && !other.canceled {
 			c.violation = fmt.Sprintf("key %x is granted to attempts %s and %s", a.key, other.id, a.id)
 		}
 	}
--- a/internal/claim/manager.go
+++ b/internal/claim/manager.go
@@ -234,9 +234,9 @@
 		return Roster{}, 0, errorBuilder.Wrap(err)
 	}
 	m.config.Service.Adopt(stored)
-	current, _ := m.config.Service.Roster()
-	if current.Lineage != stored.Lineage || current.Epoch > stored.Epoch {
-		return Roster{}, 0, errorBuilder.With("known", current.Epoch).With("stored", stored.Epoch).
+	adopted, _ := m.config.Service.Roster()
+	if adopted.Lineage != stored.Lineage || adopted.Epoch > stored.Epoch {
+		return Roster{}, 0, errorBuilder.With("known", adopted.Epoch).With("stored", stored.Epoch).
 			Errorf("roster in the store is older than the adopted one or of another lineage")
 	}
 	return stored, entry.Revision, nil
--- a/internal/claim/nodes_test.go
+++ b/internal/claim/nodes_test.go
@@ -157,8 +157,8 @@
 	return decision.Outcome
 }
 
-// seats returns the indexes of the nodes that hold a seat and of the others.
-func (c *testCluster) seats() (holders, others []int) {
+// splitBySeat returns the indexes of the nodes that hold a seat and of the others.
+func (c *testCluster) splitBySeat() (holders, others []int) {
 	roster, err := DecodeRoster(c.store.entry.Value)
 	assert.NilError(c.t, err)
 	for i, node := range c.nodes {
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -67,7 +67,7 @@
 	if next, ok := planReplacement(r, v); ok {
 		return next, ChangeReplace
 	}
-	if next, ok := planSpread(r, v); ok {
+	if next, ok := planZoneSpread(r, v); ok {
 		return next, ChangeSpread
 	}
 	return Roster{}, ChangeNone
@@ -137,8 +137,8 @@
 }
 
 func replaceHolder(r Roster, v View, seat Seat) (Roster, bool) {
-	zones := seatsPerZone(r, seat.Holder.Identity)
-	candidate, ok := pickCandidate(r, v.aliveMembers(), zones)
+	seatCounts := seatsPerZone(r, seat.Holder.Identity)
+	candidate, ok := selectCandidate(r, v.aliveMembers(), seatCounts)
 	if !ok {
 		return Roster{}, false
 	}
@@ -146,18 +146,18 @@
 	return next, err == nil
 }
 
-// planSpread moves a seat to a zone that has at least two seats fewer, if all
+// planZoneSpread moves a seat to a zone that has at least two seats fewer, if all
 // holders are alive and have a vote.
-func planSpread(r Roster, v View) (Roster, bool) {
+func planZoneSpread(r Roster, v View) (Roster, bool) {
 	for _, seat := range r.Seats {
 		if !seat.CanVote() || !v.isAlive(seat.Holder.Identity) {
 			return Roster{}, false
 		}
 	}
 	for _, seat := range r.Seats {
-		zones := seatsPerZone(r, seat.Holder.Identity)
-		candidate, ok := pickCandidate(r, v.aliveMembers(), zones)
-		if !ok || zones[candidate.Zone] >= zones[seat.Holder.Zone] {
+		seatCounts := seatsPerZone(r, seat.Holder.Identity)
+		candidate, ok := selectCandidate(r, v.aliveMembers(), seatCounts)
+		if !ok || seatCounts[candidate.Zone] >= seatCounts[seat.Holder.Zone] {
 			continue
 		}
 		if next, err := r.NextReplace(seat.Holder.Identity, candidate); err == nil {
@@ -169,30 +169,30 @@
 
 // seatsPerZone counts the seats in each zone, leaving out one holder's seat.
 func seatsPerZone(r Roster, without Identity) map[string]int {
-	zones := make(map[string]int, len(r.Seats))
+	counts := make(map[string]int, len(r.Seats))
 	for _, seat := range r.Seats {
 		if seat.Holder.Identity == without {
 			continue
 		}
 		if seat.Joining != nil {
-			zones[seat.Joining.Zone]++
+			counts[seat.Joining.Zone]++
 			continue
 		}
-		zones[seat.Holder.Zone]++
+		counts[seat.Holder.Zone]++
 	}
-	return zones
+	return counts
 }
 
-// pickCandidate returns a node without a seat, from the zone with the fewest
+// selectCandidate returns a node without a seat, from the zone with the fewest
 // seats.
-func pickCandidate(r Roster, alive []Member, zones map[string]int) (Member, bool) {
+func selectCandidate(r Roster, alive []Member, seatCounts map[string]int) (Member, bool) {
 	var best Member
 	found := false
 	for _, m := range alive {
 		if r.seatOf(m.Identity) != nil || r.joiningSeatOf(m.Identity) != nil {
 			continue
 		}
-		if !found || zones[m.Zone] < zones[best.Zone] {
+		if !found || seatCounts[m.Zone] < seatCounts[best.Zone] {
 			best, found = m, true
 		}
 	}
@@ -202,22 +202,24 @@
 // spreadOverZones selects members so that they are distributed over the zones
 // as evenly as possible.
 func spreadOverZones(alive []Member, size int) []Member {
-	zones := make(map[string]int)
-	picked := make([]Member, 0, size)
-	rest := slices.Clone(alive)
-	for len(picked) < size && len(rest) > 0 {
-		i := leastUsedZone(rest, zones)
-		zones[rest[i].Zone]++
-		picked = append(picked, rest[i])
-		rest = slices.Delete(rest, i, i+1)
-	}
-	return picked
+	memberCounts := make(map[string]int)
+	selected := make([]Member, 0, size)
+	remaining := slices.Clone(alive)
+	for len(selected) < size && len(remaining) > 0 {
+		i := indexInLeastUsedZone(remaining, memberCounts)
+		memberCounts[remaining[i].Zone]++
+		selected = append(selected, remaining[i])
+		remaining = slices.Delete(remaining, i, i+1)
+	}
+	return selected
 }
 
-func leastUsedZone(members []Member, zones map[string]int) int {
+// indexInLeastUsedZone returns the index of the first member whose zone has the
+// lowest count.
+func indexInLeastUsedZone(members []Member, memberCounts map[string]int) int {
 	best := 0
 	for i, m := range members {
-		if zones[m.Zone] < zones[members[best].Zone] {
+		if memberCounts[m.Zone] < memberCounts[members[best].Zone] {
 			best = i
 		}
 	}
--- a/internal/claim/property_test.go
+++ b/internal/claim/property_test.go
@@ -139,10 +139,10 @@
 func (c *simCluster) stepCall(i int) {
 	roster := *c.roster
 	if len(c.keys) == 0 || c.choose(c.profile.callsPerKey) == 0 {
-		c.keys = append(c.keys, simKey{hash: c.uniqueID(), first: c.now})
+		c.keys = append(c.keys, simKey{hash: c.uniqueID(), firstUsed: c.now})
 	}
 	key := c.keys[len(c.keys)-1-c.choose(min(2, len(c.keys)))]
-	if c.now.Sub(key.first) <= roster.KeyLifetime() {
+	if c.now.Sub(key.firstUsed) <= roster.KeyLifetime() {
 		c.call(i, key)
 	}
 }
@@ -155,8 +155,8 @@
 		return
 	}
 	call := node.calls[c.choose(len(node.calls))]
-	if call.attempt.outcome == Granted && !call.attempt.cancelled && c.choose(3) == 0 {
-		call.attempt.cancelled = true
+	if call.attempt.outcome == Granted && !call.attempt.canceled && c.choose(3) == 0 {
+		call.attempt.canceled = true
 		c.release(i, call)
 		return
 	}
@@ -201,7 +201,7 @@
 		c.drain()
 	}
 	before := c.granted
-	c.call(c.choose(len(c.nodes)), simKey{hash: c.uniqueID(), first: c.now})
+	c.call(c.choose(len(c.nodes)), simKey{hash: c.uniqueID(), firstUsed: c.now})
 	c.drain()
 	return c.granted > before
 }
@@ -237,7 +237,9 @@
 	}
 }
 
-func seeded(seed uint64) func(int) int {
+// seededChooser returns a function for simCluster.choose whose results depend only
+// on the seed.
+func seededChooser(seed uint64) func(int) int {
 	return rand.New(rand.NewPCG(seed, 1)).IntN
 }
 
@@ -245,7 +247,7 @@
 	granted, generations, changes, activations := 0, 0, 0, 0
 	for seed := range *seededRuns {
 		seats := []int{1, 3, 5}[seed%3]
-		c := newSimCluster(seats+2, seats, mutationNone, faultProfiles[seed/3%uint64(len(faultProfiles))], seeded(seed))
+		c := newSimCluster(seats+2, seats, mutationNone, faultProfiles[seed/3%uint64(len(faultProfiles))], seededChooser(seed))
 		c.run(2 * stepsPerRun)
 		assert.Equal(t, c.violation, "", "seed %d", seed)
 		granted += c.granted
@@ -281,7 +283,7 @@
 
 func findsViolation(t *testing.T, mutation mutation) bool {
 	for seed := range uint64(5000) {
-		c := newSimCluster(5, 3, mutation, faultProfiles[seed%uint64(len(faultProfiles))], seeded(seed))
+		c := newSimCluster(5, 3, mutation, faultProfiles[seed%uint64(len(faultProfiles))], seededChooser(seed))
 		c.run(2 * stepsPerRun)
 		if c.violation != "" {
 			t.Logf("seed %d: %s", seed, c.violation)
@@ -292,9 +294,9 @@
 }
 
 func TestAllClaimsGrantedWithoutFaults(t *testing.T) {
-	c := newSimCluster(7, 5, mutationNone, faultProfiles[1], seeded(1))
+	c := newSimCluster(7, 5, mutationNone, faultProfiles[1], seededChooser(1))
 	for i := range 50 {
-		c.call(i%7, simKey{hash: c.uniqueID(), first: c.now})
+		c.call(i%7, simKey{hash: c.uniqueID(), firstUsed: c.now})
 		c.drain()
 		assert.Equal(t, c.granted, i+1)
 	}
--- a/internal/claim/replica.go
+++ b/internal/claim/replica.go
@@ -114,14 +114,14 @@
 
 func (r *Replica) grant(key KeyHash, attempt AttemptID, now time.Time) Answer {
 	r.claims.expire(now, r.roster.Retention)
-	old := r.claims.find(key)
-	if old != nil && old.state != recordReleased {
-		if old.state == recordHeld && old.attempt == attempt {
+	existing := r.claims.find(key)
+	if existing != nil && existing.state != recordReleased {
+		if existing.state == recordHeld && existing.attempt == attempt {
 			return AnswerGranted
 		}
 		return AnswerHeld
 	}
-	if old != nil && old.attempt == attempt {
+	if existing != nil && existing.attempt == attempt {
 		return AnswerReleased
 	}
 	if !r.claims.insert(record{key: key, attempt: attempt}, now) {
@@ -137,16 +137,16 @@
 		return
 	}
 	r.claims.expire(now, r.roster.Retention)
-	old := r.claims.find(req.Key)
-	if old == nil {
+	existing := r.claims.find(req.Key)
+	if existing == nil {
 		// The release is recorded so that a delayed claim request of the attempt
 		// isn't granted. If the table is full, that request may be granted, which
 		// only leaves the key held.
 		r.claims.insert(record{key: req.Key, attempt: req.Attempt, state: recordReleased}, now)
 		return
 	}
-	if old.state == recordHeld && old.attempt == req.Attempt {
-		old.state = recordReleased
+	if existing.state == recordHeld && existing.attempt == req.Attempt {
+		existing.state = recordReleased
 	}
 }
 
--- a/internal/claim/scenario_test.go
+++ b/internal/claim/scenario_test.go
@@ -34,7 +34,7 @@
 // replaceWhileClaiming delivers a claim request of the old epoch to a second
 // replica only after the first replica was replaced by one that copied claims.
 func replaceWhileClaiming(c *simCluster) {
-	key := simKey{hash: c.uniqueID(), first: c.now}
+	key := simKey{hash: c.uniqueID(), firstUsed: c.now}
 	c.call(0, key)
 	c.deliverWhere(func(p packet) bool { return p.to == 2 })
 	c.deliverWhere(func(p packet) bool { return p.from == 2 })
@@ -74,7 +74,7 @@
 		}
 		c.now = c.now.Add(simRetention / 2)
 	}
-	key := simKey{hash: c.uniqueID(), first: c.now}
+	key := simKey{hash: c.uniqueID(), firstUsed: c.now}
 	connected := func(p packet) bool { return c.nodes[p.from].partitioned == c.nodes[p.to].partitioned }
 	c.call(3, key)
 	c.deliverWhere(connected)
@@ -93,12 +93,12 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			correct := newSimCluster(5, 3, mutationNone, faultProfiles[1], seeded(1))
+			correct := newSimCluster(5, 3, mutationNone, faultProfiles[1], seededChooser(1))
 			test.run(correct)
 			assert.Equal(t, correct.violation, "")
 			assert.Equal(t, correct.granted, 1, "exactly one attempt is granted")
 
-			faulty := newSimCluster(5, 3, test.mutation, faultProfiles[1], seeded(1))
+			faulty := newSimCluster(5, 3, test.mutation, faultProfiles[1], seededChooser(1))
 			test.run(faulty)
 			assert.Assert(t, faulty.violation != "", "the simulation does not detect the violation")
 		})
--- a/internal/claim/service_test.go
+++ b/internal/claim/service_test.go
@@ -65,7 +65,7 @@
 	c := startTestCluster(t, 5, 0)
 	c.converge()
 	assert.Equal(t, c.claim(0, "pay"), Granted)
-	holders, _ := c.seats()
+	holders, _ := c.splitBySeat()
 	for _, i := range holders {
 		c.kill(i)
 		c.converge()
@@ -83,7 +83,7 @@
 	c := startTestCluster(t, 4, 0)
 	c.converge()
 	assert.Equal(t, c.claim(0, "pay"), Granted)
-	holders, others := c.seats()
+	holders, others := c.splitBySeat()
 	for _, i := range holders[:2] {
 		c.kill(i)
 	}
@@ -126,7 +126,7 @@
 func TestForgetAllowsNewGeneration(t *testing.T) {
 	c := startTestCluster(t, 5, 0)
 	c.converge()
-	holders, others := c.seats()
+	holders, others := c.splitBySeat()
 	for _, i := range holders[:2] {
 		c.kill(i)
 	}
@@ -176,7 +176,7 @@
 	c.converge()
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	holders, _ := c.seats()
+	holders, _ := c.splitBySeat()
 	for _, i := range holders[1:] {
 		c.nodes[i].server.Config.Handler = http.NotFoundHandler()
 	}
--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -120,11 +120,11 @@
 	if c.Contested {
 		state = recordContested
 	}
-	old := t.find(c.Key)
-	if old != nil && old.attempt == c.Attempt && !c.Contested && old.state != recordContested {
+	existing := t.find(c.Key)
+	if existing != nil && existing.attempt == c.Attempt && !c.Contested && existing.state != recordContested {
 		return true
 	}
-	if old != nil && old.state != recordReleased {
+	if existing != nil && existing.state != recordReleased {
 		state = recordContested
 	}
 	return t.insert(record{key: c.Key, attempt: c.Attempt, state: state}, now)
