--- a/internal/claim/bootstrap.go
+++ b/internal/claim/bootstrap.go
@@ -43,7 +43,7 @@
 // least minimumGenesisSize, which is better than none.
 func (m *Manager) genesisMembers(now time.Time) []Member {
 	view := View{Self: m.self, Nodes: m.config.Members.Members()}
-	members := PlanGenesis(view, m.config.Size)
+	members := GenesisMembers(view, m.config.Size)
 	if members != nil || now.Sub(m.started) < m.config.SettleTime+genesisGracePeriod {
 		return members
 	}
@@ -52,7 +52,7 @@
 	if size < minimumGenesisSize {
 		return nil
 	}
-	return PlanGenesis(view, size)
+	return GenesisMembers(view, size)
 }
 
 // rank returns the node's position among the live nodes in a pseudorandom order
--- a/internal/claim/cluster_test.go
+++ b/internal/claim/cluster_test.go
@@ -89,7 +89,7 @@
 		c.nodes = append(c.nodes, node)
 		c.boot(node)
 	}
-	genesis, err := NewGenesis(simRetention, PlanGenesis(c.view(c.nodes[0]), seats))
+	genesis, err := NewGenesis(simRetention, GenesisMembers(c.view(c.nodes[0]), seats))
 	if err != nil {
 		panic(err)
 	}
--- a/internal/claim/plan.go
+++ b/internal/claim/plan.go
@@ -73,9 +73,9 @@
 	return Roster{}, ChangeNone
 }
 
-// PlanGenesis returns the members of the first roster, or nil if too few nodes
+// GenesisMembers returns the members of the first roster, or nil if too few nodes
 // are alive.
-func PlanGenesis(v View, size int) []Member {
+func GenesisMembers(v View, size int) []Member {
 	members := spreadOverZones(v.aliveMembers(), size)
 	if len(members) < size {
 		return nil
