--- a/internal/claim/table.go
+++ b/internal/claim/table.go
@@ -95,8 +95,8 @@
 
 // expire removes the records that are older than the retention.
 func (t *table) expire(now time.Time, retention time.Duration) {
-	age := t.sinceBase(now)
-	for t.len() > 0 && age-t.recordAt(t.first).inserted > retention {
+	offset := t.sinceBase(now)
+	for t.len() > 0 && offset-t.recordAt(t.first).inserted > retention {
 		t.unindex(t.first, t.recordAt(t.first).key)
 		t.first++
 		if t.first%chunkRecords == 0 {
@@ -120,11 +120,11 @@
 	if c.Contested {
 		state = recordContested
 	}
-	old := t.find(c.Key)
-	if old != nil && old.attempt == c.Attempt && !c.Contested && old.state != recordContested {
+	existing := t.find(c.Key)
+	if existing != nil && existing.attempt == c.Attempt && !c.Contested && existing.state != recordContested {
 		return true
 	}
-	if old != nil && old.state != recordReleased {
+	if existing != nil && existing.state != recordReleased {
 		state = recordContested
 	}
 	return t.insert(record{key: c.Key, attempt: c.Attempt, state: state}, now)
