--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -19,13 +19,13 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// Path is the path of the list on the platform's server.
+// Path is the path of the machine list on the platform's server.
 const Path = "/machines"
 
 // maxListBytes limits the size of the response.
 const maxListBytes = 4 << 20
 
-// requestTimeout limits one request of the list.
+// requestTimeout limits one request for the list.
 const requestTimeout = 3 * time.Second
 
 // stateLeaving is the state of a machine that is about to stop.
@@ -47,46 +47,49 @@
 
 var errNoMachines = errors.New("response contains no list of machines")
 
-// Follower polls the list periodically. It is safe for concurrent use.
+// Follower polls the machine list and keeps the set of leaving machines. It is
+// safe for concurrent use.
 type Follower struct {
 	url      string
 	interval time.Duration
 	client   *http.Client
 	log      logrus.FieldLogger
-	changed  func()
-	leaving  atomic.Pointer[map[string]bool]
-	// generation counts the changes of the leaving set.
+	onChange func()
+	// leaving is the set of the drain names of the leaving machines.
+	leaving atomic.Pointer[map[string]bool]
+	// generation counts the changes of the set.
 	generation atomic.Uint64
 }
 
-// NewFollower returns a follower of the list at an IP address and port. The
-// function changed is called after each change of the set of leaving machines.
-func NewFollower(address string, interval time.Duration, client *http.Client, log logrus.FieldLogger, changed func()) *Follower {
-	f := &Follower{
+// NewFollower returns a Follower that reads the list from a server at an IP
+// address and port. The function onChange is called after each change of the
+// set of leaving machines.
+func NewFollower(address string, interval time.Duration, client *http.Client, log logrus.FieldLogger, onChange func()) *Follower {
+	p := &Follower{
 		url:      "http://" + address + Path,
 		interval: interval,
 		client:   client,
 		log:      log,
-		changed:  changed,
+		onChange: onChange,
 	}
-	f.leaving.Store(&map[string]bool{})
-	return f
+	p.leaving.Store(&map[string]bool{})
+	return p
 }
 
 // Drained reports whether the drain name is that of a leaving machine.
-func (f *Follower) Drained(drainName string) bool { return (*f.leaving.Load())[drainName] }
+func (p *Follower) Drained(drainName string) bool { return (*p.leaving.Load())[drainName] }
 
 // Generation returns a number that changes with the set of leaving machines.
-func (f *Follower) Generation() uint64 { return f.generation.Load() }
+func (p *Follower) Generation() uint64 { return p.generation.Load() }
 
-// Run polls the list until the context ends. A failed request leaves the current
-// set of leaving machines unchanged.
-func (f *Follower) Run(ctx context.Context) {
-	ticker := time.NewTicker(f.interval)
+// Run polls the list until the context ends. If a request fails, the set of
+// leaving machines stays as it is.
+func (p *Follower) Run(ctx context.Context) {
+	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
 	for {
-		if err := f.refresh(ctx); err != nil && ctx.Err() == nil {
-			f.log.WithError(err).WithField("step", "machine list").Warn("failed to read the machine list")
+		if err := p.refresh(ctx); err != nil && ctx.Err() == nil {
+			p.log.WithError(err).WithField("step", "machine list").Warn("failed to read the machine list")
 		}
 		select {
 		case <-ctx.Done():
@@ -96,23 +99,23 @@
 	}
 }
 
-func (f *Follower) refresh(ctx context.Context) error {
+func (p *Follower) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	machines, err := f.fetch(ctx)
+	machines, err := p.fetch(ctx)
 	if err != nil {
-		return oops.In("machines").With("step", "read list").With("peer", f.url).Wrapf(err, "read machine list at %s", f.url)
+		return oops.In("machines").With("step", "read list").With("peer", p.url).Wrapf(err, "read machine list at %s", p.url)
 	}
-	f.apply(machines)
+	p.apply(machines)
 	return nil
 }
 
-func (f *Follower) fetch(ctx context.Context) ([]Machine, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, f.url, nil)
+func (p *Follower) fetch(ctx context.Context) ([]Machine, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url, nil)
 	if err != nil {
 		return nil, err
 	}
-	response, err := f.client.Do(request)
+	response, err := p.client.Do(request)
 	if err != nil {
 		return nil, err
 	}
@@ -130,17 +133,17 @@
 	return decoded.Machines, nil
 }
 
-func (f *Follower) apply(machines []Machine) {
+func (p *Follower) apply(machines []Machine) {
 	leaving := map[string]bool{}
 	for _, machine := range machines {
 		if machine.State == stateLeaving {
 			leaving[resource.DrainMachinePrefix+machine.Name] = true
 		}
 	}
-	previous := *f.leaving.Swap(&leaving)
+	previous := *p.leaving.Swap(&leaving)
 	if !equalSets(previous, leaving) {
-		f.generation.Add(1)
-		f.changed()
+		p.generation.Add(1)
+		p.onChange()
 	}
 }
 
