--- a/internal/configuration/cluster_test.go
+++ b/internal/configuration/cluster_test.go
@@ -20,8 +20,8 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// cluster is a set of nodes in one process with real listeners, which exchange
-// digests by simulated gossip.
+// cluster is a set of nodes in one process. They serve peers on real listeners
+// and exchange digests by simulated gossip.
 type cluster struct {
 	// startupGrace is Options.StartupGrace of the nodes added afterwards.
 	startupGrace time.Duration
@@ -37,32 +37,33 @@
 }
 
 type testNode struct {
-	cluster  *cluster
-	self     Member
-	syncer   *Syncer
-	writer   *Writer
-	server   *httptest.Server
-	stop     context.CancelFunc
-	dead     atomic.Bool
+	cluster *cluster
+	self    Member
+	syncer  *Syncer
+	writer  *Writer
+	server  *httptest.Server
+	stop    context.CancelFunc
+	dead    atomic.Bool
+	// isolated drops all traffic of the node.
 	isolated atomic.Bool
 }
 
 func newCluster(t testing.TB) *cluster {
 	c := &cluster{startupGrace: 200 * time.Millisecond, t: t, backing: newFaultyStore()}
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		c.gossip(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-done
 	})
 	return c
 }
 
-// Members implements Membership for one node.
+// Members implements Membership. Unreachable nodes are not live.
 func (n *testNode) Members() []Member {
 	n.cluster.mu.Lock()
 	defer n.cluster.mu.Unlock()
@@ -75,7 +76,8 @@
 	return members
 }
 
-// reachable must be called with the lock held.
+// reachable reports whether there is no partition between two nodes. c.mu must be
+// held.
 func (c *cluster) reachable(a, b *testNode) bool {
 	if a.isolated.Load() || b.isolated.Load() {
 		return a == b
@@ -135,21 +137,21 @@
 	c.mu.Lock()
 	c.nodes = append(c.nodes, n)
 	c.mu.Unlock()
-	n.run(c.t)
+	n.start(c.t)
 	return n
 }
 
-func (n *testNode) run(t testing.TB) {
+func (n *testNode) start(t testing.TB) {
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		n.syncer.Run(ctx)
 	}()
 	t.Cleanup(func() {
 		cancel()
-		<-ended
+		<-done
 		n.server.Close()
 	})
 }
@@ -195,8 +197,8 @@
 }
 
 func (c *cluster) addMany(count int, zones ...string) {
-	for number := range count {
-		c.add(zones[number%len(zones)])
+	for i := range count {
+		c.add(zones[i%len(zones)])
 	}
 	c.awaitReady()
 }
@@ -240,13 +242,13 @@
 // comparison of digests: with gossip paused, pushes miss at most 24 of 1200
 // deliveries.
 func TestPushAloneReachesAlmostAllNodes(t *testing.T) {
-	const nodes, changes, missesAllowed = 60, 20, 24
+	const nodes, changes, maxMissed = 60, 20, 24
 	c := newCluster(t)
 	c.addMany(nodes, "zone-a", "zone-b", "zone-c", "zone-d", "zone-e")
 	c.gossipPaused.Store(true)
-	for number := range changes {
-		writer := c.nodes[number*7%nodes]
-		_, err := writer.writer.Write(t.Context(), service(fmt.Sprintf("service-%d", number), 1000), 0, resource.Change{ID: "create"})
+	for i := range changes {
+		writer := c.nodes[i*7%nodes]
+		_, err := writer.writer.Write(t.Context(), service(fmt.Sprintf("service-%d", i), 1000), 0, resource.Change{ID: "create"})
 		assert.NilError(t, err)
 	}
 	missed := func() int {
@@ -256,5 +258,5 @@
 		}
 		return missed
 	}
-	eventually(t, "delivery by push", func() bool { return missed() <= missesAllowed })
+	eventually(t, "delivery by push", func() bool { return missed() <= maxMissed })
 }
--- a/internal/configuration/delta.go
+++ b/internal/configuration/delta.go
@@ -19,9 +19,10 @@
 	More bool
 }
 
-// Since returns the versions above the floor, lowest revisions first, at most
-// limit of them; zero means no limit. It is sufficient to update a replica with
-// that floor only if the floor is not below the digest's Collected.
+// Since returns the versions above the floor, lowest revisions first. A limit
+// other than zero limits their number, but versions of one revision are never
+// split. The delta is sufficient to update a replica with that floor only if the
+// floor is not below the digest's Collected.
 func (r *Replica) Since(floor store.Revision, limit int) Delta {
 	r.mu.RLock()
 	delta := Delta{Digest: r.digest, Ready: r.ready}
@@ -39,7 +40,7 @@
 }
 
 // compareVersions orders versions by revision and then by key, because all
-// tombstones derived from one full view have the same revision.
+// tombstones derived from one complete view have the same revision.
 func compareVersions(a, b resource.Versioned) int {
 	return cmp.Or(cmp.Compare(a.Revision, b.Revision), cmp.Compare(a.ID.Key(), b.ID.Key()))
 }
--- a/internal/configuration/drains.go
+++ b/internal/configuration/drains.go
@@ -61,7 +61,7 @@
 		expiry = latest
 	}
 	full := !known && len(d.expiries) >= MaxEmergencyDrains
-	if full || !expiry.After(now) || !validDrain(name) {
+	if full || !expiry.After(now) || !isValidDrainName(name) {
 		return false
 	}
 	if expiry.After(current) {
@@ -70,7 +70,7 @@
 	return !known
 }
 
-func validDrain(name string) bool {
+func isValidDrainName(name string) bool {
 	envelope := resource.Envelope{ID: resource.ID{Kind: resource.KindDrain, Name: name}, Drain: &resource.Drain{}}
 	return envelope.Validate() == nil
 }
--- a/internal/configuration/messages.go
+++ b/internal/configuration/messages.go
@@ -14,8 +14,8 @@
 
 // Paths of the peer endpoints.
 const (
-	PathSince = "/peer/configuration/since"
-	PathPush  = "/peer/configuration/push"
+	PathPull = "/peer/configuration/since"
+	PathPush = "/peer/configuration/push"
 )
 
 // Limits of the messages between nodes.
@@ -31,21 +31,22 @@
 	contentType = "application/cbor"
 )
 
-// entry is the wire form of a version; the envelope is encoded as in the store.
-type entry struct {
+// wireEntry is the wire form of a version. The envelope is encoded as in the
+// store.
+type wireEntry struct {
 	Revision store.Revision `cbor:"1,keyasint"`
 	Envelope []byte         `cbor:"2,keyasint"`
 }
 
-// drainEntry is the wire form of an emergency drain.
-type drainEntry struct {
+// wireDrain is the wire form of an emergency drain.
+type wireDrain struct {
 	Name string `cbor:"1,keyasint"`
 	// Expiry is in milliseconds since the Unix epoch.
 	Expiry int64 `cbor:"2,keyasint"`
 }
 
-// sinceRequest requests the versions that a replica lacks.
-type sinceRequest struct {
+// pullRequest requests one page of the versions that a replica lacks.
+type pullRequest struct {
 	// Floor is the requesting replica's floor.
 	Floor store.Revision `cbor:"1,keyasint"`
 	// After and AfterKey are the revision and key of the last entry of the
@@ -55,28 +56,28 @@
 	// Full requests all versions, regardless of the floor.
 	Full bool `cbor:"3,keyasint,omitempty"`
 	// Max limits the entries of the response; zero leaves the limit to the peer.
-	Max    int          `cbor:"4,keyasint,omitempty"`
-	Drains []drainEntry `cbor:"5,keyasint,omitempty"`
+	Max    int         `cbor:"4,keyasint,omitempty"`
+	Drains []wireDrain `cbor:"5,keyasint,omitempty"`
 }
 
-// sinceResponse is one page of the response to a sinceRequest.
-type sinceResponse struct {
-	Entries []entry `cbor:"1,keyasint,omitempty"`
-	Digest  Digest  `cbor:"2,keyasint"`
-	Ready   bool    `cbor:"3,keyasint"`
-	More    bool    `cbor:"4,keyasint,omitempty"`
+// pullResponse is one page of versions.
+type pullResponse struct {
+	Entries []wireEntry `cbor:"1,keyasint,omitempty"`
+	Digest  Digest      `cbor:"2,keyasint"`
+	Ready   bool        `cbor:"3,keyasint"`
+	More    bool        `cbor:"4,keyasint,omitempty"`
 	// FullRequired is set if a delta cannot bring the requesting replica up to
 	// date.
-	FullRequired bool         `cbor:"5,keyasint,omitempty"`
-	Drains       []drainEntry `cbor:"6,keyasint,omitempty"`
+	FullRequired bool        `cbor:"5,keyasint,omitempty"`
+	Drains       []wireDrain `cbor:"6,keyasint,omitempty"`
 }
 
 // pushMessage carries new versions and drains to a peer.
 type pushMessage struct {
-	Entries []entry `cbor:"1,keyasint,omitempty"`
+	Entries []wireEntry `cbor:"1,keyasint,omitempty"`
 	// Hops counts the nodes that have forwarded the message.
-	Hops   int          `cbor:"2,keyasint,omitempty"`
-	Drains []drainEntry `cbor:"3,keyasint,omitempty"`
+	Hops   int         `cbor:"2,keyasint,omitempty"`
+	Drains []wireDrain `cbor:"3,keyasint,omitempty"`
 }
 
 var messageDecoder = newMessageDecoder()
@@ -122,7 +123,7 @@
 
 // encodeVersions encodes as many versions as fit in a message, in order, and
 // returns their number.
-func encodeVersions(versions []resource.Versioned) (entries []entry, count int, err error) {
+func encodeVersions(versions []resource.Versioned) (entries []wireEntry, count int, err error) {
 	size := 0
 	for _, version := range versions {
 		encoded, err := version.Encode()
@@ -133,7 +134,7 @@
 		if len(entries) > 0 && (size > maxPageSize || len(entries) >= maxPageEntries) {
 			break
 		}
-		entries = append(entries, entry{Revision: version.Revision, Envelope: encoded})
+		entries = append(entries, wireEntry{Revision: version.Revision, Envelope: encoded})
 		count++
 	}
 	return entries, count, nil
@@ -141,7 +142,7 @@
 
 // decodeEntries decodes and validates the entries of a peer's message. One
 // invalid entry rejects the whole message.
-func decodeEntries(entries []entry) ([]resource.Versioned, error) {
+func decodeEntries(entries []wireEntry) ([]resource.Versioned, error) {
 	versions := make([]resource.Versioned, 0, len(entries))
 	for _, received := range entries {
 		if received.Revision <= 0 {
@@ -156,8 +157,9 @@
 	return versions, nil
 }
 
-// decodeEntry decodes a version from an entry of the store.
-func decodeEntry(stored store.Entry) (resource.Versioned, error) {
+// decodeStoreEntry decodes an entry of the store and checks that its key is that
+// of the object.
+func decodeStoreEntry(stored store.Entry) (resource.Versioned, error) {
 	envelope, err := resource.DecodeEnvelope(stored.Value)
 	if err == nil && envelope.ID.Key() != stored.Key {
 		err = oops.Errorf("envelope of %s", envelope.ID)
@@ -168,15 +170,15 @@
 	return resource.Versioned{Envelope: envelope, Revision: stored.Revision}, nil
 }
 
-func encodeDrains(expiries map[string]time.Time) []drainEntry {
-	encoded := make([]drainEntry, 0, len(expiries))
+func encodeDrains(expiries map[string]time.Time) []wireDrain {
+	encoded := make([]wireDrain, 0, len(expiries))
 	for name, expiry := range expiries {
-		encoded = append(encoded, drainEntry{Name: name, Expiry: expiry.UnixMilli()})
+		encoded = append(encoded, wireDrain{Name: name, Expiry: expiry.UnixMilli()})
 	}
 	return encoded
 }
 
-func decodeDrains(encoded []drainEntry) map[string]time.Time {
+func decodeDrains(encoded []wireDrain) map[string]time.Time {
 	expiries := make(map[string]time.Time, len(encoded))
 	for _, received := range encoded {
 		expiries[received.Name] = time.UnixMilli(received.Expiry)
--- a/internal/configuration/messages_test.go
+++ b/internal/configuration/messages_test.go
@@ -38,7 +38,7 @@
 	return encoded
 }
 
-func TestInvalidPushesChangeNothing(t *testing.T) {
+func TestInvalidPushesAreRejected(t *testing.T) {
 	invalid := version("a", 3, false)
 	invalid.Service = nil
 	encodedInvalid := encode(t, invalid.Envelope)
@@ -46,10 +46,10 @@
 	assert.NilError(t, err)
 	cases := map[string][]byte{
 		"no message":        []byte("hello"),
-		"truncated":         encode(t, pushMessage{Entries: []entry{{Revision: 4, Envelope: valid}}})[:20],
-		"invalid envelope":  encode(t, pushMessage{Entries: []entry{{Revision: 4, Envelope: valid}, {Revision: 3, Envelope: encodedInvalid}}}),
-		"zero revision":     encode(t, pushMessage{Entries: []entry{{Envelope: valid}}}),
-		"negative revision": encode(t, pushMessage{Entries: []entry{{Revision: -1, Envelope: valid}}}),
+		"truncated":         encode(t, pushMessage{Entries: []wireEntry{{Revision: 4, Envelope: valid}}})[:20],
+		"invalid envelope":  encode(t, pushMessage{Entries: []wireEntry{{Revision: 4, Envelope: valid}, {Revision: 3, Envelope: encodedInvalid}}}),
+		"zero revision":     encode(t, pushMessage{Entries: []wireEntry{{Envelope: valid}}}),
+		"negative revision": encode(t, pushMessage{Entries: []wireEntry{{Revision: -1, Envelope: valid}}}),
 		"too long":          make([]byte, MaxMessageSize+1),
 	}
 	for name, body := range cases {
@@ -61,20 +61,20 @@
 	}
 }
 
-func TestPullsBeyondBoundAreRefused(t *testing.T) {
+func TestPullsAboveLimitAreRejected(t *testing.T) {
 	syncer, mux := newIdleSyncer()
 	for range maxConcurrentPulls {
 		syncer.pullSlots <- struct{}{}
 	}
-	assert.Equal(t, postBody(mux, PathSince, encode(t, sinceRequest{})).Code, http.StatusServiceUnavailable)
+	assert.Equal(t, postBody(mux, PathPull, encode(t, pullRequest{})).Code, http.StatusServiceUnavailable)
 	<-syncer.pullSlots
-	assert.Equal(t, postBody(mux, PathSince, encode(t, sinceRequest{})).Code, http.StatusOK)
+	assert.Equal(t, postBody(mux, PathPull, encode(t, pullRequest{})).Code, http.StatusOK)
 }
 
-func TestPagesAreBounded(t *testing.T) {
+func TestPageSizeIsLimited(t *testing.T) {
 	var versions []resource.Versioned
-	for number := range 40 {
-		large := version("a", store.Revision(number+1), false)
+	for i := range 40 {
+		large := version("a", store.Revision(i+1), false)
 		large.History = []resource.Change{{ID: string(make([]byte, 30<<10))}}
 		versions = append(versions, large)
 	}
@@ -91,7 +91,7 @@
 	assert.NilError(t, err)
 	for hops, forwarded := range map[int]bool{0: true, maxHops - 2: true, maxHops - 1: false, maxHops: false} {
 		syncer, mux := newIdleSyncer()
-		message := pushMessage{Entries: []entry{{Revision: 1, Envelope: encoded}}, Hops: hops}
+		message := pushMessage{Entries: []wireEntry{{Revision: 1, Envelope: encoded}}, Hops: hops}
 		assert.Equal(t, postBody(mux, PathPush, encode(t, message)).Code, http.StatusNoContent)
 		assert.Equal(t, len(syncer.pushQueue.takeBatch().versions) == 1, forwarded, "after %d hops", hops)
 		assert.Equal(t, postBody(mux, PathPush, encode(t, message)).Code, http.StatusNoContent)
@@ -102,22 +102,22 @@
 func FuzzPeerMessages(f *testing.F) {
 	encoded, err := version("a", 7, false).Encode()
 	assert.NilError(f, err)
-	drains := []drainEntry{{Name: "target.a", Expiry: time.Now().UnixMilli()}}
-	f.Add(encode(f, pushMessage{Entries: []entry{{Revision: 7, Envelope: encoded}}, Hops: 1, Drains: drains}))
-	f.Add(encode(f, sinceRequest{Floor: 3, After: 4, AfterKey: "k", Full: true, Max: 2, Drains: drains}))
-	f.Add(encode(f, sinceResponse{Entries: []entry{{Revision: 7, Envelope: encoded}}, More: true}))
+	drains := []wireDrain{{Name: "target.a", Expiry: time.Now().UnixMilli()}}
+	f.Add(encode(f, pushMessage{Entries: []wireEntry{{Revision: 7, Envelope: encoded}}, Hops: 1, Drains: drains}))
+	f.Add(encode(f, pullRequest{Floor: 3, After: 4, AfterKey: "k", Full: true, Max: 2, Drains: drains}))
+	f.Add(encode(f, pullResponse{Entries: []wireEntry{{Revision: 7, Envelope: encoded}}, More: true}))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		syncer, mux := newIdleSyncer()
 		before := version("a", 5, false)
 		syncer.replica.ApplyComplete([]resource.Versioned{before}, 5)
-		push := postBody(mux, PathPush, body)
-		since := postBody(mux, PathSince, body)
-		assert.Assert(t, push.Code == http.StatusNoContent || push.Code == http.StatusBadRequest)
-		assert.Assert(t, since.Code == http.StatusOK || since.Code == http.StatusBadRequest)
+		pushRecorder := postBody(mux, PathPush, body)
+		pullRecorder := postBody(mux, PathPull, body)
+		assert.Assert(t, pushRecorder.Code == http.StatusNoContent || pushRecorder.Code == http.StatusBadRequest)
+		assert.Assert(t, pullRecorder.Code == http.StatusOK || pullRecorder.Code == http.StatusBadRequest)
 		current, known := syncer.replica.Get(before.ID)
 		assert.Assert(t, known && current.Revision >= 5)
 		assert.Equal(t, syncer.replica.Floor(), store.Revision(5), "messages must not raise the floor")
-		var response sinceResponse
+		var response pullResponse
 		if _, err := decodeMessage(bytes.NewReader(body), &response); err == nil {
 			var result pullResult
 			_ = result.add(response)
--- a/internal/configuration/options.go
+++ b/internal/configuration/options.go
@@ -46,10 +46,10 @@
 	// PollInterval is the minimum mean interval between two polls of the store by
 	// this node (default 1 min).
 	PollInterval time.Duration
-	// PollShare is the mean interval between two polls of the store by any node:
-	// each of N nodes polls every N*PollShare, but not more often than
-	// PollInterval (default 5 s).
-	PollShare time.Duration
+	// MeshPollInterval is the mean interval between two polls of the store by any
+	// node of the mesh: each of N nodes polls every N*MeshPollInterval, but not
+	// more often than PollInterval (default 5 s).
+	MeshPollInterval time.Duration
 	// PollGrace is how long the floor may lag behind the revision of a poll
 	// before the node lists the store (default 3 s).
 	PollGrace time.Duration
@@ -83,7 +83,7 @@
 	setDefault(&o.MinBackoff, 250*time.Millisecond)
 	setDefault(&o.MaxBackoff, DefaultMaxBackoff)
 	setDefault(&o.PollInterval, time.Minute)
-	setDefault(&o.PollShare, 5*time.Second)
+	setDefault(&o.MeshPollInterval, 5*time.Second)
 	setDefault(&o.PollGrace, 3*time.Second)
 	setDefault(&o.PullInterval, time.Second)
 	setDefault(&o.FullPullInterval, 30*time.Second)
--- a/internal/configuration/poll.go
+++ b/internal/configuration/poll.go
@@ -12,9 +12,10 @@
 // pollPrefix contains no keys: listing it returns only the store's revision.
 const pollPrefix = resource.KeyPrefix + "revision-probe/"
 
-// maxPollBackoff limits the factor by which the poll interval grows while lists
-// after a lagging poll find no missed changes.
-const maxPollBackoff = 16
+// maxPollIntervalFactor limits the factor by which the poll interval is
+// multiplied. The factor doubles each time the floor lags behind but a list of
+// the store finds no missed changes.
+const maxPollIntervalFactor = 16
 
 // pollLoop periodically compares the store's revision with the floor. It
 // detects watches that hang and watchers that cannot reach the store.
@@ -29,7 +30,7 @@
 		case missed:
 			factor = 1
 		case listed:
-			factor = min(2*factor, maxPollBackoff)
+			factor = min(2*factor, maxPollIntervalFactor)
 		}
 	}
 }
@@ -38,7 +39,7 @@
 // share of the polls of all nodes.
 func (s *Syncer) pollPause(factor int) time.Duration {
 	members := len(livePeers(s.options.Self.Name, s.options.Membership.Members())) + 1
-	interval := max(s.options.PollInterval, time.Duration(members)*s.options.PollShare)
+	interval := max(s.options.PollInterval, time.Duration(members)*s.options.MeshPollInterval)
 	interval *= time.Duration(factor)
 	return interval/2 + jitter(interval)
 }
@@ -70,13 +71,13 @@
 func (s *Syncer) storeRevision(ctx context.Context) (store.Revision, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.options.StoreTimeout)
 	defer cancel()
-	s.counters.polls.Add(1)
-	known := s.replica.Floor()
+	s.counters.storePolls.Add(1)
+	floor := s.replica.Floor()
 	snapshot, err := s.options.Store.List(ctx, pollPrefix)
 	if err != nil {
 		return 0, s.storeError("poll", err)
 	}
-	if snapshot.Revision < known {
+	if snapshot.Revision < floor {
 		return 0, s.storeError("poll", errStoreBehind)
 	}
 	s.recordStoreContact()
@@ -86,12 +87,12 @@
 // awaitFloor waits up to PollGrace for watches and pulls to raise the floor to
 // the revision. It also returns true if the context ends.
 func (s *Syncer) awaitFloor(ctx context.Context, revision store.Revision) bool {
-	const steps = 10
-	for range steps {
+	const checks = 10
+	for range checks {
 		if s.replica.Floor() >= revision {
 			return true
 		}
-		if !pause.For(ctx, s.options.PollGrace/steps) {
+		if !pause.For(ctx, s.options.PollGrace/checks) {
 			return true
 		}
 	}
--- a/internal/configuration/pull.go
+++ b/internal/configuration/pull.go
@@ -18,7 +18,7 @@
 // maxPullPages limits the pages of one pull.
 const maxPullPages = 2048
 
-// errFullRequired means that the peer cannot serve a delta from this floor.
+// errFullRequired means that the peer cannot serve a delta above the local floor.
 var errFullRequired = errors.New("peer has collected tombstones above the floor")
 
 // HandleDigest compares a peer's digest, received by gossip, with the local one
@@ -29,7 +29,7 @@
 	}
 	s.replica.AdoptFloor(digest)
 	if s.Digest().shouldPull(digest) {
-		s.sources.add(from, digest)
+		s.pullSources.add(from, digest)
 	}
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// awaitPullTrigger waits for a source or, while the node has no
+// awaitPullTrigger waits for a pull source or, while the node has no
 // configuration, for the time of the next attempt. It returns false when the
 // context ends.
 func (s *Syncer) awaitPullTrigger(ctx context.Context) bool {
@@ -62,15 +62,15 @@
 	select {
 	case <-ctx.Done():
 		return false
-	case <-s.sources.signal:
+	case <-s.pullSources.signal:
 	case <-retry:
 	}
 	return true
 }
 
 func (s *Syncer) pullPause(bytes int64) time.Duration {
-	pause := time.Duration(bytes) * time.Second / time.Duration(s.options.PullBytesPerSecond)
-	return max(s.options.PullInterval, min(pause, MaxPullPause))
+	delay := time.Duration(bytes) * time.Second / time.Duration(s.options.PullBytesPerSecond)
+	return max(s.options.PullInterval, min(delay, MaxPullPause))
 }
 
 func (s *Syncer) pullOnce(ctx context.Context) error {
@@ -101,12 +101,12 @@
 	return nil
 }
 
-// choosePeer returns the peer to pull from: a source or, while the node has no
-// configuration, any peer or seed.
+// choosePeer returns the address of the peer to pull from: a pull source or,
+// while the node has no configuration, any peer or seed.
 func (s *Syncer) choosePeer() (address string, found bool) {
-	if chosen, ok := s.sources.choose(s.Digest()); ok {
-		if s.sources.pending() {
-			s.sources.notify()
+	if chosen, ok := s.pullSources.choose(s.Digest()); ok {
+		if s.pullSources.pending() {
+			s.pullSources.notify()
 		}
 		return chosen.member.PeerAddress, true
 	}
@@ -126,9 +126,9 @@
 
 // pullResult is the result of a pull, which may span several pages.
 type pullResult struct {
-	// base is the floor that the request was sent with.
-	base     store.Revision
-	versions []resource.Versioned
+	// requestFloor is the floor that the request was sent with.
+	requestFloor store.Revision
+	versions     []resource.Versioned
 	// digest is the peer's digest in the first page. A version that the peer
 	// received later may lie below the start of a later page and be missed, so
 	// only the floor of the first page is valid for the result.
@@ -144,8 +144,8 @@
 	if full {
 		s.counters.fullPulls.Add(1)
 	}
-	result := pullResult{base: s.replica.Floor()}
-	request := sinceRequest{Floor: result.base, Full: full, Max: maxPageEntries}
+	result := pullResult{requestFloor: s.replica.Floor()}
+	request := pullRequest{Floor: result.requestFloor, Full: full, Max: maxPageEntries}
 	for more := true; more; {
 		page, err := s.fetchPage(ctx, address, request)
 		if err != nil {
@@ -166,21 +166,21 @@
 	return result, nil
 }
 
-func (s *Syncer) fetchPage(ctx context.Context, address string, request sinceRequest) (sinceResponse, error) {
+func (s *Syncer) fetchPage(ctx context.Context, address string, request pullRequest) (pullResponse, error) {
 	request.Drains = encodeDrains(s.drains.Expiries())
-	var page sinceResponse
+	var page pullResponse
 	encoded, err := cbor.Marshal(request)
 	if err != nil {
 		return page, err
 	}
-	if err := s.post(ctx, address, PathSince, encoded, &page); err != nil {
+	if err := s.post(ctx, address, PathPull, encoded, &page); err != nil {
 		return page, err
 	}
 	s.mergeDrains(page.Drains, 0)
 	return page, nil
 }
 
-func (p *pullResult) add(page sinceResponse) error {
+func (p *pullResult) add(page pullResponse) error {
 	versions, err := decodeEntries(page.Entries)
 	if err != nil {
 		return err
@@ -247,7 +247,7 @@
 // peer's have the same floor and the same versions above the requested floor,
 // but differ below it.
 func (s *Syncer) diverged(result pullResult) bool {
-	local := s.replica.Since(result.base, 0)
+	local := s.replica.Since(result.requestFloor, 0)
 	if !result.ready || result.pages != 1 || local.Digest.Floor != result.digest.Floor || local.Digest.sameObjects(result.digest) {
 		return false
 	}
--- a/internal/configuration/push.go
+++ b/internal/configuration/push.go
@@ -79,7 +79,7 @@
 	select {
 	case s.pushSlots <- struct{}{}:
 	default:
-		s.counters.dropped.Add(1)
+		s.counters.pushesDropped.Add(1)
 		return
 	}
 	inFlight.Go(func() {
--- a/internal/configuration/replica.go
+++ b/internal/configuration/replica.go
@@ -17,7 +17,7 @@
 // for concurrent use. Versions passed in and returned share their
 // specifications and histories and must not be modified.
 type Replica struct {
-	// updateMu serializes updates including the calls of subscribers.
+	// updateMu serializes updates, including the calls of the subscribers.
 	updateMu sync.Mutex
 
 	mu          sync.RWMutex
@@ -87,13 +87,13 @@
 	})
 }
 
-// update runs a step that modifies objects and calls the subscribers with the
-// versions that it returns.
-func (r *Replica) update(step func() []resource.Versioned) []resource.Versioned {
+// update runs a function that modifies objects, and calls the subscribers with
+// the versions that it returns.
+func (r *Replica) update(modify func() []resource.Versioned) []resource.Versioned {
 	r.updateMu.Lock()
 	defer r.updateMu.Unlock()
 	r.mu.Lock()
-	changed := step()
+	changed := modify()
 	subscribers := r.subscribers
 	r.mu.Unlock()
 	if len(changed) == 0 {
@@ -105,10 +105,10 @@
 	return changed
 }
 
-func (r *Replica) applyVersions(versions []resource.Versioned, complete bool) []resource.Versioned {
+func (r *Replica) applyVersions(versions []resource.Versioned, fromCompleteView bool) []resource.Versioned {
 	var applied []resource.Versioned
 	for _, version := range versions {
-		if !r.accepts(version, complete) {
+		if !r.accepts(version, fromCompleteView) {
 			continue
 		}
 		r.put(version)
@@ -121,7 +121,7 @@
 // to its floor, so a version at or below the floor is either present or was
 // replaced, possibly by a tombstone that has been collected since. Such a
 // version is accepted only from a complete view.
-func (r *Replica) accepts(version resource.Versioned, complete bool) bool {
+func (r *Replica) accepts(version resource.Versioned, fromCompleteView bool) bool {
 	if current, known := r.objects[version.ID]; known && version.Revision <= current.Revision {
 		return false
 	}
@@ -129,7 +129,7 @@
 		return true
 	}
 	collected := version.Deleted && version.Revision <= r.digest.Collected
-	return complete && version.Revision > 0 && !collected
+	return fromCompleteView && version.Revision > 0 && !collected
 }
 
 // deleteAbsent replaces the objects that a complete view at the floor lacks by
@@ -174,7 +174,8 @@
 	r.updateDigest(version, 1)
 }
 
-// updateDigest adds a version to the digest (count 1) or removes it (count -1).
+// updateDigest adds a version to the digest (count 1) or removes it from the
+// digest (count -1).
 func (r *Replica) updateDigest(version resource.Versioned, count int) {
 	hash := hashVersion(version.ID, version.Revision)
 	if version.Deleted {
@@ -279,7 +280,8 @@
 	return r.ready
 }
 
-// Digest describes the replica; its Drains field is zero.
+// Digest returns the digest of the replica's versions, without the emergency
+// drains.
 func (r *Replica) Digest() Digest {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
--- a/internal/configuration/replica_test.go
+++ b/internal/configuration/replica_test.go
@@ -12,12 +12,12 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// history contains every version of every object that the store has accepted, by
-// revision.
-type history []resource.Versioned
+// storeHistory contains every version of every object that the store has
+// accepted, in order of revision.
+type storeHistory []resource.Versioned
 
-func drawHistory(t *rapid.T) history {
-	var drawn history
+func drawStoreHistory(t *rapid.T) storeHistory {
+	var drawn storeHistory
 	length := rapid.IntRange(1, 40).Draw(t, "length")
 	for revision := 1; revision <= length; revision++ {
 		name := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "name")
@@ -27,7 +27,7 @@
 }
 
 // at returns the store's content at a revision, tombstones included.
-func (h history) at(revision store.Revision) map[resource.ID]resource.Versioned {
+func (h storeHistory) at(revision store.Revision) map[resource.ID]resource.Versioned {
 	current := make(map[resource.ID]resource.Versioned)
 	for _, change := range h {
 		if change.Revision <= revision {
@@ -45,9 +45,9 @@
 	return versions
 }
 
-// checkNotStale fails if the replica has an older version of an object than the
-// store had at the replica's floor.
-func (h history) checkNotStale(t *rapid.T, replica *Replica) {
+// checkNotStale fails if the replica lacks an object that the store had at the
+// replica's floor, or has an older version of it.
+func (h storeHistory) checkNotStale(t *rapid.T, replica *Replica) {
 	for id, expected := range h.at(replica.Floor()) {
 		actual, known := replica.Get(id)
 		live := known && !actual.Deleted
@@ -60,9 +60,13 @@
 	}
 }
 
-func TestMergeStateMachine(t *testing.T) {
+// TestReplicaStateMachine applies random sequences of pushes, lists, pulls, floor
+// adoptions and tombstone collections to three replicas. No object may go back to an older
+// revision, no replica may be stale at its floor, and all replicas must agree
+// after a list of the newest revision.
+func TestReplicaStateMachine(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		accepted := drawHistory(t)
+		accepted := drawStoreHistory(t)
 		clock := time.Unix(1_700_000_000, 0)
 		now := func() time.Time { return clock }
 		replicas := []*Replica{NewReplica(now), NewReplica(now), NewReplica(now)}
@@ -130,7 +134,8 @@
 	})
 }
 
-// pullInMemory does the same as a pull over the network.
+// pullInMemory updates a replica from another one as a pull over the network
+// does.
 func pullInMemory(from, to *Replica) {
 	if to.Ready() && canServeDelta(from.Digest(), to.Floor()) {
 		delta := from.Since(to.Floor(), 0)
@@ -164,7 +169,7 @@
 	assert.Assert(t, actual.sameObjects(expected) && actual.Tombstones == expected.Tombstones)
 }
 
-func TestDeletionsStay(t *testing.T) {
+func TestOldVersionDoesNotUndoDeletion(t *testing.T) {
 	clock := time.Unix(1_700_000_000, 0)
 	replica := NewReplica(func() time.Time { return clock })
 	replica.Apply(version("a", 3, true))
@@ -188,14 +193,14 @@
 	assert.Equal(t, len(replica.List(resource.KindService)), 1)
 }
 
-func TestOldTombstoneInCompleteViewStandsForDeletion(t *testing.T) {
+func TestOldTombstoneInCompleteViewDeletesObject(t *testing.T) {
 	replica := NewReplica(time.Now)
 	replica.ApplyComplete([]resource.Versioned{version("a", 19, false)}, 19)
 	replica.ApplyComplete([]resource.Versioned{version("a", 1, true)}, 36)
 	assert.Equal(t, len(replica.List(resource.KindService)), 0)
 }
 
-func TestAdoptNeedsTheSameVersions(t *testing.T) {
+func TestAdoptFloorRequiresSameVersions(t *testing.T) {
 	build := func(floor, collected store.Revision, versions ...resource.Versioned) *Replica {
 		replica := NewReplica(time.Now)
 		replica.ApplyComplete(versions, floor)
@@ -227,10 +232,10 @@
 	}
 }
 
-func TestSinceInParts(t *testing.T) {
+func TestSinceInPages(t *testing.T) {
 	replica := NewReplica(time.Now)
-	for number := range 25 {
-		replica.Apply(version(fmt.Sprint("s", number), store.Revision(number+1), false))
+	for i := range 25 {
+		replica.Apply(version(fmt.Sprint("s", i), store.Revision(i+1), false))
 	}
 	copied := NewReplica(time.Now)
 	floor := store.Revision(0)
@@ -258,8 +263,8 @@
 	assert.Assert(t, !drains.Drained("target.old"))
 	clock = clock.Add(EmergencyDrainTTL)
 	assert.Assert(t, !drains.Drained("target.a") && drains.Sum() == 0)
-	for number := range 2 * MaxEmergencyDrains {
-		drains.Add(fmt.Sprint("target.t", number))
+	for i := range 2 * MaxEmergencyDrains {
+		drains.Add(fmt.Sprint("target.t", i))
 	}
 	assert.Equal(t, len(drains.Expiries()), MaxEmergencyDrains)
 }
--- a/internal/configuration/resolve.go
+++ b/internal/configuration/resolve.go
@@ -47,11 +47,12 @@
 	return resolution, revision, nil
 }
 
-// resolveFromHistory determines the outcome of a change from an object's accepted
-// version. Every entry of the history contains the revision that it replaced,
-// and the store accepts at most one change against a revision. If another change
-// replaced the expected revision, this change can never take effect; if the
-// history does not reach back to that revision, the outcome is undetermined.
+// resolveFromHistory determines the outcome of a change from an accepted version
+// of the object. Every change in the history contains the revision that it
+// replaced, and the store accepts at most one change against a revision. If
+// another change replaced the expected revision, this change can never take
+// effect; if the history does not reach back to that revision, the outcome is
+// undetermined.
 func resolveFromHistory(current resource.Versioned, changeID string, expected store.Revision) (Resolution, store.Revision) {
 	if revision, found := acceptedAt(current, changeID); found {
 		return Accepted, revision
@@ -67,8 +68,8 @@
 	return Undetermined, 0
 }
 
-// resolveCreation determines the outcome of a change that creates an object and is
-// not in the history. It was made against no version or against a deletion,
+// resolveCreation determines the outcome of a change that creates an object and
+// is not in the history. It was made against no version or against a deletion,
 // neither of which is the current version while the object exists.
 func resolveCreation(current resource.Versioned) Resolution {
 	exists := current.Revision != 0 && !current.Deleted
@@ -111,5 +112,5 @@
 	if err != nil {
 		return current, oops.In("configuration").With("step", "read current version").With("object", id.String()).Wrap(err)
 	}
-	return decodeEntry(entry)
+	return decodeStoreEntry(entry)
 }
--- a/internal/configuration/server.go
+++ b/internal/configuration/server.go
@@ -8,11 +8,11 @@
 
 // Register adds the peer endpoints to the mux of the peer listener.
 func (s *Syncer) Register(mux *http.ServeMux) {
-	mux.HandleFunc("POST "+PathSince, s.serveSince)
+	mux.HandleFunc("POST "+PathPull, s.servePull)
 	mux.HandleFunc("POST "+PathPush, s.servePush)
 }
 
-func (s *Syncer) serveSince(w http.ResponseWriter, r *http.Request) {
+func (s *Syncer) servePull(w http.ResponseWriter, r *http.Request) {
 	select {
 	case s.pullSlots <- struct{}{}:
 		defer func() { <-s.pullSlots }()
@@ -21,18 +21,18 @@
 		http.Error(w, "too many pulls", http.StatusServiceUnavailable)
 		return
 	}
-	var request sinceRequest
+	var request pullRequest
 	if !s.decodeRequest(w, r, &request) {
 		return
 	}
 	s.mergeDrains(request.Drains, 0)
-	response, err := s.sinceResponse(request)
+	response, err := s.buildPullResponse(request)
 	if err != nil {
 		s.options.Log.WithError(err).Error("cannot serve a pull")
 		http.Error(w, "cannot encode versions", http.StatusInternalServerError)
 		return
 	}
-	s.counters.served.Add(1)
+	s.counters.pullsServed.Add(1)
 	s.counters.sentBytes.Add(int64(writeMessage(w, response)))
 }
 
@@ -64,15 +64,16 @@
 	return err == nil
 }
 
-// sinceResponse returns one page of the response to a pull.
-func (s *Syncer) sinceResponse(request sinceRequest) (sinceResponse, error) {
+// buildPullResponse returns the requested page of versions, or a response with
+// FullRequired if the delta would not be sufficient.
+func (s *Syncer) buildPullResponse(request pullRequest) (pullResponse, error) {
 	base := request.Floor
 	if request.Full {
 		base = 0
 	}
 	delta := s.replica.Since(max(base, request.After-1), 0)
 	delta.skipThrough(request.After, request.AfterKey)
-	response := sinceResponse{Digest: delta.Digest, Ready: delta.Ready, Drains: encodeDrains(s.drains.Expiries())}
+	response := pullResponse{Digest: delta.Digest, Ready: delta.Ready, Drains: encodeDrains(s.drains.Expiries())}
 	response.Digest.Drains = s.drains.Sum()
 	if !request.Full && !canServeDelta(delta.Digest, request.Floor) {
 		response.FullRequired = true
@@ -88,8 +89,9 @@
 	return response, err
 }
 
-// mergeDrains merges the emergency drains of a peer and forwards new ones.
-func (s *Syncer) mergeDrains(drains []drainEntry, hops int) {
+// mergeDrains merges the emergency drains of a peer. If one of them is new, it
+// queues the drains for a push with the hop count, unless maxHops is reached.
+func (s *Syncer) mergeDrains(drains []wireDrain, hops int) {
 	if len(drains) > MaxEmergencyDrains {
 		return
 	}
--- a/internal/configuration/status.go
+++ b/internal/configuration/status.go
@@ -7,16 +7,16 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// counters are the counters of Traffic.
+// counters are the counters that Traffic reports.
 type counters struct {
-	lists, watches, polls    atomic.Int64
-	pulls, fullPulls, served atomic.Int64
-	pushes, dropped, invalid atomic.Int64
-	sentBytes, receivedBytes atomic.Int64
+	storeLists, storeWatches, storePolls  atomic.Int64
+	pulls, fullPulls, pullsServed         atomic.Int64
+	pushes, pushesDropped, invalidObjects atomic.Int64
+	sentBytes, receivedBytes              atomic.Int64
 }
 
-// watchStatus is the state of this node's connection to the store.
-type watchStatus struct {
+// storeStatus is the state of this node's connection to the store.
+type storeStatus struct {
 	watching    bool
 	lastErr     string
 	lastContact time.Time
@@ -44,17 +44,18 @@
 	Traffic         Traffic              `json:"traffic"`
 }
 
-// Traffic counts the requests and bytes of a Syncer since its start.
+// Traffic counts the requests, invalid objects and message bytes of a Syncer
+// since its start.
 type Traffic struct {
-	StoreLists    int64 `json:"store_lists"`
-	StoreWatches  int64 `json:"store_watches"`
-	StorePolls    int64 `json:"store_polls"`
-	Pulls         int64 `json:"pulls"`
-	FullPulls     int64 `json:"full_pulls"`
-	PullsServed   int64 `json:"pulls_served"`
-	Pushes        int64 `json:"pushes"`
-	PushesDropped int64 `json:"pushes_dropped"`
-	Invalid       int64 `json:"invalid_objects"`
+	StoreLists     int64 `json:"store_lists"`
+	StoreWatches   int64 `json:"store_watches"`
+	StorePolls     int64 `json:"store_polls"`
+	Pulls          int64 `json:"pulls"`
+	FullPulls      int64 `json:"full_pulls"`
+	PullsServed    int64 `json:"pulls_served"`
+	Pushes         int64 `json:"pushes"`
+	PushesDropped  int64 `json:"pushes_dropped"`
+	InvalidObjects int64 `json:"invalid_objects"`
 	// SentBytes and ReceivedBytes count the bodies of messages between nodes.
 	SentBytes     int64 `json:"sent_bytes"`
 	ReceivedBytes int64 `json:"received_bytes"`
@@ -63,16 +64,16 @@
 func (s *Syncer) Status() Status {
 	digest := s.replica.Digest()
 	s.mu.Lock()
-	watch := s.status
+	status := s.storeStatus
 	s.mu.Unlock()
 	return Status{
 		Ready:           s.replica.Ready(),
 		Floor:           digest.Floor,
 		Newest:          s.replica.newestRevision(),
 		Objects:         int(digest.Count),
-		Watching:        watch.watching,
-		StoreContact:    watch.lastContact,
-		StoreError:      watch.lastErr,
+		Watching:        status.watching,
+		StoreContact:    status.lastContact,
+		StoreError:      status.lastErr,
 		EmergencyDrains: s.drains.Expiries(),
 		Traffic:         s.counters.traffic(),
 	}
@@ -80,31 +81,31 @@
 
 func (c *counters) traffic() Traffic {
 	return Traffic{
-		StoreLists:    c.lists.Load(),
-		StoreWatches:  c.watches.Load(),
-		StorePolls:    c.polls.Load(),
-		Pulls:         c.pulls.Load(),
-		FullPulls:     c.fullPulls.Load(),
-		PullsServed:   c.served.Load(),
-		Pushes:        c.pushes.Load(),
-		PushesDropped: c.dropped.Load(),
-		Invalid:       c.invalid.Load(),
-		SentBytes:     c.sentBytes.Load(),
-		ReceivedBytes: c.receivedBytes.Load(),
+		StoreLists:     c.storeLists.Load(),
+		StoreWatches:   c.storeWatches.Load(),
+		StorePolls:     c.storePolls.Load(),
+		Pulls:          c.pulls.Load(),
+		FullPulls:      c.fullPulls.Load(),
+		PullsServed:    c.pullsServed.Load(),
+		Pushes:         c.pushes.Load(),
+		PushesDropped:  c.pushesDropped.Load(),
+		InvalidObjects: c.invalidObjects.Load(),
+		SentBytes:      c.sentBytes.Load(),
+		ReceivedBytes:  c.receivedBytes.Load(),
 	}
 }
 
 func (s *Syncer) setWatching(watching bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.status.watching = watching
+	s.storeStatus.watching = watching
 }
 
 func (s *Syncer) recordStoreContact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.status.lastContact = s.options.Now()
-	s.status.lastErr = ""
+	s.storeStatus.lastContact = s.options.Now()
+	s.storeStatus.lastErr = ""
 }
 
 // recordStoreError records an error of the store and logs it unless it equals
@@ -114,8 +115,8 @@
 		return
 	}
 	s.mu.Lock()
-	repeated := s.status.lastErr == err.Error()
-	s.status.lastErr = err.Error()
+	repeated := s.storeStatus.lastErr == err.Error()
+	s.storeStatus.lastErr = err.Error()
 	s.mu.Unlock()
 	if !repeated {
 		s.options.Log.WithError(err).Warn("configuration store unavailable; continuing with the replica")
--- a/internal/configuration/store_test.go
+++ b/internal/configuration/store_test.go
@@ -15,14 +15,18 @@
 	"github.com/lugspur/lugspur/internal/store/memory"
 )
 
-// swapFault is the fault that is injected into a compare-and-swap.
+// swapFault is a fault that faultyStore injects into a compare-and-swap.
 type swapFault int
 
 const (
 	noFault swapFault = iota
+	// lostAfterApply applies the swap but loses the response.
 	lostAfterApply
+	// lostBeforeApply loses the request.
 	lostBeforeApply
+	// appliedLate loses the response and delays the swap until runDelayedSwaps.
 	appliedLate
+	// notSent fails because the store is unavailable.
 	notSent
 )
 
@@ -54,7 +58,7 @@
 	f.down = down
 }
 
-func (f *faultyStore) state() (down bool, goneDown chan struct{}) {
+func (f *faultyStore) state() (down bool, wentDown chan struct{}) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.down, f.downSignal
@@ -143,7 +147,7 @@
 
 func (f *faultyStore) Watch(ctx context.Context, prefix string, after store.Revision, handler func([]store.Entry, store.Revision)) error {
 	f.watches.Add(1)
-	down, goneDown := f.state()
+	down, wentDown := f.state()
 	if down {
 		return store.ErrUnavailable
 	}
@@ -154,7 +158,7 @@
 	go func() {
 		select {
 		case <-ctx.Done():
-		case <-goneDown:
+		case <-wentDown:
 			cancel(store.ErrUnavailable)
 		}
 	}()
@@ -165,7 +169,7 @@
 	return err
 }
 
-// discardLog discards all entries.
+// discardLog returns a logger that discards all entries below the panic level.
 func discardLog() logrus.FieldLogger {
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
@@ -188,8 +192,7 @@
 	return resource.ID{Kind: resource.KindService, Name: name}
 }
 
-// service returns an envelope of a service; different timeouts distinguish
-// versions.
+// service returns the envelope of a service. Versions differ in their timeouts.
 func service(name string, timeout int) resource.Envelope {
 	return resource.Envelope{ID: serviceID(name), Service: &resource.Service{TimeoutMillis: timeout}}
 }
--- a/internal/configuration/syncer.go
+++ b/internal/configuration/syncer.go
@@ -9,8 +9,8 @@
 	"github.com/lugspur/lugspur/internal/resource"
 )
 
-// collectInterval is the interval of the garbage collection of tombstones.
-const collectInterval = 10 * time.Minute
+// tombstoneGCInterval is the interval of the garbage collection of tombstones.
+const tombstoneGCInterval = 10 * time.Minute
 
 // Syncer keeps a replica in sync with the store and with peers, and pushes
 // new versions to peers. It is safe for concurrent use.
@@ -19,15 +19,15 @@
 	replica      *Replica
 	drains       *EmergencyDrains
 	pushQueue    *pushQueue
-	sources      *sourceSet
+	pullSources  *pullSourceSet
 	pullSlots    chan struct{}
 	pushSlots    chan struct{}
 	relistSignal chan struct{}
 
 	counters counters
 
-	mu     sync.Mutex
-	status watchStatus
+	mu          sync.Mutex
+	storeStatus storeStatus
 	// lastFullPull is used only by the goroutine of pullLoop.
 	lastFullPull time.Time
 }
@@ -40,7 +40,7 @@
 		replica:      replica,
 		drains:       NewEmergencyDrains(options.Now),
 		pushQueue:    newPushQueue(),
-		sources:      newSourceSet(options.Now),
+		pullSources:  newPullSourceSet(options.Now),
 		pullSlots:    make(chan struct{}, maxConcurrentPulls),
 		pushSlots:    make(chan struct{}, maxConcurrentPushes),
 		relistSignal: make(chan struct{}, 1),
@@ -56,8 +56,9 @@
 // EmergencyDrains returns the emergency drains replicated between nodes.
 func (s *Syncer) EmergencyDrains() *EmergencyDrains { return s.drains }
 
-// AddEmergencyDrain adds an emergency drain of a target or machine without using the
-// store, and pushes it to peers at once. It reports whether the drain was added.
+// AddEmergencyDrain adds an emergency drain of a target or machine without using
+// the store, and pushes it to peers at once. It reports whether the drain was
+// added.
 func (s *Syncer) AddEmergencyDrain(name string) bool {
 	added := s.drains.Add(name)
 	if added {
@@ -82,15 +83,15 @@
 // Run synchronizes the replica until the context ends. It returns when all its
 // goroutines have ended.
 func (s *Syncer) Run(ctx context.Context) {
-	var running sync.WaitGroup
-	for _, loop := range []func(context.Context){s.superviseWatch, s.pullLoop, s.pushLoop, s.pollLoop, s.collectLoop} {
-		running.Go(func() { loop(ctx) })
+	var wg sync.WaitGroup
+	for _, loop := range []func(context.Context){s.superviseWatch, s.pullLoop, s.pushLoop, s.pollLoop, s.tombstoneGCLoop} {
+		wg.Go(func() { loop(ctx) })
 	}
-	running.Wait()
+	wg.Wait()
 }
 
-func (s *Syncer) collectLoop(ctx context.Context) {
-	for pause.For(ctx, collectInterval) {
+func (s *Syncer) tombstoneGCLoop(ctx context.Context) {
+	for pause.For(ctx, tombstoneGCInterval) {
 		s.replica.CollectTombstones()
 	}
 }
--- a/internal/configuration/syncer_test.go
+++ b/internal/configuration/syncer_test.go
@@ -18,27 +18,27 @@
 		goleak.IgnoreTopFunction("net/http.(*persistConn).writeLoop"), goleak.IgnoreAnyFunction("internal/poll.(*FD).Read"))
 }
 
-func TestChangesReachAllAndFewWatch(t *testing.T) {
+func TestChangesReachAllNodesWithFewWatches(t *testing.T) {
 	c := newCluster(t)
 	c.addMany(20, "z1", "z2", "z3")
-	const bound = 3 * 2
-	eventually(t, "watchers of three zones", func() bool { return c.backing.watching.Load() == bound })
+	const expectedWatches = 3 * 2
+	eventually(t, "watchers of three zones", func() bool { return c.backing.watching.Load() == expectedWatches })
 	lists, watches := c.backing.lists.Load(), c.backing.watches.Load()
-	for number := range 10 {
-		written := c.nodes[number].write(fmt.Sprint("s", number), 0, "create")
+	for i := range 10 {
+		written := c.nodes[i].write(fmt.Sprint("s", i), 0, "create")
 		c.awaitRevision(written)
-		written, err := c.nodes[19-number].writer.Write(t.Context(), service(written.ID.Name, 1), written.Revision, resource.Change{ID: "delete", Deleted: true})
+		written, err := c.nodes[19-i].writer.Write(t.Context(), service(written.ID.Name, 1), written.Revision, resource.Change{ID: "delete", Deleted: true})
 		assert.NilError(t, err)
 		c.awaitRevision(written)
 	}
 	c.awaitAll("floor of the last change", func(n *testNode) bool { return n.syncer.Replica().Floor() >= 20 })
 	assert.Equal(t, c.backing.lists.Load(), lists, "changes must not cause lists")
 	assert.Equal(t, c.backing.watches.Load(), watches, "changes must not cause watches")
-	assert.Equal(t, c.backing.watching.Load(), int64(bound))
+	assert.Equal(t, c.backing.watching.Load(), int64(expectedWatches))
 	assert.Assert(t, c.backing.gets.Load() <= 10, "one read for each creation: %d", c.backing.gets.Load())
 }
 
-func TestChangeSpreadsWithoutStore(t *testing.T) {
+func TestChangeReachesAllNodesWithoutStore(t *testing.T) {
 	c := newCluster(t)
 	c.addMany(12, "z1", "z2")
 	eventually(t, "watchers of two zones", func() bool { return c.backing.watching.Load() == 4 })
@@ -55,7 +55,7 @@
 	c.awaitAll("floor after the outage", func(n *testNode) bool { return n.syncer.Replica().Floor() >= accepted.Revision })
 }
 
-func TestPartitionHeals(t *testing.T) {
+func TestReplicasConvergeAfterPartition(t *testing.T) {
 	c := newCluster(t)
 	c.addMany(10, "z1", "z2")
 	first := c.nodes[0].write("a", 0, "c1")
@@ -78,12 +78,12 @@
 	c.awaitAll("emergency drain", func(n *testNode) bool { return n.syncer.EmergencyDrains().Drained("machine.m1") })
 }
 
-func TestNewNodeStartsFromPeersWithStoreDown(t *testing.T) {
+func TestNewNodeLoadsFromPeersWithStoreDown(t *testing.T) {
 	c := newCluster(t)
 	c.addMany(5, "z1")
 	var last resource.Versioned
-	for number := range 700 {
-		last = c.nodes[0].write(fmt.Sprint("s", number), 0, "create")
+	for i := range 700 {
+		last = c.nodes[0].write(fmt.Sprint("s", i), 0, "create")
 	}
 	c.awaitRevision(last)
 	c.awaitAll("floor", func(n *testNode) bool { return n.syncer.Replica().Floor() >= last.Revision })
@@ -166,7 +166,7 @@
 	assert.Equal(t, c.backing.lists.Load(), lists, "a poll that finds no change must not list the store")
 }
 
-func TestStoreRestoredFromOldCopyChangesNothing(t *testing.T) {
+func TestStoreRestoredFromOldBackupIsIgnored(t *testing.T) {
 	c := newCluster(t)
 	n := c.add("z1")
 	c.awaitReady()
@@ -177,7 +177,7 @@
 	assert.Equal(t, n.syncer.Status().Objects, 1)
 }
 
-func TestDivergedReplicasRepairThemselves(t *testing.T) {
+func TestDivergedReplicasAreRepaired(t *testing.T) {
 	c := newCluster(t)
 	c.takeStoreDown()
 	c.add("z1")
@@ -221,8 +221,8 @@
 	c.takeStoreDown()
 	a := c.add("z1").syncer.Replica()
 	const count = 2*maxPageEntries + 10
-	for number := range count {
-		a.Apply(version(fmt.Sprint("s", number), store.Revision(number+1), false))
+	for i := range count {
+		a.Apply(version(fmt.Sprint("s", i), store.Revision(i+1), false))
 	}
 	a.ApplyComplete(nil, count+5)
 	b := c.add("z1").syncer
--- a/internal/configuration/watch.go
+++ b/internal/configuration/watch.go
@@ -60,14 +60,14 @@
 // end.
 func (s *Syncer) startWatch(ctx context.Context) (stop func()) {
 	ctx, cancel := context.WithCancel(ctx)
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		s.watchLoop(ctx)
 	}()
 	return func() {
 		cancel()
-		<-ended
+		<-done
 	}
 }
 
@@ -108,7 +108,7 @@
 	defer cancel(nil)
 	stopRelist := s.cancelOnRelist(ctx, cancel)
 	defer stopRelist()
-	s.counters.watches.Add(1)
+	s.counters.storeWatches.Add(1)
 	err := s.options.Store.Watch(ctx, resource.KeyPrefix, s.replica.Floor(), s.handleBatch)
 	if cause := context.Cause(ctx); errors.Is(cause, errRelist) {
 		return cause
@@ -116,11 +116,12 @@
 	return s.storeError("watch", err)
 }
 
-// cancelOnRelist cancels the watch with errRelist when a relist is requested.
+// cancelOnRelist cancels the watch with errRelist when a relist is requested. The
+// returned function cancels the watch and waits for the goroutine to end.
 func (s *Syncer) cancelOnRelist(ctx context.Context, cancel context.CancelCauseFunc) (stop func()) {
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(done)
 		select {
 		case <-ctx.Done():
 		case <-s.relistSignal:
@@ -129,7 +130,7 @@
 	}()
 	return func() {
 		cancel(nil)
-		<-ended
+		<-done
 	}
 }
 
@@ -148,7 +149,7 @@
 		s.handleRemoval(stored)
 		return
 	}
-	version, err := decodeEntry(stored)
+	version, err := decodeStoreEntry(stored)
 	if err != nil {
 		s.skipInvalid(err)
 		return
@@ -168,7 +169,7 @@
 }
 
 func (s *Syncer) skipInvalid(err error) {
-	s.counters.invalid.Add(1)
+	s.counters.invalidObjects.Add(1)
 	s.options.Log.WithError(err).Error("the store holds an invalid object; skipping it")
 }
 
@@ -176,13 +177,13 @@
 func (s *Syncer) list(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, s.options.StoreTimeout)
 	defer cancel()
-	s.counters.lists.Add(1)
-	known := s.replica.Floor()
+	s.counters.storeLists.Add(1)
+	floor := s.replica.Floor()
 	snapshot, err := s.options.Store.List(ctx, resource.KeyPrefix)
 	if err != nil {
 		return s.storeError("list", err)
 	}
-	if snapshot.Revision < known {
+	if snapshot.Revision < floor {
 		return s.storeError("list", errStoreBehind)
 	}
 	s.applyList(snapshot)
@@ -193,7 +194,7 @@
 func (s *Syncer) applyList(snapshot store.Snapshot) {
 	versions := make([]resource.Versioned, 0, len(snapshot.Entries))
 	for _, stored := range snapshot.Entries {
-		version, err := decodeEntry(stored)
+		version, err := decodeStoreEntry(stored)
 		if err != nil {
 			s.skipInvalid(err)
 			continue
--- a/internal/configuration/writer.go
+++ b/internal/configuration/writer.go
@@ -22,8 +22,8 @@
 	// DefaultWriteTimeout limits a write whose context has no earlier deadline.
 	DefaultWriteTimeout = 10 * time.Second
 
-	minWritePause = 20 * time.Millisecond
-	maxWritePause = time.Second
+	minWriteBackoff = 20 * time.Millisecond
+	maxWriteBackoff = time.Second
 )
 
 // Writer changes objects in the store by compare-and-swap. It is safe for
@@ -41,8 +41,8 @@
 	return &Writer{store: store, replica: replica, announce: announce, now: now}
 }
 
-// write holds the arguments of a call of Write.
-type write struct {
+// writeRequest holds the arguments of Writer.Write.
+type writeRequest struct {
 	next     resource.Envelope
 	expected store.Revision
 	change   resource.Change
@@ -59,7 +59,7 @@
 func (w *Writer) Write(ctx context.Context, next resource.Envelope, expected store.Revision, change resource.Change) (resource.Versioned, error) {
 	ctx, cancel := context.WithTimeout(ctx, DefaultWriteTimeout)
 	defer cancel()
-	request := write{next: next, expected: expected, change: w.withTimestamp(change)}
+	request := writeRequest{next: next, expected: expected, change: w.withTimestamp(change)}
 	if change.Deleted {
 		request.next = resource.Envelope{ID: next.ID, Deleted: true}
 	}
@@ -92,7 +92,7 @@
 	return change
 }
 
-func (r write) validate() error {
+func (r writeRequest) validate() error {
 	if r.change.ID == "" || len(r.change.ID) > MaxChangeIDLength {
 		return oops.Errorf("change id: allowed are 1 to %d bytes", MaxChangeIDLength)
 	}
@@ -109,7 +109,7 @@
 // the expected revision or contains the change, and otherwise the store's. If
 // the store is unavailable, a replica's version above the expected revision is
 // returned, which is sufficient to report a conflict.
-func (w *Writer) currentVersion(ctx context.Context, request write) (resource.Versioned, error) {
+func (w *Writer) currentVersion(ctx context.Context, request writeRequest) (resource.Versioned, error) {
 	cached, known := w.replica.Get(request.next.ID)
 	if known {
 		_, found := acceptedAt(cached, request.change.ID)
@@ -131,7 +131,7 @@
 // submit sends the change and retries until its outcome is certain or the
 // context ends. Retries are safe: the store accepts at most one change against a
 // revision.
-func (w *Writer) submit(ctx context.Context, request write, base resource.Versioned) (resource.Versioned, error) {
+func (w *Writer) submit(ctx context.Context, request writeRequest, base resource.Versioned) (resource.Versioned, error) {
 	request.change.Replaces = base.Revision
 	encoded, err := base.Envelope.Successor(request.next, request.change).Encode()
 	if err != nil {
@@ -139,7 +139,7 @@
 	}
 	key := request.next.ID.Key()
 	uncertain := false
-	retry := newBackoff(minWritePause, maxWritePause)
+	retry := newBackoff(minWriteBackoff, maxWriteBackoff)
 	for {
 		revision, err := w.store.CompareAndSwap(ctx, key, base.Revision, encoded, store.NoLease)
 		switch {
@@ -147,7 +147,7 @@
 			return w.applyAccepted(encoded, revision)
 		case errors.Is(err, store.ErrConflict):
 			return w.handleConflict(ctx, request, base, uncertain)
-		case isUncertain(err):
+		case mayTakeEffect(err):
 			uncertain = true
 		case errors.Is(err, store.ErrUnavailable) && !uncertain:
 			return resource.Versioned{}, unavailable("compare-and-swap", request.next.ID, err)
@@ -158,9 +158,9 @@
 	}
 }
 
-// isUncertain reports whether a compare-and-swap that returned the error may
-// have an effect, now or later.
-func isUncertain(err error) bool {
+// mayTakeEffect reports whether a compare-and-swap that returned the error may
+// have taken effect or may do so later.
+func mayTakeEffect(err error) bool {
 	if errors.Is(err, store.ErrUnknownOutcome) {
 		return true
 	}
@@ -170,7 +170,7 @@
 // unresolvedError returns the error of a write that could not be completed:
 // ErrUnavailable if none of its attempts can take effect, otherwise an
 // *UnknownError.
-func (r write) unresolvedError(base resource.Versioned, uncertain bool, cause error) error {
+func (r writeRequest) unresolvedError(base resource.Versioned, uncertain bool, cause error) error {
 	if !uncertain {
 		return unavailable("compare-and-swap", r.next.ID, cause)
 	}
@@ -191,7 +191,7 @@
 // handleConflict determines the result after the store reported a conflict: the
 // revision was replaced either by another change, or by an earlier attempt of
 // this change, in this call or a previous one, whose response was lost.
-func (w *Writer) handleConflict(ctx context.Context, request write, base resource.Versioned, uncertain bool) (resource.Versioned, error) {
+func (w *Writer) handleConflict(ctx context.Context, request writeRequest, base resource.Versioned, uncertain bool) (resource.Versioned, error) {
 	current, err := w.read(ctx, request.next.ID)
 	if err != nil {
 		return resource.Versioned{}, request.unresolvedError(base, true, err)
@@ -213,7 +213,7 @@
 
 // acceptedVersion returns the version that the change produced, given a version
 // whose history contains the change.
-func (r write) acceptedVersion(current resource.Versioned) (resource.Versioned, error) {
+func (r writeRequest) acceptedVersion(current resource.Versioned) (resource.Versioned, error) {
 	revision, _ := acceptedAt(current, r.change.ID)
 	if revision == current.Revision {
 		if !sameSpecification(current.Envelope, r.next) {
--- a/internal/configuration/writer_test.go
+++ b/internal/configuration/writer_test.go
@@ -13,13 +13,13 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-func TestWriteUnderLostAnswers(t *testing.T) {
+func TestWriteRetriesAfterLostResponses(t *testing.T) {
 	cases := map[string][]swapFault{
 		"effect":                    {lostAfterApply},
 		"no effect":                 {lostBeforeApply},
 		"late effect":               {appliedLate},
 		"several faults":            {lostBeforeApply, appliedLate, lostAfterApply},
-		"effect, then an outage":    {lostAfterApply, notSent},
+		"effect, then unavailable":  {lostAfterApply, notSent},
 		"late effect, effect twice": {appliedLate, lostAfterApply, lostAfterApply},
 	}
 	for name, faults := range cases {
@@ -59,13 +59,13 @@
 	return unknown
 }
 
-func TestResolveAfterUnknown(t *testing.T) {
+func TestResolveAfterUnknownOutcome(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault swapFault
-		// between runs after the write and before the change is resolved.
-		between  func(t *testing.T, backing *faultyStore, other *Writer, base store.Revision)
-		expected Resolution
+		// beforeResolve runs after the write and before the change is resolved.
+		beforeResolve func(t *testing.T, backing *faultyStore, other *Writer, base store.Revision)
+		expected      Resolution
 	}{
 		{"effect", lostAfterApply, nil, Accepted},
 		{"no effect", lostBeforeApply, nil, Undetermined},
@@ -73,7 +73,7 @@
 		{"late effect applied", appliedLate, applyDelayed, Accepted},
 		{"another change accepted, then late effect conflicts", appliedLate, overwriteThenApplyDelayed, Refused},
 		{"effect, then replaced", lostAfterApply, replaceAccepted, Accepted},
-		{"history truncated", lostBeforeApply, overwriteOften, Undetermined},
+		{"history truncated", lostBeforeApply, overwriteUntilTruncated, Undetermined},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -82,8 +82,8 @@
 			first := mustWrite(t, writer, "a", 0, resource.Change{ID: "first"})
 			unknown := writeUntilDeadline(t, backing, writer, test.fault, first.Revision)
 			other, _ := newTestWriter(backing)
-			if test.between != nil {
-				test.between(t, backing, other, first.Revision)
+			if test.beforeResolve != nil {
+				test.beforeResolve(t, backing, other, first.Revision)
 			}
 			resolution, revision, err := other.Resolve(t.Context(), serviceID("a"), "lost", unknown.Expected)
 			assert.NilError(t, err)
@@ -108,25 +108,25 @@
 	mustWrite(t, other, "a", base+1, resource.Change{ID: "other"})
 }
 
-func overwriteOften(t *testing.T, _ *faultyStore, other *Writer, base store.Revision) {
-	for number := range resource.HistoryLength + 1 {
-		base = mustWrite(t, other, "a", base, resource.Change{ID: fmt.Sprint("other", number)}).Revision
+func overwriteUntilTruncated(t *testing.T, _ *faultyStore, other *Writer, base store.Revision) {
+	for i := range resource.HistoryLength + 1 {
+		base = mustWrite(t, other, "a", base, resource.Change{ID: fmt.Sprint("other", i)}).Revision
 	}
 }
 
-func TestCreationIsUndeterminedWithTruncatedHistory(t *testing.T) {
+func TestResolveCreationWithTruncatedHistory(t *testing.T) {
 	writer, _ := newTestWriter(newFaultyStore())
 	created := mustWrite(t, writer, "a", 0, resource.Change{ID: "create"})
 	resolution, _, err := writer.Resolve(t.Context(), created.ID, "rival", 0)
 	assert.NilError(t, err)
 	assert.Equal(t, resolution, Refused)
-	overwriteOften(t, nil, writer, created.Revision)
+	overwriteUntilTruncated(t, nil, writer, created.Revision)
 	resolution, _, err = writer.Resolve(t.Context(), created.ID, "create", 0)
 	assert.NilError(t, err)
 	assert.Equal(t, resolution, Undetermined)
 }
 
-func TestLostCreationAfterDeletion(t *testing.T) {
+func TestRecreateAfterDeletionWithLostRequest(t *testing.T) {
 	backing := newFaultyStore()
 	writer, _ := newTestWriter(backing)
 	created := mustWrite(t, writer, "a", 0, resource.Change{ID: "create"})
@@ -191,7 +191,7 @@
 	assert.Equal(t, backing.swaps.Load(), swaps+1)
 }
 
-func TestRepeatAfterLostAnswerWithStaleReplica(t *testing.T) {
+func TestRepeatedWriteAfterLostResponseWithStaleReplica(t *testing.T) {
 	backing := newFaultyStore()
 	writer, _ := newTestWriter(backing)
 	first := mustWrite(t, writer, "a", 0, resource.Change{ID: "first"})
