--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -1,7 +1,7 @@
 // Package gossip defines the application payload of the membership datagrams: the state of a
-// node's configuration, the epoch of its roster of claim replicas, and the shed levels of the
-// targets for which it is the home. The size of a payload is bounded for any number of nodes
-// and targets.
+// node's configuration, the epoch of its roster of claim replicas, and the load shedding levels
+// of the targets that have the node as their home. The size of a payload is bounded, regardless
+// of the number of nodes and targets.
 package gossip
 
 import (
@@ -14,38 +14,39 @@
 	"github.com/lugspur/lugspur/internal/configuration"
 )
 
-// MaxLevels is the maximum number of shed levels in one payload.
-const MaxLevels = 12
+// MaxShedLevels is the maximum number of shed levels in one payload.
+const MaxShedLevels = 12
 
-// Payload is the application data that a node sends to other nodes.
+// Payload is the application data that a node attaches to its datagrams.
 type Payload struct {
 	// Digest summarizes the node's configuration.
 	Digest configuration.Digest `cbor:"1,keyasint"`
 	// Version is the sender's clock in milliseconds since 1970. It orders the payloads of one
 	// node.
 	Version uint64 `cbor:"2,keyasint"`
-	// Levels are the strictest shed levels of the targets for which the node is the home.
+	// Levels holds the strictest shed levels of the targets that have the node as their home, at
+	// most MaxShedLevels.
 	Levels []Level `cbor:"3,keyasint,omitempty"`
-	// ClaimEpoch is the epoch of the node's roster of claim replicas, or zero if it has none.
+	// ClaimEpoch is the epoch of the node's roster of claim replicas; zero if it has none.
 	ClaimEpoch uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Level is the shed level of one target.
+// Level is the load shedding level of one target.
 type Level struct {
 	_ struct{} `cbor:",toarray"`
 	// Target is the hash of the target's name.
 	Target uint32
-	// Threshold is the rank key at and above which calls are refused.
+	// Threshold is the lowest rank key whose calls are refused.
 	Threshold uint16
 }
 
-// Strictest sorts the levels in place, strictest first, and returns those that fit in a
-// payload.
+// Strictest sorts the levels in place by ascending threshold, so that the strictest come first,
+// and returns those that fit in a payload.
 func Strictest(levels []Level) []Level {
 	slices.SortFunc(levels, func(a, b Level) int {
 		return cmp.Or(cmp.Compare(a.Threshold, b.Threshold), cmp.Compare(a.Target, b.Target))
 	})
-	return levels[:min(len(levels), MaxLevels)]
+	return levels[:min(len(levels), MaxShedLevels)]
 }
 
 // Encode returns the encoded payload.
@@ -54,15 +55,16 @@
 	return encoded, oops.In("gossip").With("step", "encode").Wrap(err)
 }
 
-// Decode decodes a payload. More than MaxLevels levels are an error, as no node sends them.
+// Decode decodes a payload. It rejects payloads with more than MaxShedLevels levels, as no node
+// sends them.
 func Decode(encoded []byte) (Payload, error) {
 	var payload Payload
 	if err := cbor.Unmarshal(encoded, &payload); err != nil {
 		return Payload{}, oops.In("gossip").With("step", "decode").Wrap(err)
 	}
-	if len(payload.Levels) > MaxLevels {
+	if len(payload.Levels) > MaxShedLevels {
 		return Payload{}, oops.In("gossip").With("step", "decode").
-			Errorf("payload has %d shed levels, the maximum is %d", len(payload.Levels), MaxLevels)
+			Errorf("payload has %d shed levels, the maximum is %d", len(payload.Levels), MaxShedLevels)
 	}
 	return payload, nil
 }
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -13,13 +13,13 @@
 
 func TestStrictestKeepsLowestThresholds(t *testing.T) {
 	var levels []gossip.Level
-	for target := range uint32(3 * gossip.MaxLevels) {
+	for target := range uint32(3 * gossip.MaxShedLevels) {
 		levels = append(levels, gossip.Level{Target: target, Threshold: uint16(500 - target)})
 	}
 	strictest := gossip.Strictest(levels)
-	assert.Equal(t, len(strictest), gossip.MaxLevels)
+	assert.Equal(t, len(strictest), gossip.MaxShedLevels)
 	for i, level := range strictest {
-		assert.Equal(t, level.Target, uint32(3*gossip.MaxLevels-1-i))
+		assert.Equal(t, level.Target, uint32(3*gossip.MaxShedLevels-1-i))
 	}
 }
 
@@ -28,7 +28,7 @@
 		Floor: math.MaxInt64, Count: math.MaxUint32, Sum: math.MaxUint64,
 		Tombstones: math.MaxUint64, Collected: math.MaxInt64, Drains: math.MaxUint64,
 	}, Version: math.MaxUint64, ClaimEpoch: math.MaxUint64}
-	for range gossip.MaxLevels {
+	for range gossip.MaxShedLevels {
 		payload.Levels = append(payload.Levels, gossip.Level{Target: math.MaxUint32, Threshold: math.MaxUint16})
 	}
 	encoded, err := payload.Encode()
@@ -40,10 +40,10 @@
 }
 
 func TestDecodeRejectsInvalid(t *testing.T) {
-	tooMany := gossip.Payload{Levels: make([]gossip.Level, gossip.MaxLevels+1)}
+	tooMany := gossip.Payload{Levels: make([]gossip.Level, gossip.MaxShedLevels+1)}
 	encoded, err := tooMany.Encode()
 	assert.NilError(t, err)
-	for name, bytes := range map[string][]byte{"too many levels": encoded, "cut short": encoded[:5], "empty": nil} {
+	for name, bytes := range map[string][]byte{"too many levels": encoded, "truncated": encoded[:5], "empty": nil} {
 		t.Run(name, func(t *testing.T) {
 			_, err := gossip.Decode(bytes)
 			assert.Assert(t, err != nil)
--- a/internal/gossip/members.go
+++ b/internal/gossip/members.go
@@ -5,11 +5,11 @@
 	"github.com/lugspur/lugspur/internal/membership"
 )
 
-// Members provides the members of a cluster as members of the configuration package. It is
+// Members adapts a Membership to the member list that the configuration package expects. It is
 // safe for concurrent use.
 type Members struct{ Membership *membership.Membership }
 
-// Members returns all members that the membership lists, including tombstones.
+// Members returns all members in the list of the Membership, including tombstones.
 func (m Members) Members() []configuration.Member {
 	known := m.Membership.Members()
 	members := make([]configuration.Member, 0, len(known))
@@ -19,7 +19,7 @@
 	return members
 }
 
-// ConfigurationMember converts a member to a member of the configuration package.
+// ConfigurationMember converts a membership.Member to a configuration.Member.
 func ConfigurationMember(member membership.Member) configuration.Member {
 	return configuration.Member{
 		Name:        member.Name,
