--- a/internal/membership/budget_test.go
+++ b/internal/membership/budget_test.go
@@ -7,14 +7,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// maxControlBytesPerSecond is the limit for all control traffic that a node sends.
+// maxControlBytesPerSecond is the limit of the control traffic that a node sends in total.
 const maxControlBytesPerSecond = 4096
 
-// TestSendRateBoundedWithManyUpdates checks that a node with a thousand queued updates, as
-// after the loss of a region, stays within the limit for all control traffic.
+// TestSendRateBoundedWithManyUpdates checks that a node with 1000 queued updates, as after the
+// loss of a region, stays within the limit for all control traffic.
 func TestSendRateBoundedWithManyUpdates(t *testing.T) {
 	s := newSimulation(37)
-	nodes := cluster(t, s, 20)
+	nodes := startCluster(t, s, 20)
 	s.advance((fullRecordPeriods + 20) * DefaultPeriod)
 	for _, node := range nodes {
 		assert.NilError(t, node.SetPayload(make([]byte, 100)))
@@ -31,8 +31,8 @@
 	assert.Assert(t, sent <= maxControlBytesPerSecond, "%.0f bytes per second", sent)
 }
 
-// TestLargestRecordFitsUpdateLimit checks that no record is too large for the update space of
-// a datagram, as it would block the queue.
+// TestLargestRecordFitsUpdateLimit checks that every valid record fits in the space for updates
+// in a datagram. A larger record would never be sent and would block the update queue.
 func TestLargestRecordFitsUpdateLimit(t *testing.T) {
 	text := func(length int) string { return string(make([]byte, length)) }
 	largest := Member{
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -18,13 +18,14 @@
 	DefaultFanout = 2
 	// DefaultIndirectProbes is the number of members asked for an indirect probe.
 	DefaultIndirectProbes = 3
-	// DefaultSuspicionFactor times the decimal logarithm of the cluster size is the time, in
-	// periods, that a suspect has to refute the suspicion.
+	// DefaultSuspicionFactor times the decimal logarithm of the cluster size is the suspicion
+	// timeout in periods.
 	DefaultSuspicionFactor = 4
 	// DefaultRetransmitFactor times the natural logarithm of the cluster size is the number of
 	// times a node sends an update.
 	DefaultRetransmitFactor = 3
-	// DefaultTombstoneLifetime is how long a dead or left member is kept in the list.
+	// DefaultTombstoneLifetime is how long a dead or left member is kept in the list as a
+	// tombstone.
 	DefaultTombstoneLifetime = time.Hour
 	// DefaultExchangeInterval is the time between two periodic exchanges of full lists.
 	DefaultExchangeInterval = 30 * time.Second
@@ -34,14 +35,17 @@
 	MaxPayload = 300
 )
 
-// Limits in periods. The first two are shorter than the shortest time after which other
-// members can declare a node dead (one period and a suspicion of four periods), so that a
-// node stops acting on its list before another node takes its place.
 const (
+	// The pause and isolation limits, in periods, are shorter than the shortest time in which
+	// other members can declare a node dead (one period and a suspicion of four periods), so
+	// that a node stops acting on its list before another node takes its place.
 	defaultPauseLimitPeriods     = 3
 	defaultIsolationLimitPeriods = 3
-	joinPeriods                  = 6
-	stepsPerPeriod               = 5
+	// joinTimeoutPeriods is for how many periods after its start a node without other members
+	// waits for its seeds and hints to answer before its list counts as reliable.
+	joinTimeoutPeriods = 6
+	// stepsPerPeriod is how often Run calls Step in each period.
+	stepsPerPeriod = 5
 )
 
 // Instant is one reading of both clocks. The monotonic clock drives all timers; the wall clock
@@ -86,13 +90,13 @@
 	Transport Transport
 	// Exchange fetches the list of a peer; nil disables the exchange of full lists.
 	Exchange ExchangeFunc
-	// OnPause is called by the driving goroutine when it detects that the process was paused,
-	// before it does anything else. It must not block.
+	// OnPause is called by the goroutine that calls Step and HandlePacket when it detects that
+	// the process was paused, before it does anything else. It must not block.
 	OnPause func(pause time.Duration)
-	// OnPayload receives the payloads of other members, called by the goroutine that delivers
-	// events. The receiver owns the slice.
+	// OnPayload is called for each payload of another member by the goroutine that delivers
+	// events. It may retain the slice.
 	OnPayload func(from Member, payload []byte)
-	// Logger receives state changes; nil selects the standard logger.
+	// Logger logs state changes and errors; nil selects the standard logger.
 	Logger *logrus.Entry
 	// Clock reads the time; nil selects the system clocks.
 	Clock func() Instant
@@ -142,19 +146,19 @@
 }
 
 var (
-	errNoTransport = errors.New("no transport is configured")
-	errNegative    = errors.New("a duration or count in the settings is negative")
-	errClusterName = errors.New("cluster name is too long or not printable")
+	errNoTransport        = errors.New("no transport is configured")
+	errNegativeSetting    = errors.New("a duration or count in the settings is negative")
+	errInvalidClusterName = errors.New("cluster name is too long or not printable")
 )
 
-// validate returns the first error in settings to which the defaults have been applied.
+// validate returns the first error in the settings, which must include the defaults.
 func (c Config) validate(now time.Time) error {
 	errorContext := oops.In("membership").With("step", "check settings", "peer", c.Self.PeerAddress)
 	if c.Transport == nil {
 		return errorContext.Wrap(errNoTransport)
 	}
 	if !printable(c.ClusterName, maxNameLength) {
-		return errorContext.Wrap(errClusterName)
+		return errorContext.Wrap(errInvalidClusterName)
 	}
 	if err := c.Self.validate(now); err != nil {
 		return errorContext.Wrap(err)
@@ -164,7 +168,7 @@
 	}
 	shortest := min(c.Period, c.PauseLimit, c.IsolationLimit, c.TombstoneLifetime, c.ExchangeInterval)
 	if shortest < 0 || min(c.Fanout, c.IndirectProbes, c.MaxMembers) < 0 {
-		return errorContext.Wrap(errNegative)
+		return errorContext.Wrap(errNegativeSetting)
 	}
 	return nil
 }
--- a/internal/membership/contacts.go
+++ b/internal/membership/contacts.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// contactIntervalPeriods is the number of periods between two attempts to reach a seed or
-// hinted address that is not a member, while there are members.
+// contactIntervalPeriods is the number of periods between two pings of a seed or hinted address
+// that is not a member, while the node has other members.
 const contactIntervalPeriods = 20
 
-// startupContactPeriods is for how many periods after its start a node tries to reach a seed
-// that is not a member in every period, even if it has members. Without it, nodes that start
-// together would form a separate cluster around each seed.
+// startupContactPeriods is for how many periods after its start a node pings such an address in
+// every period, even if it has other members. Without it, nodes that start together would form
+// a separate cluster around each seed.
 const startupContactPeriods = 12
 
-// contacts holds the addresses at which members may be found.
+// contacts holds the addresses through which a node can join: the seeds and the hints.
 type contacts struct {
 	own   string
 	seeds []string
@@ -22,9 +22,9 @@
 }
 
 func newContacts(seeds []string, own string) contacts {
-	created := contacts{own: own}
-	created.seeds = created.filterValid(seeds)
-	return created
+	c := contacts{own: own}
+	c.seeds = c.filterValid(seeds)
+	return c
 }
 
 // filterValid returns the valid addresses other than the node's own.
@@ -43,7 +43,6 @@
 	c.hints = c.filterValid(addresses[:min(limit, len(addresses))])
 }
 
-// empty reports whether there are no addresses to contact.
 func (c *contacts) empty() bool { return len(c.seeds)+len(c.hints) == 0 }
 
 // pickUnknown returns a random address that is not in the known set.
@@ -62,8 +61,8 @@
 // pingContact pings a seed or hinted address that is not a member: in every period while the
 // node has no other members or has just started, otherwise every contactIntervalPeriods.
 func (m *Membership) pingContact() {
-	everyPeriod := m.periods <= startupContactPeriods || m.table.present.size() == 0
-	if m.contacts.empty() || !everyPeriod && m.periods%contactIntervalPeriods != 0 {
+	everyPeriod := m.periodCount <= startupContactPeriods || m.table.present.size() == 0
+	if m.contacts.empty() || !everyPeriod && m.periodCount%contactIntervalPeriods != 0 {
 		return
 	}
 	address, found := m.contacts.pickUnknown(m.random, m.table.addresses())
--- a/internal/membership/convergence_test.go
+++ b/internal/membership/convergence_test.go
@@ -19,17 +19,20 @@
 const (
 	// convergenceLimit is the time within which a change must have reached all nodes.
 	convergenceLimit = 8 * time.Second
-	// Limits of a simulation. Nodes start shortly after each other except for one pause, as
-	// when the second half of a fleet waits for the first.
-	maxStartGap     = 40 * time.Millisecond
-	maxStartPause   = 3 * time.Second
-	maxDelay        = 80 * time.Millisecond
+	// maxStartGap is the longest time between two starts, except for one pause of up to
+	// maxStartPause, as in a rolling start whose second half waits for the first.
+	maxStartGap   = 40 * time.Millisecond
+	maxStartPause = 3 * time.Second
+	// maxDelay is the maximum network delay.
+	maxDelay = 80 * time.Millisecond
+	// simulationLimit is the time after which a simulation ends if the cluster has not
+	// converged.
 	simulationLimit = 2 * time.Minute
 )
 
-// startTogether starts nodes shortly after each other and returns the time from the last start
-// until the cluster has converged.
-func startTogether(count int, seed uint64) time.Duration {
+// measureStartupConvergence starts nodes shortly after each other and returns the time from the
+// last start until the cluster has converged.
+func measureStartupConvergence(count int, seed uint64) time.Duration {
 	random := rand.New(rand.NewPCG(seed, uint64(count)))
 	s := newSimulation(seed)
 	s.delay = time.Millisecond + time.Duration(random.Int64N(int64(maxDelay)))
@@ -50,21 +53,21 @@
 // TestNodesStartedTogetherConverge checks that nodes that start, or restart, together converge
 // quickly.
 //
-// That once took up to 90 s. Meanwhile nodes disagreed on the homes of targets, so that calls
-// were routed to fewer nodes than there were and a target had two homes. Nodes that first reached
-// different seeds formed separate clusters, because a node with any members contacted further
-// seeds only every 10 s. After one contact had joined two such clusters, the missing records
-// did not spread: no node had queued updates, members learned from a full list are not sent on
-// as updates, and the next exchange of each pair was 30 s away. In a trace of eleven nodes the
-// two clusters, of four and seven nodes, had empty queues from 5 s on, one contact at 10 s,
-// and exchanges at 35 s and 65 s.
+// Convergence used to take up to 90 s. Meanwhile nodes disagreed on the homes of targets, so
+// that calls were routed to only some of the nodes and a target had two homes. Nodes that
+// first reached different seeds formed separate clusters, because a node with any members
+// pinged further seeds only every 10 s. After a ping had joined two such clusters, the missing
+// records did not spread: no node had queued updates, members merged from a full list are not
+// sent on as updates, and the next exchange of each pair was 30 s away. In a trace of eleven
+// nodes, two clusters of four and seven nodes had empty queues from 5 s on, one ping of a seed
+// at 10 s, and exchanges at 35 s and 65 s.
 func TestNodesStartedTogetherConverge(t *testing.T) {
 	for _, count := range []int{2, 5, 8, 12, 30, 60} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			var times []time.Duration
 			for run := range uint64(*seedsPerSize) {
 				seed := *firstSeed + run
-				elapsed := startTogether(count, seed)
+				elapsed := measureStartupConvergence(count, seed)
 				times = append(times, elapsed)
 				assert.Check(t, elapsed <= convergenceLimit, "seed %d: not converged for %v", seed, elapsed)
 			}
@@ -74,13 +77,13 @@
 	}
 }
 
-// TestPropagatingChangeTriggersNoExchange adds a node to a cluster in which no periodic
-// exchange is due. Digests differ while the update spreads. That must not trigger exchanges,
-// because the size of a list grows with the cluster.
+// TestPropagatingChangeTriggersNoExchange checks that the digests that differ while the update
+// about a new node spreads do not trigger exchanges, whose size grows with the cluster. No
+// periodic exchange is due during the test.
 func TestPropagatingChangeTriggersNoExchange(t *testing.T) {
 	s := newSimulation(31)
 	s.configure = func(config *Config) { config.ExchangeInterval = time.Hour }
-	nodes := cluster(t, s, 100)
+	nodes := startCluster(t, s, 100)
 	s.advance(time.Minute)
 	before := totalExchanges(nodes)
 	joiner := s.start(100, 0)
@@ -91,19 +94,18 @@
 	assert.Assert(t, joiner.Stats().Exchanges > 0)
 }
 
-// TestPermanentMismatchBacksOffExchanges checks two nodes whose lists differ permanently, as
-// one has a member for which the list of the other has no room. They must not exchange lists
-// more often than at the periodic interval.
+// TestPermanentMismatchBacksOffExchanges checks that a node whose list cannot converge, because
+// it is full, does not exchange lists more often than at the periodic interval.
 func TestPermanentMismatchBacksOffExchanges(t *testing.T) {
 	s := newSimulation(32)
-	nodes := cluster(t, s, 3)
-	nodes[0].table.limit = 2
+	nodes := startCluster(t, s, 3)
+	nodes[0].table.maxEntries = 2
 	s.start(3, 0)
 	s.advance(time.Minute)
 	before := nodes[0].Stats().Exchanges
 	s.advance(5 * time.Minute)
 	exchanges := nodes[0].Stats().Exchanges - before
-	assert.Assert(t, !s.converged(), "the lists match")
+	assert.Assert(t, !s.converged(), "the lists converged")
 	assert.Assert(t, exchanges <= uint64(5*time.Minute/DefaultExchangeInterval)+1, "%d exchanges in five minutes", exchanges)
 }
 
@@ -114,15 +116,15 @@
 	return total
 }
 
-// TestMissingMemberFoundByDigest removes one member from the lists of half of the nodes while
-// no updates are queued, as when a partition ends after the update is no longer sent. Many
-// digests that a node receives match its own, so matches with some peers do not prove that the
-// lists are complete.
+// TestMissingMemberFoundByDigest checks that the digests reveal a member that is missing from
+// the lists of half of the nodes while no updates are queued, as when a partition ends after
+// the update is no longer sent. As the digests of the other nodes of the same half match, a
+// match with some peers does not prove that a list is complete.
 func TestMissingMemberFoundByDigest(t *testing.T) {
 	for run := range uint64(*seedsPerSize) {
 		seed := *firstSeed + run
 		s := newSimulation(seed)
-		nodes := cluster(t, s, 40)
+		nodes := startCluster(t, s, 40)
 		s.advance(fullRecordPeriods * DefaultPeriod)
 		for _, node := range nodes[:20] {
 			node.table.drop(node.table.entries["node-39"])
--- a/internal/membership/events.go
+++ b/internal/membership/events.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// maxDeliveries limits the queue of undelivered events and payloads.
+// maxDeliveries is the maximum number of queued events and payloads.
 const maxDeliveries = 8192
 
 // EventKind is the kind of a change of a member.
@@ -14,7 +14,7 @@
 	EventJoined EventKind = iota + 1
 	// EventRestarted: a member was restarted and lost its in-memory state.
 	EventRestarted
-	// EventSuspected: a member became a suspect, as it did not answer a probe.
+	// EventSuspected: a member is suspected, as it did not answer a probe.
 	EventSuspected
 	// EventRecovered: a member refuted a suspicion.
 	EventRecovered
@@ -22,9 +22,9 @@
 	EventLeaving
 	// EventDied: a member was declared dead, as it did not refute a suspicion in time.
 	EventDied
-	// EventLeft: a member stopped after it announced that.
+	// EventLeft: a member stopped after it had announced that it would.
 	EventLeft
-	// EventResync: events were dropped; the receiver should read Members again.
+	// EventResync: events were dropped; the subscriber should read Members again.
 	EventResync
 )
 
@@ -52,30 +52,30 @@
 	payload []byte
 }
 
-// deliveryQueue holds the deliveries that the receivers have not processed yet, in order.
+// deliveryQueue is the bounded queue of events and payloads that have not been delivered yet.
 type deliveryQueue struct {
-	mutex      sync.Mutex
-	pending    []delivery
-	eventsLost bool
-	receivers  []func(Event)
+	mutex       sync.Mutex
+	pending     []delivery
+	eventsLost  bool
+	subscribers []func(Event)
 }
 
 func (q *deliveryQueue) subscribe(receive func(Event)) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
-	q.receivers = append(q.receivers, receive)
+	q.subscribers = append(q.subscribers, receive)
 }
 
 // push adds a delivery, or drops it if the queue is full. A dropped event causes an
 // EventResync; a dropped payload needs none, because members send their payload repeatedly.
-func (q *deliveryQueue) push(added delivery) {
+func (q *deliveryQueue) push(d delivery) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
 	if len(q.pending) < maxDeliveries {
-		q.pending = append(q.pending, added)
+		q.pending = append(q.pending, d)
 		return
 	}
-	if added.payload == nil {
+	if d.payload == nil {
 		q.eventsLost = true
 	}
 }
@@ -86,7 +86,7 @@
 	return len(q.pending) == 0
 }
 
-// drain removes all deliveries and returns them with the current receivers.
+// drain removes all deliveries and returns them with the current subscribers.
 func (q *deliveryQueue) drain() ([]delivery, []func(Event)) {
 	q.mutex.Lock()
 	defer q.mutex.Unlock()
@@ -95,44 +95,44 @@
 		drained = append(drained, delivery{event: Event{Kind: EventResync}})
 	}
 	q.pending, q.eventsLost = nil, false
-	return drained, q.receivers[:len(q.receivers):len(q.receivers)]
+	return drained, q.subscribers[:len(q.subscribers):len(q.subscribers)]
 }
 
-// DeliverEvents passes queued events and payloads to their receivers. Run calls it. A caller
-// that drives Step directly must call it as well, from one goroutine only.
+// DeliverEvents passes queued events to the subscribers and queued payloads to OnPayload. Run
+// calls it. A caller that drives Step directly must call it as well, from one goroutine only.
 func (m *Membership) DeliverEvents() {
-	deliveries, receivers := m.events.drain()
+	deliveries, subscribers := m.deliveries.drain()
 	for _, next := range deliveries {
 		if next.payload != nil {
 			m.config.OnPayload(next.event.Member, next.payload)
 			continue
 		}
-		for _, receive := range receivers {
+		for _, receive := range subscribers {
 			receive(next.event)
 		}
 	}
 }
 
-// deliverPayload queues a payload of a member for delivery.
+// deliverPayload queues a payload of a member for delivery, unless OnPayload is nil.
 func (m *Membership) deliverPayload(from Member, payload []byte) {
 	if m.config.OnPayload != nil {
-		m.events.push(delivery{event: Event{Member: from}, payload: payload})
+		m.deliveries.push(delivery{event: Event{Member: from}, payload: payload})
 	}
 }
 
 // emit logs an event and queues it for delivery.
 func (m *Membership) emit(kind EventKind, member Member) {
-	m.events.push(delivery{event: Event{Kind: kind, Member: member}})
+	m.deliveries.push(delivery{event: Event{Kind: kind, Member: member}})
 	m.logger.WithField("member", member.Name).WithField("zone", member.Zone).
 		WithField("incarnation", member.Incarnation).Info("member " + kind.String())
 }
 
-// emitChange emits the event for a change of a known member, if there is one.
+// emitChange emits the event for a change of a listed member, if there is one.
 func (m *Membership) emitChange(previous State, member Member, restarted bool) {
 	switch {
-	case previous.Gone() && !member.State.Gone():
+	case previous.DeadOrLeft() && !member.State.DeadOrLeft():
 		m.emit(EventJoined, member)
-	case restarted && !member.State.Gone():
+	case restarted && !member.State.DeadOrLeft():
 		m.emit(EventRestarted, member)
 	case previous == member.State:
 	default:
@@ -140,7 +140,8 @@
 	}
 }
 
-// eventForState returns the event for a member that was not gone and enters the state.
+// eventForState returns the event for a member that was neither dead nor left and enters the
+// state.
 func eventForState(state State) EventKind {
 	return [stateCount]EventKind{EventRecovered, EventSuspected, EventLeaving, EventDied, EventLeft}[state]
 }
--- a/internal/membership/exchange.go
+++ b/internal/membership/exchange.go
@@ -19,26 +19,26 @@
 	// exchangeTimeout limits the duration of one exchange.
 	exchangeTimeout = 5 * time.Second
 	// maxListBytes limits the size of an encoded list.
-	maxListBytes = 2 << 20
-	contentType  = "application/cbor"
+	maxListBytes    = 2 << 20
+	listContentType = "application/cbor"
 )
 
 // listDecoder decodes full lists, which have more elements than datagrams.
 var listDecoder = mustDecoder(DefaultMaxMembers + 1)
 
-// ExchangeFunc fetches the list of the peer at an address, or nil if the digest of the peer's
-// list equals the given one. It also returns the number of bytes received.
+// ExchangeFunc fetches the list of the peer at an address. It returns a nil list if the digest
+// of the peer's list equals the given one. It also returns the number of bytes received.
 type ExchangeFunc func(ctx context.Context, address string, digest uint64) ([]Member, int, error)
 
-// memberList is the body of a response that carries a list.
+// memberList is the body of a response to a list request.
 type memberList struct {
 	Cluster string   `cbor:"1,keyasint,omitempty"`
 	Members []Member `cbor:"2,keyasint"`
 }
 
 var (
-	errOtherCluster = errors.New("the peer belongs to another cluster")
-	errStatus       = errors.New("unexpected HTTP status")
+	errOtherCluster     = errors.New("the peer belongs to another cluster")
+	errUnexpectedStatus = errors.New("unexpected HTTP status")
 )
 
 // Handler serves the node's list as CBOR. It answers 304 without a body if the If-None-Match
@@ -54,11 +54,11 @@
 	})
 }
 
-func (m *Membership) serveList(writer http.ResponseWriter, knownTag string) {
+func (m *Membership) serveList(writer http.ResponseWriter, ifNoneMatch string) {
 	current := m.view()
 	tag := digestTag(current.digest)
 	writer.Header().Set("ETag", tag)
-	if knownTag == tag {
+	if ifNoneMatch == tag {
 		writer.WriteHeader(http.StatusNotModified)
 		return
 	}
@@ -67,7 +67,7 @@
 		http.Error(writer, "encoding failed", http.StatusInternalServerError)
 		return
 	}
-	writer.Header().Set("Content-Type", contentType)
+	writer.Header().Set("Content-Type", listContentType)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if _, err := writer.Write(body); err != nil {
 		m.logger.WithError(err).Debug("failed to send the member list")
@@ -77,8 +77,8 @@
 // digestTag returns the entity tag of a list with the digest.
 func digestTag(digest uint64) string { return strconv.Quote(strconv.FormatUint(digest, 16)) }
 
-// HTTPExchange returns an ExchangeFunc that sends requests to the Handler of a peer. The
-// cluster must equal Config.ClusterName.
+// HTTPExchange returns an ExchangeFunc that requests the list from the Handler of a peer. The
+// cluster must equal Config.ClusterName; a list of another cluster is an error.
 func HTTPExchange(client *http.Client, cluster string) ExchangeFunc {
 	return func(ctx context.Context, address string, digest uint64) ([]Member, int, error) {
 		errorContext := oops.In("membership").With("step", "exchange member lists", "peer", address)
@@ -97,13 +97,13 @@
 	}
 }
 
-// readList reads a peer's response within the size limits.
+// readList reads and decodes a peer's response within the size limits.
 func readList(response *http.Response, cluster string) ([]Member, int, error) {
 	if response.StatusCode == http.StatusNotModified {
 		return nil, 0, nil
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, 0, errStatus
+		return nil, 0, errUnexpectedStatus
 	}
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxListBytes+1))
 	if err != nil {
--- a/internal/membership/failure_model_test.go
+++ b/internal/membership/failure_model_test.go
@@ -13,7 +13,8 @@
 	modelMaxMembers = 12
 )
 
-// failureModel applies random failures to nodes on the simulated network.
+// failureModel is a rapid state machine test that applies random failures to nodes on the
+// simulated network.
 type failureModel struct {
 	*simulation
 	pausedAt map[*simulatedNode]time.Duration
@@ -31,16 +32,16 @@
 		s.advance(10 * time.Second)
 		t.Repeat(map[string]func(*rapid.T){
 			"":        m.check,
-			"advance": m.passTime,
-			"start":   m.startOne,
-			"crash":   m.crashOne,
-			"leave":   m.leaveOne,
-			"pause":   m.pauseOne,
-			"resume":  m.resumeOne,
+			"advance": m.advanceTime,
+			"start":   m.startNode,
+			"crash":   m.crashNode,
+			"leave":   m.leaveNode,
+			"pause":   m.pauseNode,
+			"resume":  m.resumeNode,
 			"cut":     m.partitionZone,
 			"heal":    func(*rapid.T) { m.healPartition() },
-			"noise":   m.changeLink,
-			"forge":   m.forge,
+			"noise":   m.changeLinkQuality,
+			"forge":   m.sendForgedRecord,
 		})
 		m.checkConvergence(t)
 	})
@@ -50,22 +51,22 @@
 func (m *failureModel) check(t *rapid.T) {
 	for _, node := range m.running() {
 		if !slices.ContainsFunc(node.Live(""), func(member Member) bool { return member.Name == node.Self().Name }) {
-			t.Fatalf("%s does not list itself", node.address)
+			t.Fatalf("%s does not list itself as live", node.address)
 		}
 		if known := node.Stats().Known; known > modelMaxMembers {
-			t.Fatalf("%s lists %d other members", node.address, known)
+			t.Fatalf("%s lists %d other members, more than MaxMembers", node.address, known)
 		}
 		if node.paused && m.now-m.pausedAt[node] > 4*DefaultPeriod && node.ListReliable() {
-			t.Fatalf("%s is paused but its list is reliable", node.address)
+			t.Fatalf("%s is paused, but its list is reliable", node.address)
 		}
 	}
 }
 
-func (m *failureModel) passTime(t *rapid.T) {
+func (m *failureModel) advanceTime(t *rapid.T) {
 	m.advance(time.Duration(rapid.IntRange(1, 20_000).Draw(t, "milliseconds")) * time.Millisecond)
 }
 
-func (m *failureModel) startOne(t *rapid.T) {
+func (m *failureModel) startNode(t *rapid.T) {
 	number := rapid.IntRange(0, modelNodes-1).Draw(t, "number")
 	m.startIfStopped(number)
 }
@@ -82,20 +83,20 @@
 
 func nodeAddress(number int) string { return "10.0.0." + string(rune('1'+number)) + ":7000" }
 
-// drawNode advances the time by a random duration and selects a running node. It starts a node
-// if none is running.
+// drawNode advances the time by a random duration and draws a running node. It starts a node if
+// none is running.
 func (m *failureModel) drawNode(t *rapid.T) *simulatedNode {
 	m.advance(time.Duration(m.random.Int64N(int64(5 * time.Second))))
 	if len(m.running()) == 0 {
-		m.startOne(t)
+		m.startNode(t)
 	}
 	running := m.running()
 	return running[rapid.IntRange(0, len(running)-1).Draw(t, "node")]
 }
 
-func (m *failureModel) crashOne(t *rapid.T) { m.drawNode(t).crash() }
+func (m *failureModel) crashNode(t *rapid.T) { m.drawNode(t).crash() }
 
-func (m *failureModel) leaveOne(t *rapid.T) {
+func (m *failureModel) leaveNode(t *rapid.T) {
 	node := m.drawNode(t)
 	if node.paused {
 		return
@@ -106,16 +107,16 @@
 	node.crash()
 }
 
-func (m *failureModel) pauseOne(t *rapid.T) {
+func (m *failureModel) pauseNode(t *rapid.T) {
 	node := m.drawNode(t)
-	m.advance(DefaultPeriod / stepsPerPeriod) // a node without a step before the pause does not report it
+	m.advance(DefaultPeriod / stepsPerPeriod) // a node without a step before the pause cannot detect it
 	if !node.paused {
 		node.pause()
 		m.pausedAt[node] = m.now
 	}
 }
 
-func (m *failureModel) resumeOne(t *rapid.T) {
+func (m *failureModel) resumeNode(t *rapid.T) {
 	node := m.drawNode(t)
 	if !node.paused {
 		return
@@ -137,14 +138,14 @@
 	m.partitioned = func(_, _ *simulatedNode) bool { return false }
 }
 
-func (m *failureModel) changeLink(t *rapid.T) {
+func (m *failureModel) changeLinkQuality(t *rapid.T) {
 	m.loss = rapid.Float64Range(0, 0.4).Draw(t, "loss")
 	m.duplicate = rapid.Float64Range(0, 0.4).Draw(t, "duplicate")
 	m.delay = time.Duration(rapid.IntRange(1, 200).Draw(t, "delay")) * time.Millisecond
 }
 
-// forge sends a node a false record of another node.
-func (m *failureModel) forge(t *rapid.T) {
+// sendForgedRecord sends a node a false record of another node.
+func (m *failureModel) sendForgedRecord(t *rapid.T) {
 	victim, receiver := m.drawNode(t), m.drawNode(t)
 	record := victim.Self()
 	record.State = State(rapid.IntRange(0, stateCount-1).Draw(t, "state"))
@@ -156,8 +157,8 @@
 	receiver.receive(Packet{From: victim.address, Data: forged})
 }
 
-// checkConvergence ends all failures and checks that every node then lists exactly the running
-// nodes.
+// checkConvergence ends all failures and checks that the lists of all nodes converge to the
+// running nodes.
 func (m *failureModel) checkConvergence(t *rapid.T) {
 	m.healPartition()
 	m.loss, m.duplicate, m.delay = 0, 0, 5*time.Millisecond
--- a/internal/membership/isolation.go
+++ b/internal/membership/isolation.go
@@ -9,33 +9,35 @@
 // noAck is the value of lastAckedSend when no ping has been acknowledged since the last reset.
 const noAck = math.MinInt64
 
-// isolationGuard holds the evidence that the node is neither paused nor isolated. All fields
-// but validSince are read by any goroutine without the mutex, so that a goroutine that runs
-// first after a pause detects the pause as well.
-type isolationGuard struct {
+// isolationDetector records the last step and the latest acknowledgement, from which
+// ListReliable decides whether the node is paused or isolated. All fields but validSince are
+// read by any goroutine without the mutex of Membership, so that a goroutine that runs first
+// after a pause detects the pause as well.
+type isolationDetector struct {
 	lastStep atomic.Pointer[Instant]
 	// lastAckedSend is the monotonic time in nanoseconds at which the latest acknowledged ping
 	// or ping request was sent.
 	lastAckedSend atomic.Int64
-	soleMember    atomic.Bool
+	// soleMember is whether the node has no other members and its attempt to join has ended.
+	soleMember atomic.Bool
 	// validSince is the earliest send time of pings whose acknowledgements count. It is
 	// protected by the mutex of Membership.
 	validSince time.Duration
 }
 
 // reset discards the latest acknowledgement.
-func (g *isolationGuard) reset() { g.lastAckedSend.Store(noAck) }
+func (d *isolationDetector) reset() { d.lastAckedSend.Store(noAck) }
 
-// recordAck records that a ping sent at the given time was acknowledged.
-func (g *isolationGuard) recordAck(sentAt time.Duration) {
-	if sentAt >= g.validSince && int64(sentAt) > g.lastAckedSend.Load() {
-		g.lastAckedSend.Store(int64(sentAt))
+// recordAck records the acknowledgement of a ping or ping request sent at the given time.
+func (d *isolationDetector) recordAck(sentAt time.Duration) {
+	if sentAt >= d.validSince && int64(sentAt) > d.lastAckedSend.Load() {
+		d.lastAckedSend.Store(int64(sentAt))
 	}
 }
 
 // pausedFor returns the time since the last step and whether it exceeds the limit.
-func (g *isolationGuard) pausedFor(now Instant, limit time.Duration) (time.Duration, bool) {
-	last := g.lastStep.Load()
+func (d *isolationDetector) pausedFor(now Instant, limit time.Duration) (time.Duration, bool) {
+	last := d.lastStep.Load()
 	if last == nil {
 		return 0, false
 	}
@@ -52,32 +54,34 @@
 //     acknowledged a ping sent after the pause,
 //   - if there are other members and no such acknowledgement is recent.
 //
-// A node without other members returns true at once or, if it has seeds, after the seeds had
-// time to answer. The call is cheap; make it again for each decision.
+// On a node without other members it returns true after the first step or, if the node has
+// seeds or hints, after they had time to answer. The call is cheap and must be repeated for each
+// decision, as the result can change at any time.
 func (m *Membership) ListReliable() bool {
 	now := m.config.Clock()
-	if m.guard.lastStep.Load() == nil {
+	if m.isolation.lastStep.Load() == nil {
 		return false
 	}
-	if _, paused := m.guard.pausedFor(now, m.config.PauseLimit); paused {
+	if _, paused := m.isolation.pausedFor(now, m.config.PauseLimit); paused {
 		return false
 	}
-	if m.guard.soleMember.Load() {
+	if m.isolation.soleMember.Load() {
 		return true
 	}
-	lastAckedSend := m.guard.lastAckedSend.Load()
+	lastAckedSend := m.isolation.lastAckedSend.Load()
 	return lastAckedSend != noAck && now.Monotonic-time.Duration(lastAckedSend) <= m.config.IsolationLimit
 }
 
-// updateSoleMember updates whether the node has no other members and has tried to join.
+// updateSoleMember updates soleMember.
 func (m *Membership) updateSoleMember() {
-	joinTimedOut := m.now.Monotonic-m.started >= joinPeriods*m.config.Period
-	m.guard.soleMember.Store(m.table.present.size() == 0 && (joinTimedOut || m.contacts.empty()))
+	joinTimedOut := m.now.Monotonic-m.startedAt >= joinTimeoutPeriods*m.config.Period
+	m.isolation.soleMember.Store(m.table.present.size() == 0 && (joinTimedOut || m.contacts.empty()))
 }
 
-// detectPause handles a pause of the process. It is called before anything else is done.
+// detectPause handles a pause of the process since the last step. Step and HandlePacket call it
+// before they do anything else.
 func (m *Membership) detectPause(now Instant) {
-	pause, paused := m.guard.pausedFor(now, m.config.PauseLimit)
+	pause, paused := m.isolation.pausedFor(now, m.config.PauseLimit)
 	if !paused {
 		return
 	}
@@ -87,21 +91,22 @@
 	}
 }
 
-// recoverFromPause discards the acknowledgements and restarts everything that was timed across
-// the pause. It discards the acknowledgements first: a reader that sees the new step must not
-// see an acknowledgement from before the pause.
+// recoverFromPause discards the recorded acknowledgement and the pending probes, restarts the
+// suspicion timeouts, and raises the incarnation to override suspicions raised during the pause.
+// It discards the acknowledgement before it sets lastStep: a reader that sees the new step must
+// not see an acknowledgement from before the pause.
 func (m *Membership) recoverFromPause(now Instant, pause time.Duration) {
 	m.mutex.Lock()
 	defer m.unlockAndWake()
 	m.now = now
-	m.guard.reset()
-	m.guard.validSince = now.Monotonic
-	m.guard.lastStep.Store(&now)
+	m.isolation.reset()
+	m.isolation.validSince = now.Monotonic
+	m.isolation.lastStep.Store(&now)
 	m.stats.Pauses++
 	m.prober.probes = nil
 	m.nextPeriod = now.Monotonic
 	for _, suspect := range m.table.suspects {
-		suspect.suspicionEnd = now.Monotonic + m.suspicionTime()
+		suspect.suspicionDeadline = now.Monotonic + m.suspicionTime()
 	}
 	m.raiseIncarnation(m.self.Incarnation + 1)
 	m.logger.WithField("pause", pause.String()).Warn("the process was paused; restarting probes and suspicion timeouts")
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -7,7 +7,7 @@
 	"unicode/utf8"
 )
 
-// State is the state of a member in a node's list. At the same incarnation a higher state
+// State is the state of a member in a node's list. At equal incarnations a higher state
 // overrides a lower one.
 type State uint8
 
@@ -21,7 +21,7 @@
 	Leaving
 	// Dead members did not refute a suspicion in time.
 	Dead
-	// Left members have stopped after they announced it.
+	// Left members have stopped after they had announced it.
 	Left
 )
 
@@ -39,14 +39,14 @@
 
 func (s State) valid() bool { return s < stateCount }
 
-// Gone reports whether the member no longer takes part, that is, whether it is dead or left.
-func (s State) Gone() bool { return s >= Dead }
+// DeadOrLeft reports whether the member no longer takes part in the protocol.
+func (s State) DeadOrLeft() bool { return s >= Dead }
 
-// Live reports whether the member may be assigned work, that is, whether it is alive or
-// suspected.
+// Live reports whether the member may be assigned work, that is, whether its state is Alive or
+// Suspect.
 func (s State) Live() bool { return s == Alive || s == Suspect }
 
-// Length limits of a member's strings in bytes. They leave room in every datagram for the
+// Length limits of a member's strings in bytes. With them every datagram has room for the
 // sender, the payload and at least one update.
 const (
 	maxNameLength    = 64
@@ -58,7 +58,7 @@
 // effect of a forged or erroneous record.
 const maxIncarnationLead = 24 * time.Hour
 
-// Member is a record of a node of the cluster. It is encoded with integer keys.
+// Member is the record of a cluster member. It is encoded as a CBOR map with integer keys.
 type Member struct {
 	// Name is unique in the cluster and does not change on a restart.
 	Name string `cbor:"1,keyasint"`
@@ -69,8 +69,8 @@
 	PeerAddress string `cbor:"4,keyasint,omitempty"`
 	// MeshAddress is the address for calls between services, IP:port.
 	MeshAddress string `cbor:"5,keyasint,omitempty"`
-	// Incarnation is initially the start time in nanoseconds since 1970. Only the member
-	// itself raises it, to refute a record about itself.
+	// Incarnation is initially the start time in nanoseconds since 1970. Only the member itself
+	// raises it, to override the records of it in other nodes' lists.
 	Incarnation uint64 `cbor:"6,keyasint"`
 	// BootID identifies one run of the member's process.
 	BootID uint64 `cbor:"7,keyasint"`
@@ -78,13 +78,13 @@
 	State State `cbor:"8,keyasint,omitempty"`
 }
 
-// compact returns the record without the fields that do not change during a run. A receiver
-// that has a full record of the same run adds them.
+// compact returns the record without the zone, the region and the addresses, which do not change
+// while the process runs. A receiver that has a full record with the same BootID keeps them.
 func (m Member) compact() Member {
 	return Member{Name: m.Name, Incarnation: m.Incarnation, BootID: m.BootID, State: m.State}
 }
 
-// full reports whether the record includes the addresses.
+// full reports whether the record includes the zone, the region and the addresses.
 func (m Member) full() bool { return m.PeerAddress != "" }
 
 // supersedes reports whether the record overrides a known one.
@@ -95,7 +95,7 @@
 	return m.State > known.State
 }
 
-// validate returns an error if a received record must not be added to the list.
+// validate returns an error if the record must not be added to the list.
 func (m Member) validate(now time.Time) error {
 	latest := uint64(now.Add(maxIncarnationLead).UnixNano())
 	switch {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -12,11 +12,11 @@
 
 // Membership is a node's member list and the protocol that maintains it.
 type Membership struct {
-	config Config
-	logger *logrus.Entry
-	guard  isolationGuard
-	events deliveryQueue
-	// payload is the application data in every datagram.
+	config     Config
+	logger     *logrus.Entry
+	isolation  isolationDetector
+	deliveries deliveryQueue
+	// payload is the application data for every datagram; nil until SetPayload is called.
 	payload atomic.Pointer[[]byte]
 	// cachedView is the current view; nil after a change until the next read.
 	cachedView atomic.Pointer[view]
@@ -27,24 +27,24 @@
 	wake      chan struct{}
 	closeOnce sync.Once
 
-	mutex      sync.Mutex
-	random     *rand.Rand
-	now        Instant
-	started    time.Duration
-	self       Member
-	table      *table
-	updates    *updateQueue
-	prober     prober
-	relays     map[uint64]relay
-	contacts   contacts
-	exchange   exchangeSchedule
-	sequence   uint64
-	periods    uint64
-	nextPeriod time.Duration
-	stats      Stats
+	mutex        sync.Mutex
+	random       *rand.Rand
+	now          Instant
+	startedAt    time.Duration
+	self         Member
+	table        *table
+	updates      *updateQueue
+	prober       prober
+	relays       map[uint64]relay
+	contacts     contacts
+	exchange     exchangeSchedule
+	lastSequence uint64
+	periodCount  uint64
+	nextPeriod   time.Duration
+	stats        Stats
 }
 
-// New returns a membership that lists only the node itself. It sends nothing until Run or Step
+// New returns a Membership that lists only the node itself. It sends nothing until Run or Step
 // is called.
 func New(config Config) (*Membership, error) {
 	config = config.withDefaults()
@@ -61,25 +61,25 @@
 		return nil, err
 	}
 	m := &Membership{
-		config:   config,
-		logger:   config.Logger.WithField("node", config.Self.Name),
-		closing:  make(chan struct{}),
-		wake:     make(chan struct{}, 1),
-		random:   random,
-		now:      now,
-		started:  now.Monotonic,
-		self:     config.Self,
-		table:    newTable(config.MaxMembers),
-		updates:  newUpdateQueue(),
-		relays:   map[uint64]relay{},
-		sequence: uint64(random.Uint32()),
+		config:       config,
+		logger:       config.Logger.WithField("node", config.Self.Name),
+		closing:      make(chan struct{}),
+		wake:         make(chan struct{}, 1),
+		random:       random,
+		now:          now,
+		startedAt:    now.Monotonic,
+		self:         config.Self,
+		table:        newTable(config.MaxMembers),
+		updates:      newUpdateQueue(),
+		relays:       map[uint64]relay{},
+		lastSequence: uint64(random.Uint32()),
 	}
 	m.prober.recheckQueued = map[string]struct{}{}
 	m.contacts = newContacts(config.Seeds, config.Self.PeerAddress)
 	m.exchange.recordMatch(config.Period)
 	m.nextPeriod = now.Monotonic + time.Duration(random.Int64N(int64(config.Period)))
 	m.updates.add(m.self, true)
-	m.guard.reset()
+	m.isolation.reset()
 	return m, nil
 }
 
@@ -90,13 +90,13 @@
 	return m.self
 }
 
-// Members returns all members by name, including the node itself and tombstones. The slice is
-// shared and must not be modified.
+// Members returns all members, sorted by name, including the node itself and tombstones. The
+// slice is shared and must not be modified.
 func (m *Membership) Members() []Member { return m.view().all }
 
-// Live returns the members that may be assigned work, by name. It includes the node itself
-// unless it is leaving. An empty zone selects all zones. The slice is shared and must not be
-// modified.
+// Live returns the members of a zone that may be assigned work, sorted by name. They include the
+// node itself unless it is leaving. An empty zone selects all zones. The slice is shared and
+// must not be modified.
 func (m *Membership) Live(zone string) []Member {
 	if zone == "" {
 		return m.view().live
@@ -104,10 +104,10 @@
 	return m.view().liveByZone[zone]
 }
 
-// Snapshot returns the same slice as Members, for an exchange of lists.
+// Snapshot returns the list to send to a peer in an exchange. It equals the result of Members.
 func (m *Membership) Snapshot() []Member { return m.view().all }
 
-// Digest returns a hash of all members that are not dead or left. Nodes with equal digests
+// Digest returns a hash of all members that are neither dead nor left. Nodes with equal digests
 // have nothing to exchange.
 func (m *Membership) Digest() uint64 { return m.view().digest }
 
@@ -121,17 +121,17 @@
 	return nil
 }
 
-// SetHints sets the addresses of a machine list that may be out of date. The node contacts
-// them, but does not add them as members before they answer.
+// SetHints replaces the hinted addresses, for example those of a list of machines that may be
+// out of date. The node pings them, but does not add them as members before they answer.
 func (m *Membership) SetHints(addresses []string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.contacts.setHints(addresses, m.config.MaxMembers)
 }
 
-// Subscribe adds an event receiver. All receivers are called in order from one goroutine and
-// should return quickly.
-func (m *Membership) Subscribe(receive func(Event)) { m.events.subscribe(receive) }
+// Subscribe adds an event subscriber. Events are passed to all subscribers in order by one
+// goroutine, so they should return quickly.
+func (m *Membership) Subscribe(receive func(Event)) { m.deliveries.subscribe(receive) }
 
 // view returns the current view and builds it if the list has changed.
 func (m *Membership) view() *view {
@@ -164,15 +164,16 @@
 	return *m.digest
 }
 
-// suspicionTime returns how long a suspect has to refute the suspicion.
+// suspicionTime returns the suspicion timeout, which is how long a suspect has to refute the
+// suspicion.
 func (m *Membership) suspicionTime() time.Duration {
 	scale := math.Max(1, math.Log10(float64(m.table.present.size()+1)))
 	return time.Duration(DefaultSuspicionFactor * scale * float64(m.config.Period))
 }
 
-// retransmitLimit returns how many times a node sends an update. Updates go to random members:
-// a member misses one with probability e to the power of minus this limit, and with a higher
-// probability if some receivers are dead.
+// retransmitLimit returns how many times a node sends an update. As updates are sent to random
+// members, a member misses an update with a probability of e^-retransmitLimit, or more if some
+// of the receivers are dead.
 func (m *Membership) retransmitLimit() int {
 	scale := math.Max(1, math.Log(float64(m.table.present.size()+1)))
 	return int(math.Ceil(DefaultRetransmitFactor * scale))
--- a/internal/membership/message.go
+++ b/internal/membership/message.go
@@ -10,23 +10,28 @@
 // MaxDatagram is the maximum size of a datagram in bytes, below any common path MTU.
 const MaxDatagram = 1200
 
-// Limits of the decoder and of the updates in a datagram.
 const (
+	// maxUpdates is the maximum number of updates in a received datagram.
 	maxUpdates = 64
-	// maxQueuedUpdates leaves room for the records that a message itself contains.
+	// maxQueuedUpdates is the maximum number of queued updates added to a message. It leaves
+	// room for the updates that the message already contains.
 	maxQueuedUpdates = maxUpdates - 4
-	maxUpdateBytes   = 320
-	maxNesting       = 4
-	maxPairs         = 16
-	updatesOverhead  = 4
+	// maxUpdateBytes is the maximum total size of the queued updates added to a message.
+	maxUpdateBytes = 320
+	// maxNestingDepth and maxMapPairs are limits of the CBOR decoder.
+	maxNestingDepth = 4
+	maxMapPairs     = 16
+	// updatesOverhead is the space in bytes reserved for the key and the array header of the
+	// Updates field.
+	updatesOverhead = 4
 )
 
-// kind is the type of a datagram.
-type kind uint8
+// messageKind is the type of a datagram.
+type messageKind uint8
 
 const (
 	// kindPing requests an acknowledgement with the same sequence number.
-	kindPing kind = iota + 1
+	kindPing messageKind = iota + 1
 	// kindAck acknowledges a ping.
 	kindAck
 	// kindPingRequest asks the receiver to probe the target.
@@ -40,17 +45,17 @@
 	kindEnd
 )
 
-// message is a datagram. Decoders ignore unknown keys, so that nodes of two versions can run
-// in one cluster.
+// message is the content of a datagram. Decoders ignore unknown keys, so that nodes of two
+// versions can run in one cluster.
 type message struct {
-	Kind     kind   `cbor:"1,keyasint"`
-	Cluster  string `cbor:"2,keyasint,omitempty"`
-	Sequence uint64 `cbor:"3,keyasint,omitempty"`
-	Sender   Member `cbor:"4,keyasint"`
+	Kind     messageKind `cbor:"1,keyasint"`
+	Cluster  string      `cbor:"2,keyasint,omitempty"`
+	Sequence uint64      `cbor:"3,keyasint,omitempty"`
+	Sender   Member      `cbor:"4,keyasint"`
 	// Target is the name of the member to probe for a ping request, or of the member that
 	// answered for a relayed acknowledgement.
 	Target string `cbor:"5,keyasint,omitempty"`
-	// RequestRecord asks the receiver to send its full record.
+	// RequestRecord asks the receiver for its full record.
 	RequestRecord bool     `cbor:"6,keyasint,omitempty"`
 	Payload       []byte   `cbor:"7,keyasint,omitempty"`
 	Updates       []Member `cbor:"8,keyasint,omitempty"`
@@ -79,12 +84,12 @@
 	return mode
 }
 
-func mustDecoder(maxElements int) cbor.DecMode {
+func mustDecoder(maxArrayElements int) cbor.DecMode {
 	options := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
-		MaxNestedLevels:  maxNesting,
-		MaxArrayElements: maxElements,
-		MaxMapPairs:      maxPairs,
+		MaxNestedLevels:  maxNestingDepth,
+		MaxArrayElements: maxArrayElements,
+		MaxMapPairs:      maxMapPairs,
 		IndefLength:      cbor.IndefLengthForbidden,
 		TagsMd:           cbor.TagsForbidden,
 	}
@@ -95,7 +100,7 @@
 	return mode
 }
 
-// decodeMessage decodes a datagram and validates everything that does not depend on the
+// decodeMessage decodes a datagram and validates everything that can be checked without the
 // receiver's state.
 func decodeMessage(datagram []byte, now time.Time) (message, error) {
 	var decoded message
--- a/internal/membership/message_test.go
+++ b/internal/membership/message_test.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// TestUnknownKeysAreIgnored checks that messages of later versions can be decoded.
+// TestUnknownKeysAreIgnored checks that messages with the additional keys of a later version can
+// be decoded.
 func TestUnknownKeysAreIgnored(t *testing.T) {
 	encoded, err := cbor.Marshal(map[int]any{1: 1, 4: exampleMember(1), 99: "later"})
 	assert.NilError(t, err)
@@ -85,22 +86,22 @@
 }
 
 func TestLargestDatagramFits(t *testing.T) {
-	s := newSimulation(1) // its Send panics if a datagram exceeds MaxDatagram
+	s := newSimulation(1) // Send of a simulated node panics if a datagram exceeds MaxDatagram
 	s.configure = func(config *Config) {
 		config.ClusterName = strings.Repeat("c", maxNameLength)
 		config.Self.Zone = strings.Repeat("z", maxZoneLength)
 		config.Self.Region = strings.Repeat("r", maxZoneLength)
 		config.Self.Name += strings.Repeat("n", maxNameLength-len(config.Self.Name))
 	}
-	for _, node := range cluster(t, s, 40) {
+	for _, node := range startCluster(t, s, 40) {
 		assert.NilError(t, node.SetPayload(make([]byte, MaxPayload)))
 	}
 	s.start(40, 0)
-	_, agreed := s.advanceUntil(time.Minute, s.converged)
-	assert.Assert(t, agreed)
+	_, converged := s.advanceUntil(time.Minute, s.converged)
+	assert.Assert(t, converged)
 }
 
-func TestForgedMembersBounded(t *testing.T) {
+func TestForgedMembersBoundedByMaxMembers(t *testing.T) {
 	s := newSimulation(2)
 	s.configure = func(config *Config) { config.MaxMembers = 50 }
 	node := s.start(0, 0)
@@ -114,7 +115,7 @@
 	assert.Equal(t, node.Stats().MembersRefused, uint64(1950))
 }
 
-func TestInstantSinceUsesLargerStep(t *testing.T) {
+func TestInstantSinceUsesLargerDifference(t *testing.T) {
 	start := Instant{Wall: epoch, Monotonic: time.Minute}
 	suspended := Instant{Wall: epoch.Add(time.Hour), Monotonic: time.Minute}
 	setBack := Instant{Wall: epoch.Add(-time.Hour), Monotonic: time.Minute + 3*time.Second}
--- a/internal/membership/probe.go
+++ b/internal/membership/probe.go
@@ -5,16 +5,15 @@
 	"time"
 )
 
-// Parameters of the probe schedule.
 const (
-	// indirectNumerator / indirectDenominator is the fraction of a period without an answer
-	// after which other members are asked to probe the target.
+	// indirectNumerator / indirectDenominator is the fraction of a period after which an
+	// unanswered probe is followed by indirect probes.
 	indirectNumerator, indirectDenominator = 2, 5
 	// rechecksPerPeriod limits the queued rechecks that are sent in each period.
 	rechecksPerPeriod = 2
 	// deadProbePeriods is the number of periods between two probes of dead members.
 	deadProbePeriods = 4
-	// maxRelays limits the concurrent probes on behalf of other members.
+	// maxRelays is the maximum number of concurrent probes on behalf of other members.
 	maxRelays = 1024
 )
 
@@ -23,20 +22,20 @@
 	sequence uint64
 	// target is empty if only the address is known, not the member.
 	target string
-	// suspectOnTimeout is whether the target becomes a suspect if no answer arrives in time.
+	// suspectOnTimeout is whether the target is suspected if no answer arrives in time.
 	suspectOnTimeout bool
 	sentAt           time.Duration
-	indirectAt       time.Duration
-	indirect         bool
+	indirectSentAt   time.Duration
+	indirectSent     bool
 }
 
-// prober holds the probes in progress and the order of the next ones.
+// prober holds the pending probes and the names of the members to probe next.
 type prober struct {
 	probes []*probe
-	// round is the remaining members of the current round, which probes each member once.
+	// round holds the remaining members of the current round, which probes each member once.
 	round []string
-	// rechecks is the queue of members whose state is in doubt; they are probed in addition to
-	// the round.
+	// rechecks is the queue of members whose state is uncertain; they are probed in addition to
+	// those of the round.
 	rechecks      []string
 	recheckQueued map[string]struct{}
 }
@@ -47,10 +46,10 @@
 	requesterName     string
 	requesterSequence uint64
 	target            string
-	expires           time.Duration
+	expiresAt         time.Duration
 }
 
-// enqueue queues a member for a recheck unless it is queued already.
+// enqueue queues a member for a recheck unless it is already queued.
 func (p *prober) enqueue(name string) {
 	if _, queued := p.recheckQueued[name]; queued {
 		return
@@ -70,8 +69,8 @@
 	return name, true
 }
 
-// complete removes and returns the probe with the sequence number and target of an
-// acknowledgement, or returns nil if there is none.
+// complete removes and returns the pending probe that an acknowledgement with the sequence
+// number from the named member answers. It returns nil if there is none.
 func (p *prober) complete(sequence uint64, name string) *probe {
 	index := slices.IndexFunc(p.probes, func(pending *probe) bool {
 		return pending.sequence == sequence && (pending.target == "" || pending.target == name)
@@ -84,8 +83,8 @@
 	return found
 }
 
-// insertRandomly inserts a member at a random position of the current round.
-func (m *Membership) insertRandomly(name string) {
+// insertIntoRound inserts a member at a random position of the current probe round.
+func (m *Membership) insertIntoRound(name string) {
 	position := m.random.IntN(len(m.prober.round) + 1)
 	m.prober.round = slices.Insert(m.prober.round, position, name)
 }
@@ -97,7 +96,7 @@
 			last := len(m.prober.round) - 1
 			name := m.prober.round[last]
 			m.prober.round = m.prober.round[:last]
-			if known, found := m.table.entries[name]; found && !known.State.Gone() {
+			if known, found := m.table.entries[name]; found && !known.State.DeadOrLeft() {
 				m.ping(known.Member)
 				return
 			}
@@ -106,7 +105,8 @@
 	}
 }
 
-// startRound starts a new round with all members that are not gone, in random order.
+// startRound starts a new round with all members that are neither dead nor left, in random
+// order.
 func (m *Membership) startRound() {
 	for _, member := range m.table.present.entries {
 		m.prober.round = append(m.prober.round, member.Name)
@@ -115,7 +115,7 @@
 	m.random.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 }
 
-// recheck pings queued members whose state is in doubt.
+// recheck pings members from the recheck queue.
 func (m *Membership) recheck() {
 	for range rechecksPerPeriod {
 		name, found := m.prober.dequeue()
@@ -136,10 +136,10 @@
 	}
 }
 
-// ping probes a member. A missing answer from a member that is gone has no effect.
+// ping probes a member. A missing answer from a dead or left member has no effect.
 func (m *Membership) ping(member Member) {
 	m.stats.ProbesSent++
-	started := m.startProbe(member.Name, !member.State.Gone())
+	started := m.startProbe(member.Name, !member.State.DeadOrLeft())
 	m.send(toMember(member), message{Kind: kindPing, Sequence: started.sequence})
 }
 
@@ -150,15 +150,15 @@
 	m.send(destination{address: address}, message{Kind: kindPing, Sequence: started.sequence, RequestRecord: true})
 }
 
-func (m *Membership) startProbe(target string, expected bool) *probe {
-	m.sequence++
-	started := &probe{sequence: m.sequence, target: target, suspectOnTimeout: expected, sentAt: m.now.Monotonic}
+func (m *Membership) startProbe(target string, suspectOnTimeout bool) *probe {
+	m.lastSequence++
+	started := &probe{sequence: m.lastSequence, target: target, suspectOnTimeout: suspectOnTimeout, sentAt: m.now.Monotonic}
 	m.prober.probes = append(m.prober.probes, started)
 	return started
 }
 
-// checkProbes starts indirect probes of members that have not answered and ends probes that
-// are a period old.
+// checkProbes requests indirect probes of members that have not answered, and fails the probes
+// that are a period old.
 func (m *Membership) checkProbes() {
 	var pending, failed []*probe
 	for _, candidate := range m.prober.probes {
@@ -178,25 +178,26 @@
 	}
 }
 
-// probeIndirectly asks some members, preferably of other zones, to probe the target.
+// probeIndirectly asks other members to probe the target of an unanswered probe.
 func (m *Membership) probeIndirectly(pending *probe) {
-	if pending.indirect || !pending.suspectOnTimeout {
+	if pending.indirectSent || !pending.suspectOnTimeout {
 		return
 	}
-	pending.indirect = true
-	pending.indirectAt = m.now.Monotonic
+	pending.indirectSent = true
+	pending.indirectSentAt = m.now.Monotonic
 	request := message{Kind: kindPingRequest, Sequence: pending.sequence, Target: pending.target}
 	if known, found := m.table.entries[pending.target]; found && known.State == Suspect {
 		request.Updates = []Member{known.compact()}
 	}
-	for _, helper := range m.helpers(pending.target) {
+	for _, member := range m.selectRelays(pending.target) {
 		m.stats.IndirectProbes++
-		m.send(toMember(helper), request)
+		m.send(toMember(member), request)
 	}
 }
 
-// helpers selects the members that are asked for an indirect probe.
-func (m *Membership) helpers(target string) []Member {
+// selectRelays selects the members that are asked for an indirect probe. It prefers alive
+// members of other zones.
+func (m *Membership) selectRelays(target string) []Member {
 	count := m.config.IndirectProbes
 	present := m.table.present
 	drawn := sample(m.random, present, count, func(candidate Member) bool {
@@ -208,11 +209,11 @@
 	return append(drawn, more...)
 }
 
-// probeFailed marks the target of an unanswered probe as a suspect, or as left if it was
+// probeFailed marks the target of an unanswered probe as suspected, or as left if it was
 // leaving.
 func (m *Membership) probeFailed(failed *probe) {
 	known, found := m.table.entries[failed.target]
-	if !failed.suspectOnTimeout || !found || known.State.Gone() {
+	if !failed.suspectOnTimeout || !found || known.State.DeadOrLeft() {
 		return
 	}
 	m.stats.ProbesFailed++
@@ -226,10 +227,10 @@
 	m.prober.enqueue(known.Name)
 }
 
-// dropExpiredRelays removes unanswered probes on behalf of other members.
+// dropExpiredRelays removes the probes on behalf of other members that have timed out.
 func (m *Membership) dropExpiredRelays() {
 	for sequence, relayed := range m.relays {
-		if relayed.expires <= m.now.Monotonic {
+		if relayed.expiresAt <= m.now.Monotonic {
 			delete(m.relays, sequence)
 		}
 	}
--- a/internal/membership/protocol_test.go
+++ b/internal/membership/protocol_test.go
@@ -9,22 +9,22 @@
 	"pgregory.net/rapid"
 )
 
-// detectionLimit is the time within which every node must have detected a crash: the probe,
-// the suspicion and the propagation, with up to 100 nodes.
+// detectionLimit is the time within which every node of a cluster of up to 100 nodes must have
+// detected a crash. It covers the probe, the suspicion timeout and the dissemination.
 const detectionLimit = 24 * DefaultPeriod
 
-// healLimit is the time within which lists must converge after a network partition has ended.
+// healLimit is the time within which lists must converge after a network partition has healed.
 const healLimit = 90 * time.Second
 
 // TestNoSuspicionWithoutLoss checks that on a network without loss, nodes that start shortly
 // after each other converge within a minute and suspect no member.
 //
-// Eleven nodes with a pause of 2.8 s after the fifth did not. They formed two separate
-// clusters, {0,1,4,7..10} and {2,3,5,6}, which one contact joined after 10 s. By then no node
-// had queued updates, and two nodes that both lacked each other's record exchanged lists only
-// every 30 s, each with a random peer that lacked the same records. Nodes 5 and 10 were
-// missing from each other's lists for 63 s without any suspicion. See
-// TestNodesStartedTogetherConverge for the mechanism.
+// Eleven nodes with a pause of 2.8 s after the fifth used to form two separate clusters,
+// {0,1,4,7..10} and {2,3,5,6}, which a ping of a seed joined after 10 s. By then no node had
+// queued updates, and nodes that lacked each other's record exchanged lists only every 30 s,
+// each with a random peer that lacked the same records. Nodes 5 and 10 were missing from each
+// other's lists for 63 s without any suspicion. TestNodesStartedTogetherConverge describes the
+// mechanism.
 func TestNoSuspicionWithoutLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"))
@@ -40,7 +40,7 @@
 			t.Fatalf("%d nodes did not converge", count)
 		}
 		for _, node := range s.running() {
-			if node.count(EventSuspected)+node.count(EventDied) > 0 {
+			if node.countEvents(EventSuspected)+node.countEvents(EventDied) > 0 {
 				t.Fatalf("false suspicion: %v", node.events)
 			}
 		}
@@ -51,7 +51,7 @@
 	for _, count := range []int{2, 3, 10, 60} {
 		t.Run(fmt.Sprint(count), func(t *testing.T) {
 			s := newSimulation(uint64(count))
-			nodes := cluster(t, s, count)
+			nodes := startCluster(t, s, count)
 			nodes[count-1].crash()
 			nodes[count/2].crash()
 			elapsed, detected := s.advanceUntil(detectionLimit, s.converged)
@@ -66,13 +66,13 @@
 
 func TestRefutationUnderPacketLoss(t *testing.T) {
 	s := newSimulation(7)
-	nodes := cluster(t, s, 30)
+	nodes := startCluster(t, s, 30)
 	s.loss, s.duplicate = 0.15, 0.1
 	s.delay = 40 * time.Millisecond
 	s.advance(3 * time.Minute)
 	suspicions, refutations := uint64(0), uint64(0)
 	for _, node := range nodes {
-		assert.Equal(t, node.count(EventDied), 0)
+		assert.Equal(t, node.countEvents(EventDied), 0)
 		suspicions += node.Stats().Suspicions
 		refutations += node.Stats().Refutations
 	}
@@ -81,7 +81,7 @@
 
 func TestForgedDeathIsRefuted(t *testing.T) {
 	s := newSimulation(8)
-	nodes := cluster(t, s, 10)
+	nodes := startCluster(t, s, 10)
 	forgedRecord := nodes[4].Self()
 	forgedRecord.State = Dead
 	datagram, err := encoder.Marshal(message{Kind: kindGossip, Cluster: "test", Sender: nodes[1].Self(), Updates: []Member{forgedRecord}})
@@ -95,13 +95,13 @@
 
 func TestConvergenceAfterPartition(t *testing.T) {
 	s := newSimulation(9)
-	nodes := cluster(t, s, 30)
+	nodes := startCluster(t, s, 30)
 	s.partitioned = func(from, to *simulatedNode) bool { return (from.zone == "zone-0") != (to.zone == "zone-0") }
 	s.advance(2 * time.Minute)
 	assert.Equal(t, len(nodes[0].Live("")), 10)
 	assert.Equal(t, len(nodes[1].Live("")), 20)
 	assert.Assert(t, nodes[0].ListReliable() && nodes[1].ListReliable())
-	s.start(30, 0) // joins one side during the partition
+	s.start(30, 0) // joins one side of the partition
 	nodes[4].crash()
 	s.advance(20 * time.Second)
 	s.partitioned = func(_, _ *simulatedNode) bool { return false }
@@ -112,7 +112,7 @@
 
 func TestReturnOfDeadMemberTriggersExchange(t *testing.T) {
 	s := newSimulation(27)
-	nodes := cluster(t, s, 4)
+	nodes := startCluster(t, s, 4)
 	s.advance(minExchangePeriods * DefaultPeriod)
 	node, member := nodes[0], nodes[1]
 	node.changeState(node.table.entries["node-1"], Dead)
@@ -126,7 +126,7 @@
 
 func TestConvergenceAfterPartitionWithoutSeeds(t *testing.T) {
 	s := newSimulation(23)
-	nodes := cluster(t, s, 20)
+	nodes := startCluster(t, s, 20)
 	for _, node := range nodes {
 		node.contacts.seeds = nil
 	}
@@ -140,7 +140,7 @@
 
 func TestLeaveIsAnnouncedNotDetectedAsDeath(t *testing.T) {
 	s := newSimulation(14)
-	nodes := cluster(t, s, 20)
+	nodes := startCluster(t, s, 20)
 	leaver := nodes[6]
 	leaver.Leave()
 	s.advance(3 * time.Second)
@@ -154,7 +154,7 @@
 	s.advance(detectionLimit)
 	for _, node := range s.running() {
 		assert.Equal(t, node.stateOf(leaver), Left)
-		assert.Equal(t, node.count(EventDied), 0)
+		assert.Equal(t, node.countEvents(EventDied), 0)
 	}
 }
 
@@ -162,7 +162,7 @@
 	for _, skew := range []time.Duration{0, -time.Hour} {
 		t.Run(skew.String(), func(t *testing.T) {
 			s := newSimulation(15)
-			nodes := cluster(t, s, 10)
+			nodes := startCluster(t, s, 10)
 			nodes[7].crash()
 			s.advance(time.Second)
 			restarted := s.start(7, skew)
@@ -206,7 +206,7 @@
 
 func TestPayloadReachesAllMembers(t *testing.T) {
 	s := newSimulation(18)
-	nodes := cluster(t, s, 12)
+	nodes := startCluster(t, s, 12)
 	assert.NilError(t, nodes[3].SetPayload([]byte("revision 7")))
 	_, received := s.advanceUntil(20*time.Second, func() bool {
 		for _, node := range nodes {
--- a/internal/membership/records.go
+++ b/internal/membership/records.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// finalProbePeriods is how many periods before the end of a suspicion the node probes the
+// finalProbePeriods is how many periods before the suspicion deadline the node probes the
 // suspect itself, whichever node raised the suspicion.
 const finalProbePeriods = 3
 
-// applyRecord applies a record received in a datagram. The source is the peer address of the
-// sender, or empty if the sender is not a member; the full list can be fetched from there.
+// applyRecord applies a record received in a datagram. The source is the peer address from which
+// to fetch the full list if the record is incomplete, or empty if there is none.
 func (m *Membership) applyRecord(record Member, source string) {
 	if record.Name == m.self.Name {
 		m.refute(record)
@@ -24,13 +24,13 @@
 	if !record.supersedes(known.Member) {
 		return
 	}
-	m.applyNewer(known, record, source)
+	m.applyNewerRecord(known, record, source)
 }
 
 // addMember adds a new member. It ignores tombstones of unknown members, and requests an
-// exchange if the record is compact and so lacks the addresses.
+// exchange if the record is compact.
 func (m *Membership) addMember(record Member, source string) {
-	if record.State.Gone() {
+	if record.State.DeadOrLeft() {
 		return
 	}
 	if !record.full() {
@@ -45,7 +45,8 @@
 	m.emit(EventJoined, record)
 }
 
-// insert adds a member that is not gone to the table and to the current probe round.
+// insert adds a member that is neither dead nor left to the table and to the current probe
+// round. It returns nil if the table is full.
 func (m *Membership) insert(record Member) *entry {
 	added := m.table.insert(record)
 	if added == nil {
@@ -53,17 +54,17 @@
 		return nil
 	}
 	m.invalidateView()
-	m.insertRandomly(record.Name)
+	m.insertIntoRound(record.Name)
 	if record.State == Suspect {
 		m.startSuspicion(added)
 	}
 	return added
 }
 
-// applyNewer applies a record that supersedes the known one.
-func (m *Membership) applyNewer(known *entry, record Member, source string) {
+// applyNewerRecord applies a record that supersedes the known one.
+func (m *Membership) applyNewerRecord(known *entry, record Member, source string) {
 	restarted := record.BootID != known.BootID
-	if restarted && !record.full() && !record.State.Gone() {
+	if restarted && !record.full() && !record.State.DeadOrLeft() {
 		m.exchange.request(source)
 		return
 	}
@@ -76,7 +77,7 @@
 	m.setState(known, record.State)
 	m.updates.add(known.Member, record.full())
 	m.emitChange(previous, known.Member, restarted)
-	if previous == Dead && !known.State.Gone() {
+	if previous == Dead && !known.State.DeadOrLeft() {
 		m.exchange.request(known.PeerAddress)
 	}
 }
@@ -89,35 +90,35 @@
 	m.emitChange(previous, known.Member, false)
 }
 
-// setState sets the state of an entry and updates the suspicion, the tombstone time and the
-// probe round accordingly.
+// setState sets the state of an entry. It starts a suspicion, sets the time of the tombstone, or
+// adds the member to the probe round again, as the state requires.
 func (m *Membership) setState(known *entry, state State) {
-	wasGone := known.State.Gone()
+	wasDeadOrLeft := known.State.DeadOrLeft()
 	m.table.setState(known, state)
 	m.invalidateView()
 	if state == Suspect {
 		m.startSuspicion(known)
 	}
-	if state.Gone() {
-		known.goneAt = m.now.Monotonic
+	if state.DeadOrLeft() {
+		known.tombstonedAt = m.now.Monotonic
 	}
-	if wasGone && !state.Gone() {
-		m.insertRandomly(known.Name)
+	if wasDeadOrLeft && !state.DeadOrLeft() {
+		m.insertIntoRound(known.Name)
 	}
 }
 
 func (m *Membership) startSuspicion(known *entry) {
 	m.stats.Suspicions++
-	known.suspicionEnd = m.now.Monotonic + m.suspicionTime()
+	known.suspicionDeadline = m.now.Monotonic + m.suspicionTime()
 	known.finalProbeQueued = false
 }
 
-// endSuspicions declares suspects dead that did not refute the suspicion in time. Before that
-// the node probes them itself: the refutation of a running member may have reached all other
-// nodes and been lost only on the way to this one.
-func (m *Membership) endSuspicions() {
-	for _, suspect := range m.suspectsDueBy(m.now.Monotonic + finalProbePeriods*m.config.Period) {
-		if suspect.suspicionEnd <= m.now.Monotonic {
+// expireSuspicions declares suspects dead that did not refute the suspicion in time. Before the
+// deadline the node probes them itself: the refutation of a running member may have reached all
+// other nodes and been lost only on the way to this one.
+func (m *Membership) expireSuspicions() {
+	for _, suspect := range m.suspectsExpiringBy(m.now.Monotonic + finalProbePeriods*m.config.Period) {
+		if suspect.suspicionDeadline <= m.now.Monotonic {
 			m.stats.Deaths++
 			m.changeState(suspect, Dead)
 			continue
@@ -129,29 +130,30 @@
 	}
 }
 
-// suspectsDueBy returns the suspects whose suspicion ends at or before the limit, by name.
-func (m *Membership) suspectsDueBy(limit time.Duration) []*entry {
+// suspectsExpiringBy returns the suspects whose deadline is not after the limit, sorted by name.
+func (m *Membership) suspectsExpiringBy(limit time.Duration) []*entry {
 	var due []*entry
 	for _, suspect := range m.table.suspects {
-		if suspect.suspicionEnd <= limit {
+		if suspect.suspicionDeadline <= limit {
 			due = append(due, suspect)
 		}
 	}
-	slices.SortFunc(due, compareEntries)
+	slices.SortFunc(due, compareByName)
 	return due
 }
 
-// refute responds to a record about the node itself that differs from its own. It raises the
-// incarnation above that of the record, which overrides the record on all nodes.
+// refute handles a received record of the node itself. If the record differs from the node's own
+// and is not older, it raises the incarnation above that of the record, so that the node's own
+// record overrides it on all nodes.
 func (m *Membership) refute(record Member) {
-	if record.Incarnation < m.self.Incarnation || m.self.State.Gone() {
+	if record.Incarnation < m.self.Incarnation || m.self.State.DeadOrLeft() {
 		return
 	}
 	sameRun := record.BootID == m.self.BootID
 	if sameRun && record.Incarnation == m.self.Incarnation && record.State <= m.self.State {
 		return
 	}
-	if !sameRun && !record.State.Gone() {
+	if !sameRun && !record.State.DeadOrLeft() {
 		m.logger.WithField("peer", record.PeerAddress).Warn("another run of this member is newer than our clock")
 	}
 	m.stats.Refutations++
@@ -166,15 +168,16 @@
 	m.invalidateView()
 }
 
-// Merge applies the full list of a peer. It adds missing members and applies newer
-// incarnations. It neither applies nor forwards a death: if the lists differ on whether a
-// member is dead, the node probes that member soon.
+// Merge applies the full list of a peer, without sending the changes on as updates. It adds
+// missing members and applies records that override known ones, but treats suspects as alive and
+// does not apply deaths: if the lists differ on whether a member is dead, the node queues a
+// probe of that member.
 func (m *Membership) Merge(members []Member) {
 	m.mutex.Lock()
 	defer m.unlockAndWake()
 	changed := false
 	for _, record := range members {
-		if record.validate(m.now.Wall) == nil && !m.self.State.Gone() {
+		if record.validate(m.now.Wall) == nil && !m.self.State.DeadOrLeft() {
 			changed = m.mergeRecord(record) || changed
 		}
 	}
@@ -196,13 +199,13 @@
 	known, found := m.table.entries[record.Name]
 	switch {
 	case !found:
-		return m.mergeNew(record)
+		return m.mergeNewMember(record)
 	case record.State == Dead:
 		m.probeReportedDead(known, record)
 	case record.supersedes(known.Member) && record.full():
-		m.mergeNewer(known, record)
+		m.mergeNewerRecord(known, record)
 		return true
-	case known.State == Dead && !record.State.Gone():
+	case known.State == Dead && !record.State.DeadOrLeft():
 		m.prober.enqueue(record.Name)
 	}
 	return false
@@ -210,20 +213,20 @@
 
 // probeReportedDead queues a probe of a member that a peer lists as dead.
 func (m *Membership) probeReportedDead(known *entry, record Member) {
-	if !known.State.Gone() && record.Incarnation >= known.Incarnation {
+	if !known.State.DeadOrLeft() && record.Incarnation >= known.Incarnation {
 		m.prober.enqueue(known.Name)
 	}
 }
 
-func (m *Membership) mergeNew(record Member) bool {
-	if record.State.Gone() || !record.full() || m.insert(record) == nil {
+func (m *Membership) mergeNewMember(record Member) bool {
+	if record.State.DeadOrLeft() || !record.full() || m.insert(record) == nil {
 		return false
 	}
 	m.emit(EventJoined, record)
 	return true
 }
 
-func (m *Membership) mergeNewer(known *entry, record Member) {
+func (m *Membership) mergeNewerRecord(known *entry, record Member) {
 	previous, restarted := known.State, known.BootID != record.BootID
 	state := record.State
 	known.Member = record
--- a/internal/membership/run.go
+++ b/internal/membership/run.go
@@ -11,15 +11,15 @@
 // errClosed ends the goroutines of Run.
 var errClosed = errors.New("membership is closed")
 
-// exchangeJob is an exchange with the peer at address that is due.
+// exchangeJob is a due exchange: the address of the peer and the digest of the node's own list.
 type exchangeJob struct {
 	address string
 	digest  uint64
 }
 
-// Run drives the protocol with the configured clock and transport until the context ends,
-// Close is called or the transport is closed. It returns the context's error, or nil after
-// Close.
+// Run drives the protocol with the configured clock and transport until the context ends, Close
+// is called or the transport is closed. It returns the context's error in the first case and nil
+// in the others.
 func (m *Membership) Run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	jobs := make(chan exchangeJob, 1)
@@ -56,7 +56,7 @@
 	}
 }
 
-// scheduleExchange queues an exchange that is due unless one is queued already.
+// scheduleExchange queues a due exchange unless one is already queued.
 func (m *Membership) scheduleExchange(jobs chan<- exchangeJob) {
 	if m.config.Exchange == nil || len(jobs) == cap(jobs) {
 		return
--- a/internal/membership/run_test.go
+++ b/internal/membership/run_test.go
@@ -104,9 +104,9 @@
 		{func(c *Config) { c.Transport = nil }, errNoTransport},
 		{func(c *Config) { c.Self.PeerAddress = "" }, errInvalidAddress},
 		{func(c *Config) { c.Self.Name = "" }, errInvalidName},
-		{func(c *Config) { c.Period = -time.Second; c.PauseLimit = 1; c.IsolationLimit = 1 }, errNegative},
-		{func(c *Config) { c.Fanout = -1 }, errNegative},
-		{func(c *Config) { c.ClusterName = "\x00" }, errClusterName},
+		{func(c *Config) { c.Period = -time.Second; c.PauseLimit = 1; c.IsolationLimit = 1 }, errNegativeSetting},
+		{func(c *Config) { c.Fanout = -1 }, errNegativeSetting},
+		{func(c *Config) { c.ClusterName = "\x00" }, errInvalidClusterName},
 	}
 	for i, test := range tests {
 		config := valid
@@ -118,7 +118,7 @@
 
 func TestHTTPExchange(t *testing.T) {
 	s := newSimulation(20)
-	nodes := cluster(t, s, 5)
+	nodes := startCluster(t, s, 5)
 	server := httptest.NewServer(nodes[0].Handler())
 	defer server.Close()
 	address := strings.TrimPrefix(server.URL, "http://")
@@ -141,7 +141,7 @@
 	assert.ErrorIs(t, err, errOtherCluster)
 	assert.ErrorContains(t, err, "another cluster")
 
-	response, err := client.Post(server.URL+ExchangePath, contentType, strings.NewReader("x"))
+	response, err := client.Post(server.URL+ExchangePath, listContentType, strings.NewReader("x"))
 	assert.NilError(t, err)
 	assert.NilError(t, response.Body.Close())
 	assert.Equal(t, response.StatusCode, http.StatusMethodNotAllowed)
@@ -176,7 +176,7 @@
 
 func TestMergeProbesDeadAndKeepsNewerRecords(t *testing.T) {
 	s := newSimulation(21)
-	nodes := cluster(t, s, 5)
+	nodes := startCluster(t, s, 5)
 	list := append([]Member(nil), nodes[0].Snapshot()...)
 	for i := range list {
 		list[i].State = Dead
--- a/internal/membership/scale_test.go
+++ b/internal/membership/scale_test.go
@@ -13,7 +13,7 @@
 // without changes.
 func bytesPerPeriod(t testing.TB, count, payload int) float64 {
 	s := newSimulation(19)
-	nodes := cluster(t, s, count)
+	nodes := startCluster(t, s, count)
 	for _, node := range nodes {
 		assert.NilError(t, node.SetPayload(make([]byte, payload)))
 	}
@@ -31,15 +31,15 @@
 }
 
 // BenchmarkLargeCluster measures a cluster of the intended maximum size in virtual time: the
-// heap per node, the detection of a crash, and the convergence after a partition between a
-// third of the nodes and the rest. The lists converge 13.0 s after the partition, and after
-// 41.3 s if datagrams carry no digests; the crash is detected by all nodes after 8.5 s, and
-// 8.2 s without digests.
+// heap per node, the time until all nodes have detected a crash, and the time until the lists
+// converge after a partition between a third of the nodes and the rest. Convergence takes
+// 13.0 s, or 41.3 s if datagrams carry no digests; detection takes 8.5 s, or 8.2 s without
+// digests.
 func BenchmarkLargeCluster(b *testing.B) {
 	const count = 820
 	for b.Loop() {
 		s := newSimulation(24)
-		nodes := cluster(b, s, count)
+		nodes := startCluster(b, s, count)
 		s.advance(fullRecordPeriods * DefaultPeriod)
 		var memory runtime.MemStats
 		runtime.GC()
--- a/internal/membership/schedule.go
+++ b/internal/membership/schedule.go
@@ -6,22 +6,24 @@
 	// minExchangePeriods is the shortest time, in periods, between two exchanges.
 	minExchangePeriods = 2
 	// mismatchPeriods is the time, in periods, without a matching digest from any peer after
-	// which lists are exchanged. While an update is still being sent, digests differ for a
-	// shorter time.
+	// which lists are exchanged. Digests that differ only because an update is still spreading
+	// match again within a shorter time.
 	mismatchPeriods = 3
 )
 
 // exchangeSchedule determines when the next exchange is due and with which peer.
 type exchangeSchedule struct {
-	requested string
+	// requestedPeer is the address of the peer for the next exchange; empty if no exchange was
+	// requested.
+	requestedPeer string
 	// earliest is the time before which no exchange starts.
 	earliest time.Duration
-	// nextPeriodic is when the next exchange is due if none is requested.
+	// nextPeriodic is when an exchange with a random peer is due if none has been requested.
 	nextPeriodic time.Duration
-	// backoff is the time from the next exchange to the one after it. It doubles with each
-	// exchange that changes nothing until lists match. Nodes whose lists cannot converge, for
-	// example because a path works in one direction only, thus exchange no more often than at
-	// the periodic interval.
+	// backoff is the minimum time between the next exchange and the one after it. It doubles
+	// with each exchange until an exchange changes the list or a digest matches. Nodes whose
+	// lists cannot converge, for example because a path works in one direction only, thus do not
+	// exchange lists more often than at the periodic interval.
 	backoff time.Duration
 	// mismatched is whether every digest received since mismatchedSince differed from the
 	// node's own.
@@ -29,22 +31,22 @@
 	mismatchedSince time.Duration
 }
 
-// recordChange records that an exchange changed the list. The next one is allowed soon, as it
-// may change the list again.
+// recordChange records that an exchange changed the list. It resets the backoff, as the next
+// exchange may change the list again.
 func (s *exchangeSchedule) recordChange(now, period time.Duration) {
 	s.backoff = minExchangePeriods * period
 	s.earliest = min(s.earliest, now+s.backoff)
 }
 
-// recordMatch records that a peer's list equals the node's own.
+// recordMatch records that the digest of a peer's list equals the node's own.
 func (s *exchangeSchedule) recordMatch(period time.Duration) {
 	s.mismatched = false
 	s.backoff = minExchangePeriods * period
 }
 
-// recordMismatch records that the list of the peer at the address differs from the node's own.
-// If that lasts it requests an exchange: at least one of the two nodes has then missed an
-// update that is no longer being sent.
+// recordMismatch records that the digest of the list of the peer at the address differs from the
+// node's own. If no digest has matched for mismatchPeriods, it requests an exchange: at least one
+// of the two nodes has then missed an update that is no longer being sent.
 func (s *exchangeSchedule) recordMismatch(address string, now, period time.Duration) {
 	if !s.mismatched {
 		s.mismatched, s.mismatchedSince = true, now
@@ -54,9 +56,9 @@
 	}
 }
 
-// start records that an exchange starts now.
+// start records the start of an exchange.
 func (s *exchangeSchedule) start(now, interval time.Duration) {
-	s.requested = ""
+	s.requestedPeer = ""
 	s.earliest = now + s.backoff
 	s.nextPeriodic = now + interval
 	s.backoff = min(2*s.backoff, interval)
@@ -65,7 +67,7 @@
 // request requests an exchange with the peer at the address.
 func (s *exchangeSchedule) request(address string) {
 	if address != "" {
-		s.requested = address
+		s.requestedPeer = address
 	}
 }
 
@@ -76,10 +78,10 @@
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	now := m.now.Monotonic
-	if now < m.exchange.earliest || m.self.State.Gone() {
+	if now < m.exchange.earliest || m.self.State.DeadOrLeft() {
 		return "", 0, false
 	}
-	address = m.exchange.requested
+	address = m.exchange.requestedPeer
 	if address == "" && now >= m.exchange.nextPeriodic {
 		address = m.randomPeer()
 	}
--- a/internal/membership/send.go
+++ b/internal/membership/send.go
@@ -1,13 +1,15 @@
 package membership
 
-// fullRecordPeriods is for how many periods after its start a node sends its full record in
+// fullRecordPeriods is for how many periods after its start a node includes its full record in
 // every datagram.
 const fullRecordPeriods = 120
 
-// announceFanout is the number of members to which a node announces directly that it leaves.
+// announceFanout is the number of members to which a node immediately sends a change of its own
+// state.
 const announceFanout = 6
 
-// destination is the receiver of a message and what the message must contain for it.
+// destination is the receiver of a message, with the properties that determine which records the
+// message contains.
 type destination struct {
 	address string
 	// name is empty if the member at the address is unknown.
@@ -22,8 +24,8 @@
 	return destination{address: member.PeerAddress, name: member.Name}
 }
 
-// send adds the sender, the digest, the payload and queued updates to a message and sends it.
-// A send error is treated like a lost datagram.
+// send adds the sender's record, the digest, the payload and queued updates to a message and
+// sends it. A send error is treated like a lost datagram.
 func (m *Membership) send(to destination, outgoing message) {
 	outgoing.Cluster = m.config.ClusterName
 	outgoing.Sender = m.senderRecord(to)
@@ -48,25 +50,25 @@
 	}
 }
 
-// senderRecord returns the node's own record. It is compact if the receiver should already
-// have the full record.
+// senderRecord returns the node's own record, in compact form if the receiver is expected to have
+// the full record.
 func (m *Membership) senderRecord(to destination) Member {
 	known, found := m.table.entries[to.name]
-	introducing := m.now.Monotonic-m.started < fullRecordPeriods*m.config.Period
-	if to.fullRecord || introducing || !found || known.State.Gone() {
+	recentlyStarted := m.now.Monotonic-m.startedAt < fullRecordPeriods*m.config.Period
+	if to.fullRecord || recentlyStarted || !found || known.State.DeadOrLeft() {
 		return m.self
 	}
 	return m.self.compact()
 }
 
-// recordToRefute returns the receiver's record in this node's list if the receiver has to
-// refute or update it.
+// recordToRefute returns the receiver's record from this node's list if the receiver has to
+// refute or update it, or nil.
 func (m *Membership) recordToRefute(to destination) []Member {
 	known, found := m.table.entries[to.name]
 	if !found {
 		return nil
 	}
-	if to.outdated || known.State == Suspect || known.State.Gone() {
+	if to.outdated || known.State == Suspect || known.State.DeadOrLeft() {
 		return []Member{known.compact()}
 	}
 	return nil
@@ -104,7 +106,7 @@
 
 func (m *Membership) inOtherZone(member Member) bool { return member.Zone != m.self.Zone }
 
-// announceSelf sends a change of the node's own record to some members immediately.
+// announceSelf sends a change of the node's own record immediately to announceFanout members.
 func (m *Membership) announceSelf() {
 	acceptAll := func(Member) bool { return true }
 	for _, receiver := range sample(m.random, m.table.present, announceFanout, acceptAll) {
--- a/internal/membership/simulation_test.go
+++ b/internal/membership/simulation_test.go
@@ -15,23 +15,23 @@
 
 // simulation runs nodes on a simulated network in virtual time.
 type simulation struct {
-	now       time.Duration
-	random    *rand.Rand
-	queue     taskQueue
-	scheduled int
-	nodes     map[string]*simulatedNode
-	addresses []string
-	loss      float64
-	duplicate float64
-	delay     time.Duration
+	now          time.Duration
+	random       *rand.Rand
+	queue        taskQueue
+	lastSequence int
+	nodes        map[string]*simulatedNode
+	addresses    []string
+	loss         float64
+	duplicate    float64
+	delay        time.Duration
 	// partitioned reports whether datagrams from one node to another are lost.
 	partitioned func(from, to *simulatedNode) bool
 	// configure modifies the settings of nodes started later.
 	configure func(*Config)
 }
 
-// simulatedNode is a node with its own clock, a receive queue and the events that it has
-// emitted.
+// simulatedNode is a node with its own clock and receive queue, which records the events and
+// payloads that were delivered.
 type simulatedNode struct {
 	*Membership
 	sim       *simulation
@@ -43,14 +43,16 @@
 	inbox     []Packet
 	events    []Event
 	payloads  map[string]string
-	// actions lists sends and pause reports since the last resume.
+	// actions records the sends and pause reports since the last resume.
 	actions []string
 }
 
+// task is a function scheduled at a virtual time. Tasks at the same time run in the order in
+// which they were scheduled.
 type task struct {
-	at     time.Duration
-	number int
-	run    func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
 type taskQueue []task
@@ -58,9 +60,9 @@
 func (q taskQueue) Len() int      { return len(q) }
 func (q taskQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q taskQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].number < q[j].number
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
-func (q *taskQueue) Push(added any) { *q = append(*q, added.(task)) }
+func (q *taskQueue) Push(pushed any) { *q = append(*q, pushed.(task)) }
 func (q *taskQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
@@ -80,8 +82,8 @@
 }
 
 func (s *simulation) after(delay time.Duration, run func()) {
-	s.scheduled++
-	heap.Push(&s.queue, task{at: s.now + delay, number: s.scheduled, run: run})
+	s.lastSequence++
+	heap.Push(&s.queue, task{at: s.now + delay, sequence: s.lastSequence, run: run})
 }
 
 func (s *simulation) advance(duration time.Duration) {
@@ -107,8 +109,8 @@
 	return s.now - start, true
 }
 
-// start starts a node; its number determines its zone. A running node of the same name must
-// have been stopped.
+// start starts a node, whose number determines its name, address and zone. An earlier node with
+// the number must have been stopped.
 func (s *simulation) start(number int, skew time.Duration) *simulatedNode {
 	name := fmt.Sprintf("node-%d", number)
 	node := &simulatedNode{
@@ -195,7 +197,7 @@
 	return nil
 }
 
-// Receive implements Transport. The simulation passes packets to receive instead.
+// Receive implements Transport. It is unused, as the simulation calls receive.
 func (n *simulatedNode) Receive() <-chan Packet { return nil }
 
 func (s *simulation) transmit(from *simulatedNode, address string, datagram []byte) {
@@ -223,8 +225,7 @@
 
 func (n *simulatedNode) pause() { n.paused = true }
 
-// resume continues the node after a pause; it first receives the datagrams queued during the
-// pause.
+// resume resumes the node, which first receives the datagrams queued during the pause.
 func (n *simulatedNode) resume() {
 	n.paused = false
 	n.actions = nil
@@ -237,7 +238,7 @@
 
 func (n *simulatedNode) crash() { n.stopped = true }
 
-func (n *simulatedNode) count(kind EventKind) int {
+func (n *simulatedNode) countEvents(kind EventKind) int {
 	count := 0
 	for _, event := range n.events {
 		if event.Kind == kind {
@@ -287,8 +288,8 @@
 	return Left
 }
 
-// cluster starts count nodes and waits until they have converged.
-func cluster(t testing.TB, s *simulation, count int) []*simulatedNode {
+// startCluster starts count nodes, waits until they have converged and returns all running nodes.
+func startCluster(t testing.TB, s *simulation, count int) []*simulatedNode {
 	t.Helper()
 	for number := range count {
 		s.start(number, 0)
--- a/internal/membership/stats.go
+++ b/internal/membership/stats.go
@@ -1,13 +1,13 @@
 package membership
 
-// Stats holds counters since the start and, in its last three fields, current values.
+// Stats holds counters since the start of the node and, in its last three fields, gauges.
 type Stats struct {
 	// BytesSent and BytesReceived count the datagrams' contents, without IP and UDP headers.
 	BytesSent         uint64
 	BytesReceived     uint64
 	DatagramsSent     uint64
 	DatagramsReceived uint64
-	// DatagramsRejected counts datagrams that were malformed or of another cluster.
+	// DatagramsRejected counts datagrams that were malformed or from another cluster.
 	DatagramsRejected uint64
 	SendErrors        uint64
 	// ProbesSent counts pings of members, ContactsSent pings of addresses whose member is
@@ -29,11 +29,11 @@
 	ExchangeErrors uint64
 	// ExchangeBytes counts the response bytes received in exchanges.
 	ExchangeBytes uint64
-	// Known is the number of other members including tombstones, Present the number without
-	// them.
+	// Known is the number of other members including tombstones, Present the number of those that
+	// are neither dead nor left.
 	Known   int
 	Present int
-	// QueuedUpdates is the number of updates that still have to be sent.
+	// QueuedUpdates is the length of the update queue.
 	QueuedUpdates int
 }
 
--- a/internal/membership/step.go
+++ b/internal/membership/step.go
@@ -1,18 +1,18 @@
 package membership
 
-// Step advances the protocol to the given time. It should be called several times per period,
-// by the goroutine that calls HandlePacket.
+// Step advances the protocol to the given time. It should be called several times per period
+// and must be called from the goroutine that calls HandlePacket.
 func (m *Membership) Step(now Instant) {
 	m.detectPause(now)
 	m.mutex.Lock()
 	defer m.unlockAndWake()
 	m.now = now
-	if m.self.State.Gone() {
+	if m.self.State.DeadOrLeft() {
 		return
 	}
-	m.guard.lastStep.Store(&now)
+	m.isolation.lastStep.Store(&now)
 	m.checkProbes()
-	m.endSuspicions()
+	m.expireSuspicions()
 	if now.Monotonic >= m.nextPeriod {
 		m.startPeriod()
 	}
@@ -21,7 +21,7 @@
 
 // startPeriod performs the tasks that are due once per period.
 func (m *Membership) startPeriod() {
-	m.periods++
+	m.periodCount++
 	m.nextPeriod += m.config.Period
 	if m.nextPeriod <= m.now.Monotonic {
 		m.nextPeriod = m.now.Monotonic + m.config.Period
@@ -30,7 +30,7 @@
 	m.dropOldTombstones()
 	m.probeNext()
 	m.recheck()
-	if m.periods%deadProbePeriods == 0 {
+	if m.periodCount%deadProbePeriods == 0 {
 		m.probeDead()
 	}
 	m.pingContact()
@@ -47,7 +47,7 @@
 // empty.
 func (m *Membership) unlockAndWake() {
 	m.mutex.Unlock()
-	if m.events.empty() {
+	if m.deliveries.empty() {
 		return
 	}
 	select {
@@ -56,8 +56,8 @@
 	}
 }
 
-// Leave announces that the node will stop. Other nodes then assign it no new work and do not
-// report its stop as a failure. The node still answers until Close.
+// Leave announces that the node will stop. Other nodes then do not assign new work to it and do
+// not report its stop as a failure. The node answers probes until Close.
 func (m *Membership) Leave() {
 	m.mutex.Lock()
 	defer m.unlockAndWake()
@@ -69,8 +69,8 @@
 	m.announceSelf()
 }
 
-// Close stops the protocol. After Leave it announces that the node has left; otherwise the
-// other members detect the stop like a crash. The transport stays open.
+// Close stops the protocol. After Leave it announces that the node has left; otherwise the other
+// members detect the stop as a failure. The transport stays open.
 func (m *Membership) Close() {
 	m.closeOnce.Do(func() {
 		m.markLeft()
@@ -84,7 +84,7 @@
 	leaving := m.self.State == Leaving
 	m.self.State = Left
 	m.self.Incarnation++
-	m.guard.lastStep.Store(nil)
+	m.isolation.lastStep.Store(nil)
 	m.invalidateView()
 	if leaving {
 		m.announceSelf()
--- a/internal/membership/table_test.go
+++ b/internal/membership/table_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// namesWhere returns the sorted names of the entries whose state the filter accepts.
+// namesWhere returns the sorted names of the table's entries whose state the filter accepts.
 func namesWhere(t *table, accept func(State) bool) []string {
 	names := []string{}
 	for name, known := range t.entries {
@@ -46,14 +46,14 @@
 			default:
 				members.insert(Member{Name: name, State: states.Draw(t, "state")})
 			}
-			present := namesWhere(members, func(state State) bool { return !state.Gone() })
+			present := namesWhere(members, func(state State) bool { return !state.DeadOrLeft() })
 			dead := namesWhere(members, func(state State) bool { return state == Dead })
 			suspects := namesWhere(members, func(state State) bool { return state == Suspect })
 			if !slices.Equal(namesIn(members.present), present) || !slices.Equal(namesIn(members.dead), dead) {
 				t.Fatalf("present %v, listed %v; dead %v, listed %v", present, namesIn(members.present), dead, namesIn(members.dead))
 			}
 			if len(suspects) != len(members.suspects) {
-				t.Fatalf("suspects %v, listed %v", suspects, members.suspects)
+				t.Fatalf("suspects %v, in the map %v", suspects, members.suspects)
 			}
 		}
 	})
@@ -70,30 +70,30 @@
 		func() { known.State = Dead },
 	} {
 		change()
-		assert.Equal(t, known.memberDigest(), memberDigest(known.Member))
-		assert.Assert(t, !slices.Contains(seen, known.memberDigest()))
-		seen = append(seen, known.memberDigest())
+		assert.Equal(t, known.cachedDigest(), memberDigest(known.Member))
+		assert.Assert(t, !slices.Contains(seen, known.cachedDigest()))
+		seen = append(seen, known.cachedDigest())
 	}
 	known.State = Alive
-	alive := known.memberDigest()
+	alive := known.cachedDigest()
 	known.State = Suspect
-	assert.Equal(t, known.memberDigest(), alive)
+	assert.Equal(t, known.cachedDigest(), alive)
 }
 
-// TestProtocolDoesNotBuildView checks that the protocol itself does not copy the whole list
-// after a change.
+// TestProtocolDoesNotBuildView checks that the protocol does not build the view, which copies
+// the whole list, when a member changes.
 func TestProtocolDoesNotBuildView(t *testing.T) {
 	s := newSimulation(31)
-	nodes := cluster(t, s, 12)
+	nodes := startCluster(t, s, 12)
 	s.advance(5 * DefaultPeriod)
-	crashed, watched := nodes[11], nodes[0]
+	crashed, observer := nodes[11], nodes[0]
 	crashed.crash()
-	watched.invalidateView()
+	observer.invalidateView()
 	_, died := s.advanceUntil(time.Minute, func() bool {
-		watched.mutex.Lock()
-		defer watched.mutex.Unlock()
-		assert.Assert(t, watched.cachedView.Load() == nil, "the view was built in period %d", watched.periods)
-		return watched.table.entries[crashed.Self().Name].State == Dead
+		observer.mutex.Lock()
+		defer observer.mutex.Unlock()
+		assert.Assert(t, observer.cachedView.Load() == nil, "the view was built in period %d", observer.periodCount)
+		return observer.table.entries[crashed.Self().Name].State == Dead
 	})
 	assert.Assert(t, died)
 }
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -10,7 +10,7 @@
 	"github.com/samber/oops"
 )
 
-// receiveQueueLength is the number of received datagrams that are queued. Further ones are
+// receiveQueueLength is the maximum number of received datagrams in the queue. Further ones are
 // dropped, as the protocol tolerates loss.
 const receiveQueueLength = 512
 
@@ -43,7 +43,8 @@
 	dropped    atomic.Uint64
 }
 
-// ListenUDP opens a socket on an IP:port and starts receiving. Close closes it.
+// ListenUDP opens a socket on an IP:port and starts to receive datagrams. The caller must call
+// Close.
 func ListenUDP(address string) (*UDPTransport, error) {
 	errorContext := oops.In("membership").With("step", "listen", "peer", address)
 	parsed, err := netip.ParseAddrPort(address)
@@ -81,7 +82,7 @@
 // Receive implements Transport.
 func (t *UDPTransport) Receive() <-chan Packet { return t.packets }
 
-// Close closes the socket and waits for the read goroutine.
+// Close closes the socket and waits for the read goroutine to end.
 func (t *UDPTransport) Close() error {
 	err := t.connection.Close()
 	t.reader.Wait()
--- a/internal/membership/updates.go
+++ b/internal/membership/updates.go
@@ -2,15 +2,15 @@
 
 import "container/list"
 
-// updateQueue holds the updates that the node still sends, at most one per member. New updates
-// are at the front. An update that was sent moves to the back, so that those sent least often
-// come first.
+// updateQueue holds the updates to be piggybacked on datagrams, at most one per member. New
+// updates are added at the front. An update that was sent moves to the back, so that those sent
+// least often come first.
 type updateQueue struct {
 	order  *list.List
 	byName map[string]*list.Element
 }
 
-// update is a member record to send and how often it was sent.
+// update is a queued member record with its encoded size and the number of times it was sent.
 type update struct {
 	record        Member
 	size          int
@@ -21,25 +21,25 @@
 	return &updateQueue{order: list.New(), byName: map[string]*list.Element{}}
 }
 
-// add queues an update and replaces an older one of the same member. If the older one carries
-// the addresses, the new one carries them as well.
-func (q *updateQueue) add(known Member, withAddresses bool) {
-	if element, queued := q.byName[known.Name]; queued {
+// add queues an update and replaces an older one of the same member. If the older one is a full
+// record, the new one is as well.
+func (q *updateQueue) add(member Member, withAddresses bool) {
+	if element, queued := q.byName[member.Name]; queued {
 		older := element.Value.(*update)
 		withAddresses = withAddresses || older.record.full()
 		q.order.Remove(element)
 	}
-	record := known
+	record := member
 	if !withAddresses {
-		record = known.compact()
+		record = member.compact()
 	}
 	fresh := &update{record: record, size: encodedSize(record)}
-	q.byName[known.Name] = q.order.PushFront(fresh)
+	q.byName[member.Name] = q.order.PushFront(fresh)
 }
 
 // nextBatch returns updates that fit in the space in bytes and counts them as sent. An update
-// that has been sent limit times leaves the queue. The excluded member is the receiver: a
-// message carries its record separately if the receiver has to refute it.
+// that has been sent limit times is removed from the queue. The excluded member is the receiver:
+// if it has to refute its record, the message contains that record already.
 func (q *updateQueue) nextBatch(space, limit int, excluded string) []Member {
 	var batch []Member
 	element := q.order.Front()
@@ -71,5 +71,4 @@
 	delete(q.byName, queued.record.Name)
 }
 
-// len returns the number of queued updates.
 func (q *updateQueue) len() int { return q.order.Len() }
