--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -43,7 +43,7 @@
 	tooMany := gossip.Payload{Levels: make([]gossip.Level, gossip.MaxShedLevels+1)}
 	encoded, err := tooMany.Encode()
 	assert.NilError(t, err)
-	for name, bytes := range map[string][]byte{"too many levels": encoded, "truncated": encoded[:5], "empty": nil} {
+	for name, bytes := range map[string][]byte{"too many levels": encoded, "truncated payload": encoded[:5], "empty": nil} {
 		t.Run(name, func(t *testing.T) {
 			_, err := gossip.Decode(bytes)
 			assert.Assert(t, err != nil)
