--- a/internal/membership/convergence_test.go
+++ b/internal/membership/convergence_test.go
@@ -23,7 +23,7 @@
 	// maxStartPause, as in a rolling start whose second half waits for the first.
 	maxStartGap   = 40 * time.Millisecond
 	maxStartPause = 3 * time.Second
-	// maxDelay is the maximum network delay.
+	// maxDelay limits the mean network delay, which is drawn for each simulation.
 	maxDelay = 80 * time.Millisecond
 	// simulationLimit is the time after which a simulation ends if the cluster has not
 	// converged.
--- a/internal/membership/schedule.go
+++ b/internal/membership/schedule.go
@@ -21,9 +21,9 @@
 	// nextPeriodic is when an exchange with a random peer is due if none has been requested.
 	nextPeriodic time.Duration
 	// backoff is the minimum time between the next exchange and the one after it. It doubles
-	// with each exchange until an exchange changes the list or a digest matches. Nodes whose
-	// lists cannot converge, for example because a path works in one direction only, thus do not
-	// exchange lists more often than at the periodic interval.
+	// with each exchange, up to the periodic interval, and is reset when an exchange changes the
+	// list or a digest matches. Nodes whose lists cannot converge, for example because a path
+	// works in one direction only, thus do not exchange lists more often than at that interval.
 	backoff time.Duration
 	// mismatched is whether every digest received since mismatchedSince differed from the
 	// node's own.
