--- a/internal/configuration/replica.go
+++ b/internal/configuration/replica.go
@@ -179,10 +179,10 @@
 func (r *Replica) updateDigest(version resource.Versioned, count int) {
 	hash := hashVersion(version.ID, version.Revision)
 	if version.Deleted {
-		r.digest.Tombstones ^= hash
+		r.digest.TombstoneSum ^= hash
 		return
 	}
-	r.digest.Sum ^= hash
+	r.digest.ObjectSum ^= hash
 	r.digest.Count = uint32(int(r.digest.Count) + count)
 }
 
@@ -210,7 +210,7 @@
 	if !r.ready || other.Floor <= r.digest.Floor || other.Collected > r.digest.Floor {
 		return false
 	}
-	if !r.digest.sameObjects(other) || r.digest.Tombstones != other.Tombstones {
+	if !r.digest.sameObjects(other) || r.digest.TombstoneSum != other.TombstoneSum {
 		return false
 	}
 	r.digest.Collected = max(r.digest.Collected, other.Collected)
--- a/internal/configuration/replica_test.go
+++ b/internal/configuration/replica_test.go
@@ -159,14 +159,14 @@
 	for _, version := range replica.Snapshot().Versions {
 		hash := hashVersion(version.ID, version.Revision)
 		if version.Deleted {
-			expected.Tombstones ^= hash
+			expected.TombstoneSum ^= hash
 			continue
 		}
-		expected.Sum ^= hash
+		expected.ObjectSum ^= hash
 		expected.Count++
 	}
 	actual := replica.Digest()
-	assert.Assert(t, actual.sameObjects(expected) && actual.Tombstones == expected.Tombstones)
+	assert.Assert(t, actual.sameObjects(expected) && actual.TombstoneSum == expected.TombstoneSum)
 }
 
 func TestOldVersionDoesNotUndoDeletion(t *testing.T) {
--- a/internal/configuration/server.go
+++ b/internal/configuration/server.go
@@ -74,7 +74,7 @@
 	delta := s.replica.Since(max(base, request.After-1), 0)
 	delta.skipThrough(request.After, request.AfterKey)
 	response := pullResponse{Digest: delta.Digest, Ready: delta.Ready, Drains: encodeDrains(s.drains.Expiries())}
-	response.Digest.Drains = s.drains.Sum()
+	response.Digest.DrainSum = s.drains.Sum()
 	if !request.Full && !canServeDelta(delta.Digest, request.Floor) {
 		response.FullRequired = true
 		return response, nil
--- a/internal/configuration/syncer.go
+++ b/internal/configuration/syncer.go
@@ -70,7 +70,7 @@
 // Digest returns the digest to send by gossip, including the emergency drains.
 func (s *Syncer) Digest() Digest {
 	digest := s.replica.Digest()
-	digest.Drains = s.drains.Sum()
+	digest.DrainSum = s.drains.Sum()
 	return digest
 }
 
--- a/internal/forward/budget_simulation_test.go
+++ b/internal/forward/budget_simulation_test.go
@@ -142,7 +142,7 @@
 		}
 	}
 	downstream := node.levels.Downstream("card")
-	load.CallsPerRequest, load.RetryBudgetLow = downstream.Calls, downstream.RetryBudgetLow
+	load.CallsPerRequest, load.RetryBudgetLow = downstream.CallsPerRequest, downstream.RetryBudgetLow
 	return &peering.Reply{Outcome: peering.Answered, Status: status, Load: load}
 }
 
--- a/internal/forward/choose.go
+++ b/internal/forward/choose.go
@@ -122,7 +122,7 @@
 	if s.occupancy > kneeOccupancy {
 		cost *= 1 + aboveKneeCost*(s.occupancy-kneeOccupancy)/(1-kneeOccupancy)
 	}
-	if q.route.Kind == routetable.Once {
+	if q.route.Kind == routetable.AtMostOnce {
 		failureProbability := 1 - (1-s.failureRate)*(1-lateProbability(latency, remaining))
 		cost *= 1 + onceFailureFactor*failureProbability
 	} else {
@@ -169,7 +169,7 @@
 	if latency == 0 {
 		latency = median
 	}
-	if kind != routetable.Once {
+	if kind != routetable.AtMostOnce {
 		return latency
 	}
 	if s.slowness > slowHomeRatio {
--- a/internal/forward/choose_benchmark_test.go
+++ b/internal/forward/choose_benchmark_test.go
@@ -19,7 +19,7 @@
 				addresses[i] = fmt.Sprintf("10.0.%d.%d:8300", i/250, i%250)
 			}
 			f := &Forwarder{config: Config{Zone: "z"}, now: time.Now, directory: directoryOf(b, addresses)}
-			route := &routetable.Route{Name: "read", Kind: routetable.Once}
+			route := &routetable.Route{Name: "read", Kind: routetable.AtMostOnce}
 			now := time.Now()
 			for i, address := range addresses {
 				load := peering.Load{Limit: 10, InFlight: i % 10, Latency: time.Duration(i%7+1) * time.Millisecond, ErrorPercent: i % 3}
--- a/internal/forward/fixture_test.go
+++ b/internal/forward/fixture_test.go
@@ -124,7 +124,7 @@
 	pings atomic.Int64
 	// addresses are the addresses of the homes, in the same order.
 	addresses  []string
-	levels     *pressure.Levels
+	levels     *pressure.Table
 	quarantine *quarantine.Quarantine
 }
 
@@ -147,7 +147,7 @@
 	fixture := &fixture{levels: pressure.New(time.Now), quarantine: quarantine.New(quarantine.Config{Now: time.Now})}
 	for _, reply := range replies {
 		home := &fakeHome{reply: reply}
-		handler := peering.Handler(peering.Services{Home: home, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})
+		handler := peering.Handler(peering.ServerConfig{Home: home, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxMessageBytes: 1 << 20, Process: testProcess})
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.Method == http.MethodGet {
 				fixture.pings.Add(1)
@@ -168,7 +168,7 @@
 	service := []routetable.WeightedService{{Name: "s", Weight: 1}}
 	routes.Update(&routetable.Configuration{Version: 4, Limits: routetable.Limits{MaxBodyBytes: 100, MaxHeaderBytes: 1000}, Routes: []routetable.Route{
 		{Name: "read", Host: "a.example", Prefix: "/read/", Kind: routetable.Repeatable, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Priority: 2, Services: service},
-		{Name: "once", Host: "a.example", Prefix: "/once/", Kind: routetable.Once, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Services: service},
+		{Name: "once", Host: "a.example", Prefix: "/once/", Kind: routetable.AtMostOnce, Attempts: 2, Timeout: testTimeout, Objective: time.Second, Services: service},
 		{Name: "brief", Host: "a.example", Prefix: "/brief/", Kind: routetable.Repeatable, Attempts: 2, Timeout: 200 * time.Millisecond, Objective: time.Second, Services: service},
 	}})
 	var forwarder *Forwarder
@@ -183,7 +183,7 @@
 	}, Dependencies{
 		Routes: routes, Policies: compilePolicies(t, routepolicy.Sources{}), Directory: directoryOf(t, addresses), Local: &fakeHome{reply: replyOK}, Levels: fixture.levels,
 		Quarantine: fixture.quarantine,
-		Peers: peering.NewClient(peering.ClientConfig{MaxBuffered: 1 << 20, DialTimeout: time.Second, UserTimeout: time.Second, MaxIdle: 4, IdleTimeout: time.Minute, Codec: testCodec,
+		Peers: peering.NewClient(peering.ClientConfig{MaxMessageBytes: 1 << 20, DialTimeout: time.Second, UserTimeout: time.Second, MaxIdle: 4, IdleTimeout: time.Minute, Codec: testCodec,
 			OnInterim: func(address string) { forwarder.InterimReceived(address) }}),
 		Observer: noopObserver{}, Now: time.Now,
 	})
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -68,7 +68,7 @@
 	Keys   Keys
 	Limits Limits
 	// Levels holds the shed thresholds of routes.
-	Levels   *pressure.Levels
+	Levels   *pressure.Table
 	Peers    Peers
 	Observer Observer
 	Log      *eventlog.Log
@@ -147,7 +147,7 @@
 	directory  *registry.Directory
 	local      LocalHome
 	policies   *routepolicy.Holder
-	levels     *pressure.Levels
+	levels     *pressure.Table
 	quarantine Quarantine
 	keys       Keys
 	limits     Limits
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -217,7 +217,7 @@
 		f := newFixture(t, func(ctx context.Context, _ *peering.Call) *peering.Reply {
 			<-ctx.Done()
 			close(canceled)
-			return &peering.Reply{Outcome: peering.Failed, Reason: peering.CallerLeft}
+			return &peering.Reply{Outcome: peering.Failed, Reason: peering.CallCanceled}
 		})
 		parentContext, abandon := context.WithCancel(t.Context())
 		started := time.Now()
@@ -299,7 +299,7 @@
 	record, err := cbor.Marshal(registry.Record{Instance: "i-full", Service: "full", Zone: "z", Address: full, Slots: 10, State: registry.Ready})
 	assert.NilError(t, err)
 	f.forwarder.directory.ApplyChanges([]store.Entry{{Key: "homes/" + full, Value: record, Revision: 100}}, "store")
-	f.forwarder.routes.Update(&routetable.Configuration{Version: 5, Routes: []routetable.Route{{Name: "split", Host: "a.example", Prefix: "/split/", Kind: routetable.Once,
+	f.forwarder.routes.Update(&routetable.Configuration{Version: 5, Routes: []routetable.Route{{Name: "split", Host: "a.example", Prefix: "/split/", Kind: routetable.AtMostOnce,
 		Timeout: testTimeout, Objective: time.Second, Services: []routetable.WeightedService{{Name: "s", Weight: 70}, {Name: "full", Weight: 30}}}}})
 	answered, refused := 0, 0
 	for i := range requests {
@@ -331,7 +331,7 @@
 	t.Helper()
 	listener, err := net.Listen("tcp", address)
 	assert.NilError(t, err)
-	server := &http.Server{Handler: peering.Handler(peering.Services{Home: &fakeHome{reply: replyOK}, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess})}
+	server := &http.Server{Handler: peering.Handler(peering.ServerConfig{Home: &fakeHome{reply: replyOK}, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxMessageBytes: 1 << 20, Process: testProcess})}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
 }
--- a/internal/forward/home_stats.go
+++ b/internal/forward/home_stats.go
@@ -30,7 +30,7 @@
 
 // maxAgeFor returns how long reports are valid for requests of the kind.
 func maxAgeFor(kind routetable.Kind) time.Duration {
-	if kind == routetable.Once {
+	if kind == routetable.AtMostOnce {
 		return onceMaxAge
 	}
 	return repeatableMaxAge
--- a/internal/forward/request_benchmark_test.go
+++ b/internal/forward/request_benchmark_test.go
@@ -20,7 +20,7 @@
 	b.Helper()
 	f := &fixture{levels: pressure.New(time.Now), quarantine: quarantine.New(quarantine.Config{Now: time.Now})}
 	home := &nonRecordingHome{}
-	server := httptest.NewServer(peering.Handler(peering.Services{Home: home, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxBytes: 1 << 20, Process: testProcess}))
+	server := httptest.NewServer(peering.Handler(peering.ServerConfig{Home: home, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Now: time.Now}), Codec: testCodec, MaxMessageBytes: 1 << 20, Process: testProcess}))
 	b.Cleanup(server.Close)
 	f.addresses = []string{server.Listener.Addr().String()}
 	f.forwarder = newForwarder(b, f, f.addresses)
--- a/internal/forward/run.go
+++ b/internal/forward/run.go
@@ -147,7 +147,7 @@
 // its deadline at the chosen home. After a missed deadline its caller could not safely send
 // it again, but a refused request can be sent again when a home is faster.
 func (f *Forwarder) wouldMissDeadline(q *request, next choice) bool {
-	return q.route.Kind == routetable.Once && q.attempts == 0 && next.latency > q.deadline.Sub(f.now())
+	return q.route.Kind == routetable.AtMostOnce && q.attempts == 0 && next.latency > q.deadline.Sub(f.now())
 }
 
 func (q *request) recordRetryAfter(delay time.Duration) {
@@ -254,7 +254,7 @@
 	case clock.Expired(ctx):
 		reason = peering.DeadlinePassed
 	case ctx.Err() != nil:
-		reason = peering.CallerLeft
+		reason = peering.CallCanceled
 	case errors.Is(context.Cause(offerCtx), errSuspected):
 		reason = peering.Suspected
 	default:
@@ -279,6 +279,6 @@
 		f.homes.recordResponseSize(q.route.Name, len(reply.Body))
 	}
 	if reply.Load.Limit > 0 {
-		f.levels.Report(q.route.Name, home.Address, pressure.Level{Threshold: reply.Load.Threshold, Calls: reply.Load.CallsPerRequest, RetryBudgetLow: reply.Load.RetryBudgetLow}, reply.Load.Limit)
+		f.levels.Report(q.route.Name, home.Address, pressure.Level{Threshold: reply.Load.Threshold, CallsPerRequest: reply.Load.CallsPerRequest, RetryBudgetLow: reply.Load.RetryBudgetLow}, reply.Load.Limit)
 	}
 }
--- a/internal/gateway/fixture_test.go
+++ b/internal/gateway/fixture_test.go
@@ -74,11 +74,11 @@
 	answered, refused, retried atomic.Int64
 }
 
-func (o *countingObserver) Answered(Listener, string, int, time.Duration) { o.answered.Add(1) }
-func (o *countingObserver) Refused(Listener, string, *problem.Problem, time.Duration) {
+func (o *countingObserver) RecordResponse(Listener, string, int, time.Duration) { o.answered.Add(1) }
+func (o *countingObserver) RecordProblem(Listener, string, *problem.Problem, time.Duration) {
 	o.refused.Add(1)
 }
-func (o *countingObserver) Retried(string) { o.retried.Add(1) }
+func (o *countingObserver) RecordRetry(string) { o.retried.Add(1) }
 
 // unlimitedRatio is a RetryRatio that allows all retries.
 type unlimitedRatio struct{}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -87,12 +87,12 @@
 
 // Observer receives the outcomes of calls, for metrics.
 type Observer interface {
-	// Answered records a call that received a response from a target.
-	Answered(listener Listener, service string, status int, duration time.Duration)
-	// Refused records a call that was refused or failed.
-	Refused(listener Listener, service string, failure *problem.Problem, duration time.Duration)
-	// Retried records a retry.
-	Retried(service string)
+	// RecordResponse records a call that received a response from a target.
+	RecordResponse(listener Listener, service string, status int, duration time.Duration)
+	// RecordProblem records a call that was refused or failed.
+	RecordProblem(listener Listener, service string, failure *problem.Problem, duration time.Duration)
+	// RecordRetry records a retry.
+	RecordRetry(service string)
 }
 
 // Gateway serves calls. It is safe for concurrent use.
@@ -224,7 +224,7 @@
 	}
 	defer reply.Close()
 	reply.Header.Set(callcontext.RequestIDHeader, call.context.RequestID.String())
-	g.observer.Answered(listener, service, reply.Status, g.now().Sub(started))
+	g.observer.RecordResponse(listener, service, reply.Status, g.now().Sub(started))
 	reply.WriteTo(w, call.context.Deadline)
 }
 
@@ -237,7 +237,7 @@
 	} else {
 		service = ""
 	}
-	g.observer.Refused(listener, service, failure, g.now().Sub(started))
+	g.observer.RecordProblem(listener, service, failure, g.now().Sub(started))
 	if g.log.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		g.log.WithFields(logrus.Fields{
 			"step":       failure.Step,
--- a/internal/gateway/response_test.go
+++ b/internal/gateway/response_test.go
@@ -26,7 +26,7 @@
 		sendRequest(t, "GET", f.edge, "/a/x", "").assertEqual(t, 200, body)
 		f = newCluster(t, nodes, singleService(resource.Service{}, fiveRetries, newFakeTarget(t, truncated)))
 		assert.Assert(t, sendRequest(t, "GET", f.edge, "/a/x", "").err != nil, "a truncated response was received as complete")
-		eventually(t, "the permit to be released", func() bool { return f.homes.InFlight() == 0 })
+		eventually(t, "the permit to be released", func() bool { return f.homes.ActiveCalls() == 0 })
 	}
 }
 
@@ -46,7 +46,7 @@
 		response, err := http.ReadResponse(bufio.NewReader(connection), nil)
 		assert.NilError(t, err)
 		assert.Equal(t, response.StatusCode, 200)
-		eventually(t, "the call to end", func() bool { return f.InFlight() == 0 && f.homes.InFlight() == 0 })
+		eventually(t, "the call to end", func() bool { return f.InFlight() == 0 && f.homes.ActiveCalls() == 0 })
 	}
 }
 
--- a/internal/gateway/run.go
+++ b/internal/gateway/run.go
@@ -80,7 +80,7 @@
 			reply.Close()
 		}
 		tried = append(tried, target)
-		g.observer.Retried(c.service.Name)
+		g.observer.RecordRetry(c.service.Name)
 	}
 }
 
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -26,13 +26,13 @@
 	Version uint64 `cbor:"2,keyasint"`
 	// Levels holds the strictest shed levels of the targets that have the node as their home, at
 	// most MaxShedLevels.
-	Levels []Level `cbor:"3,keyasint,omitempty"`
+	Levels []ShedLevel `cbor:"3,keyasint,omitempty"`
 	// ClaimEpoch is the epoch of the node's roster of claim replicas; zero if it has none.
 	ClaimEpoch uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Level is the load shedding level of one target.
-type Level struct {
+// ShedLevel is the load shedding level of one target.
+type ShedLevel struct {
 	_ struct{} `cbor:",toarray"`
 	// Target is the hash of the target's name.
 	Target uint32
@@ -42,8 +42,8 @@
 
 // Strictest sorts the levels in place by ascending threshold, so that the strictest come first,
 // and returns those that fit in a payload.
-func Strictest(levels []Level) []Level {
-	slices.SortFunc(levels, func(a, b Level) int {
+func Strictest(levels []ShedLevel) []ShedLevel {
+	slices.SortFunc(levels, func(a, b ShedLevel) int {
 		return cmp.Or(cmp.Compare(a.Threshold, b.Threshold), cmp.Compare(a.Target, b.Target))
 	})
 	return levels[:min(len(levels), MaxShedLevels)]
--- a/internal/gossip/gossip_test.go
+++ b/internal/gossip/gossip_test.go
@@ -12,9 +12,9 @@
 )
 
 func TestStrictestKeepsLowestThresholds(t *testing.T) {
-	var levels []gossip.Level
+	var levels []gossip.ShedLevel
 	for target := range uint32(3 * gossip.MaxShedLevels) {
-		levels = append(levels, gossip.Level{Target: target, Threshold: uint16(500 - target)})
+		levels = append(levels, gossip.ShedLevel{Target: target, Threshold: uint16(500 - target)})
 	}
 	strictest := gossip.Strictest(levels)
 	assert.Equal(t, len(strictest), gossip.MaxShedLevels)
@@ -25,11 +25,11 @@
 
 func TestLargestPayloadFitsDatagram(t *testing.T) {
 	payload := gossip.Payload{Digest: configuration.Digest{
-		Floor: math.MaxInt64, Count: math.MaxUint32, Sum: math.MaxUint64,
-		Tombstones: math.MaxUint64, Collected: math.MaxInt64, Drains: math.MaxUint64,
+		Floor: math.MaxInt64, Count: math.MaxUint32, ObjectSum: math.MaxUint64,
+		TombstoneSum: math.MaxUint64, Collected: math.MaxInt64, DrainSum: math.MaxUint64,
 	}, Version: math.MaxUint64, ClaimEpoch: math.MaxUint64}
 	for range gossip.MaxShedLevels {
-		payload.Levels = append(payload.Levels, gossip.Level{Target: math.MaxUint32, Threshold: math.MaxUint16})
+		payload.Levels = append(payload.Levels, gossip.ShedLevel{Target: math.MaxUint32, Threshold: math.MaxUint16})
 	}
 	encoded, err := payload.Encode()
 	assert.NilError(t, err)
@@ -40,7 +40,7 @@
 }
 
 func TestDecodeRejectsInvalid(t *testing.T) {
-	tooMany := gossip.Payload{Levels: make([]gossip.Level, gossip.MaxShedLevels+1)}
+	tooMany := gossip.Payload{Levels: make([]gossip.ShedLevel, gossip.MaxShedLevels+1)}
 	encoded, err := tooMany.Encode()
 	assert.NilError(t, err)
 	for name, bytes := range map[string][]byte{"too many levels": encoded, "truncated payload": encoded[:5], "empty": nil} {
--- a/internal/guard/exchange.go
+++ b/internal/guard/exchange.go
@@ -22,7 +22,7 @@
 	remainingMillis := deadline.Sub(started).Milliseconds()
 	if remainingMillis <= 0 {
 		permit.Cancel()
-		return refusedReply(peering.Late)
+		return refusedReply(peering.WouldMissDeadline)
 	}
 	if reply := g.screenBeforeSend(screened, call); reply != nil {
 		permit.Cancel()
@@ -123,7 +123,7 @@
 	case clock.Expired(ctx):
 		reason = peering.DeadlinePassed
 	case ctx.Err() != nil:
-		reason = peering.CallerLeft
+		reason = peering.CallCanceled
 	case !sent:
 		reason = peering.ConnectFailed
 	}
--- a/internal/guard/guard.go
+++ b/internal/guard/guard.go
@@ -219,7 +219,7 @@
 		Threshold:       min(inc.shedding.Threshold(), downstream.Threshold),
 		FailurePercent:  inc.stats.failurePercent(),
 		ErrorPercent:    inc.stats.errorPercent(),
-		CallsPerRequest: downstream.Calls,
+		CallsPerRequest: downstream.CallsPerRequest,
 		RetryBudgetLow:  downstream.RetryBudgetLow,
 		Stopping:        g.stopping.Load(),
 	}
@@ -244,7 +244,7 @@
 
 // logReply logs a call that was refused or failed, unless its caller left.
 func (g *Guard) logReply(call *peering.Call, reply *peering.Reply, started time.Time) {
-	if reply.Outcome == peering.Answered || reply.Reason == peering.CallerLeft {
+	if reply.Outcome == peering.Answered || reply.Reason == peering.CallCanceled {
 		return
 	}
 	kind := eventlog.CallRefused
--- a/internal/guard/guard_test.go
+++ b/internal/guard/guard_test.go
@@ -220,7 +220,7 @@
 	<-arrived
 	cancel()
 	reply := <-done
-	assert.Equal(t, reply.Reason, peering.CallerLeft)
+	assert.Equal(t, reply.Reason, peering.CallCanceled)
 	select {
 	case <-closed:
 	case <-time.After(10 * time.Second):
@@ -363,6 +363,6 @@
 	assert.Equal(t, (<-first).Outcome, peering.Answered)
 	reply := <-second
 	assert.Equal(t, reply.Outcome, peering.Refused)
-	assert.Equal(t, reply.Reason, peering.Late)
+	assert.Equal(t, reply.Reason, peering.WouldMissDeadline)
 	assert.Equal(t, crashing.arrived.Load(), int32(1))
 }
--- a/internal/guard/queue.go
+++ b/internal/guard/queue.go
@@ -36,7 +36,7 @@
 var schedulerReasons = map[scheduler.Reason]peering.Reason{
 	scheduler.QueueFull:  peering.QueueFull,
 	scheduler.Evicted:    peering.Evicted,
-	scheduler.Deadline:   peering.Late,
+	scheduler.Deadline:   peering.WouldMissDeadline,
 	scheduler.Overloaded: peering.QueueTimeout,
 	scheduler.Closed:     peering.TargetLeaving,
 }
@@ -44,7 +44,7 @@
 func replyForAcquireError(err error) *peering.Reply {
 	var refusal *scheduler.Refusal
 	if !errors.As(err, &refusal) {
-		return refusedReply(peering.CallerLeft)
+		return refusedReply(peering.CallCanceled)
 	}
 	reply := refusedReply(schedulerReasons[refusal.Reason])
 	reply.RetryAfter = refusal.RetryAfter
--- a/internal/guard/suspect_lock.go
+++ b/internal/guard/suspect_lock.go
@@ -78,7 +78,7 @@
 		case <-timer.C:
 			return nil, refusedReply(peering.QueueTimeout)
 		case <-ctx.Done():
-			return nil, refusedReply(peering.CallerLeft)
+			return nil, refusedReply(peering.CallCanceled)
 		}
 	}
 }
--- a/internal/guard/target_stats_test.go
+++ b/internal/guard/target_stats_test.go
@@ -62,8 +62,8 @@
 		}
 	}
 	for range 50 {
-		lost.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.CallerLeft}, time.Minute, startTime)
-		canceled.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.CallerLeft}, 20*time.Millisecond, startTime)
+		lost.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.CallCanceled}, time.Minute, startTime)
+		canceled.recordEnd("r", &peering.Reply{Outcome: peering.Failed, Reason: peering.CallCanceled}, 20*time.Millisecond, startTime)
 	}
 	assert.Assert(t, lost.latency("r", startTime) > 100*time.Millisecond, "the duration of unanswered calls raises the average")
 	assert.Assert(t, lost.failurePercent() > 0)
--- a/internal/home/home_test.go
+++ b/internal/home/home_test.go
@@ -95,7 +95,7 @@
 	for _, name := range []string{problem.ExecutedHeader, LoadHeader, ResultHeader, "Keep-Alive"} {
 		assert.Equal(t, reply.Header.Get(name), "", name)
 	}
-	assert.Equal(t, m.InFlight(), 0)
+	assert.Equal(t, m.ActiveCalls(), 0)
 	assert.Assert(t, reply.Load.Limit > 0 && reply.Load.Version > 0)
 }
 
@@ -198,7 +198,7 @@
 			defer cancel()
 			_, failure := m.Run(ctx, service, target, true, newCall())
 			assertProblem(t, failure, c.reason, c.executed)
-			assert.Equal(t, m.InFlight(), 0, "the permit was not released")
+			assert.Equal(t, m.ActiveCalls(), 0, "the permit was not released")
 		})
 	}
 	t.Run("refused connection", func(t *testing.T) {
--- a/internal/home/peer_test.go
+++ b/internal/home/peer_test.go
@@ -141,7 +141,7 @@
 	_, err := io.Copy(io.Discard, reply.Remainder)
 	reply.Close()
 	assert.Assert(t, err != nil, "the truncated response was read without an error")
-	eventually(t, "permit released", func() bool { return m.InFlight() == 0 })
+	eventually(t, "permit released", func() bool { return m.ActiveCalls() == 0 })
 }
 
 func TestRetainClosesOtherPools(t *testing.T) {
--- a/internal/home/targetstate.go
+++ b/internal/home/targetstate.go
@@ -150,8 +150,8 @@
 	return loads
 }
 
-// InFlight returns the number of calls in flight or queued at all targets.
-func (m *Manager) InFlight() int {
+// ActiveCalls returns the number of calls in flight or queued at all targets.
+func (m *Manager) ActiveCalls() int {
 	total := 0
 	for _, load := range m.Loads() {
 		total += load.InFlight + load.Queued
--- a/internal/home/targetstate_test.go
+++ b/internal/home/targetstate_test.go
@@ -30,14 +30,14 @@
 	for range 3 {
 		reply, failure := m.Run(t.Context(), service, target, true, newCall())
 		assert.Assert(t, failure == nil, "%v", failure)
-		assert.Equal(t, m.InFlight(), 1, "the permit of an incomplete response was released")
+		assert.Equal(t, m.ActiveCalls(), 1, "the permit of an incomplete response was released")
 		func() {
 			defer func() {
 				assert.Equal(t, recover(), http.ErrAbortHandler, "the connection to the caller is not aborted")
 			}()
 			WriteReply(httptest.NewRecorder(), reply, time.Time{})
 		}()
-		assert.Equal(t, m.InFlight(), 0)
+		assert.Equal(t, m.ActiveCalls(), 0)
 	}
 }
 
--- a/internal/machines/machines.go
+++ b/internal/machines/machines.go
@@ -47,9 +47,9 @@
 
 var errNoMachines = errors.New("response contains no list of machines")
 
-// Follower polls the machine list and keeps the set of leaving machines. It is
+// Poller polls the machine list and keeps the set of leaving machines. It is
 // safe for concurrent use.
-type Follower struct {
+type Poller struct {
 	url      string
 	interval time.Duration
 	client   *http.Client
@@ -61,11 +61,11 @@
 	generation atomic.Uint64
 }
 
-// NewFollower returns a Follower that reads the list from a server at an IP
+// NewPoller returns a Poller that reads the list from a server at an IP
 // address and port. The function onChange is called after each change of the
 // set of leaving machines.
-func NewFollower(address string, interval time.Duration, client *http.Client, log logrus.FieldLogger, onChange func()) *Follower {
-	p := &Follower{
+func NewPoller(address string, interval time.Duration, client *http.Client, log logrus.FieldLogger, onChange func()) *Poller {
+	p := &Poller{
 		url:      "http://" + address + Path,
 		interval: interval,
 		client:   client,
@@ -77,14 +77,14 @@
 }
 
 // Drained reports whether the drain name is that of a leaving machine.
-func (p *Follower) Drained(drainName string) bool { return (*p.leaving.Load())[drainName] }
+func (p *Poller) Drained(drainName string) bool { return (*p.leaving.Load())[drainName] }
 
 // Generation returns a number that changes with the set of leaving machines.
-func (p *Follower) Generation() uint64 { return p.generation.Load() }
+func (p *Poller) Generation() uint64 { return p.generation.Load() }
 
 // Run polls the list until the context ends. If a request fails, the set of
 // leaving machines stays as it is.
-func (p *Follower) Run(ctx context.Context) {
+func (p *Poller) Run(ctx context.Context) {
 	ticker := time.NewTicker(p.interval)
 	defer ticker.Stop()
 	for {
@@ -99,7 +99,7 @@
 	}
 }
 
-func (p *Follower) refresh(ctx context.Context) error {
+func (p *Poller) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	machines, err := p.fetch(ctx)
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func (p *Follower) fetch(ctx context.Context) ([]Machine, error) {
+func (p *Poller) fetch(ctx context.Context) ([]Machine, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, p.url, nil)
 	if err != nil {
 		return nil, err
@@ -133,7 +133,7 @@
 	return decoded.Machines, nil
 }
 
-func (p *Follower) apply(machines []Machine) {
+func (p *Poller) apply(machines []Machine) {
 	leaving := map[string]bool{}
 	for _, machine := range machines {
 		if machine.State == stateLeaving {
--- a/internal/machines/machines_test.go
+++ b/internal/machines/machines_test.go
@@ -24,7 +24,7 @@
 	content atomic.Value
 }
 
-func newTestPoller(t *testing.T, content string) (*fakePlatform, *Follower, *atomic.Int64) {
+func newTestPoller(t *testing.T, content string) (*fakePlatform, *Poller, *atomic.Int64) {
 	t.Helper()
 	platform := &fakePlatform{}
 	platform.set(http.StatusOK, content)
@@ -37,7 +37,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	changes := &atomic.Int64{}
-	poller := NewFollower(strings.TrimPrefix(server.URL, "http://"), time.Millisecond, server.Client(), log, func() { changes.Add(1) })
+	poller := NewPoller(strings.TrimPrefix(server.URL, "http://"), time.Millisecond, server.Client(), log, func() { changes.Add(1) })
 	return platform, poller, changes
 }
 
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -80,8 +80,8 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// Answered records a call that got a target's answer.
-func (m *Metrics) Answered(listener gateway.Listener, service string, status int, duration time.Duration) {
+// RecordResponse records a call that received a response from a target.
+func (m *Metrics) RecordResponse(listener gateway.Listener, service string, status int, duration time.Duration) {
 	metrics := m.cachedAnswerMetrics(answerKey{listener: listener, service: service, status: status})
 	metrics.count.Inc()
 	metrics.duration.Observe(duration.Seconds())
@@ -99,13 +99,13 @@
 	return created
 }
 
-// Refused records a refused or failed call.
-func (m *Metrics) Refused(listener gateway.Listener, service string, failure *problem.Problem, _ time.Duration) {
+// RecordProblem records a refused or failed call.
+func (m *Metrics) RecordProblem(listener gateway.Listener, service string, failure *problem.Problem, _ time.Duration) {
 	m.refusalCount.WithLabelValues(string(listener), service, string(failure.Reason), string(failure.Executed)).Inc()
 }
 
-// Retried records a retry.
-func (m *Metrics) Retried(service string) { m.retryCount.WithLabelValues(service).Inc() }
+// RecordRetry records a retry.
+func (m *Metrics) RecordRetry(service string) { m.retryCount.WithLabelValues(service).Inc() }
 
 // RegisterGauge registers a gauge whose value is read at each scrape.
 func (m *Metrics) RegisterGauge(name, help string, read func() float64) {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -15,10 +15,10 @@
 
 func TestHandlerServesMetrics(t *testing.T) {
 	m := New()
-	m.Answered(gateway.Edge, "a", 200, 30*time.Millisecond)
-	m.Answered(gateway.Edge, "a", 200, 70*time.Millisecond)
-	m.Refused(gateway.Mesh, "a", problem.New(problem.Overloaded, problem.ExecutedNo, "", "", ""), time.Millisecond)
-	m.Retried("a")
+	m.RecordResponse(gateway.Edge, "a", 200, 30*time.Millisecond)
+	m.RecordResponse(gateway.Edge, "a", 200, 70*time.Millisecond)
+	m.RecordProblem(gateway.Mesh, "a", problem.New(problem.Overloaded, problem.ExecutedNo, "", "", ""), time.Millisecond)
+	m.RecordRetry("a")
 	depth := 3.0
 	m.RegisterGauge("depth", "Depth.", func() float64 { return depth })
 	m.RegisterCounter("sent_total", "Sent.", func() float64 { return 9 })
--- a/internal/node/components.go
+++ b/internal/node/components.go
@@ -131,7 +131,7 @@
 	}, n.replica)
 	n.replica.Subscribe(n.handleConfigurationChange)
 	if n.settings.MachineList.Address != "" {
-		n.machines = machines.NewFollower(n.settings.MachineList.Address, n.settings.MachineList.Poll.Duration(),
+		n.machines = machines.NewPoller(n.settings.MachineList.Address, n.settings.MachineList.Poll.Duration(),
 			n.peerClient, n.log, n.requestRebuild)
 	}
 }
--- a/internal/node/gossip.go
+++ b/internal/node/gossip.go
@@ -76,14 +76,14 @@
 // node, including targets that stopped shedding recently. It also updates the
 // node's own table, because a call that the gateway refuses reaches no home whose
 // response would report the level.
-func (n *Node) shedLevels() []gossip.Level {
+func (n *Node) shedLevels() []gossip.ShedLevel {
 	now := time.Now()
-	var levels []gossip.Level
+	var levels []gossip.ShedLevel
 	for name, load := range n.homes.Loads() {
 		if !n.shedTracker.shouldAnnounce(name, load.Threshold, now) {
 			continue
 		}
-		level := gossip.Level{Target: gateway.TargetHash(name), Threshold: load.Threshold}
+		level := gossip.ShedLevel{Target: gateway.TargetHash(name), Threshold: load.Threshold}
 		levels = append(levels, level)
 		n.updateShedLevel(n.settings.Name, load.Version, level)
 	}
@@ -117,7 +117,7 @@
 
 // updateShedLevel records the shed level that origin, the target's home, has
 // advertised.
-func (n *Node) updateShedLevel(origin string, version uint64, level gossip.Level) {
+func (n *Node) updateShedLevel(origin string, version uint64, level gossip.ShedLevel) {
 	target := n.router.TargetByHash(level.Target)
 	if target == nil {
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -39,7 +39,7 @@
 	members     *membership.Membership
 	replica     *configuration.Replica
 	syncer      *configuration.Syncer
-	machines    *machines.Follower
+	machines    *machines.Poller
 	router      *gateway.Router
 	homes       *home.Manager
 	homeClient  *home.Client
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -74,7 +74,7 @@
 func (n *Node) awaitIdle(ctx context.Context) {
 	idleSince := time.Now()
 	for ctx.Err() == nil && time.Since(idleSince) < idlePeriod {
-		if n.gateway.InFlight() > 0 || n.homes.InFlight() > 0 {
+		if n.gateway.InFlight() > 0 || n.homes.ActiveCalls() > 0 {
 			idleSince = time.Now()
 		}
 		pause.For(ctx, pollInterval)
--- a/internal/node/views.go
+++ b/internal/node/views.go
@@ -99,8 +99,8 @@
 func (n *Node) viewInputs(live []membership.Member) viewInputs {
 	digest := n.replica.Digest()
 	inputs := viewInputs{
-		objects:    digest.Sum,
-		tombstones: digest.Tombstones,
+		objects:    digest.ObjectSum,
+		tombstones: digest.TombstoneSum,
 		members:    n.members.Digest(),
 		liveCount:  len(live),
 		suspects:   hashSuspects(live),
--- a/internal/peering/client.go
+++ b/internal/peering/client.go
@@ -21,8 +21,8 @@
 
 // ClientConfig configures a Client.
 type ClientConfig struct {
-	// MaxBuffered is the maximum size of a reply, in bytes.
-	MaxBuffered int64
+	// MaxMessageBytes is the maximum size of a reply, in bytes.
+	MaxMessageBytes int64
 	// DialTimeout bounds the time to establish a connection.
 	DialTimeout time.Duration
 	// UserTimeout bounds the time for which sent bytes may stay unacknowledged by the
@@ -241,7 +241,7 @@
 			UserTimeout: c.config.UserTimeout,
 			KeepAlive:   c.config.KeepAlive,
 			IdleTimeout: c.config.IdleTimeout,
-			MaxBuffered: c.config.MaxBuffered,
+			MaxBuffered: c.config.MaxMessageBytes,
 		})
 		c.pools[address] = pool
 	}
--- a/internal/peering/message.go
+++ b/internal/peering/message.go
@@ -200,8 +200,8 @@
 	QueueFull Reason = "queue-full"
 	// Evicted: a more important call replaced the call in the queue.
 	Evicted Reason = "evicted"
-	// Late: the call could not finish before its deadline.
-	Late Reason = "late"
+	// WouldMissDeadline: the call could not finish before its deadline.
+	WouldMissDeadline Reason = "late"
 	// QueueTimeout: the call waited its maximum time for a slot, or for a lock under which it
 	// may run alone.
 	QueueTimeout Reason = "waited"
@@ -227,8 +227,8 @@
 	InvalidResponse Reason = "spoilt"
 	// DeadlinePassed: the deadline expired before the response.
 	DeadlinePassed Reason = "deadline"
-	// CallerLeft: the caller canceled the call or disconnected.
-	CallerLeft Reason = "caller-left"
+	// CallCanceled: the caller canceled the call or disconnected.
+	CallCanceled Reason = "caller-left"
 	// Suspected: the home was silent for too long and is suspected to be down.
 	Suspected Reason = "suspected"
 )
--- a/internal/peering/peering_test.go
+++ b/internal/peering/peering_test.go
@@ -25,7 +25,7 @@
 	if call.URI == "/wait" {
 		<-ctx.Done()
 		close(h.canceled)
-		return &Reply{Outcome: Failed, Reason: CallerLeft}
+		return &Reply{Outcome: Failed, Reason: CallCanceled}
 	}
 	return &Reply{Outcome: Answered, Status: 201, Header: http.Header{"X-A": {"b"}}, Body: call.Body, RetryAfter: time.Second,
 		Load: Load{InFlight: 1, Limit: 3, Latency: time.Millisecond, Threshold: 7, Stopping: true}}
@@ -84,9 +84,9 @@
 func startPeer(t *testing.T) *testPeer {
 	t.Helper()
 	p := &testPeer{home: &echoHome{canceled: make(chan struct{})}, callerDigests: newFakeAntiEntropy(3), peerDigests: newFakeAntiEntropy(5)}
-	server := httptest.NewServer(Handler(Services{Home: p.home, AntiEntropy: p.peerDigests, Codec: testCodec, MaxBytes: testMaxBytes, Process: testProcess}))
+	server := httptest.NewServer(Handler(ServerConfig{Home: p.home, AntiEntropy: p.peerDigests, Codec: testCodec, MaxMessageBytes: testMaxBytes, Process: testProcess}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
-	p.client = NewClient(ClientConfig{MaxBuffered: testMaxBytes, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: callerAddress, Codec: testCodec})
+	p.client = NewClient(ClientConfig{MaxMessageBytes: testMaxBytes, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: callerAddress, Codec: testCodec})
 	p.client.SetAntiEntropy(p.callerDigests)
 	p.address = strings.TrimPrefix(server.URL, "http://")
 	return p
@@ -186,13 +186,13 @@
 	source := memory.New(time.Now)
 	_, err := source.CompareAndSwap(t.Context(), "k", 0, []byte("document"), store.NoLease)
 	assert.NilError(t, err)
-	server := httptest.NewServer(Handler(Services{Home: &echoHome{}, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Address: "peer", Peers: noPeers, Now: time.Now}, filledCopy(t, source)), Codec: testCodec, MaxBytes: testMaxBytes, Process: testProcess}))
+	server := httptest.NewServer(Handler(ServerConfig{Home: &echoHome{}, AntiEntropy: replica.NewAntiEntropy(replica.AntiEntropyConfig{Address: "peer", Peers: noPeers, Now: time.Now}, filledCopy(t, source)), Codec: testCodec, MaxMessageBytes: testMaxBytes, Process: testProcess}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	address := strings.TrimPrefix(server.URL, "http://")
 
 	received := make(chan string, 1)
 	empty := replica.NewCopy(time.Second, func(entries []store.Entry, from string) { received <- string(entries[0].Value) + " from " + from }, time.Now)
-	client := NewClient(ClientConfig{MaxBuffered: testMaxBytes, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: callerAddress, Codec: testCodec})
+	client := NewClient(ClientConfig{MaxMessageBytes: testMaxBytes, DialTimeout: time.Second, UserTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: callerAddress, Codec: testCodec})
 	client.SetAntiEntropy(replica.NewAntiEntropy(replica.AntiEntropyConfig{Address: callerAddress, Peers: noPeers, SendQuery: client.Query, Now: time.Now}, empty))
 	_, err = client.Call(t.Context(), address, &Call{URI: "/x"})
 	assert.NilError(t, err)
@@ -203,7 +203,7 @@
 	for _, reason := range []Reason{NoTarget, TargetLeaving, Stopping, Misdirected} {
 		assert.Assert(t, reason.HomeUnavailable(), string(reason))
 	}
-	for _, reason := range []Reason{QueueFull, Evicted, Late, QueueTimeout, TargetFull, ConnectFailed, ExchangeBroken, InvalidResponse, DeadlinePassed, CallerLeft, Suspected} {
+	for _, reason := range []Reason{QueueFull, Evicted, WouldMissDeadline, QueueTimeout, TargetFull, ConnectFailed, ExchangeBroken, InvalidResponse, DeadlinePassed, CallCanceled, Suspected} {
 		assert.Assert(t, !reason.HomeUnavailable(), string(reason))
 	}
 }
--- a/internal/peering/resume_test.go
+++ b/internal/peering/resume_test.go
@@ -102,7 +102,7 @@
 	select {
 	case <-ctx.Done():
 		h.canceled.Add(1)
-		return &Reply{Outcome: Failed, Reason: CallerLeft}
+		return &Reply{Outcome: Failed, Reason: CallCanceled}
 	case <-time.After(h.duration):
 	}
 	return &Reply{Outcome: Answered, Status: http.StatusOK, Header: http.Header{}, Body: []byte(call.RequestID)}
@@ -120,10 +120,10 @@
 func newResumeFixture(t *testing.T, duration time.Duration) *resumeFixture {
 	t.Helper()
 	home := &slowHome{duration: duration, started: make(chan struct{}, 1)}
-	server := httptest.NewServer(Handler(Services{Home: home, AntiEntropy: newFakeAntiEntropy(1), Codec: testCodec, MaxBytes: testMaxBytes, Process: testProcess}))
+	server := httptest.NewServer(Handler(ServerConfig{Home: home, AntiEntropy: newFakeAntiEntropy(1), Codec: testCodec, MaxMessageBytes: testMaxBytes, Process: testProcess}))
 	t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	f := &resumeFixture{home: home, proxy: newBlackholeProxy(t, strings.TrimPrefix(server.URL, "http://"))}
-	f.client = NewClient(ClientConfig{MaxBuffered: testMaxBytes, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: callerAddress, Codec: testCodec,
+	f.client = NewClient(ClientConfig{MaxMessageBytes: testMaxBytes, DialTimeout: time.Second, IdleTimeout: time.Minute, MaxIdle: 4, Address: callerAddress, Codec: testCodec,
 		OnResume: func(*Call, string, time.Duration) { f.resumed.Add(1) }})
 	return f
 }
@@ -298,7 +298,7 @@
 func TestCancellationAlwaysStopsResumedCall(t *testing.T) {
 	for range 3000 {
 		home := &slowHome{duration: time.Minute, started: make(chan struct{}, 1)}
-		s := &server{Services: Services{Home: home, AntiEntropy: newFakeAntiEntropy(1), Codec: testCodec, Process: testProcess}, exchanges: newExchangeTable(time.Now)}
+		s := &server{ServerConfig: ServerConfig{Home: home, AntiEntropy: newFakeAntiEntropy(1), Codec: testCodec, Process: testProcess}, exchanges: newExchangeTable(time.Now)}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
--- a/internal/peering/server.go
+++ b/internal/peering/server.go
@@ -22,8 +22,8 @@
 	Run(ctx context.Context, call *Call) *Reply
 }
 
-// Services configures the Handler of a node's exchanges with its peers.
-type Services struct {
+// ServerConfig configures the Handler of a node's exchanges with its peers.
+type ServerConfig struct {
 	Home        Home
 	AntiEntropy AntiEntropy
 	// Quarantine, Departures and Permits may be nil.
@@ -31,21 +31,21 @@
 	Departures DepartureHandler
 	Permits    PermitIssuer
 	Codec      *Codec
-	// MaxBytes bounds the size of a message.
-	MaxBytes int64
+	// MaxMessageBytes bounds the size of a message.
+	MaxMessageBytes int64
 	// Process identifies this process among those that used the address; it is not zero.
 	Process uint32
 }
 
 // server handles the exchanges of peers.
 type server struct {
-	Services
+	ServerConfig
 	exchanges *exchangeTable
 }
 
 // Handler returns the HTTP handler for exchanges with peers.
-func Handler(config Services) http.Handler {
-	s := &server{Services: config, exchanges: newExchangeTable(clock.Now)}
+func Handler(config ServerConfig) http.Handler {
+	s := &server{ServerConfig: config, exchanges: newExchangeTable(clock.Now)}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+pingPath, func(http.ResponseWriter, *http.Request) {})
 	mux.HandleFunc("POST "+callPath, s.serveCall)
@@ -63,7 +63,7 @@
 }
 
 func (s *server) serveCall(w http.ResponseWriter, r *http.Request) {
-	content, err := readBody(r, s.MaxBytes)
+	content, err := readBody(r, s.MaxMessageBytes)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -121,7 +121,7 @@
 }
 
 func (s *server) serveQuery(w http.ResponseWriter, r *http.Request) {
-	content, err := readBody(r, s.MaxBytes)
+	content, err := readBody(r, s.MaxMessageBytes)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -135,7 +135,7 @@
 }
 
 func (s *server) serveNotice(w http.ResponseWriter, r *http.Request) {
-	content, err := readBody(r, s.MaxBytes)
+	content, err := readBody(r, s.MaxMessageBytes)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -150,7 +150,7 @@
 }
 
 func (s *server) serveDeparture(w http.ResponseWriter, r *http.Request) {
-	content, err := readBody(r, s.MaxBytes)
+	content, err := readBody(r, s.MaxMessageBytes)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -165,7 +165,7 @@
 }
 
 func (s *server) servePermits(w http.ResponseWriter, r *http.Request) {
-	content, err := readBody(r, s.MaxBytes)
+	content, err := readBody(r, s.MaxMessageBytes)
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -25,9 +25,9 @@
 	maxCalledRoutes = 32
 )
 
-// Levels holds the thresholds and downstream calls of routes that a node has recorded.
+// Table holds the thresholds and downstream calls of routes that a node has recorded.
 // It is safe for concurrent use.
-type Levels struct {
+type Table struct {
 	thresholds *shed.Table
 	now        func() time.Time
 	version    atomic.Uint64
@@ -60,9 +60,9 @@
 	// Threshold is the lowest rank key at which requests must be refused; shed.None
 	// refuses nothing.
 	Threshold uint16
-	// Calls is the total number of downstream calls, direct and indirect, that one
+	// CallsPerRequest is the total number of downstream calls, direct and indirect, that one
 	// request causes.
-	Calls int
+	CallsPerRequest int
 	// RetryBudgetLow reports whether the retry budgets would barely suffice for these calls
 	// if the request were retried.
 	RetryBudgetLow bool
@@ -76,8 +76,8 @@
 }
 
 // New returns an instance without reports, which refuses nothing.
-func New(now func() time.Time) *Levels {
-	return &Levels{
+func New(now func() time.Time) *Table {
+	return &Table{
 		thresholds:       shed.NewTable(shed.TableConfig{Expiry: reportExpiry}),
 		now:              now,
 		calls:            make(map[string]map[string]CallStats),
@@ -88,7 +88,7 @@
 
 // RecordCalls records that a request of the route makes calls of the called route, and how
 // many it has made so far.
-func (l *Levels) RecordCalls(route, called string, observed CallStats) {
+func (l *Table) RecordCalls(route, called string, observed CallStats) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	calls := l.calls[route]
@@ -107,7 +107,7 @@
 
 // ExpectedCalls returns the number of calls of the called route that a request of the
 // route makes, zero if unknown.
-func (l *Levels) ExpectedCalls(route, called string) int {
+func (l *Table) ExpectedCalls(route, called string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.calls[route][called].Count
@@ -115,7 +115,7 @@
 
 // Report records a home's report for calls of the route. The weight is the home's
 // capacity in concurrent calls.
-func (l *Levels) Report(route, home string, level Level, weight int) {
+func (l *Table) Report(route, home string, level Level, weight int) {
 	now := l.now()
 	threshold := level.Threshold
 	key := reportKey{route: route, home: home}
@@ -142,7 +142,7 @@
 
 // Remove removes the thresholds that a home has reported for any route. It is called when
 // the home accepts no more calls, because its last reports would still count as capacity.
-func (l *Levels) Remove(home string) {
+func (l *Table) Remove(home string) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for key := range l.thresholdReports {
@@ -154,13 +154,13 @@
 }
 
 // recordCallReport records the downstream calls that a home reported for a route.
-func (l *Levels) recordCallReport(route string, level Level, now time.Time) {
+func (l *Table) recordCallReport(route string, level Level, now time.Time) {
 	known, found := l.callReports[route]
 	if !found && len(l.callReports) >= maxRoutes {
 		return
 	}
-	if level.Calls > 0 {
-		known.count = level.Calls
+	if level.CallsPerRequest > 0 {
+		known.count = level.CallsPerRequest
 	}
 	if level.RetryBudgetLow {
 		known.retryBudgetLowAt = now
@@ -170,7 +170,7 @@
 
 // Calls returns the total number of downstream calls that a request of the route
 // causes, zero if it makes none or none were reported.
-func (l *Levels) Calls(route string) int {
+func (l *Table) Calls(route string) int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.callReports[route].count
@@ -178,32 +178,32 @@
 
 // RetryBudgetLow reports whether a home recently reported that the retry budgets barely
 // suffice for the downstream calls of a retried request of the route.
-func (l *Levels) RetryBudgetLow(route string) bool {
+func (l *Table) RetryBudgetLow(route string) bool {
 	now := l.now()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.retryBudgetLow(route, now)
 }
 
-func (l *Levels) retryBudgetLow(route string, now time.Time) bool {
+func (l *Table) retryBudgetLow(route string, now time.Time) bool {
 	at := l.callReports[route].retryBudgetLowAt
 	return !at.IsZero() && now.Sub(at) < reportExpiry
 }
 
 // Threshold returns the lowest rank key at which requests of the route must be
 // refused; shed.None refuses nothing.
-func (l *Levels) Threshold(route string) uint16 { return l.thresholds.Threshold(route, l.now()) }
+func (l *Table) Threshold(route string) uint16 { return l.thresholds.Threshold(route, l.now()) }
 
 // Downstream returns the level of the downstream calls of the route's requests: the lowest
 // threshold, the total number of calls, and whether the retry budget of any is low.
-func (l *Levels) Downstream(route string) Level {
+func (l *Table) Downstream(route string) Level {
 	now := l.now()
 	level := Level{Threshold: shed.None}
 	l.mutex.Lock()
 	called := make([]string, 0, len(l.calls[route]))
 	for name, calls := range l.calls[route] {
 		called = append(called, name)
-		level.Calls += calls.Count * (1 + l.callReports[name].count)
+		level.CallsPerRequest += calls.Count * (1 + l.callReports[name].count)
 		level.RetryBudgetLow = level.RetryBudgetLow || calls.RetryBudgetLow || l.retryBudgetLow(name, now)
 	}
 	l.mutex.Unlock()
--- a/internal/pressure/pressure_test.go
+++ b/internal/pressure/pressure_test.go
@@ -73,12 +73,12 @@
 	}
 	middle.RecordCalls("card", "price", CallStats{Count: 1})
 	assert.Equal(t, middle.ExpectedCalls("card", "price"), 4)
-	assert.Equal(t, middle.Downstream("card").Calls, 4)
+	assert.Equal(t, middle.Downstream("card").CallsPerRequest, 4)
 	top.RecordCalls("booking", "card", CallStats{Count: 2})
 	top.Report("card", "middle", middle.Downstream("card"), 10)
 	assert.Equal(t, top.Calls("card"), 4)
-	assert.Equal(t, top.Downstream("booking").Calls, 10)
-	assert.Equal(t, top.Downstream("unknown").Calls, 0)
+	assert.Equal(t, top.Downstream("booking").CallsPerRequest, 10)
+	assert.Equal(t, top.Downstream("unknown").CallsPerRequest, 0)
 }
 
 // TestLowRetryBudgetPropagatesUpstream covers two homes of a route, one of which reports
--- a/internal/routepolicy/routepolicy.go
+++ b/internal/routepolicy/routepolicy.go
@@ -82,7 +82,7 @@
 
 // For returns the policy of the given kind of route.
 func (s *Set) For(kind routetable.Kind) *policy.Program {
-	if kind == routetable.Once {
+	if kind == routetable.AtMostOnce {
 		return s.once
 	}
 	return s.repeatable
--- a/internal/routepolicy/routepolicy_test.go
+++ b/internal/routepolicy/routepolicy_test.go
@@ -16,7 +16,7 @@
 	assert.NilError(t, err)
 	levels := []criticality.Level{criticality.CriticalPlus, criticality.Critical, criticality.SheddablePlus, criticality.Sheddable, criticality.Sheddable}
 	for priority, want := range levels {
-		for _, kind := range []routetable.Kind{routetable.Once, routetable.Repeatable} {
+		for _, kind := range []routetable.Kind{routetable.AtMostOnce, routetable.Repeatable} {
 			level, err := set.For(kind).Rank(policy.Call{Priority: priority})
 			assert.NilError(t, err)
 			assert.Equal(t, level, want)
@@ -30,15 +30,15 @@
 	}{
 		{routetable.Repeatable, policy.ExecutedUnknown, 2},
 		{routetable.Repeatable, policy.ExecutedNo, 3},
-		{routetable.Once, policy.ExecutedUnknown, 0},
-		{routetable.Once, policy.ExecutedNo, 3},
+		{routetable.AtMostOnce, policy.ExecutedUnknown, 0},
+		{routetable.AtMostOnce, policy.ExecutedNo, 3},
 	}
 	for _, c := range cases {
 		retries, err := set.For(c.kind).Retry(call, policy.Outcome{Executed: c.executed})
 		assert.NilError(t, err)
 		assert.Equal(t, retries, c.retries)
 	}
-	delay, err := set.For(routetable.Once).RefuseDelay(call, policy.Load{FreeIn: 0.35}, policy.Outcome{})
+	delay, err := set.For(routetable.AtMostOnce).RefuseDelay(call, policy.Load{FreeIn: 0.35}, policy.Outcome{})
 	assert.NilError(t, err)
 	assert.Equal(t, delay, 350*time.Millisecond)
 }
@@ -56,7 +56,7 @@
 	assert.NilError(t, err)
 	holder := NewHolder(first)
 	admits := func() bool {
-		admitted, err := holder.For(routetable.Once).Admit(policy.Call{Priority: 2}, policy.Load{})
+		admitted, err := holder.For(routetable.AtMostOnce).Admit(policy.Call{Priority: 2}, policy.Load{})
 		assert.NilError(t, err)
 		return admitted
 	}
--- a/internal/routetable/configuration.go
+++ b/internal/routetable/configuration.go
@@ -18,8 +18,8 @@
 
 // The kinds of routes.
 const (
-	// Once is the kind of requests that may be executed at most once.
-	Once Kind = iota
+	// AtMostOnce is the kind of requests that may be executed at most once.
+	AtMostOnce Kind = iota
 	// Repeatable is the kind of requests that may be executed more than once.
 	Repeatable
 )
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -86,7 +86,7 @@
 	policies     *routepolicy.Holder
 	// policySources are the sources of the active policies. After New, only Reload uses them.
 	policySources routepolicy.Sources
-	pressure      *pressure.Levels
+	pressure      *pressure.Table
 	quarantine    *quarantine.Quarantine
 	limits        tenantLimits
 	forwarder     *forward.Forwarder
@@ -140,16 +140,16 @@
 	}, n.registrarStores(), n.log, clock.Now)
 	n.codec = peering.NewCodec(platform.Headers().Signature)
 	n.peers = peering.NewClient(peering.ClientConfig{
-		MaxBuffered: maxMessageBytes,
-		DialTimeout: peerDialTimeout,
-		UserTimeout: peerUserTimeout,
-		KeepAlive:   peerKeepAlive,
-		IdleTimeout: peerIdleTimeout,
-		MaxIdle:     peerMaxIdle,
-		Address:     settings.advertised(),
-		Codec:       n.codec,
-		OnResume:    n.logResumedCall,
-		OnInterim:   func(address string) { n.forwarder.InterimReceived(address) },
+		MaxMessageBytes: maxMessageBytes,
+		DialTimeout:     peerDialTimeout,
+		UserTimeout:     peerUserTimeout,
+		KeepAlive:       peerKeepAlive,
+		IdleTimeout:     peerIdleTimeout,
+		MaxIdle:         peerMaxIdle,
+		Address:         settings.advertised(),
+		Codec:           n.codec,
+		OnResume:        n.logResumedCall,
+		OnInterim:       func(address string) { n.forwarder.InterimReceived(address) },
 	})
 	n.peers.SetAntiEntropy(n.replicas.antiEntropy)
 	n.forwarder = n.newForwarder()
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -95,7 +95,7 @@
 }
 
 // peerServices returns the services that the node offers to its peers.
-func (n *Node) peerServices() peering.Services {
-	return peering.Services{Home: n.guard, AntiEntropy: n.replicas.antiEntropy, Quarantine: n.quarantine, Departures: n.registrar, Permits: n.limits.issuer,
-		Codec: n.codec, MaxBytes: maxMessageBytes, Process: n.process}
+func (n *Node) peerServices() peering.ServerConfig {
+	return peering.ServerConfig{Home: n.guard, AntiEntropy: n.replicas.antiEntropy, Quarantine: n.quarantine, Departures: n.registrar, Permits: n.limits.issuer,
+		Codec: n.codec, MaxMessageBytes: maxMessageBytes, Process: n.process}
 }
