--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,8 +1,9 @@
 // Package clock provides a clock that includes the time for which the machine is suspended.
 //
 // The monotonic clock behind time.Now, timers and contexts stops during a suspension, so that
-// ages and deadlines measured with it are wrong after a resume: copies, leases and requests
-// look younger than they are. The wall clock continues, but it also jumps for other reasons.
+// ages and deadlines measured with it are wrong after a resume: the measured ages of copies,
+// leases and requests are too small. The wall clock continues, but it also jumps for other
+// reasons.
 // The clock of this package is the monotonic clock plus the time for which the machine was
 // suspended. It starts at the wall time of the process's start, and its times may be compared
 // only with each other.
@@ -16,11 +17,11 @@
 )
 
 const (
-	// wallJumpThreshold is the change of the wall clock relative to the monotonic one from which
-	// on the boot clock is read. Reading the boot clock costs a system call, comparing the other
+	// wallJumpThreshold is the change of the wall clock relative to the monotonic one above
+	// which the boot clock is read. Reading the boot clock costs a system call, comparing the other
 	// two doesn't. Clock discipline slews the wall clock by at most 0.5 ms per second.
 	wallJumpThreshold = 2 * time.Millisecond
-	// minSuspension is the shortest suspension that is recognized. The clocks are not read at
+	// minSuspension is the shortest suspension that is detected. The clocks are not read at
 	// the same instant, so shorter differences may be due to that.
 	minSuspension = 20 * time.Millisecond
 )
@@ -81,7 +82,7 @@
 	elapsed := reading.Monotonic - c.start.Monotonic
 	drift := reading.Wall.Sub(c.start.Wall) - elapsed
 	if jump := drift - time.Duration(c.drift.Load()); jump > wallJumpThreshold || jump < -wallJumpThreshold {
-		c.checkSuspension(drift)
+		c.updateSuspended(drift)
 	}
 	return c.start.Wall.Add(elapsed + time.Duration(c.suspended.Load()))
 }
@@ -90,12 +91,12 @@
 func (c *Clock) Since(earlier time.Time) time.Duration { return c.Now().Sub(earlier) }
 
 // Suspended returns the total time for which the machine was suspended since the clock was
-// created, as far as it was noticed.
+// created, as far as suspensions have been detected.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// checkSuspension updates the suspended time from the boot clock and, after a suspension,
+// updateSuspended updates the suspended time from the boot clock and, after a suspension,
 // starts handleResume.
-func (c *Clock) checkSuspension(drift time.Duration) {
+func (c *Clock) updateSuspended(drift time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.drift.Store(int64(drift))
@@ -115,8 +116,8 @@
 	go c.handleResume()
 }
 
-// OnResume registers a function to be called after each suspension, once it is noticed. A
-// suspension is noticed by a call of Now.
+// OnResume registers a function to be called after each suspension, once it is detected. A
+// suspension is detected by a call of Now.
 func (c *Clock) OnResume(hook func()) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
