--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -28,9 +28,9 @@
 // # Dropping
 //
 // A call that can no longer meet its deadline is refused, both on arrival and
-// when it reaches the head of the queue. It is considered too late when less time
-// remains than the expected service time, a low quantile of the target's recent
-// latencies, so that only calls which would almost surely fail are dropped. The
+// when it reaches the head of the queue. This is assumed when less time remains
+// than the expected service time, a low quantile of the target's recent
+// latencies, so that only calls that would almost certainly fail are dropped. The
 // estimate halves for each estimateHalfLife without a completion, so that a stale
 // estimate cannot block a target forever. A waiter also leaves the queue after
 // MaxWait, at the last moment at which it could still finish, and when its
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -59,7 +59,7 @@
 	if len(m.waiting) == 0 {
 		return
 	}
-	c := m.waiting[rapid.IntRange(0, len(m.waiting)-1).Draw(m.r, "cancelled")]
+	c := m.waiting[rapid.IntRange(0, len(m.waiting)-1).Draw(m.r, "canceled")]
 	c.cancel()
 	synctest.Wait()
 	if !errors.Is(c.err, context.Canceled) {
@@ -147,7 +147,7 @@
 		callsEach   = 300
 	)
 	s := scheduler.New(scheduler.Config{MaxQueue: 8, MaxWait: 5 * time.Millisecond}, &fixedLimit{limit: concurrency}, time.Now)
-	var inFlight, admitted, refused, cancelled atomic.Int64
+	var inFlight, admitted, refused, canceled atomic.Int64
 	var wg sync.WaitGroup
 	for worker := range workers {
 		random := rand.New(rand.NewPCG(1, uint64(worker)))
@@ -176,7 +176,7 @@
 				case errors.As(err, &refusal):
 					refused.Add(1)
 				case errors.Is(err, context.Canceled):
-					cancelled.Add(1)
+					canceled.Add(1)
 				default:
 					t.Errorf("unexpected error %v", err)
 				}
@@ -188,6 +188,6 @@
 	stats := s.Stats()
 	assert.Equal(t, stats.InFlight, 0)
 	assert.Equal(t, stats.Queued, 0)
-	assert.Equal(t, admitted.Load()+refused.Load()+cancelled.Load(), int64(workers*callsEach))
+	assert.Equal(t, admitted.Load()+refused.Load()+canceled.Load(), int64(workers*callsEach))
 	assert.Assert(t, admitted.Load() > 0 && refused.Load() > 0)
 }
--- a/internal/scheduler/wait_test.go
+++ b/internal/scheduler/wait_test.go
@@ -12,7 +12,8 @@
 	"github.com/lugspur/lugspur/internal/virtualtime"
 )
 
-// A call of the highest level is next in line at its target: refusing it after
+// TestHighestLevelWaitsLonger checks the longer wait of a call of the highest level, which
+// is next in line at its target: refusing it after
 // Config.MaxWait would shed it while less important calls run at other targets.
 // It waits for a third of its remaining time and leaves the rest for other targets.
 func TestHighestLevelWaitsLonger(t *testing.T) {
