--- a/internal/shed/doc.go
+++ b/internal/shed/doc.go
@@ -10,12 +10,12 @@
 //
 // The Controller follows DAGOR (Zhou et al., "Overload Control for Scaling WeChat
 // Microservices", SoCC 2018): it keeps a histogram of arrivals by rank and derives
-// from it the threshold that admits a desired rate. It differs in how that rate
-// is determined.
+// from it the threshold that admits a desired rate. It determines that rate
+// differently.
 //
 //   - DAGOR cuts by a fixed share in each period of overload. Thresholds take some
 //     hundred milliseconds to reach the nodes that refuse, and a target counts as
-//     overloaded until its whole backlog is gone, so such cuts accumulate: the
+//     overloaded until its whole backlog is gone, so the cuts accumulate and the
 //     target oscillates between idle and overloaded. Here the desired rate is the
 //     rate that the target serves, corrected in proportion to the deviation of the
 //     queue from its desired length.
@@ -38,8 +38,9 @@
 // A rank is refused when targets that hold at least RefuseShare of the service's
 // weight would refuse it; targets that report no shedding, and with SetWeight also
 // targets that report nothing, count as accepting. The share is a little below 1
-// because otherwise a single target that sheds nothing would attract all the calls
-// that the others shed. The weight of refusing targets grows with the rank key, so the rule yields
-// one effective threshold and is monotone. An entry that is not refreshed expires:
-// the shed level of a dead home outlives it by no more than the expiry.
+// because otherwise a single target that sheds nothing would receive all the calls
+// that the others shed. The weight of refusing targets grows with the rank key, so
+// the rule yields one effective threshold and is monotone. An entry that is not
+// refreshed expires, so the shed level of a failed home is valid for no longer than
+// the expiry.
 package shed
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -18,7 +18,7 @@
 var epoch = time.Unix(1000, 0)
 
 // target simulates a target whose calls take half a second on average, with
-// arrivals spread over all ranks. Thresholds reach the refusing nodes after delay ticks.
+// arrivals spread evenly over all ranks. Thresholds reach the refusing nodes after delay ticks.
 type target struct {
 	controller *shed.Controller
 	random     *rand.Rand
@@ -32,7 +32,8 @@
 	waiting          time.Duration
 }
 
-const callTicks = 5 // mean duration of a call: half a second
+// callTicks is the mean duration of a call in ticks: half a second.
+const callTicks = 5
 
 func newTarget(limit, delay int) *target {
 	return &target{
@@ -120,7 +121,7 @@
 	}
 }
 
-// service simulates arrivals spread over all ranks at a target that serves
+// service simulates arrivals spread evenly over all ranks at a target that serves
 // capacity calls per tick. Calls that the threshold refuses are never observed.
 type service struct {
 	controller *shed.Controller
@@ -162,8 +163,8 @@
 		lowest = min(lowest, s.controller.Threshold())
 		highest = max(highest, s.controller.Threshold())
 	}
-	assert.Assert(t, lowest >= 220, "shed too much: %d", lowest)
-	assert.Assert(t, highest <= 300, "shed too little: %d", highest)
+	assert.Assert(t, lowest >= 220, "threshold %d sheds too much", lowest)
+	assert.Assert(t, highest <= 300, "threshold %d sheds too little", highest)
 
 	ticks := 0
 	for s.controller.Threshold() != shed.None && ticks < 100 {
@@ -266,13 +267,13 @@
 		weights    []float64
 		want       uint16
 	}{
-		{"nothing known", nil, nil, shed.None},
-		{"one of four sheds", []uint16{200, shed.None, shed.None, shed.None}, nil, shed.None},
-		{"three of four shed", []uint16{200, 250, 300, shed.None}, nil, 300},
-		{"all shed", []uint16{200, 250, 300, 400}, nil, 300},
-		{"the only one sheds", []uint16{200}, nil, 200},
-		{"the heavy one sheds", []uint16{200, shed.None}, []float64{30, 10}, 200},
-		{"the light one sheds", []uint16{200, shed.None}, []float64{10, 30}, shed.None},
+		{"no reports", nil, nil, shed.None},
+		{"one of four targets sheds", []uint16{200, shed.None, shed.None, shed.None}, nil, shed.None},
+		{"three of four targets shed", []uint16{200, 250, 300, shed.None}, nil, 300},
+		{"all targets shed", []uint16{200, 250, 300, 400}, nil, 300},
+		{"the only target sheds", []uint16{200}, nil, 200},
+		{"the target with the larger weight sheds", []uint16{200, shed.None}, []float64{30, 10}, 200},
+		{"the target with the smaller weight sheds", []uint16{200, shed.None}, []float64{10, 30}, shed.None},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
@@ -302,7 +303,7 @@
 	assert.Assert(t, !table.Refuses("logs", criticality.Lowest, epoch))
 }
 
-func TestTableExpiresReportsOfDeadHome(t *testing.T) {
+func TestTableExpiresReportsOfFailedHome(t *testing.T) {
 	table := shed.NewTable(shed.TableConfig{})
 	relayed := entry("a", 200, 1)
 	relayed.Age = time.Second
