--- a/internal/registry/departure_replication.go
+++ b/internal/registry/departure_replication.go
@@ -9,11 +9,12 @@
 )
 
 const (
-	// requiredPeers is how many peers should hold a departure when it is acknowledged, and
-	// notifiedPeers how many are notified at once, as some may be gone. This protects
-	// departures whose node is killed within the second before others learn of them from the
-	// store, while the store is restored from a backup without them: in that case a target that
-	// had left executed 179 requests in 7 s.
+	// requiredPeers is the number of peers that should hold a departure when it is
+	// acknowledged, and notifiedPeers the number that are notified concurrently, as some may be
+	// down. Other nodes read a departure from the store up to a second after it was written. If
+	// its node is killed in that second and the store is restored from a backup without the
+	// departure, only the peers still hold it: without them, a target that had left executed
+	// 179 requests in 7 s.
 	requiredPeers = 2
 	notifiedPeers = 3
 	// peerTimeout bounds the wait for peers. They respond within some milliseconds, and the
@@ -66,7 +67,7 @@
 	return peers
 }
 
-// notifyPeer sends a departure to one node. The call is not cancelled when the caller stops
+// notifyPeer sends a departure to one node. The call is not canceled when the caller stops
 // waiting.
 func (r *Registrar) notifyPeer(ctx context.Context, address string, departure Departure) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), peerTimeout)
@@ -74,7 +75,7 @@
 	return r.config.Peers.Notify(ctx, address, departure)
 }
 
-// notifyHome sends a departure to the target's node.
+// notifyHome sends a departure to the target's node and logs a failure.
 func (r *Registrar) notifyHome(ctx context.Context, departure Departure) {
 	if err := r.notifyPeer(ctx, departure.Address, departure); err != nil {
 		r.log.Record(eventlog.Event{Kind: eventlog.DepartureUntold, Target: departure.Instance, Peer: departure.Address, Reason: err.Error()})
--- a/internal/registry/departure_writer.go
+++ b/internal/registry/departure_writer.go
@@ -22,10 +22,10 @@
 }
 
 const (
-	// departureTTL is how long departures are kept. No departed target sends heartbeats for so
-	// long.
+	// departureTTL is how long departures are stored. It exceeds the time for which a departed
+	// target may still send heartbeats.
 	departureTTL = 10 * time.Minute
-	// writeTimeout bounds one call, so that a lost response leaves time for retries.
+	// writeTimeout bounds one store call, so that a lost response leaves time for retries.
 	writeTimeout    = 400 * time.Millisecond
 	writeRetryDelay = 30 * time.Millisecond
 )
--- a/internal/registry/departures.go
+++ b/internal/registry/departures.go
@@ -21,7 +21,7 @@
 	peerRewriteDelay  = 1300 * time.Millisecond
 	peerRewriteJitter = 300 * time.Millisecond
 	// forwardDelay is the delay before a departure reported by a peer is forwarded to the
-	// target's node, whose process may have started since. Forwarding is repeated every
+	// target's node, whose process may have started after the peer sent it. Forwarding is repeated every
 	// rewriteRetryDelay until the store shows the departure, which mostly happens before the
 	// first attempt.
 	forwardDelay = 300 * time.Millisecond
@@ -50,10 +50,10 @@
 // knownDeparture is a departure and the state of its replication.
 type knownDeparture struct {
 	Departure
-	// learnedAt is when this node first learned of the departure. revision is that of its
+	// receivedAt is when this node first received the departure. revision is that of its
 	// entry, zero if the store is not known to hold it.
-	learnedAt time.Time
-	revision  store.Revision
+	receivedAt time.Time
+	revision   store.Revision
 	// due is the time of the next attempt to forward and rewrite the departure, zero if there
 	// is none. Before writeAt it is only forwarded.
 	due, writeAt time.Time
@@ -69,13 +69,15 @@
 func (d *departures) add(departure Departure) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.learn(departure)
+	d.getOrCreate(departure)
 }
 
-func (d *departures) learn(departure Departure) *knownDeparture {
+// getOrCreate returns the state of a departure, and creates it if the departure is new to this
+// node. The caller holds the mutex.
+func (d *departures) getOrCreate(departure Departure) *knownDeparture {
 	known := d.byInstance[departure.Instance]
 	if known == nil {
-		known = &knownDeparture{Departure: departure, learnedAt: d.now()}
+		known = &knownDeparture{Departure: departure, receivedAt: d.now()}
 		d.byInstance[departure.Instance] = known
 	}
 	return known
@@ -89,9 +91,9 @@
 	if d.byInstance[departure.Instance] != nil {
 		return false
 	}
-	known := d.learn(departure)
-	known.due = known.learnedAt.Add(forwardDelay)
-	known.writeAt = known.learnedAt.Add(peerRewriteDelay + rand.N(peerRewriteJitter))
+	known := d.getOrCreate(departure)
+	known.due = known.receivedAt.Add(forwardDelay)
+	known.writeAt = known.receivedAt.Add(peerRewriteDelay + rand.N(peerRewriteJitter))
 	d.signal()
 	return true
 }
@@ -108,21 +110,21 @@
 func (d *departures) markReplicated(departure Departure) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.learn(departure).replicated = true
+	d.getOrCreate(departure).replicated = true
 }
 
 // markStored records that the store holds a departure.
 func (d *departures) markStored(departure Departure, revision store.Revision) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	known := d.learn(departure)
+	known := d.getOrCreate(departure)
 	known.revision = max(known.revision, revision)
 	known.due = time.Time{}
 }
 
 // markMissing records that the store doesn't hold a departure at a revision. If the store lost
-// it, it is written again, at once if this is the target's node; if its TTL has passed or it
-// was deleted within the same epoch, it is forgotten.
+// it, it is written again, immediately if this is the target's node; if its TTL has passed or
+// it was deleted within the same epoch, it is removed.
 func (d *departures) markMissing(instance string, revision store.Revision) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -151,7 +153,7 @@
 }
 
 func (d *departures) expired(known *knownDeparture) bool {
-	return d.now().Sub(known.learnedAt) >= departureTTL
+	return d.now().Sub(known.receivedAt) >= departureTTL
 }
 
 // rewriteOwn schedules a rewrite of the departures of this node's targets, because the store
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -174,7 +174,7 @@
 
 func (d *Directory) keyOf(home *Home) string { return d.prefix + home.Address }
 
-// publish rebuilds the readers' view and removes homes whose record has lapsed for too long.
+// publish rebuilds the indexes that readers use and removes homes whose record has lapsed for too long.
 func (d *Directory) publish() {
 	homesByService := make(map[string][]*Home)
 	addresses := make([]string, 0, len(d.homes))
@@ -195,7 +195,7 @@
 }
 
 // sortByHash sorts addresses by hash, so that all nodes use the same ordering and it does not
-// depend on machine names or zones.
+// depend on the naming of machines or on zones.
 func sortByHash(addresses []string) {
 	slices.SortFunc(addresses, func(a, b string) int { return cmp.Compare(xxhash.Sum64String(a), xxhash.Sum64String(b)) })
 }
--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -60,28 +60,28 @@
 }
 
 // TestLapsedHomeIsRemovedAfterRetention removes two records: the one that is written again
-// within the retention time is kept, the other is dropped.
+// within the retention time is kept, the other is discarded.
 func TestLapsedHomeIsRemovedAfterRetention(t *testing.T) {
 	now := time.Now()
 	d := NewDirectory(homesPrefix, homeAddress, nil, func() time.Time { return now })
 	record := func(address string, revision store.Revision) store.Entry {
 		return store.Entry{Key: homesPrefix + address, Revision: revision, Value: encode(Record{Instance: "i", Service: "s", Address: address, State: Ready})}
 	}
-	d.ApplyChanges([]store.Entry{record("back", 1), record("gone", 2)}, "store")
-	d.ApplyChanges([]store.Entry{{Key: homesPrefix + "back", Revision: 3, Deleted: true}, {Key: homesPrefix + "gone", Revision: 4, Deleted: true}}, "store")
+	d.ApplyChanges([]store.Entry{record("rewritten", 1), record("removed", 2)}, "store")
+	d.ApplyChanges([]store.Entry{{Key: homesPrefix + "rewritten", Revision: 3, Deleted: true}, {Key: homesPrefix + "removed", Revision: 4, Deleted: true}}, "store")
 	now = now.Add(2 * time.Second)
 	d.removeExpired()
 	assert.Equal(t, len(d.Homes("s")), 2)
-	d.ApplyChanges([]store.Entry{record("back", 5)}, "store")
+	d.ApplyChanges([]store.Entry{record("rewritten", 5)}, "store")
 	now = now.Add(time.Second)
 	d.removeExpired()
 	assert.Equal(t, len(d.Homes("s")), 1)
-	assert.Equal(t, d.Homes("s")[0].Address, "back")
+	assert.Equal(t, d.Homes("s")[0].Address, "rewritten")
 }
 
-// TestPlacesAreUnique checks that nodes with the same records compute distinct places, and that
-// a node without a record has none.
-func TestPlacesAreUnique(t *testing.T) {
+// TestPositionsAreUnique checks that nodes with the same records compute distinct positions, and
+// that a node without a record has none.
+func TestPositionsAreUnique(t *testing.T) {
 	addresses := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"}
 	seen := make(map[int]bool)
 	for _, own := range addresses {
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -67,8 +67,8 @@
 		assert.NilError(t, n.Depart(ctx, "i-1", 1000))
 		assert.Equal(t, n.Target().State, Ready)
 		assert.Equal(t, n.Target().StartMillis, int64(2000))
-		// It leaves, ends and restarts. Its last notice is delayed and has no start time, so it
-		// is not acknowledged.
+		// It drains, ends and restarts. Its last notice is delayed and has no start time, so the
+		// notice is not acknowledged.
 		assert.NilError(t, n.Heartbeat(ctx, leavingHeartbeat("i-1", 2000, 9)))
 		assert.Equal(t, n.Target().State, Draining)
 		assert.NilError(t, n.Heartbeat(ctx, startedHeartbeat("i-1", 3000, 1)))
@@ -76,7 +76,7 @@
 		assert.ErrorIs(t, n.Depart(ctx, "i-1", 0), errAmbiguousIncarnation)
 		assert.Equal(t, n.Target().State, Ready)
 		time.Sleep(2 * time.Second)
-		// A restarted node knows which incarnations have ended.
+		// A restarted node reads from the store which incarnations have ended.
 		n.stop()
 		n = f.start(1)
 		assert.NilError(t, n.Heartbeat(ctx, startedHeartbeat("i-1", 2000, 8)))
@@ -162,8 +162,8 @@
 const (
 	simulatedID     = "i-1"
 	heartbeatPeriod = 500 * time.Millisecond
-	// readyWithin is the time within which a live incarnation must receive work.
-	readyWithin = 3 * time.Second
+	// maxReadyDelay is the time within which a live incarnation must receive work.
+	maxReadyDelay = 3 * time.Second
 )
 
 func simulateRestarts(t *testing.T, seed uint64) {
@@ -257,11 +257,11 @@
 	if s.disturbedAt.After(due) {
 		due = s.disturbedAt
 	}
-	if s.target.alive && !s.target.leaving && time.Since(due) > readyWithin && (target.StartMillis != s.target.startMillis || target.State != Ready) {
+	if s.target.alive && !s.target.leaving && time.Since(due) > maxReadyDelay && (target.StartMillis != s.target.startMillis || target.State != Ready) {
 		s.t.Fatalf("seed %d: incarnation %d is not ready after %s; the node reports %s in state %s", seed, s.target.startMillis, time.Since(due), target.Incarnation(), target.State)
 	}
 	for _, home := range s.peer.directory.Homes("s") {
-		if offered := parseIncarnation(home.Instance); s.acknowledgedLeft[offered.StartMillis] && time.Since(s.disturbedAt) > readyWithin && home.Instance != target.Incarnation().String() {
+		if offered := parseIncarnation(home.Instance); s.acknowledgedLeft[offered.StartMillis] && time.Since(s.disturbedAt) > maxReadyDelay && home.Instance != target.Incarnation().String() {
 			s.t.Logf("seed %d: the peer still offers %s", seed, fmt.Sprint(home.Instance))
 		}
 	}
--- a/internal/registry/publisher.go
+++ b/internal/registry/publisher.go
@@ -15,7 +15,7 @@
 const (
 	// leaseTTL is how long a node's record remains after its process has ended.
 	leaseTTL = 20 * time.Second
-	// renewDivisor sets the renewal time: a lease is renewed after its TTL divided by it.
+	// renewDivisor determines the renewal interval: the TTL of the lease divided by it.
 	renewDivisor = 2
 	// Bounds of the backoff after a failure.
 	minPublishBackoff = 100 * time.Millisecond
@@ -46,7 +46,7 @@
 	// removed means that the record was seen to disappear.
 	removed bool
 
-	// Owned by run: the lease, its renewal time, and the last known entry under the key.
+	// Used only by run: the lease, its renewal time, and the last known entry under the key.
 	lease     store.LeaseID
 	renewAt   time.Time
 	revision  store.Revision
@@ -78,7 +78,7 @@
 	}
 	p.revision, p.published = entry.Revision, entry.Value
 	if record, err := decodeRecord(*entry); err != nil || record.restored(entry.Revision) {
-		// The lease number may have been reused by now.
+		// The restored store may have granted the lease number again.
 		return
 	}
 	p.lease, p.synced = entry.Lease, entry.Lease != store.NoLease
@@ -105,7 +105,7 @@
 	p.signal()
 }
 
-// delayWrites suspends writes for a while.
+// delayWrites suspends writes for the given duration.
 func (p *publisher) delayWrites(duration time.Duration) {
 	p.mutex.Lock()
 	p.notBefore = p.now().Add(duration)
@@ -175,7 +175,7 @@
 	}
 }
 
-// step does what is due: it grants or renews the lease and writes the record.
+// step grants or renews the lease if necessary and writes the record if it has changed.
 func (p *publisher) step(ctx context.Context) error {
 	record := p.desiredRecord()
 	if record == nil {
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -5,8 +5,8 @@
 //
 // A record is stored under a lease. Its disappearance is only a hint, because leases also
 // expire while the store is down; a record with state Draining is authoritative. A departure is
-// written under a lease of its own before it is acknowledged, so that it binds every later
-// process on the machine.
+// written under a separate lease before it is acknowledged, so that every later process on the
+// machine reads it and does not offer the target again.
 package registry
 
 import (
@@ -64,7 +64,7 @@
 	return Incarnation{ID: h.ID, StartMillis: h.StartMillis}
 }
 
-// State is a stage in the life of a target. An incarnation's state never moves backwards.
+// State is a stage in the lifecycle of a target. An incarnation's state never moves backwards.
 type State uint8
 
 // States of a target, in order.
--- a/internal/registry/registrar.go
+++ b/internal/registry/registrar.go
@@ -56,7 +56,7 @@
 
 	mutex  sync.Mutex
 	target Target
-	// departed holds the incarnations that are known to be leaving or gone.
+	// departed holds the incarnations in state Draining or Gone.
 	departed map[Incarnation]bool
 	// latestStart is the latest known start time by target ID; earlier incarnations have ended.
 	latestStart map[string]int64
@@ -137,7 +137,8 @@
 // complete no target is reported as ready, except at the first start of the cluster.
 func (r *Registrar) recoverState(ctx context.Context) {
 	if r.config.FirstStart {
-		// Continue to the read below, which finds what other nodes have written since.
+		// Earlier processes acknowledged nothing. The records are still read below, because
+		// other nodes may have written some since.
 		r.recoverFrom(nil)
 	}
 	records, err := r.config.Records(ctx)
@@ -189,7 +190,7 @@
 }
 
 // adoptTarget takes over the target of an earlier process, unless a heartbeat or a departure
-// contradicts it. If the target is gone, calls fail to connect or reach another instance, and
+// contradicts it. If the target has ended, calls fail to connect or reach another instance, and
 // in neither case have they been executed.
 func (r *Registrar) adoptTarget(record *Record) {
 	if record == nil || record.State != Ready || record.Instance == "" {
@@ -332,7 +333,7 @@
 		r.config.OnTargetChange(target)
 	}
 	if target.State != Absent {
-		// Peers treat leaving and gone targets alike.
+		// Peers treat the states Draining and Gone alike.
 		r.publisher.publish(Record{
 			Instance: target.Incarnation().String(),
 			Service:  target.Service,
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -136,7 +136,7 @@
 	}, poll.WithDelay(5*time.Millisecond))
 }
 
-// TestRestartedNodeAdoptsTarget replaces a killed node process: the new one must know the
+// TestRestartedNodeAdoptsTarget replaces a killed node process: the new one must adopt the
 // target, which is still running, before its next heartbeat.
 func TestRestartedNodeAdoptsTarget(t *testing.T) {
 	ctx := context.Background()
@@ -247,7 +247,7 @@
 // TestDelayedHeartbeatDoesNotDisplaceSuccessor delivers a heartbeat of a crashed target that was
 // delayed by a network partition. A node process that started meanwhile knows only the
 // successor at the same address and takes the delayed heartbeat for that of a newer target. The
-// healthy successor was then treated as replaced forever and received no more requests.
+// healthy successor was then treated as replaced permanently and received no more requests.
 func TestDelayedHeartbeatDoesNotDisplaceSuccessor(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRegistrar(RegistrarConfig{HomesPrefix: homesPrefix, FirstStart: true}, Stores{}, nil, func() time.Time { return now })
@@ -268,7 +268,7 @@
 		now = now.Add(200 * time.Millisecond)
 		send("i-1", sequence)
 	}
-	assert.Equal(t, r.Target().ID, "i-2", "a burst of heartbeats consists of delayed ones")
+	assert.Equal(t, r.Target().ID, "i-2", "a burst of heartbeats must not reinstate the earlier target")
 	send("i-2", 4)
 	now = now.Add(reinstateAfter)
 	send("i-1", 10)
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -78,21 +78,21 @@
 		f.nodes.CompareAndDelete(address, n)
 	}
 	startedAt := time.Now().Add(-time.Millisecond)
-	var replicated *replica.Copy
+	var storeCopy *replica.Copy
 	n.Registrar = NewRegistrar(RegistrarConfig{
 		Zone: "z", Address: address, Process: f.processes, HomesPrefix: homesPrefix, DeparturesPrefix: departuresPrefix,
 		Epoch: epochs.Current, Position: n.directory.Position, Peers: Peers{Addresses: f.addresses, Notify: f.notify},
 		Records: func(ctx context.Context) ([]store.Entry, error) {
-			err := replicated.AwaitCurrent(ctx, startedAt)
-			return replicated.Entries(), err
+			err := storeCopy.AwaitCurrent(ctx, startedAt)
+			return storeCopy.Entries(), err
 		},
 	}, Stores{Record: kv, Departure: kv}, nil, time.Now)
-	replicated = replica.NewCopy(time.Second, func(entries []store.Entry, source string) {
+	storeCopy = replica.NewCopy(time.Second, func(entries []store.Entry, source string) {
 		n.directory.ApplyChanges(entries, source)
 		n.ApplyChanges(entries)
 	}, time.Now)
 	epochs.OnChange(func(epoch.Change) { n.HandleStoreRestored() })
-	syncer := &replica.Syncer{Copy: replicated, Store: kv, Position: func() (int, bool) { return 0, true }, BatchDelay: watchBatchInterval, Now: time.Now}
+	syncer := &replica.Syncer{Copy: storeCopy, Store: kv, Position: func() (int, bool) { return 0, true }, BatchDelay: watchBatchInterval, Now: time.Now}
 	f.nodes.Store(address, n)
 	go syncer.Run(ctx)
 	go n.Run(ctx)
@@ -100,8 +100,8 @@
 	return n
 }
 
-// startHomes starts three nodes with a target each, i-0 to i-2, and waits until they know each
-// other.
+// startHomes starts three nodes with a target each, i-0 to i-2, and waits until each node has the
+// records of the others.
 func (f *testFleet) startHomes() []*testNode {
 	nodes := []*testNode{f.start(1), f.start(2), f.start(3)}
 	time.Sleep(3 * time.Second)
@@ -133,7 +133,7 @@
 }
 
 // TestLostDepartureIsRewritten makes the store lose an acknowledged departure. The node
-// that acknowledged it writes it again, or another node if that one is gone.
+// that acknowledged it writes it again, or another node if that one was killed.
 func TestLostDepartureIsRewritten(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		virtualtime.Run(t, func(t *testing.T) {
@@ -160,7 +160,7 @@
 					assert.Assert(t, home.Instance != "i-0", "a departed target is still listed")
 				}
 			}
-			// A new process honours the departure, even against delayed heartbeats.
+			// A new process knows the departure and ignores delayed heartbeats.
 			nodes[0].stop()
 			nodes[0] = f.start(1)
 			assert.NilError(t, nodes[0].Heartbeat(t.Context(), readyHeartbeat("i-0", 1)))
@@ -171,12 +171,11 @@
 }
 
 // TestDepartureSurvivesNodeKillAndStoreRestore guards against work for a target after its
-// acknowledged departure. A soak (seed 1208, 15 s, 6 nodes) killed a node right after it had
+// acknowledged departure. A soak test (seed 1208, 15 s, 6 nodes) killed a node right after it had
 // acknowledged the departure, and 0.12 s later the store failed and was restored from a backup
 // without it. The restarted node accepted a delayed heartbeat, and the target executed 179
 // requests in 7 s. Until other nodes received the departure from the store, up to a second
-// later, only the store and one node knew it; no other node had logged it before the target's
-// end.
+// later, only the store and one node held it; no other node logged it before the target ended.
 func TestDepartureSurvivesNodeKillAndStoreRestore(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newTestFleet(t)
@@ -200,7 +199,7 @@
 
 // TestRestartedNodeLearnsLostDepartureFromPeers makes the store lose a departure that all nodes know,
 // and restarts the target's node right after the restore, before the departure is written
-// again. In two of four runs of the soak with seed 1208 the target executed 5 and 6 requests
+// again. In two of four runs of the soak test with seed 1208 the target executed 5 and 6 requests
 // 2.0 to 2.4 s after its acknowledged departure, because the other nodes notified its node only
 // when they were due to write the departure, after 1.2 s.
 func TestRestartedNodeLearnsLostDepartureFromPeers(t *testing.T) {
@@ -301,8 +300,8 @@
 	})
 }
 
-// TestStaleWriteIsOverwritten executes a write from before the restore late: its expected
-// revision is one that the restored store has issued again.
+// TestStaleWriteIsOverwritten executes a write that was sent before the restore and arrives after
+// it: its expected revision is one that the restored store has assigned again.
 func TestStaleWriteIsOverwritten(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newTestFleet(t)
