--- a/internal/ratelimit/acquire.go
+++ b/internal/ratelimit/acquire.go
@@ -25,7 +25,7 @@
 }
 
 // shouldAcquire reports whether the node is to acquire the shard: an earlier process at its
-// address holds it, or it has no holder and no candidate before the node has acquired it.
+// address holds it, or it has no holder and the delay of this node has passed.
 func (m *ShardManager) shouldAcquire(number int, settled bool) bool {
 	position, _ := m.config.Position()
 	heldCount := m.HeldCount()
@@ -36,7 +36,8 @@
 		return false
 	}
 	if state.lost && m.wasHolder(state) && m.config.Issuer.Holds(number) {
-		// A node whose own hold has ended, for example in a partition, may have a successor.
+		// The node still holds the shard. Once its hold has ended, for example in a
+		// partition, another node may have acquired the shard.
 		return true
 	}
 	if state.revision > 0 && !state.lost && !state.released() {
@@ -50,9 +51,9 @@
 	return m.config.Now().Sub(since) >= delay
 }
 
-// acquireDelayFor returns how long the node at the position leaves a shard to other nodes. Each
-// shard has a first candidate, also with fewer nodes than shards: otherwise four nodes hold all
-// shards after 4.0 s instead of 1.3 s.
+// acquireDelayFor returns how long the node at the position waits before it acquires a shard
+// without a holder. Each shard has a candidate that does not wait, also with fewer nodes than
+// shards: otherwise four nodes hold all shards after 4.0 s instead of 1.3 s.
 func acquireDelayFor(position, number, nodes int) time.Duration {
 	if nodes < 1 || nodes > Shards {
 		nodes = Shards
@@ -61,8 +62,8 @@
 	if distance < 0 {
 		distance += nodes
 	}
-	first, late := min(distance, earlyCandidates), max(distance-earlyCandidates, 0)
-	return time.Duration(first)*acquireDelay + time.Duration(late)*lateAcquireDelay
+	early, remaining := min(distance, earlyCandidates), max(distance-earlyCandidates, 0)
+	return time.Duration(early)*acquireDelay + time.Duration(remaining)*lateAcquireDelay
 }
 
 // acquire writes the node as the holder of the shard, under its lease.
--- a/internal/ratelimit/coordinator_test.go
+++ b/internal/ratelimit/coordinator_test.go
@@ -38,20 +38,20 @@
 	if s.credit[node] >= 1 {
 		s.credit[node]--
 		s.admitted[node]++
-		s.sim.recordRun()
+		s.sim.recordExecution()
 	}
 }
 
 func (s *coordinatorStrategy) report(node int) {
 	sim := s.sim
 	sim.after(reportPeriod, func() { s.report(node) })
-	if s.sent[node] == 0 && s.fractions[node] == 1 || sim.cut[node] {
+	if s.sent[node] == 0 && s.fractions[node] == 1 || sim.partitioned[node] {
 		return
 	}
 	sim.messages++
 	sent, admitted := s.sent[node], s.admitted[node]
 	s.sent[node], s.admitted[node] = 0, 0
-	sim.after(sim.oneWay(), func() {
+	sim.after(sim.networkDelay(), func() {
 		s.bucket.level = math.Min(s.bucket.level+sim.tenant.Rate*sim.clock.Sub(s.bucket.updated).Seconds(), sim.tenant.Burst) - float64(admitted)
 		s.bucket.updated = sim.clock
 		s.demand[node] = float64(sent) / reportPeriod.Seconds()
@@ -63,6 +63,6 @@
 		if total > 0 {
 			fraction = math.Max(math.Min((sim.tenant.Rate+s.bucket.level)/total, 1), 0)
 		}
-		sim.after(sim.oneWay(), func() { s.fractions[node] = fraction })
+		sim.after(sim.networkDelay(), func() { s.fractions[node] = fraction })
 	})
 }
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -7,14 +7,14 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// Tenants returns the tenant of the given name in the current configuration, nil if there is
+// TenantLookup returns the tenant of the given name in the current configuration, nil if there is
 // none.
-type Tenants func(name string) *routetable.Tenant
+type TenantLookup func(name string) *routetable.Tenant
 
 // Issuer issues permits from the shards that the node holds. It is safe for concurrent use.
 type Issuer struct {
 	bounds  Bounds
-	tenants Tenants
+	tenants TenantLookup
 	now     func() time.Time
 
 	mutex  sync.Mutex
@@ -29,7 +29,7 @@
 }
 
 // NewIssuer returns an issuer that holds no shard.
-func NewIssuer(bounds Bounds, tenants Tenants, now func() time.Time) *Issuer {
+func NewIssuer(bounds Bounds, tenants TenantLookup, now func() time.Time) *Issuer {
 	return &Issuer{bounds: bounds, tenants: tenants, now: now}
 }
 
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -11,7 +11,7 @@
 // Outcome is the kind of a decision.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of Limiter.Admit.
 const (
 	// Admitted requests have a permit or need none.
 	Admitted Outcome = iota
@@ -26,7 +26,7 @@
 	Outcome Outcome
 	// RetryAfter is the time after which a refused request is likely to obtain a permit.
 	RetryAfter time.Duration
-	// HoldersAsked is the number of holders that were asked for this request.
+	// HoldersAsked is the number of permit requests sent to holders for this request.
 	HoldersAsked int
 	// expires is when the permit expires, zero if none was needed.
 	expires time.Time
@@ -50,19 +50,19 @@
 
 const (
 	// requestTimeout bounds one permit request. Responses take some milliseconds; a holder that
-	// does not answer in time is partitioned or stopped, and the request can try another.
+	// does not respond in time is partitioned or stopped, and the request can try another.
 	requestTimeout = 200 * time.Millisecond
-	// silentBackoff is how long a holder that did not answer is not asked, for any tenant: each
-	// attempt delays requests by requestTimeout.
+	// silentBackoff is how long no permits are requested, for any tenant, from a holder that did
+	// not respond: each attempt delays requests by requestTimeout.
 	silentBackoff = time.Second
 	// failureBackoff is the same for a holder that failed immediately or reported that it does
 	// not hold the shard, which delays no request: it was restarted and holds the shard again
 	// within some tenths of a second. With silentBackoff, a cluster whose processes were all
-	// killed could check no limit for a second after their restart.
+	// killed could not check limits for a second after their restart.
 	failureBackoff = 80 * time.Millisecond
 	// maxWait is how long a request waits for a holder to become available if no holder reported
-	// that the limit is reached. Restarted holders are back by then, sooner than
-	// refused callers retry.
+	// that the limit is reached. Restarted holders are available again by then, which is sooner
+	// than refused callers retry.
 	maxWait = 300 * time.Millisecond
 	// holderPollInterval is how often a node without a known holder checks for one while requests
 	// wait.
@@ -71,7 +71,7 @@
 	// failure.
 	immediateFailure = 100 * time.Millisecond
 	// unavailableRetryAfter is the minimum retry delay sent to callers while no holder is
-	// available, and half the maximum. A restarted holder is back in 1 s.
+	// available, and half the maximum. A restarted holder is available again within 1 s.
 	unavailableRetryAfter = 500 * time.Millisecond
 )
 
@@ -83,7 +83,8 @@
 
 	mutex  sync.Mutex
 	queues map[string]*queue
-	// unavailableUntil holds, by address, the times until which holders are not asked.
+	// unavailableUntil holds, by address, the times until which no permits are requested from
+	// holders.
 	unavailableUntil map[string]time.Time
 }
 
@@ -92,7 +93,7 @@
 	return &Limiter{holders: holders, request: request, now: now, queues: make(map[string]*queue), unavailableUntil: make(map[string]time.Time)}
 }
 
-// Admit decides on a request of the tenant. It may wait for the answer of a holder.
+// Admit decides on a request of the tenant. It may wait for the response of a holder.
 func (l *Limiter) Admit(ctx context.Context, tenant *routetable.Tenant) Decision {
 	if !tenant.Limited() {
 		return Decision{}
@@ -149,7 +150,8 @@
 	return Decision{}, w
 }
 
-// available returns a function that reports whether the holder of a share may be asked.
+// available returns a function that reports whether permits may be requested from the holder
+// of a share.
 func (l *Limiter) available(tenant string, now time.Time) func(share int) bool {
 	return func(share int) bool {
 		holder, known := l.holders.Holder(shardOf(tenant, share))
@@ -157,8 +159,8 @@
 	}
 }
 
-// availableAt returns the earliest time at which a holder of a share may be asked, at most
-// maxWait from now.
+// availableAt returns the earliest time at which permits may be requested from the holder of a
+// share, at most maxWait from now.
 func (l *Limiter) availableAt(tenant string, now time.Time) time.Time {
 	earliest := now.Add(maxWait)
 	for share := range Shares {
@@ -174,13 +176,14 @@
 }
 
 // mayWait reports whether a request may wait while no holder is available: no holder reported
-// that the limit is reached, and one may be asked before the deadline of the request.
+// that the limit is reached, and a holder becomes available before the deadline of the request.
 func (l *Limiter) mayWait(tenant string, q *queue, w *waiter, now time.Time) bool {
 	_, empty := q.nextRetry(now)
 	return !empty && l.availableAt(tenant, now).Before(w.deadline)
 }
 
-// requestPermits asks one holder after another until no request of the tenant waits.
+// requestPermits requests permits from one holder after another until no request of the tenant
+// waits.
 func (l *Limiter) requestPermits(tenant string, q *queue) {
 	for {
 		l.mutex.Lock()
@@ -211,7 +214,7 @@
 	}
 }
 
-// requestFrom asks the holder of a share and processes its response.
+// requestFrom requests permits from the holder of a share and processes its response.
 func (l *Limiter) requestFrom(q *queue, holder Holder, request *PermitRequest) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
@@ -230,7 +233,7 @@
 	}
 }
 
-// maxUnavailable bounds the holders in unavailableUntil.
+// maxUnavailable bounds the number of holders in unavailableUntil.
 const maxUnavailable = 64
 
 func (l *Limiter) markUnavailable(address string, until time.Time) {
--- a/internal/ratelimit/limiter_test.go
+++ b/internal/ratelimit/limiter_test.go
@@ -106,7 +106,7 @@
 	})
 }
 
-// TestUnavailableHolders checks a holder that does not answer and then fails: requests wait for
+// TestUnavailableHolders checks a holder that does not respond and then fails: requests wait for
 // one permit request and are then refused as unavailable.
 func TestUnavailableHolders(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
@@ -119,7 +119,7 @@
 		assert.Equal(t, time.Since(started), requestTimeout)
 		assert.Equal(t, decision.HoldersAsked, 1)
 		assert.Equal(t, limiter.Admit(t.Context(), testTenant).Outcome, Unavailable)
-		assert.Equal(t, time.Since(started), requestTimeout, "a silent holder is not asked again immediately")
+		assert.Equal(t, time.Since(started), requestTimeout, "no second request is sent immediately to a silent holder")
 		h.delay, h.err = 0, errors.New("refused")
 		time.Sleep(silentBackoff)
 		started = time.Now()
@@ -154,7 +154,7 @@
 	})
 }
 
-// TestAdmitStopsOnCancellation cancels a request while a holder is asked.
+// TestAdmitStopsOnCancellation cancels a request while its permit request is in flight.
 func TestAdmitStopsOnCancellation(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newFakeHolder(testTenant)
--- a/internal/ratelimit/permits_test.go
+++ b/internal/ratelimit/permits_test.go
@@ -29,11 +29,11 @@
 	takeOverDelay = 1500 * time.Millisecond
 )
 
-func newPermits(sim *simulation) strategy { return startPermits(sim, false) }
+func newPermits(sim *simulation) strategy { return newPermitStrategy(sim, false) }
 
-func newPermitsOnDemand(sim *simulation) strategy { return startPermits(sim, true) }
+func newPermitsOnDemand(sim *simulation) strategy { return newPermitStrategy(sim, true) }
 
-func startPermits(sim *simulation, noPrefetch bool) *permitStrategy {
+func newPermitStrategy(sim *simulation, noPrefetch bool) *permitStrategy {
 	s := &permitStrategy{sim: sim, noPrefetch: noPrefetch, queues: make([]*queue, sim.nodes), restartedAt: make([]time.Time, sim.nodes),
 		issuers: make([]*Issuer, sim.nodes), unavailableUntil: make([][]time.Time, sim.nodes)}
 	for node := range sim.nodes {
@@ -52,8 +52,8 @@
 	s.issuers[node] = NewIssuer(testBounds, func(string) *routetable.Tenant { return &s.sim.tenant }, s.sim.now)
 }
 
-// replaceRestarted discards the state of a node that was restarted.
-func (s *permitStrategy) replaceRestarted(node int) {
+// resetIfRestarted discards the state of a node that was restarted.
+func (s *permitStrategy) resetIfRestarted(node int) {
 	if s.restartedAt[node].Before(s.sim.restartedAt[node]) {
 		s.restartedAt[node] = s.sim.restartedAt[node]
 		s.start(node)
@@ -63,13 +63,13 @@
 // hold lets a node hold a share and renew its hold. A partitioned node can't renew; a restarted
 // one resumes a second later unless it is lost permanently.
 func (s *permitStrategy) hold(share, node int) {
-	s.replaceRestarted(node)
+	s.resetIfRestarted(node)
 	sim := s.sim
 	if sim.loseHolders && !sim.restartedAt[node].IsZero() {
 		sim.after(holdTTL, func() { s.takeOver(share) })
 		return
 	}
-	if sim.cut[node] {
+	if sim.partitioned[node] {
 		s.awaitLease(share, node)
 		return
 	}
@@ -90,7 +90,7 @@
 	deadline := s.sim.clock.Add(holdTTL)
 	var check func()
 	check = func() {
-		if !s.sim.cut[node] && s.sim.clock.Before(deadline) {
+		if !s.sim.partitioned[node] && s.sim.clock.Before(deadline) {
 			s.hold(share, node)
 			return
 		}
@@ -108,7 +108,7 @@
 	s.sim.after(takeOverDelay, func() {
 		for next := range s.sim.nodes {
 			node := (s.holders[share] + Shares + next) % s.sim.nodes
-			if !s.sim.cut[node] && (!s.sim.loseHolders || s.sim.restartedAt[node].IsZero()) {
+			if !s.sim.partitioned[node] && (!s.sim.loseHolders || s.sim.restartedAt[node].IsZero()) {
 				s.holders[share] = node
 				s.hold(share, node)
 				return
@@ -122,11 +122,11 @@
 }
 
 func (s *permitStrategy) arrive(node int) {
-	s.replaceRestarted(node)
+	s.resetIfRestarted(node)
 	q := s.queues[node]
 	q.countRequest(s.sim.clock)
 	if _, taken := q.take(s.sim.clock); taken {
-		s.sim.recordRun()
+		s.sim.recordExecution()
 		return
 	}
 	if _, found := q.pickShare(s.sim.clock, s.available(node)); !found {
@@ -162,14 +162,14 @@
 		s.unavailableUntil[node][holder] = s.sim.clock.Add(silentBackoff)
 		s.request(node, q)
 	}
-	if holder != node && (s.sim.cut[holder] || s.sim.cut[node]) {
+	if holder != node && (s.sim.partitioned[holder] || s.sim.partitioned[node]) {
 		s.sim.after(requestTimeout, fail)
 		return
 	}
-	s.sim.after(s.sim.oneWay(), func() {
-		s.replaceRestarted(holder)
+	s.sim.after(s.sim.networkDelay(), func() {
+		s.resetIfRestarted(holder)
 		grant := s.issuers[holder].Issue(request)
-		s.sim.after(s.sim.oneWay(), func() {
+		s.sim.after(s.sim.networkDelay(), func() {
 			if !grant.Held {
 				fail()
 				return
@@ -184,6 +184,6 @@
 	before := len(q.waiters)
 	q.serve(s.sim.clock)
 	for range before - len(q.waiters) {
-		s.sim.recordRun()
+		s.sim.recordExecution()
 	}
 }
--- a/internal/ratelimit/pool.go
+++ b/internal/ratelimit/pool.go
@@ -7,7 +7,7 @@
 
 const (
 	// prefetchFraction is the fraction of the requests expected within the validity of permits
-	// for which permits are prefetched: those for requests that do not come expire unused.
+	// for which permits are prefetched: permits beyond the actual requests expire unused.
 	prefetchFraction = 0.7
 	// maxPrefetch bounds the permits that one permit request prefetches.
 	maxPrefetch = 64
--- a/internal/ratelimit/queue.go
+++ b/internal/ratelimit/queue.go
@@ -9,7 +9,7 @@
 type queue struct {
 	pool
 	waiters []*waiter
-	// requesting reports that a holder is being asked for permits.
+	// requesting reports that requestPermits is running for the tenant.
 	requesting bool
 }
 
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -2,9 +2,9 @@
 //
 // A tenant's limit is divided into shares, each of which is a token bucket. The shares of all
 // tenants are distributed over shards, and each shard is held by one node under a lease of the
-// store. Nodes at which requests enter ask the holders for permits, one for each request. They
-// prefetch some for tenants with a high request rate, and ask for none while they have some or a
-// holder has reported its share as empty. Permits expire quickly enough that the issued but
+// store. Nodes at which requests enter request permits from the holders, one for each request.
+// They prefetch some for tenants with a high request rate, and request none while they have some
+// or a holder has reported its share as empty. Permits expire quickly enough that the issued but
 // unused ones stay within the allowed excess over the limit. Permits therefore need not be
 // tracked: those of nodes that crash or are partitioned simply expire. While a shard has lost
 // its holder, its shares of the limits are unavailable until the lease ends.
@@ -23,7 +23,7 @@
 // finds a share empty while others have permits.
 const Shares = 4
 
-// Shards is the number of parts into which all shares are grouped. With 16, no node answers more
+// Shards is the number of parts into which all shares are grouped. With 16, no node handles more
 // than a sixteenth of the permit requests, of which there are about as many as requests of
 // tenants: 160 of 2,600 a second. Each shard costs the store one lease renewal every 1.5 s.
 const Shards = 16
@@ -51,9 +51,9 @@
 	// is unused by then is better issued to another node.
 	maxValidity = 2 * time.Second
 	// minFillTime is the least time in which the shares of a tenant fill. Nodes that found a
-	// share empty ask it again after 0.1 to 0.3 s; if the burst fills in less, the share is full
-	// by then and wastes what it would accrue. With 5 nodes, a rate of 50, a burst of 10 and 8
-	// times the rate offered, the limiter admits 0.83 of what an ideal one admits without a least
+	// share empty request permits from it again after 0.1 to 0.3 s; if the share fills in less,
+	// it is full by then and the permits that it would accrue are lost. With 5 nodes, a rate of 50, a burst of 10 and 8
+	// times the rate offered, the limiter admits 0.83 of what an ideal one admits without a minimum
 	// time, 0.93 with 0.3 s and 1.00 with 0.5 s.
 	minFillTime = 500 * time.Millisecond
 	// reservedValidity is the validity of permits that is preserved when the capacity of the
@@ -112,6 +112,6 @@
 	Issued int
 	// Validity is how long the permits may be used after they were requested.
 	Validity time.Duration
-	// RetryAfter is when to ask again if fewer permits than needed were issued.
+	// RetryAfter is the delay before the next request if fewer permits than needed were issued.
 	RetryAfter time.Duration
 }
--- a/internal/ratelimit/restore_test.go
+++ b/internal/ratelimit/restore_test.go
@@ -27,8 +27,8 @@
 	firstRestoreSeed = flag.Uint64("first-restore", 1, "seed of the first such schedule")
 )
 
-// regressionSeeds are seeds that once led to two holders of a shard: a partitioned node learned
-// of the store restore only from the call that acquired the shard (85, 7576), or a holder whose
+// regressionSeeds are seeds that once led to two holders of a shard: a partitioned node detected
+// the store restore only by the call that acquired the shard (85, 7576), or a holder whose
 // hold had ended reacquired its shard beside its successor (134, 2934, 5322).
 var regressionSeeds = []uint64{85, 134, 2934, 5322, 7576}
 
@@ -65,13 +65,13 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	n := &restoredNode{stop: cancel}
 	epochs := epoch.NewTracker()
-	restored := &storetest.RestorableStore{Store: c.store, Epochs: epochs, Unreachable: func() bool { return n.partitioned.Load() || c.storeDown.Load() }}
+	kv := &storetest.RestorableStore{Store: c.store, Epochs: epochs, Unreachable: func() bool { return n.partitioned.Load() || c.storeDown.Load() }}
 	n.issuer = NewIssuer(testBounds, func(string) *routetable.Tenant { return testTenant }, time.Now)
 	n.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", position), Process: c.started, Started: time.Now(), FirstStart: first, Epoch: epochs.Current,
-		Prefix: "shards/", Store: restored, Position: func() (int, bool) { return position, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
+		Prefix: "shards/", Store: kv, Position: func() (int, bool) { return position, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
 	epochs.OnChange(func(epoch.Change) { n.HandleStoreRestored() })
 	storeCopy := replica.NewCopy(time.Second, func(entries []store.Entry, _ string) { n.ApplyChanges(entries) }, time.Now)
-	syncer := &replica.Syncer{Copy: storeCopy, Store: restored, Prefix: "shards/", Position: func() (int, bool) { return 0, true }, BatchDelay: 800 * time.Millisecond, Now: time.Now}
+	syncer := &replica.Syncer{Copy: storeCopy, Store: kv, Prefix: "shards/", Position: func() (int, bool) { return 0, true }, BatchDelay: 800 * time.Millisecond, Now: time.Now}
 	go syncer.Run(ctx)
 	go n.Run(ctx)
 	return n
@@ -150,9 +150,9 @@
 	}
 }
 
-// TestDeadHolderIsReplacedAfterStoreRestore stops a holder before the store is restored: its
+// TestFailedHolderIsReplacedAfterStoreRestore stops a holder before the store is restored: its
 // shards are acquired once its last lease has ended.
-func TestDeadHolderIsReplacedAfterStoreRestore(t *testing.T) {
+func TestFailedHolderIsReplacedAfterStoreRestore(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		c := newRestoredCluster(t, 17)
 		defer c.shutdown()
@@ -167,7 +167,7 @@
 
 // TestShardHasSingleHolderAfterStoreRestore runs random schedules in which the store is
 // restored from backups up to eight seconds old, also twice in a row, while nodes are killed,
-// started and cut off from the store. Two nodes must never hold a shard at the same time, and
+// started and partitioned from the store. Two nodes must never hold a shard at the same time, and
 // all shards must have holders at the end.
 func TestShardHasSingleHolderAfterStoreRestore(t *testing.T) {
 	for _, seed := range regressionSeeds {
@@ -190,7 +190,7 @@
 	c.sleep(time.Duration(random.IntN(10)) * time.Second)
 	for range 60 {
 		c.sleep(200 * time.Millisecond)
-		c.randomAction(random)
+		c.randomEvent(random)
 	}
 	for i, n := range c.nodes {
 		if n == nil {
@@ -201,7 +201,7 @@
 	c.awaitAllHeld(20 * time.Second)
 }
 
-func (c *restoredCluster) randomAction(random *rand.Rand) {
+func (c *restoredCluster) randomEvent(random *rand.Rand) {
 	c.backups = append(c.backups, c.store.Backup())
 	i := random.IntN(len(c.nodes))
 	n := c.nodes[i]
--- a/internal/ratelimit/shard_manager.go
+++ b/internal/ratelimit/shard_manager.go
@@ -16,8 +16,8 @@
 
 const (
 	// shardTTL is the lease duration of shards: for that long a quarter of some limits is
-	// unavailable after a holder is lost. Holders bridge store outages of up to shardTTL less
-	// renewInterval.
+	// unavailable after a holder has failed. Holders keep their shards during store outages of up
+	// to shardTTL less renewInterval.
 	shardTTL = 6 * time.Second
 	// renewInterval is the time between two renewals of the lease.
 	renewInterval = 1500 * time.Millisecond
@@ -26,8 +26,8 @@
 	// checkInterval is how often a node checks the shards.
 	checkInterval = 250 * time.Millisecond
 	// acquireDelay is the additional delay after which each of the earlyCandidates acquires a
-	// shard without a holder, so that only one tries at a time: other nodes learn of a holder
-	// after about a second. Further candidates follow by lateAcquireDelay each. A node waits
+	// shard without a holder, so that only one tries at a time: other nodes read a new holder
+	// from the store after about a second. Further candidates follow by lateAcquireDelay each. A node waits
 	// perShardDelay longer for each shard that it already holds, so that shards are distributed
 	// over nodes.
 	acquireDelay     = 800 * time.Millisecond
--- a/internal/ratelimit/shard_manager_test.go
+++ b/internal/ratelimit/shard_manager_test.go
@@ -68,12 +68,12 @@
 	n.ShardManager = NewShardManager(ShardManagerConfig{Address: fmt.Sprint("node-", position), Process: process, Started: time.Now(), FirstStart: process == 1, Prefix: "shards/", Store: n.store,
 		Position: func() (int, bool) { return position, true }, Nodes: func() int { return c.size }, HasLimits: func() bool { return true }, Issuer: n.issuer, Now: time.Now})
 	go n.Run(ctx)
-	go n.follow(ctx)
+	go n.watchStore(ctx)
 	return n
 }
 
-// follow passes the store's changes to the shard manager with the delay of a local copy.
-func (n *testNode) follow(ctx context.Context) {
+// watchStore passes the store's changes to the shard manager with the delay of a local copy.
+func (n *testNode) watchStore(ctx context.Context) {
 	snapshot, err := n.store.List(ctx, "shards/")
 	if err != nil {
 		return
@@ -136,10 +136,10 @@
 	time.Sleep(time.Second)
 }
 
-// TestShardsSpreadOverNodes checks the distribution of shards in clusters of several sizes.
-// While the first candidate of each shard was the node of the shard's number, four nodes held
-// all shards only after 4.0 s.
-func TestShardsSpreadOverNodes(t *testing.T) {
+// TestShardsAreDistributedOverNodes checks the distribution of shards in clusters of several
+// sizes. When the first candidate of each shard was the node at the position equal to the shard's
+// number, four nodes held all shards only after 4.0 s.
+func TestShardsAreDistributedOverNodes(t *testing.T) {
 	for size, maxPerNode := range map[int]int{1: Shards, 4: 7, 5: 5, 17: 3, 71: 3} {
 		virtualtime.Run(t, func(t *testing.T) {
 			c := newTestCluster(t, size)
@@ -154,15 +154,15 @@
 }
 
 // TestShardFailover checks that other nodes take over the shards of a holder that
-// crashes, is cut off from the store, or stops.
+// crashes, is partitioned from the store, or stops.
 func TestShardFailover(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault func(c *testCluster)
 		bound time.Duration
 	}{
-		"lost":    {func(c *testCluster) { c.nodes[0].stop(); c.nodes[0].issuer = NewIssuer(testBounds, nil, time.Now) }, shardTTL + 3*time.Second},
-		"cut off": {func(c *testCluster) { c.nodes[0].store.down.Store(true) }, shardTTL + 3*time.Second},
-		"stopped": {func(c *testCluster) { c.nodes[0].Stop(context.Background()) }, 2 * time.Second},
+		"crashed":     {func(c *testCluster) { c.nodes[0].stop(); c.nodes[0].issuer = NewIssuer(testBounds, nil, time.Now) }, shardTTL + 3*time.Second},
+		"partitioned": {func(c *testCluster) { c.nodes[0].store.down.Store(true) }, shardTTL + 3*time.Second},
+		"stopped":     {func(c *testCluster) { c.nodes[0].Stop(context.Background()) }, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			virtualtime.Run(t, func(t *testing.T) {
--- a/internal/ratelimit/simulation_test.go
+++ b/internal/ratelimit/simulation_test.go
@@ -19,14 +19,14 @@
 	peakFrom, peakUntil time.Duration
 	duration            time.Duration
 	// origins is the number of nodes at which the requests of the tenant enter, zero for all;
-	// half-way they move to other nodes.
+	// after half the duration they move to other nodes.
 	origins int
-	// cutFraction of the nodes are partitioned from cutFrom to cutUntil, and killFraction are
-	// restarted at killAt. preferHolders applies both to holders first, and loseHolders lets
-	// restarted holders never hold a share again.
-	cutFraction, killFraction  float64
-	cutFrom, cutUntil, killAt  time.Duration
-	preferHolders, loseHolders bool
+	// partitionedFraction of the nodes are partitioned from partitionFrom to partitionUntil, and
+	// restartedFraction are restarted at restartAt. preferHolders applies both to holders first,
+	// and with loseHolders restarted holders never hold a share again.
+	partitionedFraction, restartedFraction   float64
+	partitionFrom, partitionUntil, restartAt time.Duration
+	preferHolders, loseHolders               bool
 	// limitFactor multiplies the limit from limitChangeAt on; 0 leaves it unchanged.
 	limitFactor   float64
 	limitChangeAt time.Duration
@@ -34,17 +34,17 @@
 
 var testBounds = Bounds{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 
-// simulationResult counts what happened to the requests of the tenant. due is the number that an
-// ideal limiter admits.
+// simulationResult counts what happened to the requests of the tenant. idealAdmitted is
+// the number that an ideal limiter admits.
 type simulationResult struct {
-	sent, executed, due, messages int
+	sent, executed, idealAdmitted, messages int
 	// maxInWindow is the largest number executed in a window, and bound the largest number
 	// allowed.
 	maxInWindow, bound float64
 }
 
 func (o simulationResult) admitted() float64 {
-	return float64(o.executed) / math.Max(float64(o.due), 1)
+	return float64(o.executed) / math.Max(float64(o.idealAdmitted), 1)
 }
 
 // withinBound reports whether the bound was kept.
@@ -52,7 +52,7 @@
 
 // strategy is a strategy to enforce the limit.
 type strategy interface {
-	// arrive handles a request at a node. It calls recordRun if the request is executed.
+	// arrive handles a request at a node. It calls recordExecution if the request is executed.
 	arrive(node int)
 }
 
@@ -65,10 +65,10 @@
 	events events
 	order  int
 	tenant routetable.Tenant
-	// cut reports which nodes are partitioned, and restartedAt when they were last restarted.
-	cut         []bool
+	// partitioned reports which nodes are partitioned, and restartedAt when they were last restarted.
+	partitioned []bool
 	restartedAt []time.Time
-	runs        []time.Time
+	executions  []time.Time
 	messages    int
 }
 
@@ -95,7 +95,7 @@
 func newSimulation(s scenario, seed uint64) *simulation {
 	start := time.Unix(0, 0)
 	sim := &simulation{scenario: s, random: rand.New(rand.NewPCG(seed, 7)), start: start, clock: start,
-		tenant: routetable.Tenant{Name: "tenant", Rate: s.rate, Burst: s.burst}, cut: make([]bool, s.nodes), restartedAt: make([]time.Time, s.nodes)}
+		tenant: routetable.Tenant{Name: "tenant", Rate: s.rate, Burst: s.burst}, partitioned: make([]bool, s.nodes), restartedAt: make([]time.Time, s.nodes)}
 	return sim
 }
 
@@ -108,8 +108,8 @@
 
 func (s *simulation) after(wait time.Duration, action func()) { s.at(s.clock.Add(wait), action) }
 
-// oneWay returns a random network delay of a message.
-func (s *simulation) oneWay() time.Duration {
+// networkDelay returns a random one-way network delay of a message.
+func (s *simulation) networkDelay() time.Duration {
 	return time.Millisecond + time.Duration(s.random.ExpFloat64()*float64(time.Millisecond))
 }
 
@@ -142,8 +142,8 @@
 	next = func() {
 		node := s.origin()
 		ideal.update(s.tenant.Rate, s.tenant.Burst, s.clock)
-		if !s.cut[node] {
-			result.due += int(ideal.take(1))
+		if !s.partitioned[node] {
+			result.idealAdmitted += int(ideal.take(1))
 		}
 		result.sent++
 		limiter.arrive(node)
@@ -160,20 +160,20 @@
 		s.clock = e.at
 		e.action()
 	}
-	result.executed, result.messages = len(s.runs), s.messages
+	result.executed, result.messages = len(s.executions), s.messages
 	result.maxInWindow, result.bound = s.maxWindow()
 	return result
 }
 
 func (s *simulation) scheduleFaults() {
-	if s.cutFraction > 0 {
-		nodes := s.chooseNodes(s.cutFraction)
-		s.at(s.start.Add(s.cutFrom), func() { s.setCut(nodes, true) })
-		s.at(s.start.Add(s.cutUntil), func() { s.setCut(nodes, false) })
+	if s.partitionedFraction > 0 {
+		nodes := s.chooseNodes(s.partitionedFraction)
+		s.at(s.start.Add(s.partitionFrom), func() { s.setPartitioned(nodes, true) })
+		s.at(s.start.Add(s.partitionUntil), func() { s.setPartitioned(nodes, false) })
 	}
-	if s.killFraction > 0 {
-		nodes := s.chooseNodes(s.killFraction)
-		s.at(s.start.Add(s.killAt), func() {
+	if s.restartedFraction > 0 {
+		nodes := s.chooseNodes(s.restartedFraction)
+		s.at(s.start.Add(s.restartAt), func() {
 			for _, node := range nodes {
 				s.restartedAt[node] = s.clock
 			}
@@ -186,9 +186,9 @@
 	}
 }
 
-func (s *simulation) setCut(nodes []int, cut bool) {
+func (s *simulation) setPartitioned(nodes []int, partitioned bool) {
 	for _, node := range nodes {
-		s.cut[node] = cut
+		s.partitioned[node] = partitioned
 	}
 }
 
@@ -211,8 +211,8 @@
 	return time.Duration(s.random.ExpFloat64() / rate * float64(time.Second))
 }
 
-// recordRun records the execution of a request.
-func (s *simulation) recordRun() { s.runs = append(s.runs, s.clock) }
+// recordExecution records the execution of a request.
+func (s *simulation) recordExecution() { s.executions = append(s.executions, s.clock) }
 
 // maxWindow returns the number of executed requests and the bound of the window that exceeds its
 // bound most or is closest to it. A reduced limit applies one window and the propagation time of
@@ -226,12 +226,12 @@
 	maxExcess := math.Inf(-1)
 	maxCount, usedBound := 0, bound
 	first := 0
-	for last := range s.runs {
-		for s.runs[last].Sub(s.runs[first]) > testBounds.Window {
+	for last := range s.executions {
+		for s.executions[last].Sub(s.executions[first]) > testBounds.Window {
 			first++
 		}
 		limit := bound
-		if s.limitFactor > 0 && s.runs[first].Sub(s.start) > s.limitChangeAt+propagation+testBounds.Window {
+		if s.limitFactor > 0 && s.executions[first].Sub(s.start) > s.limitChangeAt+propagation+testBounds.Window {
 			limit = allowed(s.rate*s.limitFactor, s.burst*s.limitFactor)
 		}
 		count := float64(last - first + 1)
--- a/internal/ratelimit/strategies_test.go
+++ b/internal/ratelimit/strategies_test.go
@@ -53,8 +53,8 @@
 	small.usualRate, small.rate, small.burst = 6, 10, 10
 	large := baseScenario
 	large.usualRate, large.rate, large.burst = 420, 683, 683
-	cut := withPeak(baseScenario, 4)
-	cut.cutFraction, cut.cutFrom, cut.cutUntil = 0.33, 6*time.Second, 15*time.Second
+	partitioned := withPeak(baseScenario, 4)
+	partitioned.partitionedFraction, partitioned.partitionFrom, partitioned.partitionUntil = 0.33, 6*time.Second, 15*time.Second
 	oneNode := withPeak(baseScenario, 3)
 	oneNode.origins = 1
 	for _, test := range []struct {
@@ -65,19 +65,19 @@
 	}{
 		{"usual", baseScenario, 0.99},
 		{"8 times", withPeak(baseScenario, 8), 0.98},
-		{"just beyond", withPeak(baseScenario, 1.7), 0.98},
+		{"slightly above the limit", withPeak(baseScenario, 1.7), 0.98},
 		{"small", small, 0.98},
 		{"small, 6 times", withPeak(small, 6), 0.95},
 		{"large, 4 times", withPeak(large, 4), 0.98},
 		{"one node, 3 times", oneNode, 0.97},
-		{"4 times, a third cut off", cut, 0.75},
+		{"4 times, a third partitioned", partitioned, 0.75},
 	} {
 		for _, nodes := range clusterSizes {
 			s := test.scenario
 			s.nodes = nodes
 			permits := runSeeds(s, 5, newPermits)
 			t.Logf("%-24s %3d nodes: permits %.3f of ideal, %.2f of bound, %.2f messages a request", test.name, nodes, permits.admitted, permits.maxBoundUsed, permits.messages)
-			for name, newStrategy := range map[string]func(*simulation) strategy{"on demand": newPermitsOnDemand, "counts": newCoordinator} {
+			for name, newStrategy := range map[string]func(*simulation) strategy{"on demand": newPermitsOnDemand, "coordinator": newCoordinator} {
 				other := runSeeds(s, 2, newStrategy)
 				t.Logf("%42s %.3f, %.2f, %.2f", name, other.admitted, other.maxBoundUsed, other.messages)
 			}
@@ -109,7 +109,7 @@
 // TestSmallBurstsAreUsed checks that a small burst does not keep a tenant below its limit. A
 // tenant with a limit of 50 a second that sent 8 times the limit on five nodes was admitted 0.85
 // of what an ideal limiter admits: each share held a quarter of a small burst, which fills in
-// 0.2 s, while nodes that found it empty ask again after 0.1 to 0.3 s. The simulation admits
+// 0.2 s, while nodes that found it empty request permits again after 0.1 to 0.3 s. The simulation admits
 // 0.83 with a burst of 10 and 0.99 with one of 25. A share of a burst under four never held a
 // whole permit, so that its tenant was admitted nothing.
 func TestSmallBurstsAreUsed(t *testing.T) {
@@ -139,11 +139,11 @@
 	}
 	s.preferHolders = random.IntN(2) == 0
 	if random.IntN(2) == 0 {
-		s.cutFraction, s.cutFrom = random.Float64(), between(0, 12*time.Second)
-		s.cutUntil = s.cutFrom + between(time.Second, 9*time.Second)
+		s.partitionedFraction, s.partitionFrom = random.Float64(), between(0, 12*time.Second)
+		s.partitionUntil = s.partitionFrom + between(time.Second, 9*time.Second)
 	}
 	if random.IntN(2) == 0 {
-		s.killFraction, s.killAt, s.loseHolders = random.Float64(), between(time.Second, 15*time.Second), random.IntN(3) == 0
+		s.restartedFraction, s.restartAt, s.loseHolders = random.Float64(), between(time.Second, 15*time.Second), random.IntN(3) == 0
 	}
 	if random.IntN(4) == 0 {
 		s.limitFactor, s.limitChangeAt = 0.1, between(time.Second, 8*time.Second)
--- a/internal/scheduler/refusal.go
+++ b/internal/scheduler/refusal.go
@@ -8,7 +8,7 @@
 // Reason is why a call was refused a permit.
 type Reason uint8
 
-// The reasons.
+// Reasons for a refusal.
 const (
 	// QueueFull: the queue is full and no waiter can be evicted for the call.
 	QueueFull Reason = iota
