--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -3,10 +3,9 @@
 // The monotonic clock behind time.Now, timers and contexts stops during a suspension, so that
 // ages and deadlines measured with it are wrong after a resume: the measured ages of copies,
 // leases and requests are too small. The wall clock continues, but it also jumps for other
-// reasons.
-// The clock of this package is the monotonic clock plus the time for which the machine was
-// suspended. It starts at the wall time of the process's start, and its times may be compared
-// only with each other.
+// reasons. The clock of this package is the monotonic clock plus the time for which the machine
+// was suspended. It starts at the wall time of the process's start, and its times may be
+// compared only with each other.
 package clock
 
 import (
@@ -17,12 +16,12 @@
 )
 
 const (
-	// wallJumpThreshold is the change of the wall clock relative to the monotonic one above
-	// which the boot clock is read. Reading the boot clock costs a system call, comparing the other
-	// two doesn't. Clock discipline slews the wall clock by at most 0.5 ms per second.
+	// wallJumpThreshold is the change of the wall clock relative to the monotonic one above which
+	// the boot clock is read. Reading the boot clock costs a system call, comparing the other two
+	// doesn't. Clock discipline slews the wall clock by at most 0.5 ms per second.
 	wallJumpThreshold = 2 * time.Millisecond
-	// minSuspension is the shortest suspension that is detected. The clocks are not read at
-	// the same instant, so shorter differences may be due to that.
+	// minSuspension is the shortest suspension that is detected. The clocks are not read at the
+	// same instant, so shorter differences may be due to that.
 	minSuspension = 20 * time.Millisecond
 )
 
@@ -94,8 +93,8 @@
 // created, as far as suspensions have been detected.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// updateSuspended updates the suspended time from the boot clock and, after a suspension,
-// starts handleResume.
+// updateSuspended updates the suspended time from the boot clock and, after a suspension, starts
+// handleResume.
 func (c *Clock) updateSuspended(drift time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -124,10 +124,10 @@
 	assert.Assert(t, Expired(child))
 }
 
-// TestLateDeadlineAllowsReadingPendingData: a process was stalled when the deadline of a
-// request passed, and the target's response arrived meanwhile. When the process continued, its
-// timers ran before its reads, and the caller got a timeout error. Of
-// 48 such requests on four nodes, 32 got 504 or 502 although the response was ready to read.
+// TestLateDeadlineAllowsReadingPendingData: a process was stalled when the deadline of a request
+// passed, and the target's response arrived meanwhile. When the process continued, its timers
+// ran before its reads, and the caller got a timeout error. Of 48 such requests on four nodes,
+// 32 got 504 or 502 although the response was ready to read.
 func TestLateDeadlineAllowsReadingPendingData(t *testing.T) {
 	const timeout = 20 * time.Millisecond
 	m := &fakeMachine{}
--- a/internal/ratelimit/acquire.go
+++ b/internal/ratelimit/acquire.go
@@ -36,8 +36,8 @@
 		return false
 	}
 	if state.lost && m.wasHolder(state) && m.config.Issuer.Holds(number) {
-		// The node still holds the shard. Once its hold has ended, for example in a
-		// partition, another node may have acquired the shard.
+		// The node still holds the shard. Once its hold has ended, for example in a partition, another
+		// node may have acquired the shard.
 		return true
 	}
 	if state.revision > 0 && !state.lost && !state.released() {
--- a/internal/ratelimit/bucket.go
+++ b/internal/ratelimit/bucket.go
@@ -6,17 +6,16 @@
 )
 
 const (
-	// minRetryDelay and maxRetryDelay bound how long a node that found a share empty waits
-	// before it requests permits from it again. The minimum limits the messages for a tenant far above its limit: 71 nodes
-	// each send at most five requests a second to a share. The maximum limits the wait of a tenant that
-	// reduces its request rate.
+	// minRetryDelay and maxRetryDelay bound how long a node that found a share empty waits before
+	// it requests permits from it again. The minimum limits the messages for a tenant far above its
+	// limit: 71 nodes each send at most five requests a second to a share. The maximum limits the
+	// wait of a tenant that reduces its request rate.
 	minRetryDelay = 200 * time.Millisecond
 	maxRetryDelay = time.Second
 	// adjustInterval is how often the retry delay is adapted to the number of permit requests.
 	adjustInterval = 500 * time.Millisecond
-	// requestsPerPermit is the target number of permit requests per permit of a share, to which
-	// the retry delay is adapted. It exceeds one so that a delayed request leaves no permit
-	// unused.
+	// requestsPerPermit is the target number of permit requests per permit of a share, to which the
+	// retry delay is adapted. It exceeds one so that a delayed request leaves no permit unused.
 	requestsPerPermit = 1.5
 	// reservedFraction is the fraction of the burst that is issued only to waiting requests.
 	// With 71 nodes and a tenant that sends 1.7 times its usual rate, 1.06 times its limit, the
--- a/internal/ratelimit/issuer.go
+++ b/internal/ratelimit/issuer.go
@@ -7,8 +7,8 @@
 	"github.com/lugspur/lugspur/internal/routetable"
 )
 
-// TenantLookup returns the tenant of the given name in the current configuration, nil if there is
-// none.
+// TenantLookup returns the tenant of the given name in the current configuration, nil if there
+// is none.
 type TenantLookup func(name string) *routetable.Tenant
 
 // Issuer issues permits from the shards that the node holds. It is safe for concurrent use.
--- a/internal/ratelimit/limiter.go
+++ b/internal/ratelimit/limiter.go
@@ -55,10 +55,10 @@
 	// silentBackoff is how long no permits are requested, for any tenant, from a holder that did
 	// not respond: each attempt delays requests by requestTimeout.
 	silentBackoff = time.Second
-	// failureBackoff is the same for a holder that failed immediately or reported that it does
-	// not hold the shard, which delays no request: it was restarted and holds the shard again
-	// within some tenths of a second. With silentBackoff, a cluster whose processes were all
-	// killed could not check limits for a second after their restart.
+	// failureBackoff is the same for a holder that failed immediately or reported that it does not
+	// hold the shard, which delays no request: it was restarted and holds the shard again within
+	// some tenths of a second. With silentBackoff, a cluster whose processes were all killed could
+	// not check limits for a second after their restart.
 	failureBackoff = 80 * time.Millisecond
 	// maxWait is how long a request waits for a holder to become available if no holder reported
 	// that the limit is reached. Restarted holders are available again by then, which is sooner
@@ -150,8 +150,8 @@
 	return Decision{}, w
 }
 
-// available returns a function that reports whether permits may be requested from the holder
-// of a share.
+// available returns a function that reports whether permits may be requested from the holder of
+// a share.
 func (l *Limiter) available(tenant string, now time.Time) func(share int) bool {
 	return func(share int) bool {
 		holder, known := l.holders.Holder(shardOf(tenant, share))
--- a/internal/ratelimit/pool.go
+++ b/internal/ratelimit/pool.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// prefetchFraction is the fraction of the requests expected within the validity of permits
-	// for which permits are prefetched: permits beyond the actual requests expire unused.
+	// prefetchFraction is the fraction of the requests expected within the validity of permits for
+	// which permits are prefetched: permits beyond the actual requests expire unused.
 	prefetchFraction = 0.7
 	// maxPrefetch bounds the permits that one permit request prefetches.
 	maxPrefetch = 64
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -50,11 +50,11 @@
 	// maxValidity caps the validity of permits where the bounds would allow more: a permit that
 	// is unused by then is better issued to another node.
 	maxValidity = 2 * time.Second
-	// minFillTime is the least time in which the shares of a tenant fill. Nodes that found a
-	// share empty request permits from it again after 0.1 to 0.3 s; if the share fills in less,
-	// it is full by then and the permits that it would accrue are lost. With 5 nodes, a rate of 50, a burst of 10 and 8
-	// times the rate offered, the limiter admits 0.83 of what an ideal one admits without a minimum
-	// time, 0.93 with 0.3 s and 1.00 with 0.5 s.
+	// minFillTime is the least time in which the shares of a tenant fill. Nodes that found a share
+	// empty request permits from it again after 0.1 to 0.3 s; if the share fills in less, it is
+	// full by then and the permits that it would accrue are lost. With 5 nodes, a rate of 50, a
+	// burst of 10 and 8 times the rate offered, the limiter admits 0.83 of what an ideal one admits
+	// without a minimum time, 0.93 with 0.3 s and 1.00 with 0.5 s.
 	minFillTime = 500 * time.Millisecond
 	// reservedValidity is the validity of permits that is preserved when the capacity of the
 	// shares is raised for minFillTime.
--- a/internal/ratelimit/restore_test.go
+++ b/internal/ratelimit/restore_test.go
@@ -28,8 +28,8 @@
 )
 
 // regressionSeeds are seeds that once led to two holders of a shard: a partitioned node detected
-// the store restore only by the call that acquired the shard (85, 7576), or a holder whose
-// hold had ended reacquired its shard beside its successor (134, 2934, 5322).
+// the store restore only by the call that acquired the shard (85, 7576), or a holder whose hold
+// had ended reacquired its shard beside its successor (134, 2934, 5322).
 var regressionSeeds = []uint64{85, 134, 2934, 5322, 7576}
 
 // restoredNode is one process with a shard manager that follows a local copy of the store.
@@ -165,10 +165,10 @@
 	})
 }
 
-// TestShardHasSingleHolderAfterStoreRestore runs random schedules in which the store is
-// restored from backups up to eight seconds old, also twice in a row, while nodes are killed,
-// started and partitioned from the store. Two nodes must never hold a shard at the same time, and
-// all shards must have holders at the end.
+// TestShardHasSingleHolderAfterStoreRestore runs random schedules in which the store is restored
+// from backups up to eight seconds old, also twice in a row, while nodes are killed, started and
+// partitioned from the store. Two nodes must never hold a shard at the same time, and all shards
+// must have holders at the end.
 func TestShardHasSingleHolderAfterStoreRestore(t *testing.T) {
 	for _, seed := range regressionSeeds {
 		virtualtime.Run(t, func(t *testing.T) { runRestoreSchedule(t, seed) })
--- a/internal/ratelimit/shard_manager.go
+++ b/internal/ratelimit/shard_manager.go
@@ -25,9 +25,9 @@
 	leaseMargin = 100 * time.Millisecond
 	// checkInterval is how often a node checks the shards.
 	checkInterval = 250 * time.Millisecond
-	// acquireDelay is the additional delay after which each of the earlyCandidates acquires a
-	// shard without a holder, so that only one tries at a time: other nodes read a new holder
-	// from the store after about a second. Further candidates follow by lateAcquireDelay each. A node waits
+	// acquireDelay is the additional delay after which each of the earlyCandidates acquires a shard
+	// without a holder, so that only one tries at a time: other nodes read a new holder from the
+	// store after about a second. Further candidates follow by lateAcquireDelay each. A node waits
 	// perShardDelay longer for each shard that it already holds, so that shards are distributed
 	// over nodes.
 	acquireDelay     = 800 * time.Millisecond
--- a/internal/ratelimit/shard_manager_test.go
+++ b/internal/ratelimit/shard_manager_test.go
@@ -137,8 +137,8 @@
 }
 
 // TestShardsAreDistributedOverNodes checks the distribution of shards in clusters of several
-// sizes. When the first candidate of each shard was the node at the position equal to the shard's
-// number, four nodes held all shards only after 4.0 s.
+// sizes. When the first candidate of each shard was the node at the position equal to the
+// shard's number, four nodes held all shards only after 4.0 s.
 func TestShardsAreDistributedOverNodes(t *testing.T) {
 	for size, maxPerNode := range map[int]int{1: Shards, 4: 7, 5: 5, 17: 3, 71: 3} {
 		virtualtime.Run(t, func(t *testing.T) {
@@ -153,16 +153,16 @@
 	}
 }
 
-// TestShardFailover checks that other nodes take over the shards of a holder that
-// crashes, is partitioned from the store, or stops.
+// TestShardFailover checks that other nodes take over the shards of a holder that crashes, is
+// partitioned from the store, or stops.
 func TestShardFailover(t *testing.T) {
 	for name, test := range map[string]struct {
 		fault func(c *testCluster)
 		bound time.Duration
 	}{
-		"crashed":     {func(c *testCluster) { c.nodes[0].stop(); c.nodes[0].issuer = NewIssuer(testBounds, nil, time.Now) }, shardTTL + 3*time.Second},
-		"partitioned": {func(c *testCluster) { c.nodes[0].store.down.Store(true) }, shardTTL + 3*time.Second},
-		"stopped":     {func(c *testCluster) { c.nodes[0].Stop(context.Background()) }, 2 * time.Second},
+		"lost":                       {func(c *testCluster) { c.nodes[0].stop(); c.nodes[0].issuer = NewIssuer(testBounds, nil, time.Now) }, shardTTL + 3*time.Second},
+		"partitioned from the store": {func(c *testCluster) { c.nodes[0].store.down.Store(true) }, shardTTL + 3*time.Second},
+		"stopped":                    {func(c *testCluster) { c.nodes[0].Stop(context.Background()) }, 2 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			virtualtime.Run(t, func(t *testing.T) {
--- a/internal/ratelimit/simulation_test.go
+++ b/internal/ratelimit/simulation_test.go
@@ -18,8 +18,8 @@
 	peakFactor          float64
 	peakFrom, peakUntil time.Duration
 	duration            time.Duration
-	// origins is the number of nodes at which the requests of the tenant enter, zero for all;
-	// after half the duration they move to other nodes.
+	// origins is the number of nodes at which the requests of the tenant enter, zero for all; after
+	// half the duration they move to other nodes.
 	origins int
 	// partitionedFraction of the nodes are partitioned from partitionFrom to partitionUntil, and
 	// restartedFraction are restarted at restartAt. preferHolders applies both to holders first,
@@ -34,8 +34,8 @@
 
 var testBounds = Bounds{Window: 5 * time.Second, Overshoot: 0.1, Slack: 20}
 
-// simulationResult counts what happened to the requests of the tenant. idealAdmitted is
-// the number that an ideal limiter admits.
+// simulationResult counts what happened to the requests of the tenant. idealAdmitted is the
+// number that an ideal limiter admits.
 type simulationResult struct {
 	sent, executed, idealAdmitted, messages int
 	// maxInWindow is the largest number executed in a window, and bound the largest number
--- a/internal/ratelimit/strategies_test.go
+++ b/internal/ratelimit/strategies_test.go
@@ -77,7 +77,7 @@
 			s.nodes = nodes
 			permits := runSeeds(s, 5, newPermits)
 			t.Logf("%-24s %3d nodes: permits %.3f of ideal, %.2f of bound, %.2f messages a request", test.name, nodes, permits.admitted, permits.maxBoundUsed, permits.messages)
-			for name, newStrategy := range map[string]func(*simulation) strategy{"on demand": newPermitsOnDemand, "coordinator": newCoordinator} {
+			for name, newStrategy := range map[string]func(*simulation) strategy{"on demand": newPermitsOnDemand, "counts": newCoordinator} {
 				other := runSeeds(s, 2, newStrategy)
 				t.Logf("%42s %.3f, %.2f, %.2f", name, other.admitted, other.maxBoundUsed, other.messages)
 			}
@@ -109,9 +109,9 @@
 // TestSmallBurstsAreUsed checks that a small burst does not keep a tenant below its limit. A
 // tenant with a limit of 50 a second that sent 8 times the limit on five nodes was admitted 0.85
 // of what an ideal limiter admits: each share held a quarter of a small burst, which fills in
-// 0.2 s, while nodes that found it empty request permits again after 0.1 to 0.3 s. The simulation admits
-// 0.83 with a burst of 10 and 0.99 with one of 25. A share of a burst under four never held a
-// whole permit, so that its tenant was admitted nothing.
+// 0.2 s, while nodes that found it empty request permits again after 0.1 to 0.3 s. The
+// simulation admits 0.83 with a burst of 10 and 0.99 with one of 25. A share of a burst under
+// four never held a whole permit, so that its tenant was admitted nothing.
 func TestSmallBurstsAreUsed(t *testing.T) {
 	for _, nodes := range []int{3, 5, 17, 71} {
 		for _, burst := range []float64{1, 2.5, 10, 25} {
--- a/internal/registry/departure_replication.go
+++ b/internal/registry/departure_replication.go
@@ -9,12 +9,11 @@
 )
 
 const (
-	// requiredPeers is the number of peers that should hold a departure when it is
-	// acknowledged, and notifiedPeers the number that are notified concurrently, as some may be
-	// down. Other nodes read a departure from the store up to a second after it was written. If
-	// its node is killed in that second and the store is restored from a backup without the
-	// departure, only the peers still hold it: without them, a target that had left executed
-	// 179 requests in 7 s.
+	// requiredPeers is the number of peers that should hold a departure when it is acknowledged,
+	// and notifiedPeers the number that are notified concurrently, as some may be down. Other nodes
+	// read a departure from the store up to a second after it was written. If its node is killed in
+	// that second and the store is restored from a backup without the departure, only the peers
+	// still hold it: without them, a target that had left executed 179 requests in 7 s.
 	requiredPeers = 2
 	notifiedPeers = 3
 	// peerTimeout bounds the wait for peers. They respond within some milliseconds, and the
--- a/internal/registry/departures.go
+++ b/internal/registry/departures.go
@@ -20,10 +20,10 @@
 	// between nodes.
 	peerRewriteDelay  = 1300 * time.Millisecond
 	peerRewriteJitter = 300 * time.Millisecond
-	// forwardDelay is the delay before a departure reported by a peer is forwarded to the
-	// target's node, whose process may have started after the peer sent it. Forwarding is repeated every
-	// rewriteRetryDelay until the store shows the departure, which mostly happens before the
-	// first attempt.
+	// forwardDelay is the delay before a departure reported by a peer is forwarded to the target's
+	// node, whose process may have started after the peer sent it. Forwarding is repeated every
+	// rewriteRetryDelay until the store shows the departure, which mostly happens before the first
+	// attempt.
 	forwardDelay = 300 * time.Millisecond
 )
 
@@ -50,8 +50,8 @@
 // knownDeparture is a departure and the state of its replication.
 type knownDeparture struct {
 	Departure
-	// receivedAt is when this node first received the departure. revision is that of its
-	// entry, zero if the store is not known to hold it.
+	// receivedAt is when this node first received the departure. revision is that of its entry,
+	// zero if the store is not known to hold it.
 	receivedAt time.Time
 	revision   store.Revision
 	// due is the time of the next attempt to forward and rewrite the departure, zero if there
@@ -123,8 +123,8 @@
 }
 
 // markMissing records that the store doesn't hold a departure at a revision. If the store lost
-// it, it is written again, immediately if this is the target's node; if its TTL has passed or
-// it was deleted within the same epoch, it is removed.
+// it, it is written again, immediately if this is the target's node; if its TTL has passed or it
+// was deleted within the same epoch, it is removed.
 func (d *departures) markMissing(instance string, revision store.Revision) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/registry/directory.go
+++ b/internal/registry/directory.go
@@ -174,7 +174,8 @@
 
 func (d *Directory) keyOf(home *Home) string { return d.prefix + home.Address }
 
-// publish rebuilds the indexes that readers use and removes homes whose record has lapsed for too long.
+// publish rebuilds the indexes that readers use and removes homes whose record has lapsed for
+// too long.
 func (d *Directory) publish() {
 	homesByService := make(map[string][]*Home)
 	addresses := make([]string, 0, len(d.homes))
--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -67,16 +67,16 @@
 	record := func(address string, revision store.Revision) store.Entry {
 		return store.Entry{Key: homesPrefix + address, Revision: revision, Value: encode(Record{Instance: "i", Service: "s", Address: address, State: Ready})}
 	}
-	d.ApplyChanges([]store.Entry{record("rewritten", 1), record("removed", 2)}, "store")
-	d.ApplyChanges([]store.Entry{{Key: homesPrefix + "rewritten", Revision: 3, Deleted: true}, {Key: homesPrefix + "removed", Revision: 4, Deleted: true}}, "store")
+	d.ApplyChanges([]store.Entry{record("back", 1), record("gone", 2)}, "store")
+	d.ApplyChanges([]store.Entry{{Key: homesPrefix + "back", Revision: 3, Deleted: true}, {Key: homesPrefix + "gone", Revision: 4, Deleted: true}}, "store")
 	now = now.Add(2 * time.Second)
 	d.removeExpired()
 	assert.Equal(t, len(d.Homes("s")), 2)
-	d.ApplyChanges([]store.Entry{record("rewritten", 5)}, "store")
+	d.ApplyChanges([]store.Entry{record("back", 5)}, "store")
 	now = now.Add(time.Second)
 	d.removeExpired()
 	assert.Equal(t, len(d.Homes("s")), 1)
-	assert.Equal(t, d.Homes("s")[0].Address, "rewritten")
+	assert.Equal(t, d.Homes("s")[0].Address, "back")
 }
 
 // TestPositionsAreUnique checks that nodes with the same records compute distinct positions, and
--- a/internal/registry/record.go
+++ b/internal/registry/record.go
@@ -3,10 +3,10 @@
 // handles the heartbeats of the local target and publishes a record of it in the store; the
 // Directory is built from the records of all nodes and lists the homes of each service.
 //
-// A record is stored under a lease. Its disappearance is only a hint, because leases also
-// expire while the store is down; a record with state Draining is authoritative. A departure is
-// written under a separate lease before it is acknowledged, so that every later process on the
-// machine reads it and does not offer the target again.
+// A record is stored under a lease. Its disappearance is only a hint, because leases also expire
+// while the store is down; a record with state Draining is authoritative. A departure is written
+// under a separate lease before it is acknowledged, so that every later process on the machine
+// reads it and does not offer the target again.
 package registry
 
 import (
--- a/internal/registry/registrar.go
+++ b/internal/registry/registrar.go
@@ -137,8 +137,8 @@
 // complete no target is reported as ready, except at the first start of the cluster.
 func (r *Registrar) recoverState(ctx context.Context) {
 	if r.config.FirstStart {
-		// Earlier processes acknowledged nothing. The records are still read below, because
-		// other nodes may have written some since.
+		// Earlier processes acknowledged nothing. The records are still read below, because other
+		// nodes may have written some since.
 		r.recoverFrom(nil)
 	}
 	records, err := r.config.Records(ctx)
--- a/internal/registry/registrar_departures.go
+++ b/internal/registry/registrar_departures.go
@@ -29,8 +29,8 @@
 
 // errAmbiguousIncarnation means that a notice without a start time may be a delayed one of an
 // earlier incarnation that announced its departure, or may concern the current one.
-// Acknowledging it would require marking both as departed, although the current one may still
-// be running.
+// Acknowledging it would require marking both as departed, although the current one may still be
+// running.
 var errAmbiguousIncarnation = errors.New("the notice does not tell which start leaves")
 
 // markGone moves the incarnation of a notice to Gone. It fills in a missing start time.
@@ -145,9 +145,9 @@
 	rewriteSpacing = 2500 * time.Microsecond
 )
 
-// HandleStoreRestored handles a restore of the store from a backup. Everything that this node wrote
-// after the backup is lost, including its lease: departures are written again immediately, and
-// the node's record after them.
+// HandleStoreRestored handles a restore of the store from a backup. Everything that this node
+// wrote after the backup is lost, including its lease: departures are written again immediately,
+// and the node's record after them.
 func (r *Registrar) HandleStoreRestored() {
 	position, _ := r.config.Position()
 	r.publisher.delayWrites(time.Duration(position) * rewriteSpacing)
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -245,9 +245,9 @@
 }
 
 // TestDelayedHeartbeatDoesNotDisplaceSuccessor delivers a heartbeat of a crashed target that was
-// delayed by a network partition. A node process that started meanwhile knows only the
-// successor at the same address and takes the delayed heartbeat for that of a newer target. The
-// healthy successor was then treated as replaced permanently and received no more requests.
+// delayed by a network partition. A node process that started meanwhile knows only the successor
+// at the same address and takes the delayed heartbeat for that of a newer target. The healthy
+// successor was then treated as replaced permanently and received no more requests.
 func TestDelayedHeartbeatDoesNotDisplaceSuccessor(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := NewRegistrar(RegistrarConfig{HomesPrefix: homesPrefix, FirstStart: true}, Stores{}, nil, func() time.Time { return now })
--- a/internal/registry/restore_test.go
+++ b/internal/registry/restore_test.go
@@ -100,8 +100,8 @@
 	return n
 }
 
-// startHomes starts three nodes with a target each, i-0 to i-2, and waits until each node has the
-// records of the others.
+// startHomes starts three nodes with a target each, i-0 to i-2, and waits until each node has
+// the records of the others.
 func (f *testFleet) startHomes() []*testNode {
 	nodes := []*testNode{f.start(1), f.start(2), f.start(3)}
 	time.Sleep(3 * time.Second)
@@ -132,8 +132,8 @@
 	time.Sleep(time.Minute)
 }
 
-// TestLostDepartureIsRewritten makes the store lose an acknowledged departure. The node
-// that acknowledged it writes it again, or another node if that one was killed.
+// TestLostDepartureIsRewritten makes the store lose an acknowledged departure. The node that
+// acknowledged it writes it again, or another node if that one was killed.
 func TestLostDepartureIsRewritten(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		virtualtime.Run(t, func(t *testing.T) {
@@ -171,10 +171,10 @@
 }
 
 // TestDepartureSurvivesNodeKillAndStoreRestore guards against work for a target after its
-// acknowledged departure. A soak test (seed 1208, 15 s, 6 nodes) killed a node right after it had
-// acknowledged the departure, and 0.12 s later the store failed and was restored from a backup
-// without it. The restarted node accepted a delayed heartbeat, and the target executed 179
-// requests in 7 s. Until other nodes received the departure from the store, up to a second
+// acknowledged departure. A soak test (seed 1208, 15 s, 6 nodes) killed a node right after it
+// had acknowledged the departure, and 0.12 s later the store failed and was restored from a
+// backup without it. The restarted node accepted a delayed heartbeat, and the target executed
+// 179 requests in 7 s. Until other nodes received the departure from the store, up to a second
 // later, only the store and one node held it; no other node logged it before the target ended.
 func TestDepartureSurvivesNodeKillAndStoreRestore(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
@@ -197,11 +197,11 @@
 	})
 }
 
-// TestRestartedNodeLearnsLostDepartureFromPeers makes the store lose a departure that all nodes know,
-// and restarts the target's node right after the restore, before the departure is written
-// again. In two of four runs of the soak test with seed 1208 the target executed 5 and 6 requests
-// 2.0 to 2.4 s after its acknowledged departure, because the other nodes notified its node only
-// when they were due to write the departure, after 1.2 s.
+// TestRestartedNodeLearnsLostDepartureFromPeers makes the store lose a departure that all nodes
+// know, and restarts the target's node right after the restore, before the departure is written
+// again. In two of four runs of the soak test with seed 1208 the target executed 5 and 6
+// requests 2.0 to 2.4 s after its acknowledged departure, because the other nodes notified its
+// node only when they were due to write the departure, after 1.2 s.
 func TestRestartedNodeLearnsLostDepartureFromPeers(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newTestFleet(t)
@@ -300,8 +300,8 @@
 	})
 }
 
-// TestStaleWriteIsOverwritten executes a write that was sent before the restore and arrives after
-// it: its expected revision is one that the restored store has assigned again.
+// TestStaleWriteIsOverwritten executes a write that was sent before the restore and arrives
+// after it: its expected revision is one that the restored store has assigned again.
 func TestStaleWriteIsOverwritten(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newTestFleet(t)
--- a/internal/scheduler/doc.go
+++ b/internal/scheduler/doc.go
@@ -27,15 +27,15 @@
 //
 // # Dropping
 //
-// A call that can no longer meet its deadline is refused, both on arrival and
-// when it reaches the head of the queue. This is assumed when less time remains
-// than the expected service time, a low quantile of the target's recent
-// latencies, so that only calls that would almost certainly fail are dropped. The
-// estimate halves for each estimateHalfLife without a completion, so that a stale
-// estimate cannot block a target forever. A waiter also leaves the queue after
-// MaxWait, at the last moment at which it could still finish, and when its
-// context ends. A waiter of the highest level may wait for a third of its
-// remaining time if that is longer, since it is next in line.
+// A call that can no longer meet its deadline is refused, both on arrival and when it
+// reaches the head of the queue. This is assumed when less time remains than the
+// expected service time, a low quantile of the target's recent latencies, so that
+// only calls that would almost certainly fail are dropped. The estimate halves for
+// each estimateHalfLife without a completion, so that a stale estimate cannot block a
+// target forever. A waiter also leaves the queue after MaxWait, at the last moment at
+// which it could still finish, and when its context ends. A waiter of the highest
+// level may wait for a third of its remaining time if that is longer, since it is
+// next in line.
 //
 // When the queue is full, a more important arrival evicts a waiter of the least
 // important level queued. Within that level the caller with the most waiters
--- a/internal/scheduler/overload_test.go
+++ b/internal/scheduler/overload_test.go
@@ -81,15 +81,15 @@
 		quiet := h.start("quiet", fromCaller(2))
 		var aggressive []*call
 		for range 3 {
-			aggressive = append(aggressive, h.start("aggressive", fromCaller(1)))
+			aggressive = append(aggressive, h.start("hard", fromCaller(1)))
 		}
-		h.assertRefused(h.start("aggressive again", fromCaller(1)), scheduler.QueueFull)
+		h.assertRefused(h.start("hard again", fromCaller(1)), scheduler.QueueFull)
 		other := h.start("other", fromCaller(3))
 		h.assertRefused(aggressive[2], scheduler.Evicted)
 		assert.Assert(t, quiet.err == nil && aggressive[0].err == nil)
 
 		time.Sleep(scheduler.DefaultTarget + scheduler.DefaultInterval)
-		newest := h.start("aggressive newest", fromCaller(1))
+		newest := h.start("hard newest", fromCaller(1))
 		h.assertRefused(aggressive[0], scheduler.Evicted)
 		assert.Equal(t, h.scheduler.Stats().Queued, 4)
 		h.drain(busy, quiet, aggressive[1], other, newest)
@@ -103,8 +103,8 @@
 		busy, old := h.start("busy", fromCaller(9)), h.start("old", fromCaller(1))
 		h.assertRefused(h.start("early", fromCaller(2)), scheduler.QueueFull)
 		time.Sleep(scheduler.DefaultTarget + scheduler.DefaultInterval)
-		arrival := h.start("new", fromCaller(2))
+		arrival := h.start("fresh", fromCaller(2))
 		h.assertRefused(old, scheduler.Evicted)
-		assert.DeepEqual(t, h.drain(busy, arrival), []string{"new"})
+		assert.DeepEqual(t, h.drain(busy, arrival), []string{"fresh"})
 	})
 }
--- a/internal/scheduler/property_test.go
+++ b/internal/scheduler/property_test.go
@@ -59,7 +59,7 @@
 	if len(m.waiting) == 0 {
 		return
 	}
-	c := m.waiting[rapid.IntRange(0, len(m.waiting)-1).Draw(m.r, "canceled")]
+	c := m.waiting[rapid.IntRange(0, len(m.waiting)-1).Draw(m.r, "cancelled")]
 	c.cancel()
 	synctest.Wait()
 	if !errors.Is(c.err, context.Canceled) {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -127,7 +127,7 @@
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newHarness(t, 1, scheduler.Config{MaxWait: time.Minute})
 		for range 16 {
-			h.release(h.start("warm-up", fromCaller(1)), 80*time.Millisecond)
+			h.release(h.start("warm", fromCaller(1)), 80*time.Millisecond)
 		}
 		assert.Equal(t, h.scheduler.Stats().ExpectedService, 80*time.Millisecond)
 		request := fromCaller(1)
@@ -165,7 +165,7 @@
 		request := fromCaller(1)
 		request.Deadline = time.Now().Add(200 * time.Millisecond)
 		late := h.start("late", request)
-		inTime := h.start("in time", fromCaller(1))
+		inTime := h.start("good", fromCaller(1))
 		time.Sleep(100 * time.Millisecond)
 		h.release(busy, 150*time.Millisecond)
 		h.assertRefused(late, scheduler.Deadline)
@@ -177,8 +177,8 @@
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newHarness(t, 1, scheduler.Config{MaxWait: 50 * time.Millisecond})
 		busy := h.start("busy", fromCaller(1))
-		expiring := h.start("expiring", fromCaller(1))
-		canceled := h.start("canceled", fromCaller(2))
+		expiring := h.start("patient", fromCaller(1))
+		canceled := h.start("gone", fromCaller(2))
 		canceled.cancel()
 		synctest.Wait()
 		assert.ErrorIs(t, canceled.err, context.Canceled)
@@ -191,7 +191,7 @@
 		h.scheduler.Close()
 		synctest.Wait()
 		h.assertRefused(waiting, scheduler.Closed)
-		h.assertRefused(h.start("after Close", fromCaller(1)), scheduler.Closed)
+		h.assertRefused(h.start("after", fromCaller(1)), scheduler.Closed)
 		h.release(busy, time.Millisecond)
 		assert.Equal(t, h.scheduler.Stats().InFlight, 0)
 	})
@@ -211,10 +211,10 @@
 	})
 }
 
-// TestDeadlineExceededCauseGivesDeadlineRefusal checks a context whose deadline is enforced
-// by an external clock and which is therefore canceled with context.DeadlineExceeded as its
-// cause. A call that had already expired was treated as canceled by its caller and got no
-// RetryAfter.
+// TestDeadlineExceededCauseGivesDeadlineRefusal checks a context whose deadline is
+// enforced by an external clock and which is therefore canceled with
+// context.DeadlineExceeded as its cause. A call that had already expired was treated
+// as canceled by its caller and got no RetryAfter.
 func TestDeadlineExceededCauseGivesDeadlineRefusal(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newHarness(t, 1, scheduler.Config{})
@@ -259,9 +259,9 @@
 	return scheduler.Request{Rank: criticality.Rank{Level: l, Cohort: cohort}}
 }
 
-// TestByRankGroupsCallsByRequest checks that with ByRank the calls of the more important request are served first whatever
-// their arrival order, also while the queue is overloaded, when it would otherwise
-// serve the newest call first.
+// TestByRankGroupsCallsByRequest checks that with ByRank the calls of the more
+// important request are served first whatever their arrival order, also while the
+// queue is overloaded, when it would otherwise serve the newest call first.
 func TestByRankGroupsCallsByRequest(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newHarness(t, 1, scheduler.Config{ByRank: true, MaxWait: time.Minute})
@@ -278,9 +278,10 @@
 	})
 }
 
-// TestByRankServesMostPriorCallsFirst queues calls of requests that have made zero, one
-// and three calls before. Within a level the number of prior calls determines the order; calls of
-// requests without any are ordered by rank, whatever their position in a call tree.
+// TestByRankServesMostPriorCallsFirst queues calls of requests that have made zero,
+// one and three calls before. Within a level the number of prior calls determines the
+// order; calls of requests without any are ordered by rank, whatever their position
+// in a call tree.
 func TestByRankServesMostPriorCallsFirst(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newHarness(t, 1, scheduler.Config{ByRank: true, MaxWait: time.Minute})
@@ -292,12 +293,12 @@
 		calls := []*call{
 			h.start("busy", withRank(criticality.Critical, 0)),
 			h.start("first of a call tree", withPriorCalls(criticality.SheddablePlus, 50, 0)),
-			h.start("single", withPriorCalls(criticality.SheddablePlus, 9, 0)),
+			h.start("alone", withPriorCalls(criticality.SheddablePlus, 9, 0)),
 			h.start("second", withPriorCalls(criticality.SheddablePlus, 100, 1)),
 			h.start("fourth", withPriorCalls(criticality.SheddablePlus, 120, 3)),
 			h.start("more important", withPriorCalls(criticality.CriticalPlus, 127, 0)),
 		}
-		assert.DeepEqual(t, h.drain(calls...), []string{"more important", "fourth", "second", "single", "first of a call tree"})
+		assert.DeepEqual(t, h.drain(calls...), []string{"more important", "fourth", "second", "alone", "first of a call tree"})
 	})
 }
 
@@ -307,7 +308,7 @@
 		h.start("busy", atLevel(criticality.Critical))
 		request := atLevel(criticality.Critical)
 		request.MaxWait = 50 * time.Millisecond
-		waiting := h.start("waiting", request)
+		waiting := h.start("impatient", request)
 		time.Sleep(51 * time.Millisecond)
 		synctest.Wait()
 		h.assertRefused(waiting, scheduler.Overloaded)
--- a/internal/scheduler/wait_test.go
+++ b/internal/scheduler/wait_test.go
@@ -12,10 +12,10 @@
 	"github.com/lugspur/lugspur/internal/virtualtime"
 )
 
-// TestHighestLevelWaitsLonger checks the longer wait of a call of the highest level, which
-// is next in line at its target: refusing it after
-// Config.MaxWait would shed it while less important calls run at other targets.
-// It waits for a third of its remaining time and leaves the rest for other targets.
+// TestHighestLevelWaitsLonger checks the longer wait of a call of the highest level,
+// which is next in line at its target: refusing it after Config.MaxWait would shed it
+// while less important calls run at other targets. It waits for a third of its
+// remaining time and leaves the rest for other targets.
 func TestHighestLevelWaitsLonger(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newHarness(t, 1, scheduler.Config{MaxWait: 50 * time.Millisecond})
--- a/internal/shed/doc.go
+++ b/internal/shed/doc.go
@@ -33,14 +33,13 @@
 //
 // # Table
 //
-// The Table holds the thresholds reported by the homes of each service's targets.
-// A call can go to any target, so one overloaded target is no reason to refuse it.
-// A rank is refused when targets that hold at least RefuseShare of the service's
-// weight would refuse it; targets that report no shedding, and with SetWeight also
-// targets that report nothing, count as accepting. The share is a little below 1
-// because otherwise a single target that sheds nothing would receive all the calls
-// that the others shed. The weight of refusing targets grows with the rank key, so
-// the rule yields one effective threshold and is monotone. An entry that is not
-// refreshed expires, so the shed level of a failed home is valid for no longer than
-// the expiry.
+// The Table holds the thresholds reported by the homes of each service's targets. A
+// call can go to any target, so one overloaded target is no reason to refuse it. A
+// rank is refused when targets that hold at least RefuseShare of the service's weight
+// would refuse it; targets that report no shedding, and with SetWeight also targets
+// that report nothing, count as accepting. The share is a little below 1 because
+// otherwise a single target that sheds nothing would receive all the calls that the
+// others shed. The weight of refusing targets grows with the rank key, so the rule
+// yields one effective threshold and is monotone. An entry that is not refreshed
+// expires, so the shed level of a failed home is valid for no longer than the expiry.
 package shed
--- a/internal/shed/shed_test.go
+++ b/internal/shed/shed_test.go
@@ -17,8 +17,9 @@
 
 var epoch = time.Unix(1000, 0)
 
-// target simulates a target whose calls take half a second on average, with
-// arrivals spread evenly over all ranks. Thresholds reach the refusing nodes after delay ticks.
+// target simulates a target whose calls take half a second on average, with arrivals
+// spread evenly over all ranks. Thresholds reach the refusing nodes after delay
+// ticks.
 type target struct {
 	controller *shed.Controller
 	random     *rand.Rand
