--- a/internal/registry/directory_test.go
+++ b/internal/registry/directory_test.go
@@ -60,7 +60,7 @@
 }
 
 // TestLapsedHomeIsRemovedAfterRetention removes two records: the one that is written again
-// within the retention time is kept, the other is dropped.
+// within the retention time is kept, the other is discarded.
 func TestLapsedHomeIsRemovedAfterRetention(t *testing.T) {
 	now := time.Now()
 	d := NewDirectory(homesPrefix, homeAddress, nil, func() time.Time { return now })
@@ -79,9 +79,9 @@
 	assert.Equal(t, d.Homes("s")[0].Address, "back")
 }
 
-// TestPlacesAreUnique checks that nodes with the same records compute distinct places, and that
-// a node without a record has none.
-func TestPlacesAreUnique(t *testing.T) {
+// TestPositionsAreUnique checks that nodes with the same records compute distinct positions, and
+// that a node without a record has none.
+func TestPositionsAreUnique(t *testing.T) {
 	addresses := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"}
 	seen := make(map[int]bool)
 	for _, own := range addresses {
--- a/internal/scheduler/scheduler_test.go
+++ b/internal/scheduler/scheduler_test.go
@@ -211,7 +211,8 @@
 	})
 }
 
-// A context whose deadline is enforced by an external clock is canceled with
+// TestDeadlineExceededCauseGivesDeadlineRefusal checks a context whose deadline is
+// enforced by an external clock and which is therefore canceled with
 // context.DeadlineExceeded as its cause. A call that had already expired was treated
 // as canceled by its caller and got no RetryAfter.
 func TestDeadlineExceededCauseGivesDeadlineRefusal(t *testing.T) {
@@ -258,9 +259,9 @@
 	return scheduler.Request{Rank: criticality.Rank{Level: l, Cohort: cohort}}
 }
 
-// With ByRank, the calls of the more important request are served first whatever
-// their arrival order, also while the queue is overloaded, when it would otherwise
-// serve the newest call first.
+// TestByRankGroupsCallsByRequest checks that with ByRank the calls of the more
+// important request are served first whatever their arrival order, also while the
+// queue is overloaded, when it would otherwise serve the newest call first.
 func TestByRankGroupsCallsByRequest(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newHarness(t, 1, scheduler.Config{ByRank: true, MaxWait: time.Minute})
@@ -277,9 +278,10 @@
 	})
 }
 
-// The waiting calls belong to requests that have made zero, one and three calls
-// before. Within a level the number of prior calls determines the order; calls of
-// requests without any are ordered by rank, whatever their position in a call tree.
+// TestByRankServesMostPriorCallsFirst queues calls of requests that have made zero,
+// one and three calls before. Within a level the number of prior calls determines the
+// order; calls of requests without any are ordered by rank, whatever their position
+// in a call tree.
 func TestByRankServesMostPriorCallsFirst(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		h := newHarness(t, 1, scheduler.Config{ByRank: true, MaxWait: time.Minute})
@@ -290,13 +292,13 @@
 		}
 		calls := []*call{
 			h.start("busy", withRank(criticality.Critical, 0)),
-			h.start("first of a tree", withPriorCalls(criticality.SheddablePlus, 50, 0)),
+			h.start("first of a call tree", withPriorCalls(criticality.SheddablePlus, 50, 0)),
 			h.start("alone", withPriorCalls(criticality.SheddablePlus, 9, 0)),
 			h.start("second", withPriorCalls(criticality.SheddablePlus, 100, 1)),
 			h.start("fourth", withPriorCalls(criticality.SheddablePlus, 120, 3)),
 			h.start("more important", withPriorCalls(criticality.CriticalPlus, 127, 0)),
 		}
-		assert.DeepEqual(t, h.drain(calls...), []string{"more important", "fourth", "second", "alone", "first of a tree"})
+		assert.DeepEqual(t, h.drain(calls...), []string{"more important", "fourth", "second", "alone", "first of a call tree"})
 	})
 }
 
