--- a/internal/configfeed/feed.go
+++ b/internal/configfeed/feed.go
@@ -31,8 +31,8 @@
 	document []byte
 	// storedVersion is the version in the copy of the store, zero if there is none.
 	storedVersion routetable.Version
-	// onHold is set until Release. Meanwhile pending is the latest configuration from the copy
-	// of the store, pendingDocument its encoded form and pendingSource where it came from.
+	// onHold is set from Hold until Release. Until then, pending is the latest configuration from
+	// the copy of the store, pendingDocument its encoded form and pendingSource its source.
 	onHold          bool
 	pending         *routetable.Configuration
 	pendingSource   string
@@ -49,7 +49,7 @@
 // the feed is used.
 func (f *Feed) Hold() { f.onHold = true }
 
-// Release applies the pending configuration, and from now on each one as it arrives.
+// Release applies the pending configuration. Later ones are applied as they arrive.
 func (f *Feed) Release() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -100,8 +100,8 @@
 	return configuration
 }
 
-// Offer applies a document if it is newer than the applied one. It comes from a peer that has
-// applied it, so that Hold does not delay it.
+// Offer applies a peer's document if it is newer than the applied one. Hold does not delay it,
+// because the peer has already applied it.
 func (f *Feed) Offer(document []byte, source string) {
 	configuration := f.parse(document, source)
 	if configuration == nil {
@@ -140,7 +140,7 @@
 	return f.document
 }
 
-// Age returns the time since the current configuration was applied here, zero if there is none.
+// Age returns the time since this node applied the current configuration, zero if there is none.
 func (f *Feed) Age() time.Duration {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/configfeed/feed_test.go
+++ b/internal/configfeed/feed_test.go
@@ -32,7 +32,7 @@
 	feed.ApplyChanges([]store.Entry{{Key: key, Value: []byte(document)}}, "store")
 }
 
-func TestVersionsOnlyRise(t *testing.T) {
+func TestOlderVersionsAreIgnored(t *testing.T) {
 	feed, holder := newFeed()
 	applyVersion(feed, "5")
 	assert.Equal(t, holder.Version(), routetable.Version(5))
@@ -41,7 +41,7 @@
 	feed.ApplyChanges([]store.Entry{{Key: key, Value: []byte("8")}}, "10.0.0.1:8300")
 	assert.Equal(t, holder.Version(), routetable.Version(8))
 	applyVersion(feed, "7")
-	assert.Equal(t, holder.Version(), routetable.Version(8), "an older one changes nothing")
+	assert.Equal(t, holder.Version(), routetable.Version(8), "an older version must be ignored")
 	applyVersion(feed, "9")
 	assert.Equal(t, holder.Version(), routetable.Version(9))
 	assert.Assert(t, feed.Age() >= 0 && feed.Age() < time.Minute)
--- a/internal/configfeed/freshness.go
+++ b/internal/configfeed/freshness.go
@@ -18,9 +18,9 @@
 
 // Freshness reports how recent the applied configuration is known to be. A store that was
 // restored from a backup and holds an older document than the applied one has lost acknowledged
-// changes. Reads of it verify nothing until the operator has written the newest version again:
-// another version that the store lost may have revoked an API key. It is safe for concurrent
-// use.
+// changes. Reads of that store do not count as verifications until the operator has written the
+// newest version again, because another lost version may have revoked an API key. It is safe for
+// concurrent use.
 type Freshness struct {
 	feed         *Feed
 	verification Verification
@@ -39,7 +39,7 @@
 // applied now, or an older one; zero if none is known.
 func (f *Freshness) VerifiedAt() time.Time { return f.update(f.verification.VerifiedAt()) }
 
-// Await waits until the condition holds, which is called with the result of VerifiedAt.
+// Await waits until the condition holds. The condition is called with the result of VerifiedAt.
 func (f *Freshness) Await(ctx context.Context, condition func(verified time.Time) bool) error {
 	return f.verification.Await(ctx, func(verified time.Time) bool { return condition(f.update(verified)) })
 }
