--- a/internal/replica/antientropy.go
+++ b/internal/replica/antientropy.go
@@ -24,8 +24,8 @@
 type Answer struct {
 	_      struct{} `cbor:",toarray"`
 	Deltas []Delta
-	// Synced reports that the peer had finished its own initial sync, so that its answer is as
-	// good as that of the whole fleet.
+	// Synced reports that the peer had finished its own initial sync, so that its answer
+	// reflects the state of the whole fleet.
 	Synced bool
 }
 
@@ -38,7 +38,7 @@
 	queryPeriod         = 200 * time.Millisecond
 	uninitializedPeriod = 40 * time.Millisecond
 	// stalePeriod is the mean time between two queries while copies have been stale for less
-	// than staleDuration. It serves nodes that no peer calls: among 295 nodes whose watchers
+	// than staleDuration. Nodes that no peer calls depend on it: among 295 nodes whose watchers
 	// were killed, one lacked a change for 2 s and more in 20 of 500 simulations, as the peers
 	// that it queried at random did not have it yet (0 of 360 with stalePeriod; the median
 	// simulation ends after 1.4 s instead of 1.7 s). While the store is down all copies are
@@ -46,14 +46,14 @@
 	// itself.
 	stalePeriod   = 60 * time.Millisecond
 	staleDuration = maxPositionDelay
-	// maxQueries bounds the concurrent queries: a peer that doesn't answer must not hold up the
-	// others until its timeout.
+	// maxQueries bounds the concurrent queries. It is more than one, so that a peer that doesn't
+	// answer does not block queries to others until its timeout.
 	maxQueries = 3
 	// fetchPause is the minimum pause after a fetch.
 	fetchPause   = 30 * time.Millisecond
 	fetchTimeout = time.Second
-	// maxRecent bounds the remembered addresses of peers that called.
-	maxRecent = 16
+	// maxRecentCallers bounds the remembered addresses of peers that called.
+	maxRecentCallers = 16
 )
 
 // AntiEntropyConfig describes the node and its peers.
@@ -94,18 +94,19 @@
 	initialSync *initialSync
 	fetching    atomic.Bool
 	mutex       sync.Mutex
-	// recent is a ring buffer of peers that called; some slots may be empty.
-	recent     [maxRecent]string
-	nextRecent int
+	// recentCallers is a ring buffer of peers that called; some slots may be empty.
+	recentCallers [maxRecentCallers]string
+	nextCaller    int
 }
 
-// NewAntiEntropy returns the anti-entropy of the copies, which all nodes hold in the same order.
+// NewAntiEntropy returns an AntiEntropy for the copies, which all nodes must pass in the same
+// order.
 func NewAntiEntropy(config AntiEntropyConfig, copies ...*Copy) *AntiEntropy {
-	s := &AntiEntropy{config: config, copies: copies, created: config.Now(), initialSync: newInitialSync()}
+	a := &AntiEntropy{config: config, copies: copies, created: config.Now(), initialSync: newInitialSync()}
 	if config.FirstStart {
-		s.initialSync.finish()
+		a.initialSync.finish()
 	}
-	return s
+	return a
 }
 
 // Digests returns the digests of the node's copies, to be sent along with other messages. They
@@ -129,13 +130,13 @@
 	return digests
 }
 
-// HandleCallDigests handles the digests of a peer that called. The time they took to
-// arrive is unknown, so they prove nothing about earlier times.
+// HandleCallDigests handles the digests of a peer that called. As the time that they took to
+// arrive is unknown, they do not show as of when the copies are current for certain.
 func (a *AntiEntropy) HandleCallDigests(peer string, digests []Digest) {
 	if peer == "" || peer == a.config.Address {
 		return
 	}
-	a.addRecent(peer)
+	a.addRecentCaller(peer)
 	if a.config.OnCall != nil {
 		a.config.OnCall(peer)
 	}
@@ -210,15 +211,15 @@
 	switch {
 	case !a.initialized() || !a.Synced():
 		return uninitializedPeriod
-	case a.justStale() || a.overdue():
+	case a.recentlyStale() || a.overdue():
 		return stalePeriod
 	default:
 		return queryPeriod
 	}
 }
 
-// justStale reports whether a copy has been stale for less than staleDuration.
-func (a *AntiEntropy) justStale() bool {
+// recentlyStale reports whether a copy has been stale for less than staleDuration.
+func (a *AntiEntropy) recentlyStale() bool {
 	for _, c := range a.copies {
 		if age, known := c.Age(); known && age > c.staleAfter && age < c.staleAfter+staleDuration {
 			return true
@@ -285,7 +286,7 @@
 	}
 }
 
-// fetch queries a peer that has something newer, unless a fetch is already in progress.
+// fetch queries a peer that has newer state, unless a fetch is already in progress.
 func (a *AntiEntropy) fetch(peer string) {
 	if !a.fetching.CompareAndSwap(false, true) {
 		return
@@ -331,7 +332,7 @@
 // Every other time, a node whose copies are still empty picks a watcher of the store.
 func (a *AntiEntropy) pickPeer() string {
 	a.mutex.Lock()
-	candidates := slices.Clone(a.recent[:])
+	candidates := slices.Clone(a.recentCallers[:])
 	a.mutex.Unlock()
 	peers := a.config.Peers()
 	if len(peers) > watchers && !a.initialized() && rand.IntN(2) == 0 {
@@ -345,12 +346,12 @@
 	return candidates[rand.IntN(len(candidates))]
 }
 
-func (a *AntiEntropy) addRecent(peer string) {
+func (a *AntiEntropy) addRecentCaller(peer string) {
 	a.mutex.Lock()
 	defer a.mutex.Unlock()
-	if slices.Contains(a.recent[:], peer) {
+	if slices.Contains(a.recentCallers[:], peer) {
 		return
 	}
-	a.recent[a.nextRecent] = peer
-	a.nextRecent = (a.nextRecent + 1) % maxRecent
+	a.recentCallers[a.nextCaller] = peer
+	a.nextCaller = (a.nextCaller + 1) % maxRecentCallers
 }
--- a/internal/replica/antientropy_test.go
+++ b/internal/replica/antientropy_test.go
@@ -111,8 +111,8 @@
 			f.start(n, true)
 		}
 		t.Logf("reached all nodes after %s", f.awaitValue("a", "1", time.Second))
-		// Peers can't prove that a copy holds what the store acknowledged since they were
-		// refused.
+		// Peers can't confirm that a copy holds what the store acknowledged after it began to
+		// refuse them.
 		time.Sleep(5 * time.Second)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
@@ -140,7 +140,7 @@
 	})
 }
 
-// TestRefusedNodeBecomesCurrent has the store refuse one starting node: its peers prove that
+// TestRefusedNodeBecomesCurrent has the store refuse one starting node: its peers confirm that
 // its copy is current as of its start.
 func TestRefusedNodeBecomesCurrent(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
--- a/internal/replica/copy.go
+++ b/internal/replica/copy.go
@@ -54,9 +54,10 @@
 	// is none.
 	cursor      store.Revision
 	initialized bool
-	confirmed   time.Time
-	// currentAsOf is a time up to which all changes are in the copy for certain. It is never
-	// after confirmed, which may be too late if a process was paused.
+	// confirmed is the latest time at which the copy was probably current.
+	confirmed time.Time
+	// currentAsOf is a time as of which the copy certainly holds all changes. It is never after
+	// confirmed, which may be too late if a process was paused.
 	currentAsOf time.Time
 	// verified is when the latest read of the store, by any node, began whose result is in the
 	// copy. Watches don't count: a blocked watch may miss changes in history that the store
@@ -185,14 +186,14 @@
 	if epoch <= c.revision.Epoch() {
 		return
 	}
-	c.revision = store.NewRevision(epoch, firstNumber)
+	c.revision = store.NewRevision(epoch, firstRevisionNumber)
 	c.cursor = c.revision
 	c.confirmed, c.currentAsOf, c.verified = time.Time{}, time.Time{}, time.Time{}
 }
 
-// firstNumber is a revision number below all that a store assigns after it was restored from a
-// backup, as a backup holds at least one change.
-const firstNumber = 1
+// firstRevisionNumber is a revision number below all that a store assigns after it was restored
+// from a backup, as a backup holds at least one change.
+const firstRevisionNumber = 1
 
 // apply runs update and calls onChange with the changes that it returns.
 func (c *Copy) apply(source string, update func() []store.Entry) {
--- a/internal/replica/copy_test.go
+++ b/internal/replica/copy_test.go
@@ -115,21 +115,21 @@
 	assert.Equal(t, cursor, store.Revision(5))
 }
 
-// TestPeerDigestProvesOnlyEarlierTimes checks that a peer's age is extended by the longest wait
-// of a watch before it proves that the copy is current.
-func TestPeerDigestProvesOnlyEarlierTimes(t *testing.T) {
+// TestPeerDigestAgeIncludesWatchWait checks that the longest wait of a watch is added to the
+// age in a peer's digest before the copy counts as certainly current.
+func TestPeerDigestAgeIncludesWatchWait(t *testing.T) {
 	now := time.Now()
 	c := newRecordingCopy(func() time.Time { return now })
 	sentAt := now
 	c.applyDelta(Delta{Digest: Digest{Revision: 4, Age: time.Second}, Full: true}, "peer", sentAt)
 	assert.Assert(t, !c.currentAsOf.After(sentAt.Add(-time.Second-MaxWatchWait)))
 	c.confirmByDigest(Digest{Revision: 4, Age: 0}, time.Time{})
-	assert.Assert(t, !c.currentAsOf.After(sentAt.Add(-time.Second-MaxWatchWait)), "the latency of a call is unknown")
+	assert.Assert(t, !c.currentAsOf.After(sentAt.Add(-time.Second-MaxWatchWait)), "the latency of a call is unknown, so its digests must not advance currentAsOf")
 	age, known := c.Age()
 	assert.Assert(t, known)
 	assert.Equal(t, age, time.Duration(0))
 	c.confirmByDigest(Digest{Revision: 3, Age: 0}, now.Add(time.Hour))
-	assert.Assert(t, c.currentAsOf.Before(now), "a peer at another revision proves nothing")
+	assert.Assert(t, c.currentAsOf.Before(now), "the digest of a copy at another revision must be ignored")
 }
 
 // TestCopyAgeIncludesSuspension suspends the machine for 5 s, which the monotonic clock doesn't
--- a/internal/replica/delta.go
+++ b/internal/replica/delta.go
@@ -17,12 +17,12 @@
 	// Verified is the time since the start of the latest read of the store, by any node, that
 	// found the copy complete; negative if there was none.
 	Verified time.Duration
-	// DocumentVersion is the newest document version that the sender holds, which the store may have
-	// lost; zero for copies without a document.
+	// DocumentVersion is the newest document version that the sender holds, which the store may
+	// have lost; zero for copies without a document.
 	DocumentVersion uint64
 }
 
-// Item is an entry of the store as peers send it.
+// Item is an entry of the store in a delta.
 type Item struct {
 	_        struct{} `cbor:",toarray"`
 	Key      string
--- a/internal/replica/document.go
+++ b/internal/replica/document.go
@@ -1,10 +1,10 @@
 package replica
 
-// Document is a versioned document that some other party writes to the store, such as the
-// operator's configuration. Its version only rises, whatever the store holds: a store that was
-// restored from a backup may hold an older version than the nodes. Until the writer has written
-// the newest version again, nodes send it to each other in addition to the entries of the
-// store.
+// Document is a versioned document that an external writer stores, such as the operator's
+// configuration. A node never returns to an older version, even if the store does: a store that
+// was restored from a backup may hold an older version than the nodes. Until the writer has
+// written the newest version again, nodes send it to each other in addition to the entries of
+// the store.
 //
 // Its methods are called under the copy's lock and must not call the copy.
 type Document interface {
@@ -14,7 +14,7 @@
 	StoredVersion() uint64
 	// Encoded returns the newest version in its encoded form.
 	Encoded() []byte
-	// Offer hands over the newest version of a peer.
+	// Offer passes the newest version of a peer to the document, which may reject it.
 	Offer(document []byte, peer string)
 }
 
--- a/internal/replica/fakestore_test.go
+++ b/internal/replica/fakestore_test.go
@@ -25,7 +25,7 @@
 	compacted store.Revision
 	changed   chan struct{}
 	calls     atomic.Int64
-	// down has the store refuse all nodes.
+	// down makes the store unavailable to all nodes.
 	down atomic.Bool
 }
 
--- a/internal/replica/fleet_test.go
+++ b/internal/replica/fleet_test.go
@@ -27,11 +27,12 @@
 // process is one process of a node.
 type process struct {
 	*node
-	store  *refusingStore
-	copy   *Copy
-	spread *AntiEntropy
-	stop   context.CancelFunc
-	// config takes the values of the key "a" as configurations; nil if the fleet has none.
+	store       *refusingStore
+	copy        *Copy
+	antiEntropy *AntiEntropy
+	stop        context.CancelFunc
+	// config treats the values of the key "a" as configuration versions; nil if the fleet has
+	// none.
 	config  *configState
 	started time.Time
 }
@@ -44,8 +45,8 @@
 	initialDelay time.Duration
 	// verifyAfter is Verifier.MaxAge; there are no verifiers if it is zero.
 	verifyAfter time.Duration
-	// withConfig has processes take the values of the key "a" as configurations; firstStart
-	// reports that the whole fleet starts for the first time.
+	// withConfig makes processes treat the values of the key "a" as configuration versions;
+	// firstStart reports that the whole fleet starts for the first time.
 	withConfig, firstStart bool
 	// delay returns the delay of one step of a message or read; it may be nil.
 	delay func() time.Duration
@@ -114,13 +115,13 @@
 		verifier = &Verifier{Syncer: &delayed, MaxAge: f.verifyAfter, Needed: func() bool { return true }}
 		config.Overdue = verifier.Overdue
 	}
-	p.spread = NewAntiEntropy(config, p.copy)
+	p.antiEntropy = NewAntiEntropy(config, p.copy)
 	if f.withConfig {
 		p.config.attach(ctx, p)
 	}
 	n.process.Store(p)
 	go syncer.Run(ctx)
-	go p.spread.Run(ctx)
+	go p.antiEntropy.Run(ctx)
 	if verifier != nil {
 		go verifier.Run(ctx)
 	}
@@ -144,7 +145,7 @@
 	if peer == nil || f.find(query.From).process.Load() == nil {
 		return nil, errNoAnswer
 	}
-	answer := peer.spread.AnswerQuery(query)
+	answer := peer.antiEntropy.AnswerQuery(query)
 	f.sleepDelay()
 	return answer, nil
 }
@@ -169,7 +170,7 @@
 	return snapshot, err
 }
 
-// sendCalls has a process call random peers as under light load.
+// sendCalls sends the calls of a process to random peers at a low rate until the context ends.
 func (f *fleet) sendCalls(ctx context.Context, p *process) {
 	for ctx.Err() == nil {
 		pause.For(ctx, callPeriod/2+rand.N(callPeriod))
@@ -179,14 +180,14 @@
 		}
 		sentAt := time.Now()
 		f.sleepDelay()
-		digests := p.spread.Digests()
+		digests := p.antiEntropy.Digests()
 		time.Sleep(peerLatency)
 		f.sleepDelay()
-		peer.spread.HandleCallDigests(p.address, digests)
-		digests = peer.spread.Digests()
+		peer.antiEntropy.HandleCallDigests(p.address, digests)
+		digests = peer.antiEntropy.Digests()
 		f.sleepDelay()
 		time.Sleep(peerLatency)
-		p.spread.HandleReplyDigests(peer.address, digests, sentAt)
+		p.antiEntropy.HandleReplyDigests(peer.address, digests, sentAt)
 	}
 }
 
--- a/internal/replica/initialsync.go
+++ b/internal/replica/initialsync.go
@@ -13,8 +13,8 @@
 	// served its first 5 of 20 requests from the older version. A peer is found and answers
 	// within 0.1 s; 0.6 s leave time for some ten queries where many peers are down.
 	initialSyncTimeout = 600 * time.Millisecond
-	// maxUnsyncedPeers is how many peers without an initial sync of their own end the wait:
-	// most likely all nodes have just started.
+	// maxUnsyncedPeers is the number of answers from peers that are not synced themselves after
+	// which the wait ends, because most likely all nodes have just started.
 	maxUnsyncedPeers = 5
 )
 
--- a/internal/replica/restore_test.go
+++ b/internal/replica/restore_test.go
@@ -60,7 +60,7 @@
 	c.freshness = configfeed.NewFreshness(c.feed, p.copy)
 	p.copy.SetDocument(c.feed)
 	go func() {
-		p.spread.AwaitSynced(ctx)
+		p.antiEntropy.AwaitSynced(ctx)
 		c.feed.Release()
 	}()
 }
@@ -178,8 +178,8 @@
 	})
 }
 
-// TestLostVersionIsNotVerified has the store lose the applied version: reads of the store
-// verify no API key until that version is in the store again.
+// TestLostVersionIsNotVerified has the store lose the applied version: reads of the store must
+// not count as verifications until that version is in the store again.
 func TestLostVersionIsNotVerified(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newConfigFleet(t, 17, nil)
@@ -356,7 +356,7 @@
 		if version := p.config.version(); version > s.newestSeen {
 			s.newestSeen, s.newestSeenAt = version, now
 		}
-		s.checkProof(p)
+		s.checkVerification(p)
 	}
 	// The newest version that must have been applied by now if the store was available.
 	expected := s.writes.valueAsOf(now.Add(-applyBound - staleAfter))
@@ -365,7 +365,7 @@
 	}
 }
 
-func (s *restoreSchedule) checkProof(p *process) {
+func (s *restoreSchedule) checkVerification(p *process) {
 	s.t.Helper()
 	expected := min(s.writes.valueAsOf(p.config.freshness.VerifiedAt()), s.newestSeen)
 	if p.config.version() >= expected {
--- a/internal/replica/syncer.go
+++ b/internal/replica/syncer.go
@@ -13,13 +13,12 @@
 const (
 	// MaxWatchWait is the longest time that one call of a watch may block in the store.
 	MaxWatchWait = 4 * time.Second
-	// confirmSlack is by how much a process that was paused may have reported too late a time
-	// for which its copy was current: the store answered its watch at some time during the
-	// wait.
+	// confirmSlack bounds the error in the time as of which a process reports its copy to be
+	// current. If the process was paused, that time may be too late, as the store may have
+	// answered its watch at any time during the wait.
 	confirmSlack = MaxWatchWait + 200*time.Millisecond
-	// watchers is the number of nodes that watch the store. The answers to their watches come
-	// at different times, so that the fleet receives several of them within
-	// MaxWatchWait.
+	// watchers is the number of nodes that watch the store. Their watches are answered at
+	// different times, so that the fleet receives several answers within MaxWatchWait.
 	watchers = 4
 	// Nodes whose copies are stale read from the store one after the other: the first one
 	// informs the others.
@@ -32,7 +31,7 @@
 	minSleep = 20 * time.Millisecond
 )
 
-// Syncer keeps a copy current from the store where peers don't.
+// Syncer reads from the store to keep a copy current when synchronization with peers does not.
 type Syncer struct {
 	Copy   *Copy
 	Store  store.Store
--- a/internal/replica/verifier.go
+++ b/internal/replica/verifier.go
@@ -20,8 +20,8 @@
 	// verifyTimeout bounds one read: the store answers within milliseconds, and another node
 	// may have verified the copy meanwhile.
 	verifyTimeout = 400 * time.Millisecond
-	// overdueAfter is how far the age of a verification exceeds After before peers are queried
-	// more often for a newer one. It serves nodes that no peer calls: of 300 nodes, one relied
+	// overdueAfter is how far the age of a verification exceeds MaxAge before peers are queried
+	// more often for a newer one. Nodes that no peer calls depend on it: of 300 nodes, one relied
 	// on a verification of 2.5 s and more in 4 of 128 simulations of 10 s.
 	overdueAfter = 500 * time.Millisecond
 )
--- a/internal/replica/verifier_test.go
+++ b/internal/replica/verifier_test.go
@@ -56,7 +56,7 @@
 }
 
 // TestPeerVerificationIsDatedFromQuery checks that a peer's verification counts only if both
-// copies have the same revision, and that its age counts back from the time of the query.
+// copies have the same revision, and that its age is subtracted from the time of the query.
 func TestPeerVerificationIsDatedFromQuery(t *testing.T) {
 	c := newRecordingCopy(time.Now)
 	readAt := time.Now()
@@ -117,8 +117,8 @@
 	}
 }
 
-// TestVerificationReachesRefusedNodes has the store refuse a third of the nodes, among them all
-// that verify first.
+// TestVerificationReachesRefusedNodes has the store refuse a third of the nodes, among them those
+// that would verify first: their verifications must come from peers.
 func TestVerificationReachesRefusedNodes(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		f := newVerifiedFleet(t, 60, nil)
@@ -180,14 +180,14 @@
 // verification is younger than the revocation bound.
 func TestCopyHoldsWritesBeforeVerification(t *testing.T) {
 	for seed := *firstSchedule; seed < *firstSchedule+uint64(*schedules); seed++ {
-		virtualtime.Run(t, func(t *testing.T) { runSchedule(t, seed) })
+		virtualtime.Run(t, func(t *testing.T) { runVerificationSchedule(t, seed) })
 	}
 }
 
 // scheduleSizes are the fleet sizes that schedules run with, mostly small ones.
 var scheduleSizes = []int{17, 17, 17, 17, 17, 17, 17, 17, 17, 71, 17, 17, 17, 17, 17, 17, 17, 17, 17, 300}
 
-func runSchedule(t *testing.T, seed uint64) {
+func runVerificationSchedule(t *testing.T, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var mutex sync.Mutex
 	delay := func() time.Duration {
