--- a/internal/quarantine/broadcast.go
+++ b/internal/quarantine/broadcast.go
@@ -21,15 +21,15 @@
 	// batchDelay is how long reports are collected into one notice. It limits the number of
 	// messages when many targets crash at once, and is a tenth of a usual service time.
 	batchDelay = 10 * time.Millisecond
-	// noticeTimeout bounds one attempt to send a notice to a peer, and noticeAttempts the
-	// attempts at a peer that does not answer, as connections may have failed silently. Nodes
-	// that still miss a report learn of quarantines from the store and from refusals at the
-	// target.
+	// noticeTimeout bounds one attempt to send a notice to a peer, and noticeAttempts is the
+	// number of attempts for a peer that does not answer, as connections may have failed
+	// silently. Nodes that still miss a report learn of quarantines from the store and from
+	// refusals at the target.
 	noticeTimeout  = 500 * time.Millisecond
 	noticeAttempts = 3
 	// maxConcurrentSends bounds the notices that are being sent at the same time.
 	maxConcurrentSends = 32
-	// maxBatch bounds the crashes and the clearances of one notice; more are dropped.
+	// maxBatch bounds the crashes and the clearances in one notice; any beyond that are dropped.
 	maxBatch = 256
 )
 
@@ -37,7 +37,7 @@
 type BroadcastConfig struct {
 	// Address is the address at which peers reach the node.
 	Address string
-	// Peers returns the addresses of all nodes, with or without the own one.
+	// Peers returns the addresses of all nodes, which may include the node's own.
 	Peers func() []string
 	// Send sends a notice to a peer.
 	Send func(ctx context.Context, address string, notice *Notice) error
@@ -45,9 +45,9 @@
 
 // Broadcaster sends the reports of the node to all others. It is safe for concurrent use.
 type Broadcaster struct {
-	config BroadcastConfig
-	wake   chan struct{}
-	slots  chan struct{}
+	config    BroadcastConfig
+	wake      chan struct{}
+	sendSlots chan struct{}
 
 	mutex   sync.Mutex
 	pending Notice
@@ -55,7 +55,7 @@
 
 // NewBroadcaster returns a broadcaster that sends nothing before Run.
 func NewBroadcaster(config BroadcastConfig) *Broadcaster {
-	return &Broadcaster{config: config, wake: make(chan struct{}, 1), slots: make(chan struct{}, maxConcurrentSends)}
+	return &Broadcaster{config: config, wake: make(chan struct{}, 1), sendSlots: make(chan struct{}, maxConcurrentSends)}
 }
 
 // BroadcastCrash queues a crash report for all peers.
@@ -119,10 +119,10 @@
 		select {
 		case <-ctx.Done():
 			return
-		case b.slots <- struct{}{}:
+		case b.sendSlots <- struct{}{}:
 		}
 		go func() {
-			defer func() { <-b.slots }()
+			defer func() { <-b.sendSlots }()
 			b.sendTo(ctx, peer, notice)
 		}()
 	}
--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -5,13 +5,13 @@
 // of its own and may start on any node. When a target crashes, its node reports the
 // fingerprints of the calls that were open, each with a number of consecutive crashes: one
 // more than was known when the call began. Attempts that ran concurrently thus count once,
-// and the order in which reports arrive does not matter. A call that ends with an answer of
-// its target clears its fingerprint; a query of death never ends with one.
+// and the order in which reports arrive does not matter. A call that its target answers clears
+// the fingerprint; a query of death is never answered.
 //
 //   - A request with one crash is a suspect and is served like any other request.
 //   - A request with isolationCrashes runs isolated: at one home of the service, which each
-//     node determines by itself, one suspect at a time. A further crash then incriminates
-//     only one of them.
+//     node determines by itself, one suspect at a time. A further crash can then be attributed
+//     to a single one of them.
 //   - A request with quarantineCrashes is quarantined: all nodes refuse it, both where it
 //     enters and at the targets.
 //
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -15,7 +15,7 @@
 	// Store holds the quarantine records, with keys that begin with Prefix.
 	Store  store.Store
 	Prefix string
-	// Epoch returns the latest known store epoch; nil stands for the first one. Position returns
+	// Epoch returns the latest known store epoch; nil means the first one. Position returns
 	// the node's position in an order of all nodes, false if it has none; it may be nil.
 	Epoch    func() store.Epoch
 	Position func() (int, bool)
@@ -73,11 +73,12 @@
 // Quarantined returns the number of quarantined requests.
 func (q *Quarantine) Quarantined() int { return q.table.Quarantined() }
 
-// Unplaced returns the number of requests that were not quarantined because maxQuarantined
+// OverflowCount returns the number of requests that were not quarantined because maxQuarantined
 // was reached.
-func (q *Quarantine) Unplaced() uint64 { return q.table.Unplaced() }
+func (q *Quarantine) OverflowCount() uint64 { return q.table.OverflowCount() }
 
-// Call identifies a call to the local target, which crashed, answered or is to run a trial.
+// Call identifies a call to the local target that the target answered, that was open when the
+// target crashed, or that is to be a trial run.
 type Call struct {
 	Fingerprint    fingerprint.Fingerprint
 	Service, Route string
@@ -102,7 +103,7 @@
 
 // crashReport returns the report of a target's crash. It quarantines a request only if no
 // second request reached quarantineCrashes in the same crash: one of the two is harmless,
-// and nodes that learn of crashes late let them run concurrently. With two or more, the
+// and they ran concurrently because nodes learned of earlier crashes late. With two or more, the
 // crashes are capped at isolationCrashes, so that the requests run one at a time.
 func crashReport(instance string, open []Call) Crash {
 	eligible := make(map[fingerprint.Fingerprint]bool)
@@ -136,8 +137,8 @@
 	}
 }
 
-// ClaimTrial reports whether the node may run a quarantined request whose trial is due.
-// Only one node of the cluster gets the trial, and none while the store is unavailable.
+// ClaimTrial claims the due trial of a quarantined request and reports whether the node may run
+// it. Only one node of the cluster can claim it, and none while the store is unavailable.
 func (q *Quarantine) ClaimTrial(ctx context.Context, call Call) bool {
 	trials := q.table.trials(call.Fingerprint) + 1
 	if !q.records.claimTrial(ctx, call.Fingerprint, Record{Service: call.Service, Route: call.Route, Trials: trials}) {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -62,7 +62,6 @@
 	return c
 }
 
-// startNode starts a node.
 func (c *testCluster) startNode(addresses []string, number int) *Quarantine {
 	node := New(Config{
 		Store: unavailableStore{c.store, c}, Prefix: testPrefix, Now: c.now,
@@ -121,8 +120,8 @@
 	}, poll.WithTimeout(10*time.Second), poll.WithDelay(2*time.Millisecond))
 }
 
-// quarantineRequest quarantines the request by consecutive crashes of quarantineCrashes
-// targets.
+// quarantineRequest reports quarantineCrashes consecutive crashes of targets that ran the
+// request, and waits until all nodes quarantine it.
 func (c *testCluster) quarantineRequest(hash fingerprint.Fingerprint) {
 	c.t.Helper()
 	for i := range quarantineCrashes {
@@ -132,8 +131,8 @@
 	c.await("quarantined", func(node *Quarantine) bool { return node.State(hash).Quarantined })
 }
 
-// awaitRecord waits until the store holds a record of the request that accept returns true
-// for.
+// awaitRecord waits until the store holds a record of the request for which accept returns
+// true.
 func (c *testCluster) awaitRecord(hash fingerprint.Fingerprint, accept func(Record) bool) {
 	c.t.Helper()
 	poll.WaitOn(c.t, func(poll.LogT) poll.Result {
@@ -172,9 +171,9 @@
 	c.awaitRecord(hash, anyRecord)
 }
 
-// TestRemovedRecordIsRewritten checks that a quarantine outlives the lease of its record,
-// which also expires while the store is unavailable: the node that wrote the record rewrites
-// it.
+// TestRemovedRecordIsRewritten checks that a quarantine continues after the lease of its record
+// has expired, which also happens while the store is unavailable: the node that wrote the record
+// rewrites it.
 func TestRemovedRecordIsRewritten(t *testing.T) {
 	c := newTestCluster(t, 3)
 	hash := fingerprintOf(1)
--- a/internal/quarantine/record_store.go
+++ b/internal/quarantine/record_store.go
@@ -32,8 +32,8 @@
 	Epoch store.Epoch `cbor:"5,keyasint,omitempty"`
 }
 
-// covers reports whether the record makes a write of the other one unnecessary: both are
-// lifted or neither is, and it counts at least as many trials.
+// covers reports whether the other record does not have to be written because this one is
+// stored: both are lifted or neither is, and this one counts at least as many trials.
 func (r Record) covers(other Record) bool {
 	return r.Lifted == other.Lifted && r.Trials >= other.Trials
 }
@@ -73,14 +73,14 @@
 	store  store.Store
 	prefix string
 	writer *leased.Writer
-	// claims writes trial claims, so that these don't wait for other writes.
-	claims *leased.Writer
-	log    *eventlog.Log
-	wake   chan struct{}
+	// claimWriter writes trial claims, so that they don't wait for other writes.
+	claimWriter *leased.Writer
+	log         *eventlog.Log
+	wake        chan struct{}
 
 	mutex sync.Mutex
-	// pending holds the records to be written, and written those that this node wrote and
-	// rewrites if they disappear.
+	// pending holds the records to be written, and written the records of this node, which it
+	// rewrites if they are removed from the store.
 	pending map[fingerprint.Fingerprint]Record
 	written map[fingerprint.Fingerprint]Record
 	// revisions holds the revisions of the records in the node's copy of the store, and
@@ -101,18 +101,18 @@
 		config.Position = func() (int, bool) { return 0, false }
 	}
 	return &recordStore{
-		store:     config.Store,
-		prefix:    config.Prefix,
-		writer:    leased.NewWriter(config.Store, RecordTTL, config.Now),
-		claims:    leased.NewWriter(config.Store, RecordTTL, config.Now),
-		log:       config.Log,
-		wake:      make(chan struct{}, 1),
-		pending:   make(map[fingerprint.Fingerprint]Record),
-		written:   make(map[fingerprint.Fingerprint]Record),
-		revisions: make(map[fingerprint.Fingerprint]store.Revision),
-		records:   make(map[fingerprint.Fingerprint]Record),
-		epoch:     config.Epoch,
-		position:  config.Position,
+		store:       config.Store,
+		prefix:      config.Prefix,
+		writer:      leased.NewWriter(config.Store, RecordTTL, config.Now),
+		claimWriter: leased.NewWriter(config.Store, RecordTTL, config.Now),
+		log:         config.Log,
+		wake:        make(chan struct{}, 1),
+		pending:     make(map[fingerprint.Fingerprint]Record),
+		written:     make(map[fingerprint.Fingerprint]Record),
+		revisions:   make(map[fingerprint.Fingerprint]store.Revision),
+		records:     make(map[fingerprint.Fingerprint]Record),
+		epoch:       config.Epoch,
+		position:    config.Position,
 	}
 }
 
@@ -200,7 +200,7 @@
 	revision := r.revisions[hash]
 	r.mutex.Unlock()
 	record.Epoch = r.epoch()
-	_, err := r.claims.CompareAndSwap(ctx, r.prefix+hash.String(), revision, record.Encode())
+	_, err := r.claimWriter.CompareAndSwap(ctx, r.prefix+hash.String(), revision, record.Encode())
 	if err != nil {
 		// Another node runs the trial, or the store is unavailable and no node runs it.
 		return false
@@ -273,8 +273,8 @@
 	time.AfterFunc(epoch.TakeOverDelay(position), func() { r.rewriteIfLost(hash, record) })
 }
 
-// rewriteIfLost schedules a write of a record unless a newer one has become known. The write
-// has no effect if another node has rewritten it.
+// rewriteIfLost schedules a write of a record unless a newer one is known. The write has no
+// effect if another node has already rewritten the record.
 func (r *recordStore) rewriteIfLost(hash fingerprint.Fingerprint, record Record) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/quarantine/restore_test.go
+++ b/internal/quarantine/restore_test.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// TestQuarantineSurvivesStoreRestore checks a quarantine whose record is lost because the
-// store is restored from an older backup: the node that wrote the record rewrites it, or
-// another one if that node has stopped, and a node that starts later learns of it.
+// TestQuarantineSurvivesStoreRestore checks that a quarantine continues if its record is lost
+// because the store is restored from an older backup: the node that wrote the record rewrites
+// it, or another node if that one has stopped, and a node that starts later finds the record.
 func TestQuarantineSurvivesStoreRestore(t *testing.T) {
 	for _, writerStops := range []bool{false, true} {
 		virtualtime.Run(t, func(t *testing.T) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestLiftSurvivesStoreRestore checks a request that was cleared after the backup from
-// which the store is restored: the restored record must not quarantine it again.
+// TestLiftSurvivesStoreRestore checks that a request that was cleared after a backup is not
+// quarantined again by its old record when the store is restored from that backup.
 func TestLiftSurvivesStoreRestore(t *testing.T) {
 	virtualtime.Run(t, func(t *testing.T) {
 		memoryStore := memory.New(time.Now)
--- a/internal/quarantine/simulation_test.go
+++ b/internal/quarantine/simulation_test.go
@@ -27,11 +27,11 @@
 	meanDuration, downtime, noticeDelay time.Duration
 	// lossRate is the fraction of notices that are lost.
 	lossRate float64
-	// deadly holds the requests that crash their target after crashAfter.
-	deadly     map[fingerprint.Fingerprint]bool
+	// crashing holds the requests that crash their target after crashAfter.
+	crashing   map[fingerprint.Fingerprint]bool
 	crashAfter time.Duration
 
-	// crashes counts the crashes of targets, and crashesBy those caused by each deadly request.
+	// crashes counts the crashes of targets, and crashesBy those caused by each crashing request.
 	crashes   int
 	crashesBy map[fingerprint.Fingerprint]int
 	sent      int
@@ -91,7 +91,7 @@
 
 func newSimulation(size int, seed uint64) *simulation {
 	s := &simulation{now: time.Unix(0, 0), random: rand.New(rand.NewPCG(seed, 1)), meanDuration: 100 * time.Millisecond, downtime: 3 * time.Second, noticeDelay: 5 * time.Millisecond,
-		crashAfter: 60 * time.Millisecond, deadly: make(map[fingerprint.Fingerprint]bool), crashesBy: make(map[fingerprint.Fingerprint]int),
+		crashAfter: 60 * time.Millisecond, crashing: make(map[fingerprint.Fingerprint]bool), crashesBy: make(map[fingerprint.Fingerprint]int),
 		falsePositives: make(map[fingerprint.Fingerprint]bool)}
 	for i := range size {
 		s.nodes = append(s.nodes, &simulatedNode{number: i, table: NewTable(func() time.Time { return s.now }), up: true, open: make(map[*attempt]bool),
@@ -100,23 +100,23 @@
 	return s
 }
 
-func (s *simulation) after(delay time.Duration, action func()) {
+func (s *simulation) schedule(delay time.Duration, action func()) {
 	heap.Push(&s.events, event{at: s.now.Add(delay), action: action})
 }
 
-// atRandom repeats an action at random times, with the given mean rate.
-func (s *simulation) atRandom(perSecond float64, action func()) {
-	s.after(time.Duration(s.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
+// schedulePoisson repeats an action as a Poisson process with the given rate.
+func (s *simulation) schedulePoisson(perSecond float64, action func()) {
+	s.schedule(time.Duration(s.random.ExpFloat64()/perSecond*float64(time.Second)), func() {
 		action()
-		s.atRandom(perSecond, action)
+		s.schedulePoisson(perSecond, action)
 	})
 }
 
-// atInterval repeats an action periodically.
-func (s *simulation) atInterval(period time.Duration, action func()) {
-	s.after(period, func() {
+// schedulePeriodic repeats an action at fixed intervals.
+func (s *simulation) schedulePeriodic(period time.Duration, action func()) {
+	s.schedule(period, func() {
 		action()
-		s.atInterval(period, action)
+		s.schedulePeriodic(period, action)
 	})
 }
 
@@ -180,12 +180,12 @@
 }
 
 func (s *simulation) refuse(a *attempt) {
-	if !s.deadly[a.hash] {
+	if !s.crashing[a.hash] {
 		s.falsePositives[a.hash] = true
 	}
 }
 
-// handleAttempt screens an attempt at its home, and runs, queues or refuses it.
+// handleAttempt runs, queues or refuses an attempt at its home.
 func (s *simulation) handleAttempt(home, ingress *simulatedNode, a *attempt) {
 	if !home.up {
 		s.route(ingress, a)
@@ -212,8 +212,8 @@
 	}
 	home.open[a] = true
 	a.incarnation, a.ingress = home.incarnation, ingress
-	if s.deadly[a.hash] {
-		s.after(s.crashAfter, func() {
+	if s.crashing[a.hash] {
+		s.schedule(s.crashAfter, func() {
 			if home.open[a] {
 				s.crashesBy[a.hash]++
 				s.crash(home)
@@ -221,7 +221,7 @@
 		})
 		return
 	}
-	s.after(time.Duration(s.random.ExpFloat64()*float64(s.meanDuration)), func() { s.finish(home, a) })
+	s.schedule(time.Duration(s.random.ExpFloat64()*float64(s.meanDuration)), func() { s.finish(home, a) })
 }
 
 // finish ends an attempt with an answer.
@@ -238,7 +238,7 @@
 	s.releaseLock(home, a)
 }
 
-// releaseLock ends the exclusive run of a suspect and screens the waiting attempts again.
+// releaseLock ends the exclusive run of a suspect and handles the queued attempts again.
 func (s *simulation) releaseLock(home *simulatedNode, a *attempt) {
 	if !a.holdsLock {
 		return
@@ -255,7 +255,7 @@
 	}
 }
 
-// crash crashes a target with all its attempts. Those are retried once.
+// crash crashes a target, which ends all its attempts. Each of them is retried once.
 func (s *simulation) crash(home *simulatedNode) {
 	if !home.up {
 		return
@@ -274,11 +274,11 @@
 	for a := range interrupted {
 		retry := &attempt{hash: a.hash, crashes: a.crashes + 1, number: a.number + 1}
 		if retry.number < 2 && retry.crashes < isolationCrashes {
-			s.after(time.Millisecond, func() { s.route(home, retry) })
+			s.schedule(time.Millisecond, func() { s.route(home, retry) })
 		}
 		s.releaseLock(home, a)
 	}
-	s.after(s.downtime, func() { home.up = true })
+	s.schedule(s.downtime, func() { home.up = true })
 }
 
 // broadcast sends a notice to all other nodes.
@@ -287,7 +287,7 @@
 		if peer == from || s.random.Float64() < s.lossRate {
 			continue
 		}
-		s.after(time.Duration(s.random.ExpFloat64()*float64(s.noticeDelay)), func() { apply(peer) })
+		s.schedule(time.Duration(s.random.ExpFloat64()*float64(s.noticeDelay)), func() { apply(peer) })
 	}
 }
 
@@ -300,12 +300,12 @@
 	}
 }
 
-// TestRandomCrashesRarelyQuarantineHarmlessRequests checks that few harmless requests are quarantined when
-// targets crash at random, one or many at once, while they run both unique requests and
-// popular ones that recur many times a second. The rate of false positives grows with the
-// third power of the crash rate. In 8 seeds of 120 s there were none in 589 crashes with one
-// crash per target and minute, one in 1,401 with one every 20 s, and 16 in 3,015 with one
-// every 7 s.
+// TestRandomCrashesRarelyQuarantineHarmlessRequests checks that few harmless requests are
+// quarantined when targets crash at random, one or many at once, while they run both unique
+// requests and popular ones that recur many times a second. The rate of false positives grows
+// with the third power of the crash rate. In 8 seeds of 120 s there were none in 589 crashes
+// with one crash per target and minute, one in 1,401 with one every 20 s, and 16 in 3,015 with
+// one every 7 s.
 func TestRandomCrashesRarelyQuarantineHarmlessRequests(t *testing.T) {
 	const popular, perSecond, duration = 10, 200.0, 60 * time.Second
 	cases := []struct {
@@ -318,7 +318,7 @@
 		for seed := range uint64(4) {
 			s := newSimulation(20, seed)
 			next := popular
-			s.atRandom(perSecond, func() {
+			s.schedulePoisson(perSecond, func() {
 				if s.random.IntN(2) == 0 {
 					s.send(fingerprintOf(s.random.IntN(popular)))
 					return
@@ -326,8 +326,8 @@
 				next++
 				s.send(fingerprintOf(next))
 			})
-			s.atRandom(c.perSecond, func() { s.crash(s.nodes[s.random.IntN(len(s.nodes))]) })
-			s.atRandom(c.perSecond/10, func() { s.crashFraction(0.5) })
+			s.schedulePoisson(c.perSecond, func() { s.crash(s.nodes[s.random.IntN(len(s.nodes))]) })
+			s.schedulePoisson(c.perSecond/10, func() { s.crashFraction(0.5) })
 			s.run(duration)
 			quarantined += len(s.falsePositives)
 			crashes += s.crashes
@@ -338,9 +338,10 @@
 	}
 }
 
-// TestQueryOfDeathCrashesFewTargets checks how many targets a query of death crashes that is sent
-// repeatedly to random nodes, at regular or random intervals and among harmless requests, in
-// clusters of several sizes. Attempts that start before the first crash can't be prevented.
+// TestQueryOfDeathCrashesFewTargets sends a query of death repeatedly to random nodes, at regular
+// or random intervals and among harmless requests, in clusters of several sizes, and bounds the
+// number of targets that it crashes. Attempts that start before the first crash can't be
+// prevented.
 func TestQueryOfDeathCrashesFewTargets(t *testing.T) {
 	cases := []struct {
 		size       int
@@ -362,17 +363,17 @@
 		for seed := range uint64(5) {
 			s := newSimulation(c.size, seed)
 			s.lossRate = c.lossRate
-			deadly := fingerprintOf(0)
-			s.deadly[deadly] = true
+			queryOfDeath := fingerprintOf(0)
+			s.crashing[queryOfDeath] = true
 			next := 0
-			s.atRandom(float64(c.size)*5, func() { next++; s.send(fingerprintOf(next)) })
+			s.schedulePoisson(float64(c.size)*5, func() { next++; s.send(fingerprintOf(next)) })
 			if c.random {
-				s.atRandom(1/c.interval.Seconds(), func() { s.send(deadly) })
+				s.schedulePoisson(1/c.interval.Seconds(), func() { s.send(queryOfDeath) })
 			} else {
-				s.atInterval(c.interval, func() { s.send(deadly) })
+				s.schedulePeriodic(c.interval, func() { s.send(queryOfDeath) })
 			}
 			s.run(max(20*time.Second, 10*c.interval))
-			maxCrashes = max(maxCrashes, s.crashesBy[deadly])
+			maxCrashes = max(maxCrashes, s.crashesBy[queryOfDeath])
 			served += s.served
 			sent += next
 			assert.Check(t, len(s.falsePositives) == 0, "%d harmless requests refused", len(s.falsePositives))
--- a/internal/quarantine/table.go
+++ b/internal/quarantine/table.go
@@ -23,8 +23,8 @@
 	// suspectTTL is how long a suspect is kept after its last crash. A query of death that
 	// recurs less often than that starts again at zero crashes each time.
 	suspectTTL = 10 * time.Minute
-	// maxSuspects bounds the suspects, of some 150 bytes each. Beyond it those with the fewest
-	// and oldest crashes are evicted.
+	// maxSuspects bounds the suspects, which take some 150 bytes each. Above it, those with the
+	// fewest and then oldest crashes are evicted.
 	maxSuspects = 4096
 	// maxQuarantined bounds the quarantined requests, and with them the records in the store:
 	// if all targets of a service crash for another reason, all its requests become suspects.
@@ -96,8 +96,8 @@
 	nextTrial time.Time
 }
 
-// clearance holds the instances whose crashes a request was cleared of, so that delayed
-// reports of these crashes are ignored.
+// clearance holds the instances whose crashes a request did not cause. Delayed reports of these
+// crashes are ignored.
 type clearance struct {
 	instances map[string]bool
 	at        time.Time
@@ -113,10 +113,10 @@
 	mutex    sync.Mutex
 	suspects map[fingerprint.Fingerprint]*suspect
 	cleared  map[fingerprint.Fingerprint]clearance
-	// quarantined is the number of quarantined suspects, and unplaced that of requests that
+	// quarantined is the number of quarantined suspects, and overflowCount that of requests that
 	// were not quarantined because of maxQuarantined.
-	quarantined int
-	unplaced    atomic.Uint64
+	quarantined   int
+	overflowCount atomic.Uint64
 }
 
 // NewTable returns a table without suspects.
@@ -134,9 +134,9 @@
 	return t.quarantined
 }
 
-// Unplaced returns the number of requests that were not quarantined because maxQuarantined
+// OverflowCount returns the number of requests that were not quarantined because maxQuarantined
 // was reached.
-func (t *Table) Unplaced() uint64 { return t.unplaced.Load() }
+func (t *Table) OverflowCount() uint64 { return t.overflowCount.Load() }
 
 // State returns the crashes and the quarantine state of a request.
 func (t *Table) State(hash fingerprint.Fingerprint) State {
@@ -197,7 +197,7 @@
 // startQuarantine quarantines a request unless maxQuarantined is reached.
 func (t *Table) startQuarantine(entry *suspect, trials int) bool {
 	if t.quarantined >= maxQuarantined {
-		t.unplaced.Add(1)
+		t.overflowCount.Add(1)
 		return false
 	}
 	t.quarantined++
@@ -214,8 +214,8 @@
 	return delay
 }
 
-// RecordAnswer records that a target answered the request, so that it is no query of death.
-// It returns the clearance, and whether it is to be broadcast.
+// RecordAnswer records that a target answered the request, which is thus no query of death. It
+// returns the clearance, and whether it is to be broadcast.
 func (t *Table) RecordAnswer(hash fingerprint.Fingerprint) (Clearance, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -300,7 +300,7 @@
 	return entry.quarantine.trials
 }
 
-// remove removes a suspect.
+// remove removes a suspect and updates the number of quarantined requests.
 func (t *Table) remove(hash fingerprint.Fingerprint) {
 	entry := t.suspects[hash]
 	if entry == nil {
--- a/internal/quarantine/table_test.go
+++ b/internal/quarantine/table_test.go
@@ -12,7 +12,8 @@
 	return Crash{Instance: instance, Suspects: []SuspectReport{{Fingerprint: fingerprintOf(number), Crashes: crashes}}}
 }
 
-// TestCrashReportsAreIdempotentAndCommutative checks duplicate and reordered reports.
+// TestCrashReportsAreIdempotentAndCommutative checks that duplicate and reordered reports lead
+// to the same state.
 func TestCrashReportsAreIdempotentAndCommutative(t *testing.T) {
 	for _, order := range [][]int{{1, 2, 3}, {3, 1, 2}, {2, 3, 1, 3, 2}} {
 		table := NewTable(time.Now)
@@ -67,7 +68,7 @@
 		table.RecordCrash(singleCrash(fmt.Sprint("j-", i), -i-1, quarantineCrashes))
 	}
 	assert.Equal(t, table.Quarantined(), maxQuarantined)
-	assert.Assert(t, table.Unplaced() > 0)
+	assert.Assert(t, table.OverflowCount() > 0)
 }
 
 func TestTrialDelayBackoff(t *testing.T) {
@@ -78,16 +79,16 @@
 }
 
 // TestConcurrentSuspectsAreNotQuarantined checks a query of death and a popular harmless
-// request that are both open whenever a target crashes, because nodes learned of the crashes
-// late: such a crash quarantines neither, and a crash of the first without the second
-// quarantines it.
+// request that are both open when a target crashes, because nodes learned of earlier crashes
+// late: such a crash quarantines neither, and a crash with only the query of death open
+// quarantines that one.
 func TestConcurrentSuspectsAreNotQuarantined(t *testing.T) {
-	deadly, popular := Call{Fingerprint: fingerprintOf(1), Crashes: 3}, Call{Fingerprint: fingerprintOf(2), Crashes: 3}
+	queryOfDeath, popular := Call{Fingerprint: fingerprintOf(1), Crashes: 3}, Call{Fingerprint: fingerprintOf(2), Crashes: 3}
 	table := NewTable(time.Now)
-	assert.Equal(t, len(table.RecordCrash(crashReport("i-1", []Call{deadly, popular, popular}))), 0)
+	assert.Equal(t, len(table.RecordCrash(crashReport("i-1", []Call{queryOfDeath, popular, popular}))), 0)
 	assert.Equal(t, table.State(fingerprintOf(2)).Crashes, isolationCrashes)
 	other := Call{Fingerprint: fingerprintOf(3), Crashes: 1}
-	assert.Equal(t, len(table.RecordCrash(crashReport("i-2", []Call{deadly, deadly, other}))), 1)
+	assert.Equal(t, len(table.RecordCrash(crashReport("i-2", []Call{queryOfDeath, queryOfDeath, other}))), 1)
 	assert.Assert(t, table.State(fingerprintOf(1)).Quarantined)
 	assert.Assert(t, !table.State(fingerprintOf(2)).Quarantined)
 }
--- a/internal/sidecar/gauges.go
+++ b/internal/sidecar/gauges.go
@@ -27,7 +27,7 @@
 		{"homes_known", "Homes with a ready target that the node knows.", func() float64 { return float64(n.directory.Count()) }},
 		{"homes_suspected", "Homes that are passed over.", func() float64 { return float64(n.forwarder.Suspected()) }},
 		{"requests_quarantined", "Requests that are refused as targets crash under them.", func() float64 { return float64(n.quarantine.Quarantined()) }},
-		{"quarantine_unplaced", "Verdicts that were not taken because there were too many.", func() float64 { return float64(n.quarantine.Unplaced()) }},
+		{"quarantine_unplaced", "Verdicts that were not taken because there were too many.", func() float64 { return float64(n.quarantine.OverflowCount()) }},
 		{"requests_in_flight", "Requests that wait for their answer.", func() float64 { return float64(n.forwarder.InFlight()) }},
 		{"retry_budget_left", "Repetitions left to the service with the fewest.", n.retryBudgetLeft},
 		{"target_in_flight", "Calls at the target beside the node.", func() float64 { return float64(n.guard.Load("").InFlight) }},
