--- a/internal/sidecar/gauges.go
+++ b/internal/sidecar/gauges.go
@@ -6,8 +6,8 @@
 	"github.com/lugspur/lugspur/internal/shed"
 )
 
-// provisionGauges registers the gauges whose values are read at each scrape.
-func (n *Node) provisionGauges() {
+// registerGauges registers the gauges whose values are read at each scrape.
+func (n *Node) registerGauges() {
 	gauges := []struct {
 		name, help string
 		read       func() float64
--- a/internal/sidecar/metrics_test.go
+++ b/internal/sidecar/metrics_test.go
@@ -87,10 +87,10 @@
 		n.storeCalls.CallEnded(purposeRecords, "watch", "done")
 	}
 	n.storeCalls.CallEnded(purposeOwnRecord, "compare and swap", "conflict")
-	n.storeCalls.recordEvent()
+	n.storeCalls.logCounts()
 	n.storeCalls.CallEnded(purposeRecords, "watch", "done")
-	n.storeCalls.recordEvent()
-	n.storeCalls.recordEvent()
+	n.storeCalls.logCounts()
+	n.storeCalls.logCounts()
 	text := scrape(n)
 	for _, line := range []string{
 		`lugspur_store_calls_total{call="watch",outcome="done",purpose="records"} 4`,
--- a/internal/sidecar/node.go
+++ b/internal/sidecar/node.go
@@ -36,7 +36,7 @@
 	maxMessageBytes = 80 << 20
 	// maxHeaderBytes is the maximum size of a request header.
 	maxHeaderBytes = 32 << 10
-	// Timeouts of callers' connections.
+	// Timeouts of connections from callers.
 	headerTimeout = 10 * time.Second
 	idleTimeout   = 75 * time.Second
 	// defaultTimeout applies to requests for which neither the caller nor the route sets one.
@@ -68,9 +68,9 @@
 	log      *eventlog.Log
 	metrics  *metrics
 	started  time.Time
-	// process distinguishes this process from earlier ones at the same address. It is not
+	// processID distinguishes this process from earlier ones at the same address. It is not
 	// zero.
-	process      uint32
+	processID    uint32
 	store        *platform.Store
 	storeCalls   *storeCalls
 	storeBreaker *reachability.CircuitBreaker
@@ -102,14 +102,14 @@
 		return nil, oops.In("sidecar").With("step", "compile policies").Wrapf(err, "compile policies")
 	}
 	n := &Node{policies: routepolicy.NewHolder(policies), policySources: settings.Policies, settings: settings, routes: &routetable.Holder{},
-		started: clock.Now(), process: max(rand.Uint32(), 1)}
+		started: clock.Now(), processID: max(rand.Uint32(), 1)}
 	n.log = eventlog.New(eventlog.Config{RootOf: platform.RootRequestID}, settings.Name, output, time.Now)
 	n.metrics = newMetrics(n.log)
-	n.provisionStore()
+	n.createStore()
 	n.feed = configfeed.New(platform.ConfigurationKey, platform.ParseConfiguration, n.routes, n.log, clock.Now)
 	n.directory = registry.NewDirectory(platform.HomesPrefix, settings.advertised(), n.log, clock.Now)
-	n.provisionReplicas()
-	n.provisionLimits()
+	n.createReplicas()
+	n.createLimits()
 	n.pressure = pressure.New(clock.Now)
 	n.quarantine = n.newQuarantine()
 	n.guard = guard.New(guard.Config{
@@ -127,7 +127,7 @@
 	n.registrar = registry.NewRegistrar(registry.RegistrarConfig{
 		Zone:             settings.Zone,
 		Address:          settings.advertised(),
-		Process:          n.process,
+		Process:          n.processID,
 		HomesPrefix:      platform.HomesPrefix,
 		DeparturesPrefix: platform.DeparturesPrefix,
 		OnTargetChange:   n.guard.SetTarget,
@@ -153,7 +153,7 @@
 	})
 	n.peers.SetAntiEntropy(n.replicas.antiEntropy)
 	n.forwarder = n.newForwarder()
-	n.provisionGauges()
+	n.registerGauges()
 	clock.System.OnResume(n.handleResume)
 	return n, nil
 }
--- a/internal/sidecar/replicas.go
+++ b/internal/sidecar/replicas.go
@@ -40,8 +40,8 @@
 	// be older than the configuration, because calls to other nodes also reveal changes.
 	configurationStaleAfter = 1200 * time.Millisecond
 	recordsStaleAfter       = 2400 * time.Millisecond
-	// A watch call to the store waits at most this long. The store answers the watching
-	// nodes together more often than replicas become stale.
+	// A watch call to the store waits at most this long. Taken together, the watching nodes
+	// receive answers more often than replicas become stale.
 	configurationWatchTimeout = 2 * time.Second
 	recordsWatchTimeout       = replica.MaxWatchWait
 	// configurationReadDelay is how long a starting node waits for a peer to send the
@@ -52,7 +52,7 @@
 	// records from the first reader.
 	firstStartDelay  = 1800 * time.Millisecond
 	firstStartJitter = 4 * time.Second
-	// Longest pauses between probes of an unreachable store. Nodes that watch the store
+	// Longest times between probes of an unreachable store. Nodes that watch the store
 	// probe more often, and notify the others when it answers again.
 	watcherMaxProbePause = 600 * time.Millisecond
 	maxProbePause        = 2500 * time.Millisecond
@@ -66,8 +66,8 @@
 	antiEntropy                        *replica.AntiEntropy
 }
 
-// provisionStore creates the store client with its call counters and circuit breaker.
-func (n *Node) provisionStore() {
+// createStore creates the store client with its call counters and circuit breaker.
+func (n *Node) createStore() {
 	n.storeCalls = newStoreCalls(n.log)
 	n.metrics.registry.MustRegister(n.storeCalls)
 	n.epochs = epoch.NewTracker()
@@ -88,7 +88,7 @@
 	n.log.Record(eventlog.Event{Kind: eventlog.EntryPassedOver, Peer: listed.Key, Version: uint64(listed.Revision.Number()), Previous: uint64(current.Revision.Number())})
 }
 
-// probePauseLimit returns the longest pause between probes of an unreachable store.
+// probePauseLimit returns the longest time between probes of an unreachable store.
 func (n *Node) probePauseLimit() time.Duration {
 	if n.replicas.recordsSyncer.IsWatcher() {
 		return watcherMaxProbePause
@@ -96,8 +96,8 @@
 	return maxProbePause
 }
 
-// provisionReplicas creates the replicas of the configuration and of the records.
-func (n *Node) provisionReplicas() {
+// createReplicas creates the replicas of the configuration and of the records.
+func (n *Node) createReplicas() {
 	r := &n.replicas
 	r.configuration = replica.NewCopy(configurationStaleAfter, n.feed.ApplyChanges, clock.Now)
 	r.configuration.SetDocument(n.feed)
--- a/internal/sidecar/stop.go
+++ b/internal/sidecar/stop.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// announcePeriod is how long the node keeps serving so that readiness checks have noticed
-	// that it is no longer ready.
+	// announcePeriod is how long the node keeps serving after the stop signal, so that readiness
+	// checks detect that it is no longer ready.
 	announcePeriod = 2500 * time.Millisecond
 	// admissionPeriod is how long the node still admits calls to its target, in case the
 	// service has no other home.
 	admissionPeriod = 2200 * time.Millisecond
-	// quietPeriod is how long no request must have arrived before the node exits early.
+	// quietPeriod is the time without new requests after which the node exits before the end of
+	// the grace time.
 	quietPeriod = 400 * time.Millisecond
 	// stopMargin is the time between the end of the stop and the end of the grace time.
 	stopMargin       = 300 * time.Millisecond
@@ -27,8 +28,8 @@
 // and callers to close their connections, serves requests that still arrive, refuses calls to
 // its target after the admission period, and returns once nothing is in flight or the grace
 // time is over. While the store is unreachable, the node serves as long as it can. Its record
-// stays in the store until the lease expires: removing it would only wake every node once
-// more, as peers learn of the stop from the first refusal and a node that restarts at the
+// stays in the store until the lease expires: removing it would only send every node one more
+// change, as peers learn of the stop from the first refusal and a node that restarts at the
 // address writes a new record.
 func (n *Node) stop() {
 	started := clock.Now()
@@ -50,7 +51,7 @@
 		time.Sleep(stopPollInterval)
 	}
 	n.shutDown(end)
-	n.storeCalls.recordEvent()
+	n.storeCalls.logCounts()
 	n.log.Record(eventlog.Event{Kind: eventlog.ProcessStopped, Count: n.inFlight()})
 }
 
--- a/internal/sidecar/stop_test.go
+++ b/internal/sidecar/stop_test.go
@@ -15,8 +15,9 @@
 	"github.com/lugspur/lugspur/internal/store"
 )
 
-// TestStoppingNodeAdmitsCallsWhileStoreIsUnavailable checks that a stopping node still admits calls that
-// end in time if the store is unreachable, and refuses all calls if the store is reachable.
+// TestStoppingNodeAdmitsCallsWhileStoreIsUnavailable checks that a stopping node still admits
+// calls that end in time if the store is unreachable, and refuses all calls if the store is
+// reachable.
 func TestStoppingNodeAdmitsCallsWhileStoreIsUnavailable(t *testing.T) {
 	settings := Settings{Name: "n", Zone: "z", Service: "s", Target: "127.0.0.1:1", Store: "127.0.0.1:1", Retries: RetrySettings{WindowSeconds: 10}}
 	n, err := New(settings, io.Discard)
@@ -74,8 +75,8 @@
 	assert.Assert(t, err != nil, "the listener must be closed")
 }
 
-// TestShutdownServesAcceptQueue checks that a shutdown serves the connections in
-// the accept queue. Closing a listener normally resets them: of 32,000 connections to closing
+// TestShutdownServesAcceptQueue checks that a shutdown serves the connections in the accept
+// queue. Closing a listener normally resets them: of 32,000 connections to closing
 // listeners, one caller got a reset after it had sent its request and could not know whether
 // the request had run.
 func TestShutdownServesAcceptQueue(t *testing.T) {
--- a/internal/sidecar/storecalls.go
+++ b/internal/sidecar/storecalls.go
@@ -53,13 +53,13 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.recordEvent()
+			c.logCounts()
 		}
 	}
 }
 
-// recordEvent logs the calls since the last event; it logs nothing if there are none.
-func (c *storeCalls) recordEvent() {
+// logCounts logs the calls since the last log event, if there are any.
+func (c *storeCalls) logCounts() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	sum := 0
--- a/internal/sidecar/tenants.go
+++ b/internal/sidecar/tenants.go
@@ -19,12 +19,12 @@
 	permitSocket *peering.PermitSocket
 }
 
-// provisionLimits creates the components that enforce tenants' rate limits.
-func (n *Node) provisionLimits() {
+// createLimits creates the components that enforce tenants' rate limits.
+func (n *Node) createLimits() {
 	n.limits.issuer = ratelimit.NewIssuer(n.settings.Tenants.bounds(), n.tenant, clock.Now)
 	n.limits.shardManager = ratelimit.NewShardManager(ratelimit.ShardManagerConfig{
 		Address:         n.settings.advertised(),
-		Process:         n.process,
+		Process:         n.processID,
 		DatagramAddress: n.settings.Listen.Permits,
 		Started:         n.started,
 
@@ -97,5 +97,5 @@
 // peerServices returns the services that the node offers to its peers.
 func (n *Node) peerServices() peering.Services {
 	return peering.Services{Home: n.guard, AntiEntropy: n.replicas.antiEntropy, Quarantine: n.quarantine, Departures: n.registrar, Permits: n.limits.issuer,
-		Codec: n.codec, MaxBytes: maxMessageBytes, Process: n.process}
+		Codec: n.codec, MaxBytes: maxMessageBytes, Process: n.processID}
 }
