--- a/internal/quarantine/doc.go
+++ b/internal/quarantine/doc.go
@@ -9,8 +9,8 @@
 // the fingerprint; a query of death is never answered.
 //
 //   - A request with one crash is a suspect and is served like any other request.
-//   - A request with isolationCrashes runs isolated: at one home of the service, which each
-//     node determines by itself, one suspect at a time. A further crash can then be attributed
+//   - A request with isolationCrashes runs isolated: at one home of the service (a node with a
+//     target of it), which each node determines by itself, one suspect at a time. A further crash can then be attributed
 //     to a single one of them.
 //   - A request with quarantineCrashes is quarantined: all nodes refuse it, both where it
 //     enters and at the targets.
--- a/internal/replica/antientropy.go
+++ b/internal/replica/antientropy.go
@@ -130,8 +130,8 @@
 	return digests
 }
 
-// HandleCallDigests handles the digests of a peer that called. As the time that they took to
-// arrive is unknown, they do not show as of when the copies are current for certain.
+// HandleCallDigests handles the digests of a peer that called. They took an unknown time to
+// arrive, so they do not advance the time as of which a copy is certainly current.
 func (a *AntiEntropy) HandleCallDigests(peer string, digests []Digest) {
 	if peer == "" || peer == a.config.Address {
 		return
--- a/internal/replica/fakestore_test.go
+++ b/internal/replica/fakestore_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// refusingStore refuses calls while refused is set.
+// refusingStore fails calls with store.ErrUnavailable while refused is set.
 type refusingStore struct {
 	*fakeStore
 	refused atomic.Bool
--- a/internal/replica/syncer.go
+++ b/internal/replica/syncer.go
@@ -20,8 +20,8 @@
 	// watchers is the number of nodes that watch the store. Their watches are answered at
 	// different times, so that the fleet receives several answers within MaxWatchWait.
 	watchers = 4
-	// Nodes whose copies are stale read from the store one after the other: the first one
-	// informs the others.
+	// Nodes whose copies are stale read from the store one after the other, in the order of
+	// their positions, so that the others receive the changes from the first one.
 	positionDelay    = 10 * time.Millisecond
 	maxPositionDelay = 800 * time.Millisecond
 	delayJitter      = 50 * time.Millisecond
--- a/internal/replica/verifier.go
+++ b/internal/replica/verifier.go
@@ -27,8 +27,8 @@
 )
 
 // Verifier bounds the age of a copy's verification: it reads the prefix from the store whenever
-// no node has done so for a while. A watch verifies nothing, as a blocked one misses changes in
-// history that the store compacts.
+// no node has done so for MaxAge. A watch does not count as a verification, because a blocked
+// watch misses changes in history that the store compacts.
 type Verifier struct {
 	Syncer *Syncer
 	// MaxAge is the age from which the copy is verified again.
