--- a/internal/replica/verifier.go
+++ b/internal/replica/verifier.go
@@ -27,8 +27,9 @@
 )
 
 // Verifier bounds the age of a copy's verification: it reads the prefix from the store whenever
-// no node has done so for MaxAge. A watch does not count as a verification, because a blocked
-// watch misses changes in history that the store compacts.
+// no node has done so for MaxAge and a delay that depends on the node's position. A watch does not
+// count as a verification, because a blocked watch misses changes in history that the store
+// compacts.
 type Verifier struct {
 	Syncer *Syncer
 	// MaxAge is the age from which the copy is verified again.
