--- a/internal/replica/fakestore_test.go
+++ b/internal/replica/fakestore_test.go
@@ -25,7 +25,7 @@
 	compacted store.Revision
 	changed   chan struct{}
 	calls     atomic.Int64
-	// down has the store refuse all nodes.
+	// down makes the store unavailable to all nodes.
 	down atomic.Bool
 }
 
@@ -185,7 +185,7 @@
 	}
 }
 
-// refusingStore refuses calls while refused is set.
+// refusingStore fails calls with store.ErrUnavailable while refused is set.
 type refusingStore struct {
 	*fakeStore
 	refused atomic.Bool
--- a/internal/replica/verifier.go
+++ b/internal/replica/verifier.go
@@ -20,15 +20,16 @@
 	// verifyTimeout bounds one read: the store answers within milliseconds, and another node
 	// may have verified the copy meanwhile.
 	verifyTimeout = 400 * time.Millisecond
-	// overdueAfter is how far the age of a verification exceeds After before peers are queried
-	// more often for a newer one. It serves nodes that no peer calls: of 300 nodes, one relied
+	// overdueAfter is how far the age of a verification exceeds MaxAge before peers are queried
+	// more often for a newer one. Nodes that no peer calls depend on it: of 300 nodes, one relied
 	// on a verification of 2.5 s and more in 4 of 128 simulations of 10 s.
 	overdueAfter = 500 * time.Millisecond
 )
 
 // Verifier bounds the age of a copy's verification: it reads the prefix from the store whenever
-// no node has done so for a while. A watch verifies nothing, as a blocked one misses changes in
-// history that the store compacts.
+// no node has done so for MaxAge and a delay that depends on the node's position. A watch does not
+// count as a verification, because a blocked watch misses changes in history that the store
+// compacts.
 type Verifier struct {
 	Syncer *Syncer
 	// MaxAge is the age from which the copy is verified again.
