--- a/internal/store/memory/mvcc/history.go
+++ b/internal/store/memory/mvcc/history.go
@@ -52,7 +52,7 @@
 	return batch, nil
 }
 
-// firstAfter returns the index of the first event after a revision.
+// firstEventAfter returns the index of the first event after a revision.
 func (s *Store) firstEventAfter(revision store.Revision) int {
 	return sort.Search(len(s.history), func(i int) bool { return s.history[i].ModRevision > revision })
 }
